--- a/adapter/jobapi/client.go
+++ b/adapter/jobapi/client.go
@@ -164,16 +164,16 @@
 func (c *Client) problem(response *http.Response, data []byte) *CallError {
 	e := &CallError{Daemon: c.base, Status: response.StatusCode, RetryAfter: response.Header.Get("Retry-After")}
 	if err := json.Unmarshal(data, &e.Problem); err != nil || e.Problem.Kind == "" {
-		e.Cause = &UnreadableAnswerError{Status: response.StatusCode}
+		e.Cause = &UnreadableResponseError{Status: response.StatusCode}
 	}
 	return e
 }
 
-// UnreadableAnswerError is an answer that is no good one and says no problem: of
+// UnreadableResponseError is an answer that is no good one and says no problem: of
 // another program at the address, or of a proxy between.
-type UnreadableAnswerError struct{ Status int }
+type UnreadableResponseError struct{ Status int }
 
 // Error implements error.
-func (e *UnreadableAnswerError) Error() string {
+func (e *UnreadableResponseError) Error() string {
 	return fmt.Sprintf("answer with status %d that cannot be read", e.Status)
 }
--- a/adapter/jobapi/messages.go
+++ b/adapter/jobapi/messages.go
@@ -84,9 +84,9 @@
 	fleetRetryAfterS = "60"
 )
 
-// RetryAfterS returns when to come back after an error that means "not done", in
+// RetryAfterSeconds returns when to come back after an error that means "not done", in
 // seconds.
-func RetryAfterS(err error) string {
+func RetryAfterSeconds(err error) string {
 	var unservable *job.UnservableError
 	if errors.As(err, &unservable) {
 		return fleetRetryAfterS
--- a/adapter/jobapi/server.go
+++ b/adapter/jobapi/server.go
@@ -38,9 +38,9 @@
 	Config    *jobservice.ConfigFeed
 	Inspector Inspector
 	Status    func() Status
-	// Recent returns the daemon's latest log lines.
-	Recent func() []byte
-	Log    *logrus.Logger
+	// RecentLog returns the daemon's latest log lines.
+	RecentLog func() []byte
+	Log       *logrus.Logger
 }
 
 // Server serves the interface.
@@ -184,7 +184,7 @@
 func (s *Server) status(c echo.Context) error { return c.JSON(http.StatusOK, s.o.Status()) }
 
 func (s *Server) recent(c echo.Context) error {
-	return c.Blob(http.StatusOK, "application/x-ndjson", s.o.Recent())
+	return c.Blob(http.StatusOK, "application/x-ndjson", s.o.RecentLog())
 }
 
 // answerError answers a call that failed.
@@ -194,7 +194,7 @@
 	}
 	status, kind := ProblemOf(err)
 	if status == http.StatusServiceUnavailable {
-		c.Response().Header().Set("Retry-After", RetryAfterS(err))
+		c.Response().Header().Set("Retry-After", RetryAfterSeconds(err))
 	}
 	if kind != ProblemNotLeading {
 		s.log.WithError(err).WithFields(logrus.Fields{
--- a/cmd/guavarill-platform/main.go
+++ b/cmd/guavarill-platform/main.go
@@ -96,7 +96,7 @@
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	daemon := platform.New(settings, log)
-	go platform.FollowSettings(ctx, path, reloads, log, daemon.Reload)
+	go platform.WatchSettings(ctx, path, reloads, log, daemon.Reload)
 	o.serve(daemon, settings.IP, recent, log)
 	if err := daemon.Run(ctx); err != nil {
 		log.WithError(err).Error("stopped")
