--- a/adapter/jobapi/client.go
+++ b/adapter/jobapi/client.go
@@ -16,8 +16,8 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// maxAnswerBytes bounds an answer: a daemon's latest log lines are the largest.
-const maxAnswerBytes = 8 << 20
+// maxResponseBytes bounds an answer: a daemon's latest log lines are the largest.
+const maxResponseBytes = 8 << 20
 
 // Client reaches the interface of one daemon.
 type Client struct {
@@ -150,18 +150,18 @@
 		return nil, &CallError{Daemon: c.base, Cause: err}
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil {
 		return nil, &CallError{Daemon: c.base, Status: response.StatusCode, Cause: err}
 	}
 	if response.StatusCode != http.StatusOK {
-		return nil, c.problem(response, data)
+		return nil, c.callError(response, data)
 	}
 	return data, nil
 }
 
-// problem reads an answer that is an error.
-func (c *Client) problem(response *http.Response, data []byte) *CallError {
+// callError reads an answer that is an error.
+func (c *Client) callError(response *http.Response, data []byte) *CallError {
 	e := &CallError{Daemon: c.base, Status: response.StatusCode, RetryAfter: response.Header.Get("Retry-After")}
 	if err := json.Unmarshal(data, &e.Problem); err != nil || e.Problem.Kind == "" {
 		e.Cause = &UnreadableResponseError{Status: response.StatusCode}
--- a/adapter/jobapi/messages.go
+++ b/adapter/jobapi/messages.go
@@ -76,12 +76,12 @@
 func (*TooLargeError) Error() string { return "the body is too large" }
 
 const (
-	// retryAfterS is when to come back after a refusal, in seconds: outages of the
+	// defaultRetryAfter is when to come back after a refusal, in seconds: outages of the
 	// store last seconds, and other daemons may serve at once.
-	retryAfterS = "1"
-	// fleetRetryAfterS is the same for a job that no worker could run: larger
+	defaultRetryAfter = "1"
+	// unservableRetryAfter is the same for a job that no worker could run: larger
 	// workers do not come within seconds.
-	fleetRetryAfterS = "60"
+	unservableRetryAfter = "60"
 )
 
 // RetryAfterSeconds returns when to come back after an error that means "not done", in
@@ -89,9 +89,9 @@
 func RetryAfterSeconds(err error) string {
 	var unservable *job.UnservableError
 	if errors.As(err, &unservable) {
-		return fleetRetryAfterS
+		return unservableRetryAfter
 	}
-	return retryAfterS
+	return defaultRetryAfter
 }
 
 // ProblemOf returns the status and the kind for an error of a caller's request.
--- a/adapter/jobapi/server.go
+++ b/adapter/jobapi/server.go
@@ -55,7 +55,7 @@
 	e := echo.New()
 	e.HideBanner = true
 	e.HTTPErrorHandler = s.answerError
-	e.Use(bounded)
+	e.Use(withTimeout)
 	e.POST("/v1/queues/:queue/jobs/:id", s.submit)
 	e.GET("/v1/queues/:queue", s.queue)
 	e.GET("/v1/jobs", s.list)
@@ -63,12 +63,12 @@
 	e.GET("/v1/jobs/:id/tasks", s.tasks)
 	e.DELETE("/v1/jobs/:id", s.cancel)
 	e.GET("/v1/status", s.status)
-	e.GET("/v1/log", s.recent)
+	e.GET("/v1/log", s.recentLog)
 	return e
 }
 
-// bounded ends calls that take too long.
-func bounded(next echo.HandlerFunc) echo.HandlerFunc {
+// withTimeout ends calls that take too long.
+func withTimeout(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
 		defer cancel()
@@ -183,7 +183,7 @@
 
 func (s *Server) status(c echo.Context) error { return c.JSON(http.StatusOK, s.o.Status()) }
 
-func (s *Server) recent(c echo.Context) error {
+func (s *Server) recentLog(c echo.Context) error {
 	return c.Blob(http.StatusOK, "application/x-ndjson", s.o.RecentLog())
 }
 
