--- a/cmd/guavarill-platform/main.go
+++ b/cmd/guavarill-platform/main.go
@@ -38,9 +38,9 @@
 // logCloseTimeout bounds the writing of the last lines.
 const logCloseTimeout = 300 * time.Millisecond
 
-// recentBytes bounds the log lines kept in memory: ten seconds of a busy leader
+// recentLogBytes bounds the log lines kept in memory: ten seconds of a busy leader
 // and hours of another daemon, at a thirtieth of the memory it may use.
-const recentBytes = 1 << 20
+const recentLogBytes = 1 << 20
 
 // options are guavarill's own settings.
 type options struct {
@@ -52,8 +52,8 @@
 // maxPort is the highest port of TCP.
 const maxPort = 65535
 
-// check returns a *platform.SettingsError for a flag that cannot be.
-func (o options) check() error {
+// validate returns a *platform.SettingsError for a flag that cannot be.
+func (o options) validate() error {
 	ports := []struct {
 		flag string
 		port int
@@ -74,19 +74,19 @@
 func run(args []string) int {
 	var o options
 	if _, err := flags.NewParser(&o, flags.HelpFlag|flags.PassDoubleDash).ParseArgs(args); err != nil {
-		return usage(err)
+		return reportFlagError(err)
 	}
 	sink := logsink.New(os.Stdout)
 	defer sink.Close(logCloseTimeout)
-	recent := logsink.NewRecent(recentBytes)
-	log := newLog(io.MultiWriter(sink, recent), o)
+	recent := logsink.NewRecent(recentLogBytes)
+	log := newLogger(io.MultiWriter(sink, recent), o)
 	path := os.Getenv(platform.SettingsEnv)
 	settings, err := platform.ReadSettings(path)
 	if err != nil {
 		log.WithError(err).Error("cannot start")
 		return exitSettings
 	}
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		log.WithError(err).Error("cannot start")
 		return exitSettings
 	}
@@ -97,7 +97,7 @@
 	signal.Notify(reloads, syscall.SIGHUP)
 	daemon := platform.New(settings, log)
 	go platform.WatchSettings(ctx, path, reloads, log, daemon.Reload)
-	o.serve(daemon, settings.IP, recent, log)
+	o.startServers(daemon, settings.IP, recent, log)
 	if err := daemon.Run(ctx); err != nil {
 		log.WithError(err).Error("stopped")
 		return exitFailed
@@ -105,21 +105,21 @@
 	return exitOK
 }
 
-// serve begins to serve the ports that are set.
-func (o options) serve(daemon *platform.Daemon, ip string, recent *logsink.Recent, log *logrus.Logger) {
+// startServers begins to startServers the ports that are set.
+func (o options) startServers(daemon *platform.Daemon, ip string, recent *logsink.Recent, log *logrus.Logger) {
 	if o.MetricsPort != 0 {
 		mux := http.NewServeMux()
 		mux.Handle("/metrics", daemon.MetricsHandler())
 		mux.Handle("/metrics/brief", daemon.BriefMetricsHandler())
-		go serve("metrics", ip, o.MetricsPort, mux, log)
+		go listenAndServe("metrics", ip, o.MetricsPort, mux, log)
 	}
 	if o.APIPort != 0 {
-		go serve("job api", ip, o.APIPort, daemon.JobAPI(recent.Lines), log)
+		go listenAndServe("job api", ip, o.APIPort, daemon.JobAPI(recent.Lines), log)
 	}
 }
 
-// usage says what is wrong with the flags, or how they are used.
-func usage(err error) int {
+// reportFlagError says what is wrong with the flags, or how they are used.
+func reportFlagError(err error) int {
 	var wrong *flags.Error
 	if errors.As(err, &wrong) && wrong.Type == flags.ErrHelp {
 		fmt.Println(wrong.Message)
@@ -129,7 +129,7 @@
 	return exitSettings
 }
 
-func newLog(out io.Writer, o options) *logrus.Logger {
+func newLogger(out io.Writer, o options) *logrus.Logger {
 	log := logsink.NewLogger(out)
 	if level, err := logrus.ParseLevel(o.LogLevel); err == nil {
 		log.SetLevel(level)
@@ -137,8 +137,8 @@
 	return log
 }
 
-// serve serves what operators ask for. The daemon goes on without it.
-func serve(what, ip string, port int, handler http.Handler, log *logrus.Logger) {
+// listenAndServe serves what operators ask for. The daemon goes on without it.
+func listenAndServe(what, ip string, port int, handler http.Handler, log *logrus.Logger) {
 	address := net.JoinHostPort(ip, strconv.Itoa(port))
 	server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: time.Second}
 	if err := server.ListenAndServe(); err != nil {
--- a/cmd/guavarill-platform/main_test.go
+++ b/cmd/guavarill-platform/main_test.go
@@ -18,7 +18,7 @@
 		{options{APIPort: -1}, "--api-port"},
 		{options{MetricsPort: 9464, APIPort: 9464}, "--api-port"},
 	} {
-		err := c.o.check()
+		err := c.o.validate()
 		var wrong *platform.SettingsError
 		switch {
 		case c.field == "" && err != nil:
