--- a/adapter/jobapi/client.go
+++ b/adapter/jobapi/client.go
@@ -16,16 +16,17 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// maxResponseBytes bounds an answer: a daemon's latest log lines are the largest.
+// maxResponseBytes bounds the body of a response. The largest one contains a daemon's
+// latest log lines.
 const maxResponseBytes = 8 << 20
 
-// Client reaches the interface of one daemon.
+// Client calls the interface of one daemon.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the daemon at address, host:port or a URL.
+// NewClient returns a client of the daemon at address, which is host:port or a URL.
 func NewClient(address string, transport http.RoundTripper) *Client {
 	return &Client{base: endpoint.URL(address), http: &http.Client{Transport: transport}}
 }
@@ -33,14 +34,16 @@
 // Address returns the daemon's URL.
 func (c *Client) Address() string { return c.base }
 
-// CallError is a call that brought no good answer.
+// CallError reports a call that did not succeed. It has either a Problem, as the daemon
+// reported it, or a Cause.
 type CallError struct {
+	// Daemon is the daemon's URL.
 	Daemon string
-	// Status is 0 when the daemon did not answer.
+	// Status is the HTTP status, 0 when the daemon did not respond.
 	Status  int
 	Problem Problem
-	// RetryAfter is when to come back, in seconds, as the daemon says; empty if
-	// it does not.
+	// RetryAfter is the time in seconds after which to retry, as the daemon specified it;
+	// empty if it did not.
 	RetryAfter string
 	Cause      error
 }
@@ -60,8 +63,9 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// Uncertain reports whether the call may have been carried out: the daemon says
-// so, or its answer is missing although the call may have reached it.
+// Uncertain reports whether the call may have been carried out: the daemon reported that
+// the outcome is unknown, or the response is missing although the call may have reached
+// the daemon.
 func (e *CallError) Uncertain() bool {
 	if e.Problem.Kind != "" {
 		return e.Problem.Kind == ProblemUncertain
@@ -69,14 +73,15 @@
 	return !NotSent(e.Cause)
 }
 
-// NotSent reports whether a call certainly did not reach a daemon.
+// NotSent reports whether a call that failed with err was certainly not sent, because no
+// connection could be opened.
 func NotSent(err error) bool {
 	var failed *net.OpError
 	return errors.As(err, &failed) && failed.Op == "dial"
 }
 
-// Submit submits a job. An error is a *CallError; the call may be repeated at
-// any daemon, with the same id and job.
+// Submit submits a job. An error is a *CallError. The call is idempotent: it may be
+// repeated at any daemon with the same id and job.
 func (c *Client) Submit(ctx context.Context, queue string, id job.ID, spec *job.Spec) (JobState, error) {
 	return call[JobState](ctx, c, http.MethodPost, "/v1/queues/"+url.PathEscape(queue)+"/jobs/"+string(id), spec)
 }
@@ -96,13 +101,13 @@
 	return call[QueueStatus](ctx, c, http.MethodGet, "/v1/queues/"+url.PathEscape(queue), nil)
 }
 
-// List returns the jobs that are not over. An error is a *CallError, of the kind
-// ProblemNotLeading from a daemon that does not lead.
+// List returns the jobs that are not in a final state. An error is a *CallError; a daemon
+// that is not the leader reports ProblemNotLeading.
 func (c *Client) List(ctx context.Context) ([]jobsched.JobView, error) {
 	return call[[]jobsched.JobView](ctx, c, http.MethodGet, "/v1/jobs", nil)
 }
 
-// Tasks returns what a job's tasks do. An error is a *CallError, as for List.
+// Tasks returns the states of a job's tasks. Errors are as for List.
 func (c *Client) Tasks(ctx context.Context, id job.ID) (jobsched.JobView, error) {
 	return call[jobsched.JobView](ctx, c, http.MethodGet, "/v1/jobs/"+string(id)+"/tasks", nil)
 }
@@ -117,6 +122,7 @@
 	return c.do(ctx, http.MethodGet, "/v1/log", nil)
 }
 
+// call makes a call and decodes the JSON of its response.
 func call[T any](ctx context.Context, c *Client, method, path string, body any) (T, error) {
 	var result T
 	data, err := c.do(ctx, method, path, body)
@@ -129,6 +135,8 @@
 	return result, nil
 }
 
+// do makes a call and returns the body of a response with status 200. An error is a
+// *CallError.
 func (c *Client) do(ctx context.Context, method, path string, body any) ([]byte, error) {
 	var reader io.Reader
 	if body != nil {
@@ -160,7 +168,7 @@
 	return data, nil
 }
 
-// callError reads an answer that is an error.
+// callError returns the error for a response with another status than 200.
 func (c *Client) callError(response *http.Response, data []byte) *CallError {
 	e := &CallError{Daemon: c.base, Status: response.StatusCode, RetryAfter: response.Header.Get("Retry-After")}
 	if err := json.Unmarshal(data, &e.Problem); err != nil || e.Problem.Kind == "" {
@@ -169,8 +177,8 @@
 	return e
 }
 
-// UnreadableResponseError is an answer that is no good one and says no problem: of
-// another program at the address, or of a proxy between.
+// UnreadableResponseError reports a response that is neither a success nor contains a
+// Problem. It may come from another program at the address or from a proxy.
 type UnreadableResponseError struct{ Status int }
 
 // Error implements error.
--- a/adapter/jobapi/messages.go
+++ b/adapter/jobapi/messages.go
@@ -11,81 +11,84 @@
 	"github.com/guavarill/guavarill/jobservice"
 )
 
-// Problem is the body of an answer that is an error.
+// Problem is the body of a response that reports an error.
 type Problem struct {
 	Kind   ProblemKind `json:"kind"`
 	Detail string      `json:"detail"`
 }
 
-// ProblemKind says what is wrong, and what is certain.
+// ProblemKind is the kind of an error. It says whether the request was carried out.
 type ProblemKind string
 
 // The kinds of problems.
 const (
-	// ProblemInvalid: the request cannot be carried out as it is.
+	// ProblemInvalid: the request is not valid; repeating it cannot succeed.
 	ProblemInvalid ProblemKind = "invalid"
-	// ProblemTooLarge: its body is over the limit.
+	// ProblemTooLarge: the body of the request exceeds the limit.
 	ProblemTooLarge     ProblemKind = "too large"
 	ProblemUnknownJob   ProblemKind = "unknown job"
 	ProblemUnknownQueue ProblemKind = "unknown queue"
-	// ProblemNotDone: it was not carried out and will not be.
+	// ProblemNotDone: the request was not carried out and will not be.
 	ProblemNotDone ProblemKind = "not done"
-	// ProblemUnservable: it was not taken in, because no worker that is there could
-	// ever run it.
+	// ProblemUnservable: the job was not accepted, because none of the present workers
+	// could ever run it.
 	ProblemUnservable ProblemKind = "unservable"
-	// ProblemUncertain: it may have been carried out, or its answer is not known.
+	// ProblemUncertain: the request may have been carried out, or its result is unknown.
 	ProblemUncertain ProblemKind = "uncertain"
-	// ProblemNotLeading: another daemon knows.
+	// ProblemNotLeading: this daemon is not the leader, and only the leader can answer the
+	// request.
 	ProblemNotLeading ProblemKind = "not leading"
-	// ProblemNotServed: there is no such call.
+	// ProblemNotServed: the interface has no such call.
 	ProblemNotServed ProblemKind = "not served"
 )
 
-// JobState is what a caller is told of a job.
+// JobState is the state of a job, as returned to callers.
 type JobState struct {
 	ID    job.ID    `json:"id"`
 	State job.State `json:"state"`
 }
 
-// QueueStatus is what a caller is told of a queue.
+// QueueStatus is the status of a queue, as returned to callers.
 type QueueStatus struct {
 	Queue string `json:"queue"`
-	// Waiting counts the jobs of which no task has started.
+	// Waiting is the number of pending jobs, of which no task has started.
 	Waiting int `json:"waiting"`
 }
 
-// Status is what a daemon says of itself.
+// Status is the status of a daemon.
 type Status struct {
 	Daemon string `json:"daemon"`
 	Zone   string `json:"zone"`
-	// Leads is whether it schedules for all.
+	// Leads reports whether the daemon is the leader, which schedules for all daemons.
 	Leads bool `json:"leads"`
+	// Ready reports whether the daemon should get callers' connections.
 	Ready bool `json:"ready"`
-	// ConfigVersion is the configuration in force, 0 before the first.
+	// ConfigVersion is the version of the configuration in force, 0 before the first.
 	ConfigVersion uint64 `json:"configVersion"`
-	// StoreSilence is how long ago the store answered last.
+	// StoreSilence is the time since the store's last response.
 	StoreSilence time.Duration `json:"storeSilenceNs"`
-	// Peers counts the other daemons that it knows.
+	// Peers is the number of other daemons that this daemon knows.
 	Peers int `json:"peers"`
 }
 
-// TooLargeError is a body over the limit.
+// TooLargeError reports a request body that exceeds the limit.
 type TooLargeError struct{}
 
 // Error implements error.
 func (*TooLargeError) Error() string { return "the body is too large" }
 
 const (
-	// defaultRetryAfter is when to come back after a refusal, in seconds: outages of the
-	// store last seconds, and other daemons may serve at once.
+	// defaultRetryAfter is the time in seconds after which to retry a refused request.
+	// It is short because outages of the store last seconds, and because other daemons
+	// may serve the request at once.
 	defaultRetryAfter = "1"
-	// unservableRetryAfter is the same for a job that no worker could run: larger
-	// workers do not come within seconds.
+	// unservableRetryAfter is the same for a job that no worker can run, because larger
+	// workers are not added within seconds.
 	unservableRetryAfter = "60"
 )
 
-// RetryAfterSeconds returns when to come back after an error that means "not done", in
-// seconds.
+// RetryAfterSeconds returns the value of the Retry-After header for an error that means
+// that the request was not carried out.
 func RetryAfterSeconds(err error) string {
 	var unservable *job.UnservableError
 	if errors.As(err, &unservable) {
@@ -94,7 +97,8 @@
 	return defaultRetryAfter
 }
 
-// ProblemOf returns the status and the kind for an error of a caller's request.
+// ProblemOf returns the HTTP status and the kind of problem for an error of a request. An
+// error of an unknown type counts as uncertain.
 func ProblemOf(err error) (int, ProblemKind) {
 	var invalid *job.InvalidError
 	var large *TooLargeError
--- a/adapter/jobapi/server.go
+++ b/adapter/jobapi/server.go
@@ -17,33 +17,34 @@
 )
 
 const (
-	// requestTimeout bounds the answer to a call: twice what a submission may
+	// requestTimeout bounds the handling of a call. It is twice what a submission may
 	// take, and less than clients wait by default.
 	requestTimeout = 3 * time.Second
-	// defaultBodyBytes bounds a submission while the configuration sets no limit.
+	// defaultBodyBytes bounds the body of a submission if the configuration sets no limit.
 	defaultBodyBytes = 256 << 10
-	// listLimit bounds a list of jobs: more than a table is read for.
+	// listLimit bounds the number of jobs in a list. It is more than people read in a
+	// table.
 	listLimit = 5000
 )
 
-// Inspector tells what the leader believes.
+// Inspector returns the leader's view of jobs.
 type Inspector interface {
 	Inspect(ctx context.Context, id job.ID) (jobsched.JobView, error)
 	List(ctx context.Context, limit int) ([]jobsched.JobView, error)
 }
 
-// Options is what a Server serves.
+// Options configures a Server.
 type Options struct {
 	Intake    *jobservice.Intake
 	Config    *jobservice.ConfigFeed
 	Inspector Inspector
 	Status    func() Status
-	// RecentLog returns the daemon's latest log lines.
+	// RecentLog returns the daemon's latest log lines, in JSON, one a line.
 	RecentLog func() []byte
 	Log       *logrus.Logger
 }
 
-// Server serves the interface.
+// Server handles the calls of the interface.
 type Server struct {
 	o   Options
 	log *logrus.Entry
@@ -67,7 +68,7 @@
 	return e
 }
 
-// withTimeout ends calls that take too long.
+// withTimeout limits the handling of a call to requestTimeout.
 func withTimeout(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		ctx, cancel := context.WithTimeout(c.Request().Context(), requestTimeout)
@@ -97,8 +98,8 @@
 	return c.JSON(http.StatusOK, JobState{ID: id, State: job.Queued})
 }
 
-// findQueue returns a queue and the configuration that has it, if that is new enough
-// to take in jobs by it.
+// findQueue returns a queue and the configuration that contains it, or an error if that
+// configuration is too old to accept jobs by it.
 func (s *Server) findQueue(name string) (*job.Config, *job.Queue, error) {
 	if err := s.o.Config.CheckAge(); err != nil {
 		return nil, nil, err
@@ -106,8 +107,8 @@
 	return s.o.Config.Queue(func(c *job.Config) *job.Queue { return c.Queues[name] })
 }
 
-// ReadBody reads a submission's JSON, of at most limit bytes, into v; a limit of
-// 0 is the usual one. An error is a *job.InvalidError or a *TooLargeError.
+// ReadBody decodes a submission's JSON, of at most limit bytes, into v; a limit of 0
+// means defaultBodyBytes. An error is a *job.InvalidError or a *TooLargeError.
 func ReadBody(body io.Reader, limit int64, v any) error {
 	if limit <= 0 {
 		limit = defaultBodyBytes
@@ -187,7 +188,7 @@
 	return c.Blob(http.StatusOK, "application/x-ndjson", s.o.RecentLog())
 }
 
-// answerError answers a call that failed.
+// answerError sends the response to a call that failed.
 func (s *Server) answerError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -202,6 +203,6 @@
 		}).Info(joblog.MessageRefused)
 	}
 	if sent := c.JSON(status, Problem{Kind: kind, Detail: err.Error()}); sent != nil {
-		s.log.WithError(sent).Debug("answer not sent; the caller has gone")
+		s.log.WithError(sent).Debug("cannot send the response; the caller closed the connection")
 	}
 }
