--- a/cmd/guavarill-platform/main.go
+++ b/cmd/guavarill-platform/main.go
@@ -1,11 +1,11 @@
-// Command guavarill-platform is the guavarill daemon on the users' platform.
-// The platform's settings are in the file that the variable GUAVARILL_SETTINGS
-// names; guavarill's own are flags.
+// Command guavarill-platform is the guavarill daemon on the users' platform. It
+// reads the platform's settings from the file that the environment variable
+// GUAVARILL_SETTINGS names. Guavarill's own settings are flags.
 //
-// SIGTERM and SIGINT begin a planned stop; SIGHUP reads the settings file again.
+// SIGTERM and SIGINT start a planned stop; SIGHUP reloads the settings file.
 //
 // Exit codes: 0 after a planned stop and for --help; 1 after a failure; 2 for
-// settings that cannot be.
+// invalid settings or flags.
 package main
 
 import (
@@ -35,24 +35,26 @@
 	exitSettings = 2
 )
 
-// logCloseTimeout bounds the writing of the last lines.
+// logCloseTimeout bounds the time to write the last log lines at exit.
 const logCloseTimeout = 300 * time.Millisecond
 
-// recentLogBytes bounds the log lines kept in memory: ten seconds of a busy leader
-// and hours of another daemon, at a thirtieth of the memory it may use.
+// recentLogBytes bounds the log lines that are kept in memory. It holds the lines of ten
+// seconds of a busy leader, or of hours of another daemon, and is a thirtieth of the
+// memory that the process may use.
 const recentLogBytes = 1 << 20
 
-// options are guavarill's own settings.
+// options contains guavarill's own settings.
 type options struct {
 	MetricsPort int    `long:"metrics-port" env:"GUAVARILL_METRICS_PORT" default:"0" description:"port for metrics; 0 serves none"`
 	APIPort     int    `long:"api-port" env:"GUAVARILL_API_PORT" default:"0" description:"port for guavarill's own interface for jobs; 0 serves none"`
 	LogLevel    string `long:"log-level" env:"GUAVARILL_LOG_LEVEL" default:"info" choice:"debug" choice:"info" choice:"warning" choice:"error" description:"least level of log lines"`
 }
 
-// maxPort is the highest port of TCP.
+// maxPort is the highest TCP port.
 const maxPort = 65535
 
-// validate returns a *platform.SettingsError for a flag that cannot be.
+// validate returns a *platform.SettingsError for the first flag whose value is not
+// allowed.
 func (o options) validate() error {
 	ports := []struct {
 		flag string
@@ -105,7 +107,7 @@
 	return exitOK
 }
 
-// startServers begins to startServers the ports that are set.
+// startServers starts a server for each port that is set.
 func (o options) startServers(daemon *platform.Daemon, ip string, recent *logsink.Recent, log *logrus.Logger) {
 	if o.MetricsPort != 0 {
 		mux := http.NewServeMux()
@@ -118,7 +120,8 @@
 	}
 }
 
-// reportFlagError says what is wrong with the flags, or how they are used.
+// reportFlagError prints the help text or the error of the flags, and returns the exit
+// code.
 func reportFlagError(err error) int {
 	var wrong *flags.Error
 	if errors.As(err, &wrong) && wrong.Type == flags.ErrHelp {
@@ -129,6 +132,7 @@
 	return exitSettings
 }
 
+// newLogger returns a logger with the level of the flags.
 func newLogger(out io.Writer, o options) *logrus.Logger {
 	log := logsink.NewLogger(out)
 	if level, err := logrus.ParseLevel(o.LogLevel); err == nil {
@@ -137,11 +141,12 @@
 	return log
 }
 
-// listenAndServe serves what operators ask for. The daemon goes on without it.
-func listenAndServe(what, ip string, port int, handler http.Handler, log *logrus.Logger) {
+// listenAndServe serves an interface for operators. If that fails, the error is logged and
+// the daemon continues without the interface.
+func listenAndServe(name, ip string, port int, handler http.Handler, log *logrus.Logger) {
 	address := net.JoinHostPort(ip, strconv.Itoa(port))
 	server := &http.Server{Addr: address, Handler: handler, ReadHeaderTimeout: time.Second}
 	if err := server.ListenAndServe(); err != nil {
-		log.WithError(err).WithField("address", address).Error(what + " is not served")
+		log.WithError(err).WithField("address", address).Error(name + " is not served")
 	}
 }
