--- a/cmd/guavarill-platform/main_test.go
+++ b/cmd/guavarill-platform/main_test.go
@@ -24,7 +24,7 @@
 		case c.field == "" && err != nil:
 			t.Errorf("%+v: %v", c.o, err)
 		case c.field != "" && (!errors.As(err, &wrong) || wrong.Field != c.field):
-			t.Errorf("%+v: %v, want a fault of %s", c.o, err, c.field)
+			t.Errorf("%+v: %v, want an error for %s", c.o, err, c.field)
 		}
 	}
 }
