--- a/adapter/grpcrelay/large_test.go
+++ b/adapter/grpcrelay/large_test.go
@@ -42,8 +42,8 @@
 	}
 	defer link.Close()
 	r := NewRouter(&fakeWorkers{})
-	defer r.SetCarriers(nil)
-	r.SetCarriers([]jobservice.Carrier{{Address: link.Address(), Weight: 1}})
+	defer r.SetRelays(nil)
+	r.SetRelays([]jobservice.Relay{{Address: link.Address(), Weight: 1}})
 	awaitHealthy(t, r, true)
 	const workers = 60
 	var all sync.WaitGroup
--- a/adapter/grpcrelay/records.go
+++ b/adapter/grpcrelay/records.go
@@ -17,13 +17,13 @@
 // RecordsServer lets other daemons reach the store through this one.
 type RecordsServer struct {
 	relayv1.UnimplementedRecordsServer
-	store jobservice.Records
+	store jobservice.RecordStore
 	// available says whether this daemon reaches the store itself.
 	available func() bool
 }
 
 // NewRecordsServer makes a RecordsServer and registers it with a server.
-func NewRecordsServer(s *grpc.Server, store jobservice.Records, available func() bool) *RecordsServer {
+func NewRecordsServer(s *grpc.Server, store jobservice.RecordStore, available func() bool) *RecordsServer {
 	r := &RecordsServer{store: store, available: available}
 	relayv1.RegisterRecordsServer(s, r)
 	return r
@@ -64,7 +64,7 @@
 // encodeError tells the caller with the status FailedPrecondition that nothing was
 // done, and with any other that it is not known.
 func encodeError(err error) error {
-	if jobservice.NotDone(err) {
+	if jobservice.IsNotDone(err) {
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
 	return status.Error(codes.Unknown, err.Error())
@@ -77,7 +77,7 @@
 	conns map[string]*grpc.ClientConn
 }
 
-var _ jobservice.PeerRecords = (*RecordsClient)(nil)
+var _ jobservice.PeerStores = (*RecordsClient)(nil)
 
 // NewRecordsClient makes a RecordsClient without connections.
 func NewRecordsClient() *RecordsClient {
@@ -85,7 +85,7 @@
 }
 
 // At returns the way through the daemon at the address.
-func (c *RecordsClient) At(address string) jobservice.Records {
+func (c *RecordsClient) At(address string) jobservice.RecordStore {
 	return &peerRecords{client: c, address: address}
 }
 
--- a/adapter/grpcrelay/relay_test.go
+++ b/adapter/grpcrelay/relay_test.go
@@ -84,8 +84,8 @@
 	own, far := &fakeWorkers{}, &fakeWorkers{}
 	address, _ := startCarrier(t, far)
 	r := NewRouter(own)
-	r.SetCarriers([]jobservice.Carrier{{Address: address, Weight: 1}})
-	defer r.SetCarriers(nil)
+	r.SetRelays([]jobservice.Relay{{Address: address, Weight: 1}})
+	defer r.SetRelays(nil)
 	awaitHealthy(t, r, true)
 	ctx := context.Background()
 	verdict, report := r.Renew(ctx, jobsched.Renew{Order: jobsched.Order{Worker: model.Incarnation{ID: "w"}}})
@@ -118,8 +118,8 @@
 	address, stop := startCarrier(t, far)
 	own := &fakeWorkers{}
 	r := NewRouter(own)
-	r.SetCarriers([]jobservice.Carrier{{Address: address, Weight: 1}})
-	defer r.SetCarriers(nil)
+	r.SetRelays([]jobservice.Relay{{Address: address, Weight: 1}})
+	defer r.SetRelays(nil)
 	awaitHealthy(t, r, true)
 	verdicts := make(chan jobsched.Verdict)
 	go func() {
@@ -171,8 +171,8 @@
 	address, _ := startCarrier(t, workers)
 	own := &fakeWorkers{}
 	r := NewRouter(own)
-	defer r.SetCarriers(nil)
-	r.SetCarriers([]jobservice.Carrier{{Address: address, Weight: 1}})
+	defer r.SetRelays(nil)
+	r.SetRelays([]jobservice.Relay{{Address: address, Weight: 1}})
 	awaitHealthy(t, r, true)
 	verdict := make(chan jobsched.Verdict, 1)
 	key := job.TaskKey{Job: "00000000000000aa"}
@@ -183,7 +183,7 @@
 	for workers.orders.Load() == 0 && len(verdict) == 0 {
 		time.Sleep(time.Millisecond)
 	}
-	r.SetCarriers(nil)
+	r.SetRelays(nil)
 	if v := r.Stop(context.Background(), jobsched.Stop{Order: jobsched.Order{Worker: model.Incarnation{ID: "w"}}}); v != jobsched.VerdictDone {
 		t.Errorf("an order after it left: %s", v)
 	}
--- a/adapter/grpcrelay/router.go
+++ b/adapter/grpcrelay/router.go
@@ -44,9 +44,9 @@
 // daemon that is stopped goes on carrying for longer than that.
 const drainTimeout = jobservice.OrderTimeout + 200*time.Millisecond
 
-// SetCarriers opens links to the carriers, gives nothing more to others and
+// SetRelays opens links to the carriers, gives nothing more to others and
 // closes their links when what they have is answered.
-func (r *Router) SetCarriers(carriers []jobservice.Carrier) {
+func (r *Router) SetRelays(carriers []jobservice.Relay) {
 	wanted := make(map[string]bool, len(carriers))
 	for _, c := range carriers {
 		wanted[c.Address] = true
--- a/adapter/grpcrelay/vigil.go
+++ b/adapter/grpcrelay/vigil.go
@@ -29,12 +29,12 @@
 	}
 }
 
-// Lost implements jobservice.Vigil.
-func (c *Carrier) Lost() <-chan struct{} { return c.lost }
+// ConnectionLost implements jobservice.Vigil.
+func (c *Carrier) ConnectionLost() <-chan struct{} { return c.lost }
 
-// Gone implements jobservice.Vigil. A daemon listens for its peers before it
+// IsGone implements jobservice.Vigil. A daemon listens for its peers before it
 // leads and for as long, so that nobody listening there means that it is not.
-func (c *Carrier) Gone(ctx context.Context, address string) bool {
+func (c *Carrier) IsGone(ctx context.Context, address string) bool {
 	for range goneTries {
 		if refuses(ctx, address) {
 			return true
--- a/adapter/jobapi/messages.go
+++ b/adapter/jobapi/messages.go
@@ -102,7 +102,7 @@
 	var unknown *jobservice.UnknownJobError
 	var unavailable *jobservice.UnavailableError
 	var unservable *job.UnservableError
-	var stale *jobservice.StaleError
+	var stale *jobservice.StaleSummaryError
 	var follower *jobservice.NotLeadingError
 	var routing *echo.HTTPError
 	switch {
--- a/adapter/jobapi/server.go
+++ b/adapter/jobapi/server.go
@@ -103,7 +103,7 @@
 	if err := s.o.Config.CheckAge(); err != nil {
 		return nil, nil, err
 	}
-	return s.o.Config.Queue(func(c *job.Config) *job.Queue { return c.Queues[name] })
+	return s.o.Config.FindQueue(func(c *job.Config) *job.Queue { return c.Queues[name] })
 }
 
 // ReadBody reads a submission's JSON, of at most limit bytes, into v; a limit of
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	waiting, err := s.o.Intake.Waiting(c.Request().Context(), queue.Name)
+	waiting, err := s.o.Intake.WaitingJobs(c.Request().Context(), queue.Name)
 	if err != nil {
 		return err
 	}
--- a/jobservice/aside.go
+++ b/jobservice/aside.go
@@ -103,7 +103,7 @@
 
 func (t *term) tellDamage(kind string, kv port.KeyValue, err error) {
 	if err != nil {
-		t.leader.o.Metrics.Unreadable(t.leader.log, kind, kv, err, asideConsequence)
+		t.leader.o.Metrics.ReportUnreadable(t.leader.log, kind, kv, err, asideConsequence)
 	}
 }
 
--- a/jobservice/bounded.go
+++ b/jobservice/bounded.go
@@ -7,20 +7,20 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Bounded bounds the time of each order at the daemon that calls the worker,
+// WithTimeouts bounds the time of each order at the daemon that calls the worker,
 // which is where a call without an answer is told from one that was answered.
 //
 // The leader must not take the time of an order that another daemon carries: its
 // clock goes on while its processor is busy, and the outcome lies unread. It
 // would take workers that are well for silent, and start again what they have
 // done.
-func Bounded(workers port.TaskWorkers) port.TaskWorkers { return bounded{workers} }
+func WithTimeouts(workers port.TaskWorkers) port.TaskWorkers { return bounded{workers} }
 
 type bounded struct{ workers port.TaskWorkers }
 
 // Renew implements port.TaskWorkers.
 func (b bounded) Renew(ctx context.Context, r jobsched.Renew) (jobsched.Verdict, jobsched.Report) {
-	ctx, cancel := context.WithTimeout(ctx, r.Wait+RenewSlack+ReportTransfer)
+	ctx, cancel := context.WithTimeout(ctx, r.Wait+RenewSlack+ReportTransferTimeout)
 	defer cancel()
 	return b.workers.Renew(ctx, r)
 }
--- a/jobservice/campaign.go
+++ b/jobservice/campaign.go
@@ -71,11 +71,11 @@
 		holder, err := decodeLeader(kv.Value)
 		switch {
 		case kv.Lease == 0:
-			l.o.Metrics.Unreadable(l.log, kindLeader, kv, cmp.Or(err, error(&NoLeaseError{Holder: holder.Daemon})),
+			l.o.Metrics.ReportUnreadable(l.log, kindLeader, kv, cmp.Or(err, error(&NoLeaseError{Holder: holder.Daemon})),
 				"it hangs on no lease, belongs to no leader and is replaced")
 			return kv.ModRevision, nil
 		case err != nil:
-			l.o.Metrics.Unreadable(l.log, kindLeader, kv, err, "its lease is waited for")
+			l.o.Metrics.ReportUnreadable(l.log, kindLeader, kv, err, "its lease is waited for")
 		case holder.Daemon == l.o.Daemon:
 			return kv.ModRevision, nil
 		}
@@ -152,7 +152,7 @@
 			if !open || ev.Err != nil || ev.Deleted {
 				return
 			}
-		case <-l.o.Vigil.Lost():
+		case <-l.o.FailureDetector.ConnectionLost():
 			if l.endLeaseIfGone(ctx, key, holder) {
 				return
 			}
@@ -187,7 +187,7 @@
 	value := ledger.Value
 	earlier, err := decodeLedger(ledger)
 	if err != nil {
-		l.o.Metrics.Unreadable(l.log, kindLedger, ledger, err, "it is written anew, and counts are not known until then")
+		l.o.Metrics.ReportUnreadable(l.log, kindLedger, ledger, err, "it is written anew, and counts are not known until then")
 		value = nil
 	}
 	if len(value) == 0 {
@@ -216,7 +216,7 @@
 
 // acquiredAfterAll finds out whether an acquisition without an answer was made.
 func (l *Leader) acquiredAfterAll(ctx context.Context, lease port.LeaseID, cause error) (int64, error) {
-	if NotDone(cause) {
+	if IsNotDone(cause) {
 		return 0, cause
 	}
 	kv, err := l.get(ctx, leaderKey)
--- a/jobservice/configage.go
+++ b/jobservice/configage.go
@@ -16,15 +16,15 @@
 // Error implements error.
 func (*NoConfigurationError) Error() string { return "no configuration has been read yet" }
 
-// OldConfigurationError says that the configuration in force may have been replaced
+// StaleConfigurationError says that the configuration in force may have been replaced
 // longer ago than it may stay in force.
-type OldConfigurationError struct {
+type StaleConfigurationError struct {
 	Version uint64
 	Age     time.Duration
 }
 
 // Error implements error.
-func (e *OldConfigurationError) Error() string {
+func (e *StaleConfigurationError) Error() string {
 	return fmt.Sprintf("version %d of the configuration may be old: it was the newest %.1f s ago", e.Version, e.Age.Seconds())
 }
 
@@ -34,11 +34,11 @@
 // Error implements error.
 func (*UnknownQueueError) Error() string { return "no such queue" }
 
-// Queue returns the queue that choose finds in the configuration in force, and the
+// FindQueue returns the queue that choose finds in the configuration in force, and the
 // configuration. The error is an *UnknownQueueError, or an *UnavailableError when it
 // is not known whether there is such a queue: a caller who hears that there is none
 // does not come back.
-func (f *ConfigFeed) Queue(choose func(*job.Config) *job.Queue) (*job.Config, *job.Queue, error) {
+func (f *ConfigFeed) FindQueue(choose func(*job.Config) *job.Queue) (*job.Config, *job.Queue, error) {
 	config, age := f.Current(), f.Age()
 	if config == nil {
 		return nil, nil, &UnavailableError{Cause: &NoConfigurationError{}}
@@ -46,8 +46,8 @@
 	if queue := choose(config); queue != nil {
 		return config, queue, nil
 	}
-	if f.o.InForce > 0 && age > f.o.InForce {
-		return nil, nil, &UnavailableError{Cause: &OldConfigurationError{Version: config.Version, Age: age}}
+	if f.o.ApplyWithin > 0 && age > f.o.ApplyWithin {
+		return nil, nil, &UnavailableError{Cause: &StaleConfigurationError{Version: config.Version, Age: age}}
 	}
 	return nil, nil, &UnknownQueueError{}
 }
@@ -59,8 +59,8 @@
 	switch {
 	case config == nil:
 		return &UnavailableError{Cause: &NoConfigurationError{}}
-	case f.o.InForce > 0 && age > f.o.InForce+f.o.Stretch:
-		return &UnavailableError{Cause: &OldConfigurationError{Version: config.Version, Age: age}}
+	case f.o.ApplyWithin > 0 && age > f.o.ApplyWithin+f.o.Stretch:
+		return &UnavailableError{Cause: &StaleConfigurationError{Version: config.Version, Age: age}}
 	}
 	return nil
 }
--- a/jobservice/configfeed.go
+++ b/jobservice/configfeed.go
@@ -30,12 +30,12 @@
 	Decode func([]byte) (*job.Config, error)
 	// Peers reads the key by way of another daemon. It may be nil.
 	Peers func(ctx context.Context, key string) (port.KeyValue, error)
-	// InForce is how soon a change must be in force, Stretch how much later it may
+	// ApplyWithin is how soon a change must be in force, Stretch how much later it may
 	// be while the store is unstable. With 0 no age is too old.
-	InForce, Stretch time.Duration
-	Clock            Clock
-	Log              *logrus.Logger
-	Metrics          *Metrics
+	ApplyWithin, Stretch time.Duration
+	Clock                Clock
+	Log                  *logrus.Logger
+	Metrics              *Metrics
 }
 
 // ConfigFeed follows the operator's configuration. It is a port.ConfigFeed. A
@@ -215,7 +215,7 @@
 	}
 	config, err := f.o.Decode(kv.Value)
 	if err != nil {
-		f.o.Metrics.Unreadable(f.log, KindConfiguration, kv, err, "the configuration in force stays; a daemon without one is not ready")
+		f.o.Metrics.ReportUnreadable(f.log, KindConfiguration, kv, err, "the configuration in force stays; a daemon without one is not ready")
 		return
 	}
 	f.mu.Lock()
--- a/jobservice/configfeed_test.go
+++ b/jobservice/configfeed_test.go
@@ -97,7 +97,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return NewConfigFeed(ConfigFeedOptions{
-		Source: source, Key: "config", Decode: decodeNumber, Peers: peers, InForce: 2 * time.Second, Stretch: 5 * time.Second,
+		Source: source, Key: "config", Decode: decodeNumber, Peers: peers, ApplyWithin: 2 * time.Second, Stretch: 5 * time.Second,
 		Clock: clock, Log: log, Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
 }
@@ -129,17 +129,17 @@
 		t.Error("no configuration is new enough")
 	}
 	play(t, f, source)
-	var old *OldConfigurationError
+	var old *StaleConfigurationError
 	var unknown *UnknownQueueError
 	for _, c := range []struct {
 		age             time.Duration
 		sure, takesJobs bool
 	}{{2 * time.Second, true, true}, {2001 * time.Millisecond, false, true}, {7 * time.Second, false, true}, {7001 * time.Millisecond, false, false}} {
 		clock.pass(c.age - f.Age())
-		if _, q, err := f.Queue(queueNamed("q")); err != nil || q.Name != "q" {
+		if _, q, err := f.FindQueue(queueNamed("q")); err != nil || q.Name != "q" {
 			t.Errorf("%s: a queue that is there: %v", c.age, err)
 		}
-		_, _, err := f.Queue(queueNamed("other"))
+		_, _, err := f.FindQueue(queueNamed("other"))
 		if errors.As(err, &unknown) != c.sure || errors.As(err, &old) == c.sure {
 			t.Errorf("%s: a queue that is not there: %v", c.age, err)
 		}
--- a/jobservice/damage_test.go
+++ b/jobservice/damage_test.go
@@ -161,7 +161,7 @@
 		Config: fixedConfig{&job.Config{
 			Version: 1, Queues: map[string]*job.Queue{"q": &q}, Services: map[string]*job.Service{"pool": {Name: "pool"}},
 		}},
-		Carriers: deafCarriers{}, Clock: BootClock{}, Log: log, Metrics: NewMetrics(d.registry), LeaderTTL: time.Second,
+		Relays: deafCarriers{}, Clock: BootClock{}, Log: log, Metrics: NewMetrics(d.registry), LeaderTTL: time.Second,
 		Machine: jobsched.Options{
 			Lease: 300 * time.Millisecond, LeaderTTL: 200 * time.Millisecond, StopTime: 100 * time.Millisecond,
 			KeepFinal: time.Minute, ThrottleDelay: 100 * time.Millisecond,
@@ -182,7 +182,7 @@
 
 type deafCarriers struct{}
 
-func (deafCarriers) SetCarriers([]Carrier) {}
+func (deafCarriers) SetRelays([]Relay) {}
 
 // eventually waits for a condition; the limit is far beyond what it takes.
 func (d *deployment) eventually(what string, ok func() bool) {
@@ -404,7 +404,7 @@
 	d.lead()
 	d.awaitCompleted(soundJob)
 	d.store.write(port.Op{Key: ledgerKey, Value: []byte("7")})
-	if _, err := d.intake.Waiting(t.Context(), "q"); err == nil {
+	if _, err := d.intake.WaitingJobs(t.Context(), "q"); err == nil {
 		// The next commit may have mended it by now.
 		t.Log("counts were answered")
 	}
@@ -421,7 +421,7 @@
 	for damage, value := range damages {
 		d := newDeployment(t)
 		d.store.write(port.Op{Key: ledgerKey, Value: []byte(value)})
-		_, err := d.intake.Waiting(t.Context(), "q")
+		_, err := d.intake.WaitingJobs(t.Context(), "q")
 		var uncertain *UncertainError
 		if !errors.As(err, &uncertain) {
 			t.Errorf("%s: %v, want that it is not known", damage, err)
--- a/jobservice/fleet.go
+++ b/jobservice/fleet.go
@@ -43,7 +43,7 @@
 // check returns a *job.UnservableError for a job that no worker could ever run.
 // What cannot be found out now is taken in: to turn a job away that could have
 // been done is worse than to let one wait.
-func (v *fleetView) check(ctx context.Context, store Records, now time.Time, service string, spec *job.Spec) error {
+func (v *fleetView) check(ctx context.Context, store RecordStore, now time.Time, service string, spec *job.Spec) error {
 	if known := v.read.Load(); known != nil {
 		err := known.fleet.Check(service, spec)
 		fits := err == nil && known.fleet.Knows(service)
@@ -59,7 +59,7 @@
 	fresh := &readFleet{at: now}
 	if kv.ModRevision != 0 {
 		if err := job.DecodeRecord(kindFleet, kv.Value, &fresh.fleet); err != nil {
-			v.metrics.Unreadable(v.log, kindFleet, kv, err, "jobs are taken in that no worker could run")
+			v.metrics.ReportUnreadable(v.log, kindFleet, kv, err, "jobs are taken in that no worker could run")
 			return nil
 		}
 	}
--- a/jobservice/follow.go
+++ b/jobservice/follow.go
@@ -76,10 +76,10 @@
 func (t *term) setAside(ctx context.Context, kv port.KeyValue, cause error) {
 	id, err := jobOf(kv.Key, acceptedPrefix)
 	if err != nil {
-		t.leader.o.Metrics.Unreadable(t.leader.log, kindAccepted, kv, err, strayConsequence)
+		t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindAccepted, kv, err, strayConsequence)
 		return
 	}
-	t.leader.o.Metrics.Unreadable(t.leader.log, kindAccepted, kv, cause, asideConsequence)
+	t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindAccepted, kv, cause, asideConsequence)
 	t.aside.add(id)
 	t.postStored(ctx, jobsched.JobUnreadable{ID: id})
 }
--- a/jobservice/handover.go
+++ b/jobservice/handover.go
@@ -37,7 +37,7 @@
 
 // due takes in the daemons that are there, and reports whether the lead is to be
 // given up now.
-func (h *handOver) due(now time.Time, others []Carrier) bool {
+func (h *handOver) due(now time.Time, others []Relay) bool {
 	tried := h.triedAt.Load()
 	if !h.outweighed(others) || tried != 0 && now.Sub(time.Unix(0, tried)) < handOverPause {
 		h.reads = 0
@@ -50,7 +50,7 @@
 	return true
 }
 
-func (h *handOver) outweighed(others []Carrier) bool {
+func (h *handOver) outweighed(others []Relay) bool {
 	for _, c := range others {
 		if c.Weight >= handOverRatio*h.own {
 			return true
--- a/jobservice/handover_test.go
+++ b/jobservice/handover_test.go
@@ -17,13 +17,13 @@
 	d := newDeployment(t)
 	d.lead()
 	d.awaitCompleted(soundJob)
-	d.store.write(port.Op{Key: membersPrefix + "a", Value: encodeRecord(Carrier{Address: "a", Weight: 1})})
-	d.store.write(port.Op{Key: membersPrefix + "like", Value: encodeRecord(Carrier{Address: "like", Weight: 1.5})})
+	d.store.write(port.Op{Key: membersPrefix + "a", Value: encodeRecord(Relay{Address: "a", Weight: 1})})
+	d.store.write(port.Op{Key: membersPrefix + "like", Value: encodeRecord(Relay{Address: "like", Weight: 1.5})})
 	key, err := d.store.Get(t.Context(), leaderKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.store.write(port.Op{Key: membersPrefix + "large", Value: encodeRecord(Carrier{Address: "large", Weight: 4})})
+	d.store.write(port.Op{Key: membersPrefix + "large", Value: encodeRecord(Relay{Address: "large", Weight: 4})})
 	d.eventually("the lead given up", func() bool {
 		now, err := d.store.Get(t.Context(), leaderKey)
 		return err == nil && now.ModRevision != key.ModRevision
--- a/jobservice/intake.go
+++ b/jobservice/intake.go
@@ -39,21 +39,21 @@
 // Error implements error.
 func (e *UnknownJobError) Error() string { return fmt.Sprintf("job %s does not exist", e.ID) }
 
-// StaleError says that the leader has written nothing for too long.
-type StaleError struct{ Age time.Duration }
+// StaleSummaryError says that the leader has written nothing for too long.
+type StaleSummaryError struct{ Age time.Duration }
 
 // Error implements error.
-func (e *StaleError) Error() string { return fmt.Sprintf("the counts are %s old", e.Age) }
+func (e *StaleSummaryError) Error() string { return fmt.Sprintf("the counts are %s old", e.Age) }
 
 // Intake serves callers at any daemon, by the store alone.
 type Intake struct {
-	store Records
+	store RecordStore
 	clock Clock
 	fleet *fleetView
 }
 
 // NewIntake makes an Intake.
-func NewIntake(store Records, clock Clock, log *logrus.Logger, metrics *Metrics) *Intake {
+func NewIntake(store RecordStore, clock Clock, log *logrus.Logger, metrics *Metrics) *Intake {
 	fleet := &fleetView{log: log.WithField("component", "intake"), metrics: metrics}
 	return &Intake{store: store, clock: clock, fleet: fleet}
 }
@@ -132,7 +132,7 @@
 		return nil
 	case err == nil:
 		return in.checkAccepted(ctx, id)
-	case NotDone(err):
+	case IsNotDone(err):
 		return &UnavailableError{Cause: err}
 	}
 	return &UncertainError{Cause: err}
@@ -207,9 +207,9 @@
 	}
 }
 
-// Waiting returns how many jobs of a queue wait for their first task to start.
+// WaitingJobs returns how many jobs of a queue wait for their first task to start.
 // The error is an *UncertainError or a *StaleError.
-func (in *Intake) Waiting(ctx context.Context, queue string) (int, error) {
+func (in *Intake) WaitingJobs(ctx context.Context, queue string) (int, error) {
 	kv, err := in.store.Get(ctx, ledgerKey)
 	if err != nil {
 		return 0, &UncertainError{Cause: err}
@@ -220,7 +220,7 @@
 	}
 	age := in.clock.Wall().Sub(time.UnixMilli(ledger.Summary.WrittenMs))
 	if age > summaryMaxAge {
-		return 0, &StaleError{Age: age}
+		return 0, &StaleSummaryError{Age: age}
 	}
 	return ledger.Summary.Waiting[queue], nil
 }
@@ -255,8 +255,8 @@
 	return a, kv.ModRevision, nil
 }
 
-// NotDone reports whether the store has certainly not made a change.
-func NotDone(err error) bool {
+// IsNotDone reports whether the store has certainly not made a change.
+func IsNotDone(err error) bool {
 	var failure *port.StoreError
 	return errors.As(err, &failure) && failure.Outcome == port.OutcomeNotDone
 }
--- a/jobservice/leader.go
+++ b/jobservice/leader.go
@@ -37,8 +37,8 @@
 
 // NewLeader makes a Leader; Run starts it.
 func NewLeader(o Options) *Leader {
-	if o.Vigil == nil {
-		o.Vigil = deaf{}
+	if o.FailureDetector == nil {
+		o.FailureDetector = deaf{}
 	}
 	if o.Machine.RoundLooks == 0 && o.Processors > 0 {
 		// A round takes as long on a part of a core as on a whole one.
--- a/jobservice/members.go
+++ b/jobservice/members.go
@@ -41,12 +41,12 @@
 type Member struct {
 	store port.Store
 	name  string
-	self  Carrier
+	self  Relay
 	log   *logrus.Entry
 }
 
-// Carrier is a daemon that may carry a leader's orders.
-type Carrier struct {
+// Relay is a daemon that may carry a leader's orders.
+type Relay struct {
 	// Address is where it takes them.
 	Address string `json:"address"`
 	// Weight is how many it can carry, in proportion to others: its share of a
@@ -55,7 +55,7 @@
 }
 
 // NewMember makes a Member; Run enters it.
-func NewMember(store port.Store, name string, self Carrier, log *logrus.Logger) *Member {
+func NewMember(store port.Store, name string, self Relay, log *logrus.Logger) *Member {
 	return &Member{store: store, name: name, self: self, log: log.WithField("component", "member")}
 }
 
@@ -108,9 +108,9 @@
 	}
 }
 
-// Carriers is told which daemons may carry the leader's orders.
-type Carriers interface {
-	SetCarriers(carriers []Carrier)
+// RelaySetter is told which daemons may carry the leader's orders.
+type RelaySetter interface {
+	SetRelays(carriers []Relay)
 }
 
 // followMembers hands the other daemons to the carriers until ctx ends, and the
@@ -118,10 +118,10 @@
 // were there last go on.
 func (t *term) followMembers(ctx context.Context) {
 	o := &t.leader.o
-	if o.Carriers == nil {
+	if o.Relays == nil {
 		return
 	}
-	defer o.Carriers.SetCarriers(nil)
+	defer o.Relays.SetRelays(nil)
 	handOver := handOver{own: o.Processors, triedAt: &t.leader.handedOverAt}
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, storeTimeout)
@@ -133,7 +133,7 @@
 			continue
 		}
 		carriers := others(entries, o.Daemon, t.leader.log, o.Metrics)
-		o.Carriers.SetCarriers(chooseCarriers(carriers, int(t.listed.Load())))
+		o.Relays.SetRelays(chooseCarriers(carriers, int(t.listed.Load())))
 		if ctx.Err() == nil && handOver.due(o.Clock.Now(), carriers) {
 			t.handTheLeadOver()
 			return
@@ -147,20 +147,20 @@
 // message with every batch, a beat, and looks whether one came. With 22 links a
 // leader of 120 workers spent most of its processor time on messages of one or
 // two orders.
-func chooseCarriers(carriers []Carrier, workers int) []Carrier {
+func chooseCarriers(carriers []Relay, workers int) []Relay {
 	n := min(max(workers/workersPerCarrier, leastCarriers), mostCarriers)
 	if len(carriers) <= n {
 		return carriers
 	}
 	chosen := slices.Clone(carriers)
-	slices.SortStableFunc(chosen, func(a, b Carrier) int { return cmp.Compare(b.Weight, a.Weight) })
+	slices.SortStableFunc(chosen, func(a, b Relay) int { return cmp.Compare(b.Weight, a.Weight) })
 	return chosen[:n]
 }
 
 // others returns the daemons but self. An entry that cannot be read is that of a
 // daemon which carries nothing; orders go by the others, or directly.
-func others(entries []port.KeyValue, self string, log *logrus.Entry, metrics *Metrics) []Carrier {
-	carriers := make([]Carrier, 0, len(entries))
+func others(entries []port.KeyValue, self string, log *logrus.Entry, metrics *Metrics) []Relay {
+	carriers := make([]Relay, 0, len(entries))
 	var damaged []damagedRecord
 	for _, kv := range entries {
 		if strings.TrimPrefix(kv.Key, membersPrefix) == self {
@@ -168,7 +168,7 @@
 		}
 		c, err := decodeCarrier(kv.Value)
 		if err != nil {
-			metrics.Unreadable(log, kindMember, kv, err, "the daemon carries no orders")
+			metrics.ReportUnreadable(log, kindMember, kv, err, "the daemon carries no orders")
 			damaged = append(damaged, damagedRecord{kv, err})
 			continue
 		}
@@ -179,13 +179,13 @@
 }
 
 // decodeCarrier reads a member's entry. An error is a *job.RecordError.
-func decodeCarrier(data []byte) (Carrier, error) {
-	var c Carrier
+func decodeCarrier(data []byte) (Relay, error) {
+	var c Relay
 	if err := job.DecodeRecord(kindMember, data, &c); err != nil {
-		return Carrier{}, err
+		return Relay{}, err
 	}
 	if c.Address == "" {
-		return Carrier{}, &job.RecordError{Kind: kindMember, Cause: &job.InvalidError{Field: "address", Reason: "must not be empty"}}
+		return Relay{}, &job.RecordError{Kind: kindMember, Cause: &job.InvalidError{Field: "address", Reason: "must not be empty"}}
 	}
 	return c, nil
 }
--- a/jobservice/metrics.go
+++ b/jobservice/metrics.go
@@ -112,8 +112,8 @@
 	return m
 }
 
-// Request counts a caller's request.
-func (m *Metrics) Request(operation, status string, took time.Duration) {
+// ObserveRequest counts a caller's request.
+func (m *Metrics) ObserveRequest(operation, status string, took time.Duration) {
 	m.requests.WithLabelValues(operation, status).Inc()
 	m.requestTime.WithLabelValues(operation).Observe(took.Seconds())
 }
--- a/jobservice/options.go
+++ b/jobservice/options.go
@@ -16,21 +16,21 @@
 	Daemon, Incarnation string
 	// Address is where the daemon serves its peers; empty if nowhere.
 	Address string
-	// Vigil may be nil: then a leader is gone when its lease has ended.
-	Vigil Vigil
+	// FailureDetector may be nil: then a leader is gone when its lease has ended.
+	FailureDetector FailureDetector
 	// Processors is how many cores the daemon has. One with more of them is
 	// faster to take a lead that is free.
 	Processors float64
 	Store      port.Store
 	Workers    port.TaskWorkers
 	List       port.WorkerList
-	// Carriers may be nil: the leader sends its orders itself then.
-	Carriers Carriers
-	Advisor  port.Advisor
-	Config   port.ConfigFeed
-	Clock    Clock
-	Log      *logrus.Logger
-	Metrics  *Metrics
+	// Relays may be nil: the leader sends its orders itself then.
+	Relays  RelaySetter
+	Advisor port.Advisor
+	Config  port.ConfigFeed
+	Clock   Clock
+	Log     *logrus.Logger
+	Metrics *Metrics
 	// LeaderTTL is the length of the leader's lease in the store: how long the
 	// others wait for one that has gone, and how long it may go on without the
 	// store.
--- a/jobservice/orders.go
+++ b/jobservice/orders.go
@@ -15,8 +15,8 @@
 	// RenewSlack is what the answer to a renewal may take to begin beyond the wait that
 	// it allows, and ReportTransfer what the report may take from there: that of a worker
 	// with 500 ends to tell has 35 kB, and other workers' come beside it.
-	RenewSlack     = 700 * time.Millisecond
-	ReportTransfer = 2 * time.Second
+	RenewSlack            = 700 * time.Millisecond
+	ReportTransferTimeout = 2 * time.Second
 	// adviceTimeout bounds a call for advice, which takes some hundred
 	// milliseconds and waits in turn behind others.
 	adviceTimeout = 4 * time.Second
--- a/jobservice/records.go
+++ b/jobservice/records.go
@@ -13,26 +13,26 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Records reads and writes records in the store. It is the part of a
+// RecordStore reads and writes records in the store. It is the part of a
 // port.Store that callers' requests need.
-type Records interface {
+type RecordStore interface {
 	Get(ctx context.Context, key string) (port.KeyValue, error)
 	Txn(ctx context.Context, conditions []port.Condition, changes []port.Op) (port.TxnResult, error)
 }
 
-// PeerRecords reaches the store through another daemon. Errors are those of a
+// PeerStores reaches the store through another daemon. Errors are those of a
 // port.Store.
-type PeerRecords interface {
+type PeerStores interface {
 	// At returns the way through the daemon at the address.
-	At(address string) Records
+	At(address string) RecordStore
 }
 
-// SharedRecords reaches the store, or when it turns this daemon away, through
+// FailoverStore reaches the store, or when it turns this daemon away, through
 // another daemon. The store may serve some machines and not others for seconds,
 // in which callers would be refused that another daemon could serve.
-type SharedRecords struct {
+type FailoverStore struct {
 	own   port.Store
-	peers PeerRecords
+	peers PeerStores
 	self  string
 	log   *logrus.Entry
 	// metrics counts the times that the own way was lost.
@@ -40,14 +40,14 @@
 	// away is set while the own way fails.
 	away atomic.Bool
 	// members holds the other daemons that were there last.
-	members atomic.Pointer[[]Carrier]
+	members atomic.Pointer[[]Relay]
 }
 
-// NewSharedRecords makes a SharedRecords; Run keeps it informed. self is the
+// NewFailoverStore makes a SharedRecords; Run keeps it informed. self is the
 // name of this daemon among the members.
-func NewSharedRecords(own port.Store, peers PeerRecords, self string, log *logrus.Logger, m *Metrics) *SharedRecords {
-	s := &SharedRecords{own: own, peers: peers, self: self, log: log.WithField("component", "records"), metrics: m}
-	s.members.Store(new([]Carrier))
+func NewFailoverStore(own port.Store, peers PeerStores, self string, log *logrus.Logger, m *Metrics) *FailoverStore {
+	s := &FailoverStore{own: own, peers: peers, self: self, log: log.WithField("component", "records"), metrics: m}
+	s.members.Store(new([]Relay))
 	return s
 }
 
@@ -71,25 +71,25 @@
 )
 
 // Available reports whether the own way to the store works.
-func (s *SharedRecords) Available() bool { return !s.away.Load() }
+func (s *FailoverStore) Available() bool { return !s.away.Load() }
 
-// Members returns how many other daemons are known.
-func (s *SharedRecords) Members() int { return len(*s.members.Load()) }
+// PeerCount returns how many other daemons are known.
+func (s *FailoverStore) PeerCount() int { return len(*s.members.Load()) }
 
 // Get reads a key.
-func (s *SharedRecords) Get(ctx context.Context, key string) (port.KeyValue, error) {
+func (s *FailoverStore) Get(ctx context.Context, key string) (port.KeyValue, error) {
 	var kv port.KeyValue
-	err := s.try(ctx, func(ctx context.Context, r Records) (err error) {
+	err := s.try(ctx, func(ctx context.Context, r RecordStore) (err error) {
 		kv, err = r.Get(ctx, key)
 		return err
 	})
 	return kv, err
 }
 
-// GetThroughPeer reads a key by way of another daemon.
-func (s *SharedRecords) GetThroughPeer(ctx context.Context, key string) (port.KeyValue, error) {
+// GetViaPeer reads a key by way of another daemon.
+func (s *FailoverStore) GetViaPeer(ctx context.Context, key string) (port.KeyValue, error) {
 	var kv port.KeyValue
-	err := s.tryPeers(ctx, peerTransferTimeout, nil, func(ctx context.Context, r Records) (err error) {
+	err := s.tryPeers(ctx, peerTransferTimeout, nil, func(ctx context.Context, r RecordStore) (err error) {
 		kv, err = r.Get(ctx, key)
 		return err
 	})
@@ -99,9 +99,9 @@
 // Txn makes changes under conditions. It may be made on several ways, so the
 // conditions must not hold any more once it is made. The outcome of its error
 // is OutcomeNotDone only if it was made on no way.
-func (s *SharedRecords) Txn(ctx context.Context, conditions []port.Condition, changes []port.Op) (port.TxnResult, error) {
+func (s *FailoverStore) Txn(ctx context.Context, conditions []port.Condition, changes []port.Op) (port.TxnResult, error) {
 	var result port.TxnResult
-	err := s.try(ctx, func(ctx context.Context, r Records) (err error) {
+	err := s.try(ctx, func(ctx context.Context, r RecordStore) (err error) {
 		result, err = r.Txn(ctx, conditions, changes)
 		return err
 	})
@@ -109,7 +109,7 @@
 }
 
 // try makes a call on the own way and then through others until one answers.
-func (s *SharedRecords) try(ctx context.Context, call func(context.Context, Records) error) error {
+func (s *FailoverStore) try(ctx context.Context, call func(context.Context, RecordStore) error) error {
 	var last error
 	if s.Available() {
 		err := s.bounded(ctx, ownTimeout, s.own, call)
@@ -124,7 +124,7 @@
 
 // tryPeers makes a call through other daemons until one answers, each for a time.
 // last is the error of the tries before, nil if there were none.
-func (s *SharedRecords) tryPeers(ctx context.Context, limit time.Duration, last error, call func(context.Context, Records) error) error {
+func (s *FailoverStore) tryPeers(ctx context.Context, limit time.Duration, last error, call func(context.Context, RecordStore) error) error {
 	members := *s.members.Load()
 	for _, i := range rand.Perm(len(members))[:min(peerTries, len(members))] {
 		if ctx.Err() != nil {
@@ -142,7 +142,7 @@
 	return last
 }
 
-func (s *SharedRecords) bounded(ctx context.Context, limit time.Duration, r Records, call func(context.Context, Records) error) error {
+func (s *FailoverStore) bounded(ctx context.Context, limit time.Duration, r RecordStore, call func(context.Context, RecordStore) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return call(ctx, r)
@@ -150,14 +150,14 @@
 
 // worse returns the error that says less about a change.
 func worse(a, b error) error {
-	if a != nil && !NotDone(a) {
+	if a != nil && !IsNotDone(a) {
 		return a
 	}
 	return b
 }
 
 // lost notes that the own way has failed; a caller that has gone says nothing.
-func (s *SharedRecords) lost(ctx context.Context, err error) {
+func (s *FailoverStore) lost(ctx context.Context, err error) {
 	if ctx.Err() != nil && errors.Is(err, context.Canceled) {
 		return
 	}
@@ -168,7 +168,7 @@
 }
 
 // Run looks whether the own way is back while it fails, and keeps the members.
-func (s *SharedRecords) Run(ctx context.Context) {
+func (s *FailoverStore) Run(ctx context.Context) {
 	var readAt time.Time
 	for Pause(ctx, probeInterval) {
 		if s.away.Load() {
@@ -182,7 +182,7 @@
 	}
 }
 
-func (s *SharedRecords) probe(ctx context.Context) {
+func (s *FailoverStore) probe(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	if _, err := s.own.Get(ctx, leaderKey); err != nil {
@@ -192,7 +192,7 @@
 	s.log.Info(joblog.MessageStoreRegained)
 }
 
-func (s *SharedRecords) readMembers(ctx context.Context) {
+func (s *FailoverStore) readMembers(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, ownTimeout)
 	defer cancel()
 	entries, _, err := s.own.List(ctx, membersPrefix)
--- a/jobservice/recover.go
+++ b/jobservice/recover.go
@@ -43,14 +43,14 @@
 		return err
 	}
 	if r.Roster, err = decodeRoster(kv); err != nil {
-		l.o.Metrics.Unreadable(l.log, kindRoster, kv, err, "nothing is started until all leases of an earlier leader have ended")
+		l.o.Metrics.ReportUnreadable(l.log, kindRoster, kv, err, "nothing is started until all leases of an earlier leader have ended")
 		r.RosterLost = true
 	}
 	if kv, err = l.o.Store.Get(ctx, learnedKey); err != nil {
 		return err
 	}
 	if r.Learned, err = decodeLearned(kv); err != nil {
-		l.o.Metrics.Unreadable(l.log, kindInterference, kv, err, "which images disturb which is learned anew")
+		l.o.Metrics.ReportUnreadable(l.log, kindInterference, kv, err, "which images disturb which is learned anew")
 	}
 	return nil
 }
@@ -120,7 +120,7 @@
 			}
 			if acceptedErrs[id] == nil && progressErrs[id] == nil {
 				// Each can be read, and they are not of one job.
-				l.o.Metrics.Unreadable(l.log, kindProgress, progress.items[id], err, asideConsequence)
+				l.o.Metrics.ReportUnreadable(l.log, kindProgress, progress.items[id], err, asideConsequence)
 			}
 			t.aside.add(id)
 			r.SetAside[id] = r.Accepted[id]
@@ -142,10 +142,10 @@
 	for _, d := range damaged {
 		id, err := jobOf(d.kv.Key, prefix)
 		if err != nil {
-			l.o.Metrics.Unreadable(l.log, kind, d.kv, err, strayConsequence)
+			l.o.Metrics.ReportUnreadable(l.log, kind, d.kv, err, strayConsequence)
 			continue
 		}
-		l.o.Metrics.Unreadable(l.log, kind, d.kv, d.cause, asideConsequence)
+		l.o.Metrics.ReportUnreadable(l.log, kind, d.kv, d.cause, asideConsequence)
 		causes[id] = d.cause
 	}
 	return causes
--- a/jobservice/roster_test.go
+++ b/jobservice/roster_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.store.write(port.Op{Key: membersPrefix + "large", Value: encodeRecord(Carrier{Address: "large", Weight: 4})})
+	d.store.write(port.Op{Key: membersPrefix + "large", Value: encodeRecord(Relay{Address: "large", Weight: 4})})
 	d.eventually("the lead taken again", func() bool {
 		now, err := d.store.Get(t.Context(), leaderKey)
 		return err == nil && now.ModRevision > key.ModRevision
--- a/jobservice/term.go
+++ b/jobservice/term.go
@@ -217,7 +217,7 @@
 		// No leader writes such a value: another writer has put it over the ledger,
 		// and with it what told whether the commit was made. The term ends, and the
 		// next leader writes the ledger anew and reads what was stored.
-		t.leader.o.Metrics.Unreadable(t.leader.log, kindLedger, kv, err, "another writer has written it, and the term ends")
+		t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindLedger, kv, err, "another writer has written it, and the term ends")
 	}
 	if err == nil && record.Incarnation == t.leader.o.Incarnation && record.Number == c.Number {
 		return committedAt{jobsched.Committed{Number: c.Number}, kv.ModRevision}
--- a/jobservice/transfers_test.go
+++ b/jobservice/transfers_test.go
@@ -92,7 +92,7 @@
 // takes longer over a link in use than a renewal may.
 func TestReportThatTakesLong(t *testing.T) {
 	t.Parallel()
-	workers := Bounded(slowReport{})
+	workers := WithTimeouts(slowReport{})
 	if verdict, _ := workers.Renew(t.Context(), jobsched.Renew{Wait: 100 * time.Millisecond}); verdict != jobsched.VerdictDone {
 		t.Error(verdict)
 	}
--- a/jobservice/unreadable.go
+++ b/jobservice/unreadable.go
@@ -41,9 +41,9 @@
 	return &unreadable{count: count, told: make(map[string]int64)}
 }
 
-// Unreadable writes a line about a record that cannot be read, and counts it,
+// ReportUnreadable writes a line about a record that cannot be read, and counts it,
 // unless that was done for this change of it. consequence says what follows.
-func (m *Metrics) Unreadable(log *logrus.Entry, kind string, kv port.KeyValue, cause error, consequence string) {
+func (m *Metrics) ReportUnreadable(log *logrus.Entry, kind string, kv port.KeyValue, cause error, consequence string) {
 	u := m.unreadable
 	u.mu.Lock()
 	revision, known := u.told[kv.Key]
