--- a/core/scheduler/decide_test.go
+++ b/core/scheduler/decide_test.go
@@ -113,8 +113,8 @@
 	w := &world{ledger: fakeLedger{}}
 	w.snapshot = Snapshot{
 		Now: epoch, Shards: 1, Config: accepted, Ledger: w.ledger,
-		Largest: []model.Resources{{MilliCPU: 8000, MemoryMB: 8000}},
-		Hold:    func(_ string, declared model.Resources) model.Resources { return declared },
+		LargestCapacities: []model.Resources{{MilliCPU: 8000, MemoryMB: 8000}},
+		CommitSize:    func(_ string, declared model.Resources) model.Resources { return declared },
 		Placer:  placement.Default(placement.Options{Random: rand.NewPCG(1, 1)}),
 		Costs:   eviction.DefaultCosts(),
 	}
--- a/core/scheduler/observe.go
+++ b/core/scheduler/observe.go
@@ -13,19 +13,19 @@
 // ObservationKind is what became of an attempt.
 type ObservationKind uint8
 
-// The kinds of observation. All but SawRunning say that the attempt is
+// The kinds of observation. All but ObservedRunning say that the attempt is
 // certainly over.
 const (
-	SawRunning ObservationKind = iota + 1
-	SawSucceeded
-	SawFailed
-	// SawStopped: stopped by command, or by the agent when its lease ran out.
-	SawStopped
-	// SawRefused: the worker had no room or no valid grant; nothing started.
-	SawRefused
-	// SawLost: over without a report, by the bound on its lease or because
+	ObservedRunning ObservationKind = iota + 1
+	ObservedSucceeded
+	ObservedFailed
+	// ObservedStopped: stopped by command, or by the agent when its lease ran out.
+	ObservedStopped
+	// ObservedRefused: the worker had no room or no valid grant; nothing started.
+	ObservedRefused
+	// ObservedLost: over without a report, by the bound on its lease or because
 	// the worker restarted.
-	SawLost
+	ObservedLost
 )
 
 // Observation is news of one attempt from its worker's session.
@@ -60,13 +60,13 @@
 		return nil
 	}
 	switch o.Kind {
-	case SawRunning:
+	case ObservedRunning:
 		return observeRunning(t, o)
-	case SawSucceeded:
+	case ObservedSucceeded:
 		return ob.observeSucceeded(now, t, o)
-	case SawFailed:
+	case ObservedFailed:
 		return ob.observeFailed(now, t, o)
-	case SawRefused:
+	case ObservedRefused:
 		t.NotBefore = now.Add(RefusedRetry)
 		return over(t, o)
 	default:
@@ -75,9 +75,9 @@
 	}
 }
 
-// Healthy returns what follows from an attempt that has run long enough to
+// ObserveHealthy returns what follows from an attempt that has run long enough to
 // speak for its worker. It changes quarantines only.
-func (ob *Observer) Healthy(now time.Time, attempt model.AttemptKey) []ledger.Change {
+func (ob *Observer) ObserveHealthy(now time.Time, attempt model.AttemptKey) []ledger.Change {
 	t, known := ob.Ledger.Task(attempt.Task)
 	if !known || t.State != ledger.Running || t.Attempt != attempt.Attempt {
 		return nil
@@ -221,9 +221,9 @@
 	return !named || w.Generation != t.Key.Generation || w.Cancelled && t.State == ledger.Pending
 }
 
-// Urgent reports whether urgent work waits for one of the changes: they are of
+// HasUrgent reports whether urgent work waits for one of the changes: they are of
 // an urgent task, or of one that makes room for one.
-func Urgent(changes []ledger.Change) bool {
+func HasUrgent(changes []ledger.Change) bool {
 	return slices.ContainsFunc(changes, func(c ledger.Change) bool {
 		return c.Put != nil && (c.Put.Priority == model.PriorityUrgent || c.Put.Reason == ReasonPreempted)
 	})
--- a/core/scheduler/observe_test.go
+++ b/core/scheduler/observe_test.go
@@ -30,17 +30,17 @@
 		kind    ObservationKind
 		want    ledger.State
 	}{
-		{"assigned runs", ledger.Assigned, false, false, SawRunning, ledger.Running},
-		{"stopping still runs", ledger.Stopping, true, false, SawRunning, ledger.Stopping},
-		{"batch succeeds", ledger.Running, false, false, SawSucceeded, ledger.Succeeded},
-		{"batch succeeds while stopping", ledger.Stopping, true, false, SawSucceeded, ledger.Succeeded},
-		{"service ends by itself", ledger.Running, false, true, SawSucceeded, ledger.Pending},
-		{"fails", ledger.Running, false, false, SawFailed, ledger.Pending},
-		{"fails while cancelled", ledger.Stopping, false, false, SawFailed, ledger.Cancelled},
-		{"evicted", ledger.Stopping, true, false, SawStopped, ledger.Pending},
-		{"cancelled", ledger.Stopping, false, false, SawStopped, ledger.Cancelled},
-		{"lost", ledger.Running, false, false, SawLost, ledger.Pending},
-		{"refused", ledger.Assigned, false, false, SawRefused, ledger.Pending},
+		{"assigned runs", ledger.Assigned, false, false, ObservedRunning, ledger.Running},
+		{"stopping still runs", ledger.Stopping, true, false, ObservedRunning, ledger.Stopping},
+		{"batch succeeds", ledger.Running, false, false, ObservedSucceeded, ledger.Succeeded},
+		{"batch succeeds while stopping", ledger.Stopping, true, false, ObservedSucceeded, ledger.Succeeded},
+		{"service ends by itself", ledger.Running, false, true, ObservedSucceeded, ledger.Pending},
+		{"fails", ledger.Running, false, false, ObservedFailed, ledger.Pending},
+		{"fails while cancelled", ledger.Stopping, false, false, ObservedFailed, ledger.Cancelled},
+		{"evicted", ledger.Stopping, true, false, ObservedStopped, ledger.Pending},
+		{"cancelled", ledger.Stopping, false, false, ObservedStopped, ledger.Cancelled},
+		{"lost", ledger.Running, false, false, ObservedLost, ledger.Pending},
+		{"refused", ledger.Assigned, false, false, ObservedRefused, ledger.Pending},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			task := ledger.Task{
@@ -71,7 +71,7 @@
 		Key: model.TaskKey{Workload: "j", Generation: 1}, State: ledger.Stopping, Resume: true,
 		Attempt: 3, Worker: "w0", NotBefore: epoch.Add(time.Hour),
 	}
-	changes := observed(task, SawStopped, "half")
+	changes := observed(task, ObservedStopped, "half")
 	if len(changes) != 1 {
 		t.Fatalf("%d changes, want 1", len(changes))
 	}
@@ -79,7 +79,7 @@
 	if after.Checkpoint != "half" || after.Evictions != 1 || !after.NotBefore.IsZero() {
 		t.Errorf("record after eviction: %+v", after)
 	}
-	if again := observed(after, SawStopped, "half"); again != nil {
+	if again := observed(after, ObservedStopped, "half"); again != nil {
 		t.Errorf("the repeat makes %d changes", len(again))
 	}
 }
@@ -93,7 +93,7 @@
 		{State: ledger.Running, Attempt: 3, Worker: "w1"},
 	} {
 		task.Key = model.TaskKey{Workload: "j", Generation: 1}
-		if changes := observed(task, SawLost, ""); changes != nil {
+		if changes := observed(task, ObservedLost, ""); changes != nil {
 			t.Errorf("attempt %d on %s: %d changes", task.Attempt, task.Worker, len(changes))
 		}
 	}
--- a/core/scheduler/place.go
+++ b/core/scheduler/place.go
@@ -88,7 +88,7 @@
 
 func (p *placing) place(t ledger.Task) {
 	w, _ := p.declared(t.Key)
-	size := p.s.Hold(t.Key.Workload, w.Spec.Size)
+	size := p.s.CommitSize(t.Key.Workload, w.Spec.Size)
 	if p.neverFits(t, size) {
 		return
 	}
@@ -114,7 +114,7 @@
 // It stays pending, since a larger worker may come; only the reason is
 // recorded.
 func (p *placing) neverFits(t ledger.Task, size model.Resources) bool {
-	err := placement.NeverFits(t.Key, size, p.s.Largest)
+	err := placement.NeverFits(t.Key, size, p.s.LargestCapacities)
 	if err == nil {
 		return false
 	}
--- a/core/scheduler/scheduler_capacity_test.go
+++ b/core/scheduler/scheduler_capacity_test.go
@@ -70,7 +70,7 @@
 	sizes := interference.NewSizes(interference.DefaultSizeOptions())
 	s.snapshot = &scheduler.Snapshot{
 		Shards: capacityShards, Config: accepted, Ledger: s.ledger.Effective(),
-		Hold: sizes.Hold, Predictor: slowdowns, Costs: eviction.DefaultCosts(),
+		CommitSize: sizes.Hold, Predictor: slowdowns, Costs: eviction.DefaultCosts(),
 		Placer: placement.Default(placement.Options{}),
 	}
 	for i := range capacityWorkers {
@@ -81,7 +81,7 @@
 		}
 		s.workers[vm.ID] = vm.Capacity
 		s.snapshot.Workers = append(s.snapshot.Workers, scheduler.Worker{VM: vm, Load: 0.5})
-		s.snapshot.Largest = []model.Resources{vm.Capacity}
+		s.snapshot.LargestCapacities = []model.Resources{vm.Capacity}
 	}
 	s.step(ledger.Acquired{Epoch: 1})
 	return s
--- a/core/scheduler/snapshot.go
+++ b/core/scheduler/snapshot.go
@@ -62,13 +62,13 @@
 	Ledger Ledger
 	// Workers are the shard's workers, ordered by VM id.
 	Workers []Worker
-	// Largest are the capacities of the cluster's largest workers: a task
+	// LargestCapacities are the capacities of the cluster's largest workers: a task
 	// that fits none of them can never run.
-	Largest []model.Resources
+	LargestCapacities []model.Resources
 	// ShardRoom is the free room of other shards as far as their owners told.
 	ShardRoom map[model.ShardID]model.Resources
-	// Hold returns the size to commit for a workload's next task.
-	Hold func(workload string, declared model.Resources) model.Resources
+	// CommitSize returns the size to commit for a workload's next task.
+	CommitSize func(workload string, declared model.Resources) model.Resources
 	// Predictor tells how much tasks slow each other; nil predicts nothing.
 	Predictor placement.Predictor
 	// Costs weighs the tasks that urgent work may displace.
--- a/daemon/observe.go
+++ b/daemon/observe.go
@@ -15,17 +15,17 @@
 )
 
 var observationKinds = map[workersession.State]scheduler.ObservationKind{
-	workersession.StateRunning:   scheduler.SawRunning,
-	workersession.StateSucceeded: scheduler.SawSucceeded,
-	workersession.StateFailed:    scheduler.SawFailed,
-	workersession.StateStopped:   scheduler.SawStopped,
-	workersession.StateRefused:   scheduler.SawRefused,
+	workersession.StateRunning:   scheduler.ObservedRunning,
+	workersession.StateSucceeded: scheduler.ObservedSucceeded,
+	workersession.StateFailed:    scheduler.ObservedFailed,
+	workersession.StateStopped:   scheduler.ObservedStopped,
+	workersession.StateRefused:   scheduler.ObservedRefused,
 }
 
 func observation(w *worker, o workersession.Observed) scheduler.Observation {
 	kind := observationKinds[o.State]
 	if o.State == workersession.StateRefused && o.Outcome == workerv1.Outcome_OUTCOME_FAILED {
-		kind = scheduler.SawFailed
+		kind = scheduler.ObservedFailed
 	}
 	return scheduler.Observation{
 		Attempt:    o.Attempt,
@@ -47,7 +47,7 @@
 	s.observe(w, scheduler.Observation{
 		Attempt: o.Attempt,
 		Worker:  w.vm.ID,
-		Kind:    scheduler.SawLost,
+		Kind:    scheduler.ObservedLost,
 		Detail:  string(o.Reason),
 	})
 }
@@ -75,7 +75,7 @@
 	now := s.c.clock.Now()
 	slowdowns := s.c.slowdowns
 	key := o.Attempt.Task
-	if o.Kind == scheduler.SawRunning {
+	if o.Kind == scheduler.ObservedRunning {
 		if t, known := s.ledger.Effective().Task(key); known {
 			slowdowns.Started(now, w.vm.ID, key, t.Class)
 			w.healthyAt[o.Attempt] = now.Add(healthyAfter)
@@ -182,7 +182,7 @@
 	observer := s.observer()
 	for _, attempt := range w.healthyBy(now) {
 		delete(w.healthyAt, attempt)
-		s.propose(observer.Healthy(now, attempt))
+		s.propose(observer.ObserveHealthy(now, attempt))
 	}
 }
 
--- a/daemon/shard.go
+++ b/daemon/shard.go
@@ -73,7 +73,7 @@
 // without waiting for the next group commit.
 func (s *shard) propose(changes []ledger.Change) {
 	if len(changes) > 0 {
-		s.stepLedger(ledger.Propose{Changes: changes, Urgent: scheduler.Urgent(changes)})
+		s.stepLedger(ledger.Propose{Changes: changes, Urgent: scheduler.HasUrgent(changes)})
 	}
 }
 
