--- a/core/placement/filter_survive.go
+++ b/core/placement/filter_survive.go
@@ -2,29 +2,29 @@
 
 import "math"
 
-// SurviveFilterName names the filter by what one loss would leave.
-const SurviveFilterName = "loss bound"
+// FailureDomainFilterName names the filter by what one loss would leave.
+const FailureDomainFilterName = "loss bound"
 
-// SurviveFilter bounds the share of a service's instances that one worker,
+// FailureDomainFilter bounds the share of a service's instances that one worker,
 // rack or zone may hold, so that the loss of any one of them leaves enough. A
 // bound applies only while there is more than one place to choose from, and
 // always allows one instance.
-type SurviveFilter struct {
+type FailureDomainFilter struct {
 	// Zone, Rack and Worker are the largest shares, above 0 and at most 1.
 	Zone, Rack, Worker float64
 }
 
-// DefaultSurviveFilter lets a zone hold half of a service, a rack a third and
+// DefaultFailureDomainFilter lets a zone hold half of a service, a rack a third and
 // a worker one in twenty-five.
-func DefaultSurviveFilter() SurviveFilter {
-	return SurviveFilter{Zone: 0.5, Rack: 0.34, Worker: 0.04}
+func DefaultFailureDomainFilter() FailureDomainFilter {
+	return FailureDomainFilter{Zone: 0.5, Rack: 0.34, Worker: 0.04}
 }
 
 // Name implements Filter.
-func (SurviveFilter) Name() string { return SurviveFilterName }
+func (FailureDomainFilter) Name() string { return FailureDomainFilterName }
 
 // Admit implements Filter.
-func (f SurviveFilter) Admit(s *Snapshot, r *Request, w *Worker) bool {
+func (f FailureDomainFilter) Admit(s *Snapshot, r *Request, w *Worker) bool {
 	if !r.Service {
 		return true
 	}
--- a/core/placement/filter_survive_test.go
+++ b/core/placement/filter_survive_test.go
@@ -7,12 +7,12 @@
 func TestLossOfOnePlaceLeavesEnough(t *testing.T) {
 	const n = 50
 	for name, c := range map[string]struct {
-		filter              SurviveFilter
+		filter              FailureDomainFilter
 		zone, rack, workers int
 	}{
-		"zone":   {SurviveFilter{Zone: 0.5, Rack: 1, Worker: 1}, 25, n, n},
-		"rack":   {SurviveFilter{Zone: 1, Rack: 0.34, Worker: 1}, n, 17, n},
-		"worker": {SurviveFilter{Zone: 1, Rack: 1, Worker: 0.04}, n, n, 2},
+		"zone":   {FailureDomainFilter{Zone: 0.5, Rack: 1, Worker: 1}, 25, n, n},
+		"rack":   {FailureDomainFilter{Zone: 1, Rack: 0.34, Worker: 1}, n, 17, n},
+		"worker": {FailureDomainFilter{Zone: 1, Rack: 1, Worker: 0.04}, n, n, 2},
 	} {
 		zones, racks, workers := pack(t, n, c.filter)
 		if largest(zones) != c.zone && c.zone < n {
@@ -29,10 +29,10 @@
 
 // pack places n instances as tightly as a filter lets it and counts them by
 // place.
-func pack(t *testing.T, n int, f SurviveFilter) (zones, racks, workers map[string]int) {
+func pack(t *testing.T, n int, f FailureDomainFilter) (zones, racks, workers map[string]int) {
 	t.Helper()
 	s := NewSnapshot(fleet(50, 8, 3, big), nil)
-	p := New([]Filter{RoomFilter{}, f}, []Score{keepTogether{}}, Options{Drawn: 100})
+	p := New([]Filter{RoomFilter{}, f}, []Score{keepTogether{}}, Options{RandomCandidates: 100})
 	zones, racks, workers = map[string]int{}, map[string]int{}, map[string]int{}
 	for i := range uint32(n) {
 		r := instance(i, n)
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -11,16 +11,16 @@
 	// Random is the source of the draws; the same source and calls give the
 	// same decisions. Nil stands for a source with a fixed seed.
 	Random rand.Source
-	// Tight is how many of the tightest workers that fit are candidates.
-	Tight int
-	// Drawn is how many workers are drawn at random besides.
-	Drawn int
+	// TightCandidates is how many of the tightest workers that fit are candidates.
+	TightCandidates int
+	// RandomCandidates is how many workers are drawn at random besides.
+	RandomCandidates int
 }
 
 // The defaults of Options.
 const (
-	DefaultTight = 4
-	DefaultDrawn = 8
+	DefaultTightCandidates = 4
+	DefaultRandomCandidates = 8
 )
 
 // Placer decides where tasks run. It is not safe for concurrent use.
@@ -38,11 +38,11 @@
 	if o.Random == nil {
 		o.Random = rand.NewPCG(1, 1)
 	}
-	if o.Tight <= 0 {
-		o.Tight = DefaultTight
+	if o.TightCandidates <= 0 {
+		o.TightCandidates = DefaultTightCandidates
 	}
-	if o.Drawn <= 0 {
-		o.Drawn = DefaultDrawn
+	if o.RandomCandidates <= 0 {
+		o.RandomCandidates = DefaultRandomCandidates
 	}
 	p := &Placer{
 		filters: filters,
@@ -68,7 +68,7 @@
 		LeavingFilter{},
 		UnreachableFilter{},
 		RoomFilter{},
-		DefaultSurviveFilter(),
+		DefaultFailureDomainFilter(),
 		DefaultSpreadFilter(),
 		FailedFilter{},
 	}
@@ -111,15 +111,15 @@
 // crowded cell costs no more than a sparse one.
 func (p *Placer) draw(s *Snapshot, r *Request) {
 	p.candidates = p.candidates[:0]
-	looks := 4 * p.options.Tight
+	looks := 4 * p.options.TightCandidates
 	s.grid.visit(r.Size, func(slots []int32) bool {
 		p.lookInto(s, r, slots, &looks)
-		return len(p.candidates) < p.options.Tight && looks > 0
+		return len(p.candidates) < p.options.TightCandidates && looks > 0
 	})
 	if len(s.eligible) == 0 {
 		return
 	}
-	for range p.options.Drawn {
+	for range p.options.RandomCandidates {
 		slot := s.eligible[p.random.IntN(len(s.eligible))]
 		p.consider(s, r, s.workers[slot])
 	}
@@ -195,7 +195,7 @@
 
 func (p *Placer) gather(s *Snapshot, r *Request, relaxed int) {
 	p.candidates = p.candidates[:0]
-	enough := p.options.Tight + p.options.Drawn
+	enough := p.options.TightCandidates + p.options.RandomCandidates
 	s.grid.visit(r.Size, func(slots []int32) bool {
 		for _, slot := range slots {
 			if p.rejects(s, r, s.workers[slot], relaxed) == nil {
--- a/core/placement/score_separation.go
+++ b/core/placement/score_separation.go
@@ -6,13 +6,13 @@
 // which loud tasks would harm nobody either.
 type SeparationScore struct {
 	W float64
-	// Loud is the predicted effect on a service from which a task counts as
+	// NoisyEffect is the predicted effect on a service from which a task counts as
 	// altogether loud.
-	Loud float64
+	NoisyEffect float64
 }
 
 // DefaultSeparationScore is the weighting that the policy measurements use.
-func DefaultSeparationScore() SeparationScore { return SeparationScore{W: 2, Loud: 0.15} }
+func DefaultSeparationScore() SeparationScore { return SeparationScore{W: 2, NoisyEffect: 0.15} }
 
 // Name implements Score.
 func (SeparationScore) Name() string { return "separation" }
@@ -25,7 +25,7 @@
 	if r.Service {
 		return 1
 	}
-	loud := min(1, s.loudness(r, w.Load)/c.Loud)
+	loud := min(1, s.loudness(r, w.Load)/c.NoisyEffect)
 	for _, g := range w.residents {
 		if g.service {
 			return 1 - loud
