--- a/core/eviction/controller.go
+++ b/core/eviction/controller.go
@@ -11,12 +11,12 @@
 type Controller struct {
 	options   Options
 	predictor Predictor
-	memories  map[model.WorkerID]Memory
+	memories  map[model.WorkerID]State
 }
 
 // NewController returns a controller that has seen no worker.
 func NewController(o Options, p Predictor) *Controller {
-	return &Controller{options: o, predictor: p, memories: make(map[model.WorkerID]Memory)}
+	return &Controller{options: o, predictor: p, memories: make(map[model.WorkerID]State)}
 }
 
 // Decide returns what to do on a worker now: nothing or one action. The caller
@@ -28,9 +28,9 @@
 	return actions
 }
 
-// Preempted records that tasks were evicted from a worker by other means than
+// RecordPreemption records that tasks were evicted from a worker by other means than
 // Decide, so that measurements from before are not acted on.
-func (c *Controller) Preempted(now time.Time, w model.WorkerID) {
+func (c *Controller) RecordPreemption(now time.Time, w model.WorkerID) {
 	memory := c.memories[w]
 	memory.LastAction = now
 	c.memories[w] = memory
--- a/core/eviction/decide.go
+++ b/core/eviction/decide.go
@@ -6,15 +6,15 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Memory is what Decide must know of a worker's past.
-type Memory struct {
+// State is what Decide must know of a worker's past.
+type State struct {
 	// LastAction is when the latest action was taken; zero for none.
 	LastAction time.Time
 	// LastMeasured is the latest measurement that was counted.
 	LastMeasured time.Time
-	// Over is how many counted measurements in a row were over the limit,
+	// OverCount is how many counted measurements in a row were over the limit,
 	// OverSince when the first of them was made.
-	Over      int
+	OverCount      int
 	OverSince time.Time
 	// CalmSince is when the services became calm; zero while they are not.
 	CalmSince time.Time
@@ -27,10 +27,10 @@
 
 // Decide returns what to do on one worker, and the worker's memory after it.
 // It is a pure function of its arguments.
-func Decide(now time.Time, v WorkerView, m Memory, o Options, p Predictor) ([]Action, Memory) {
+func Decide(now time.Time, v WorkerView, m State, o Options, p Predictor) ([]Action, State) {
 	d := decision{now: now, view: &v, memory: m, options: &o, predictor: p}
 	d.count()
-	if !m.LastAction.IsZero() && now.Before(m.LastAction.Add(o.Lag)) {
+	if !m.LastAction.IsZero() && now.Before(m.LastAction.Add(o.ReportLag)) {
 		return nil, d.memory
 	}
 	action, ok := d.act()
@@ -44,7 +44,7 @@
 type decision struct {
 	now       time.Time
 	view      *WorkerView
-	memory    Memory
+	memory    State
 	options   *Options
 	predictor Predictor
 	// pressure is the highest of the services' fresh measurements; valid when
@@ -58,7 +58,7 @@
 func (d *decision) count() {
 	settled := d.memory.LastAction
 	if !settled.IsZero() {
-		settled = settled.Add(d.options.Settle)
+		settled = settled.Add(d.options.SettleTime)
 	}
 	newest := d.memory.LastMeasured
 	counted := false
@@ -83,15 +83,15 @@
 func (d *decision) countPressure(measured time.Time) {
 	m := &d.memory
 	if d.pressure > 1 {
-		if m.Over == 0 {
+		if m.OverCount == 0 {
 			m.OverSince = measured
 		}
-		m.Over++
+		m.OverCount++
 	} else {
-		m.Over = 0
+		m.OverCount = 0
 	}
 	switch {
-	case d.pressure > d.options.Calm:
+	case d.pressure > d.options.CalmPressure:
 		m.CalmSince = time.Time{}
 	case m.CalmSince.IsZero():
 		m.CalmSince = measured
@@ -133,10 +133,10 @@
 }
 
 func (d *decision) mustRelieve() bool {
-	if d.memory.Over >= d.options.Confirm {
+	if d.memory.OverCount >= d.options.ConfirmCount {
 		return true
 	}
-	return d.memory.Over > 0 && d.pressure >= d.options.Severe
+	return d.memory.OverCount > 0 && d.pressure >= d.options.SeverePressure
 }
 
 func (d *decision) isCalm() bool {
@@ -161,7 +161,7 @@
 		}
 	}
 	m.LastAction = d.now
-	m.Over = min(m.Over, d.options.Confirm-1)
+	m.OverCount = min(m.OverCount, d.options.ConfirmCount-1)
 }
 
 // adaptCalm asks for a longer calm when a throttle follows soon after an
--- a/core/eviction/decide_test.go
+++ b/core/eviction/decide_test.go
@@ -91,7 +91,7 @@
 		t.Errorf("after two: %v", got)
 	}
 	c = NewController(DefaultOptions(), known)
-	if got := c.Decide(at(10), view(at(0), 3, task("loud", 1))); len(got) != 1 || got[0].Percent != DefaultOptions().Floor {
+	if got := c.Decide(at(10), view(at(0), 3, task("loud", 1))); len(got) != 1 || got[0].Percent != DefaultOptions().MinPercent {
 		t.Errorf("after a severe one: %v", got)
 	}
 }
@@ -156,11 +156,11 @@
 // Symptom: route watchers are evicted although other work was there to evict.
 func TestWatchersAreDear(t *testing.T) {
 	o := DefaultOptions()
-	o.Patience = 0
+	o.EvictionDelay = 0
 	watcher := task("watch", 1)
-	watcher.LongRunning, watcher.Percent = true, o.Floor
+	watcher.LongRunning, watcher.Percent = true, o.MinPercent
 	plain := task("watched", 2)
-	plain.Percent = o.Floor
+	plain.Percent = o.MinPercent
 	c := NewController(o, effects{"watched": 2, "watch": 2})
 	actions, _ := drive(c, []Task{watcher, plain}, 30, constant(3))
 	if len(actions) == 0 || actions[0].Kind != Evict || actions[0].Task != plain.Key {
@@ -174,11 +174,11 @@
 	fresh, old, again, safe := task("a", 1), task("a", 2), task("a", 3), task("a", 4)
 	old.SavedAt = at(-600)
 	again.Evictions = 2
-	safe.SavedAt, safe.Checkpoints = at(-600), true
-	base := c.Evict(at(0), &fresh)
-	if c.Evict(at(0), &old) <= base || c.Evict(at(0), &again) <= base || c.Evict(at(0), &safe) >= c.Evict(at(0), &old) {
+	safe.SavedAt, safe.CanCheckpoint = at(-600), true
+	base := c.EvictionCost(at(0), &fresh)
+	if c.EvictionCost(at(0), &old) <= base || c.EvictionCost(at(0), &again) <= base || c.EvictionCost(at(0), &safe) >= c.EvictionCost(at(0), &old) {
 		t.Errorf("fresh %v, unsaved %v, evicted before %v, saved when stopped %v",
-			base, c.Evict(at(0), &old), c.Evict(at(0), &again), c.Evict(at(0), &safe))
+			base, c.EvictionCost(at(0), &old), c.EvictionCost(at(0), &again), c.EvictionCost(at(0), &safe))
 	}
 }
 
@@ -213,10 +213,10 @@
 func TestReleaseIsGradualAndBounded(t *testing.T) {
 	o := DefaultOptions()
 	low, loud := task("quiet", 1), task("huge", 2)
-	low.Percent, loud.Percent = o.Floor, o.Floor
+	low.Percent, loud.Percent = o.MinPercent, o.MinPercent
 	c := NewController(o, effects{"quiet": 0.01, "huge": 0.7})
 	actions, _ := drive(c, []Task{low, loud}, 600, constant(1.05))
-	want := []uint32{o.Step, o.Step, FullSpeed}
+	want := []uint32{o.MiddlePercent, o.MiddlePercent, FullSpeed}
 	if len(actions) != len(want) {
 		t.Fatalf("got %v", actions)
 	}
@@ -234,9 +234,9 @@
 func TestReleaseNeedsRoomForTheFullHold(t *testing.T) {
 	o := DefaultOptions()
 	throttled := task("quiet", 1)
-	throttled.Full = throttled.Size
-	throttled.Percent = o.Floor
-	throttled.Size = ThrottledHold(throttled.Full, o.Floor)
+	throttled.FullSize = throttled.Size
+	throttled.Percent = o.MinPercent
+	throttled.Size = ThrottledSize(throttled.FullSize, o.MinPercent)
 	for _, c := range []struct {
 		free int64
 		want int
--- a/core/eviction/policy_compare_test.go
+++ b/core/eviction/policy_compare_test.go
@@ -124,10 +124,10 @@
 func (s *sim) viewOf(t *simTask) eviction.Task {
 	v := eviction.Task{
 		Key: t.key, Class: t.workload.class.name, Size: t.held, LongRunning: t.long, Percent: t.percent,
-		ThrottledAt: t.throttledAt, SavedAt: t.savedAt, Checkpoints: true, Evictions: t.evictions,
+		ThrottledAt: t.throttledAt, SavedAt: t.savedAt, CanCheckpoint: true, Evictions: t.evictions,
 	}
 	if s.policy.shrink {
-		v.Full = t.full
+		v.FullSize = t.full
 	}
 	return v
 }
@@ -145,7 +145,7 @@
 	}
 	target := want
 	if s.policy.shrink {
-		target = eviction.ThrottledHold(want, t.percent)
+		target = eviction.ThrottledSize(want, t.percent)
 	}
 	granted, missing := interference.Grow(t.held, target, t.worker.room.Free)
 	s.resize(t, granted)
--- a/core/eviction/policy_test.go
+++ b/core/eviction/policy_test.go
@@ -325,7 +325,7 @@
 }
 
 func (s *sim) throttle(t *simTask, percent uint32) {
-	if s.policy.shrink && !s.resize(t, eviction.ThrottledHold(t.full, percent)) {
+	if s.policy.shrink && !s.resize(t, eviction.ThrottledSize(t.full, percent)) {
 		return
 	}
 	t.percent, t.throttledAt = percent, s.now
--- a/core/eviction/preempt.go
+++ b/core/eviction/preempt.go
@@ -89,7 +89,7 @@
 		case t.Stopping:
 			missing = missing.Sub(t.Size)
 		case t.Priority < priority:
-			victims = append(victims, priced{t, costs.Evict(now, t)})
+			victims = append(victims, priced{t, costs.EvictionCost(now, t)})
 		}
 	}
 	return missing, victims
--- a/core/eviction/preempt_test.go
+++ b/core/eviction/preempt_test.go
@@ -31,7 +31,7 @@
 			allowed = allowed && c.Batch[i].Priority < model.PriorityUrgent
 			free = free.Add(c.Batch[i].Size)
 			price := DefaultCosts()
-			cost += price.Evict(at(0), &c.Batch[i])
+			cost += price.EvictionCost(at(0), &c.Batch[i])
 		}
 		if allowed && size.Fits(free) && (!found || cost < best) {
 			best, found = cost, true
--- a/core/eviction/prevent.go
+++ b/core/eviction/prevent.go
@@ -19,12 +19,12 @@
 		effect := d.predictor.PredictWorkload(s.Class, t.Class, t.Key.Workload, d.view.Load)
 		peak = max(peak, effect.Upper(d.options.PeakStd)/(d.limit(s)-1))
 	}
-	for _, percent := range [...]uint32{FullSpeed, d.options.Step} {
-		if peak*float64(percent)/FullSpeed <= d.options.Peak {
+	for _, percent := range [...]uint32{FullSpeed, d.options.MiddlePercent} {
+		if peak*float64(percent)/FullSpeed <= d.options.PeakPressure {
 			return percent
 		}
 	}
-	return d.options.Floor
+	return d.options.MinPercent
 }
 
 // prevent throttles the task that runs furthest above its ceiling.
--- a/core/eviction/release.go
+++ b/core/eviction/release.go
@@ -24,8 +24,8 @@
 }
 
 func (d *decision) raised(t *Task) uint32 {
-	if t.Percent < d.options.Step {
-		return d.options.Step
+	if t.Percent < d.options.MiddlePercent {
+		return d.options.MiddlePercent
 	}
 	return FullSpeed
 }
--- a/core/eviction/relieve.go
+++ b/core/eviction/relieve.go
@@ -6,7 +6,7 @@
 	if t, percent := d.bestThrottle(); t != nil {
 		return action(Throttle, d.view.Worker, t, percent, SlowedService), true
 	}
-	if d.now.Sub(d.memory.OverSince) < d.options.Patience {
+	if d.now.Sub(d.memory.OverSince) < d.options.EvictionDelay {
 		return Action{}, false
 	}
 	if t := d.bestEviction(); t != nil {
@@ -30,7 +30,7 @@
 		if relief < d.options.MinRelief*d.excess() {
 			continue
 		}
-		merit := relief / d.options.Costs.Throttle(t)
+		merit := relief / d.options.Costs.ThrottleCost(t)
 		if best == nil || merit > bestMerit || (merit == bestMerit && less(t, best)) {
 			best, bestMerit, bestPercent = t, merit, percent
 		}
@@ -41,13 +41,13 @@
 // lowered returns the next throttle step of a task: one step down, or to the
 // floor at once when the pressure is severe.
 func (d *decision) lowered(t *Task) (uint32, bool) {
-	if t.Stopping || t.Percent <= d.options.Floor {
+	if t.Stopping || t.Percent <= d.options.MinPercent {
 		return 0, false
 	}
-	if t.Percent > d.options.Step && d.pressure < d.options.Severe {
-		return d.options.Step, true
+	if t.Percent > d.options.MiddlePercent && d.pressure < d.options.SeverePressure {
+		return d.options.MiddlePercent, true
 	}
-	return d.options.Floor, true
+	return d.options.MinPercent, true
 }
 
 // bestEviction returns the task whose eviction helps most for its cost.
@@ -63,7 +63,7 @@
 		if relief < d.options.MinRelief*d.excess() {
 			continue
 		}
-		merit := relief / d.options.Costs.Evict(d.now, t)
+		merit := relief / d.options.Costs.EvictionCost(d.now, t)
 		if best == nil || merit > bestMerit || (merit == bestMerit && less(t, best)) {
 			best, bestMerit = t, merit
 		}
--- a/core/eviction/shortage.go
+++ b/core/eviction/shortage.go
@@ -22,7 +22,7 @@
 		return Action{}, false
 	case missing.MemoryMB > 0:
 		return d.evictFor(model.Resources{MemoryMB: missing.MemoryMB}, MemoryShort)
-	case d.view.Load >= d.options.FullLoad && !grower.Service:
+	case d.view.Load >= d.options.ContendedLoad && !grower.Service:
 		return d.throttleGrower(grower)
 	}
 	return Action{}, false
@@ -59,7 +59,7 @@
 		if t.Stopping || given == 0 {
 			continue
 		}
-		merit := given / d.options.Costs.Evict(d.now, t)
+		merit := given / d.options.Costs.EvictionCost(d.now, t)
 		if best == nil || merit > bestMerit || (merit == bestMerit && less(t, best)) {
 			best, bestMerit = t, merit
 		}
@@ -90,10 +90,10 @@
 func (d *decision) throttleGrower(s *Shortage) (Action, bool) {
 	for i := range d.view.Batch {
 		t := &d.view.Batch[i]
-		if t.Key != s.Task || t.Stopping || t.Percent <= d.options.Step {
+		if t.Key != s.Task || t.Stopping || t.Percent <= d.options.MiddlePercent {
 			continue
 		}
-		return action(Throttle, d.view.Worker, t, d.options.Step, CPUShort), true
+		return action(Throttle, d.view.Worker, t, d.options.MiddlePercent, CPUShort), true
 	}
 	return Action{}, false
 }
--- a/core/eviction/view.go
+++ b/core/eviction/view.go
@@ -17,9 +17,9 @@
 	Priority model.Priority
 	// Size is what is committed for it now.
 	Size model.Resources
-	// Full is what is committed for it at full speed; zero stands for Size.
+	// FullSize is what is committed for it at full speed; zero stands for Size.
 	// See ThrottledHold.
-	Full        model.Resources
+	FullSize        model.Resources
 	LongRunning bool
 	// Percent of its committed processors that it may use; FullSpeed when not
 	// throttled.
@@ -29,8 +29,8 @@
 	// SavedAt is when its progress was last safe: its latest checkpoint, or
 	// its start. Progress since then is lost when it is stopped without one.
 	SavedAt time.Time
-	// Checkpoints is whether it can be checkpointed when it is stopped.
-	Checkpoints bool
+	// CanCheckpoint is whether it can be checkpointed when it is stopped.
+	CanCheckpoint bool
 	Evictions   uint32
 	// Stopping is true once its end was asked for.
 	Stopping bool
--- a/core/scheduler/preempt.go
+++ b/core/scheduler/preempt.go
@@ -65,7 +65,7 @@
 		Size:        t.Size,
 		LongRunning: longRunning,
 		Percent:     eviction.FullSpeed,
-		Checkpoints: true,
+		CanCheckpoint: true,
 		Evictions:   t.Evictions,
 		Stopping:    stopping || t.State == ledger.Stopping,
 	}
