--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -11,8 +11,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Judge weighs the outcomes of attempts. It is not safe for concurrent use.
-type Judge struct {
+// Evaluator weighs the outcomes of attempts. It is not safe for concurrent use.
+type Evaluator struct {
 	options   Options
 	fleet     int
 	workers   map[model.WorkerID]*record
@@ -22,8 +22,8 @@
 }
 
 // New returns a judge without evidence.
-func New(o Options) *Judge {
-	return &Judge{
+func New(o Options) *Evaluator {
+	return &Evaluator{
 		options:   o,
 		workers:   make(map[model.WorkerID]*record),
 		tasks:     make(map[model.TaskKey]*history),
@@ -31,11 +31,11 @@
 	}
 }
 
-// SetFleet tells how many workers there are, for Options.MaxShare.
-func (j *Judge) SetFleet(workers int) { j.fleet = workers }
+// SetFleetSize tells how many workers there are, for Options.MaxShare.
+func (j *Evaluator) SetFleetSize(workers int) { j.fleet = workers }
 
 // Restore takes over a quarantine from the ledger after a change of owner.
-func (j *Judge) Restore(w model.WorkerID, until time.Time, level uint32) {
+func (j *Evaluator) Restore(w model.WorkerID, until time.Time, level uint32) {
 	r := j.worker(w)
 	r.state, r.until, r.level = Quarantined, until, level
 	r.strikesFrom = until
@@ -43,10 +43,10 @@
 
 // Forget drops a worker that is gone for good. A worker that only restarts is
 // kept: the fault may be in its machine.
-func (j *Judge) Forget(w model.WorkerID) { delete(j.workers, w) }
+func (j *Evaluator) Forget(w model.WorkerID) { delete(j.workers, w) }
 
 // State returns what new work a worker may get at a time.
-func (j *Judge) State(now time.Time, w model.WorkerID) State {
+func (j *Evaluator) State(now time.Time, w model.WorkerID) State {
 	r, ok := j.workers[w]
 	if !ok {
 		return Open
@@ -59,7 +59,7 @@
 
 // MayStart reports whether a worker that has running tasks of any kind may get
 // one more.
-func (j *Judge) MayStart(now time.Time, w model.WorkerID, running int) bool {
+func (j *Evaluator) MayStart(now time.Time, w model.WorkerID, running int) bool {
 	switch j.State(now, w) {
 	case Quarantined:
 		return false
@@ -70,7 +70,7 @@
 }
 
 // Observe weighs one outcome.
-func (j *Judge) Observe(now time.Time, o Outcome) Verdict {
+func (j *Evaluator) Observe(now time.Time, o Outcome) Verdict {
 	j.prune(now)
 	r := j.worker(o.Worker)
 	j.advance(now, r)
@@ -89,7 +89,7 @@
 	return v
 }
 
-func (j *Judge) observeWorked(now time.Time, o Outcome, r *record) Verdict {
+func (j *Evaluator) observeWorked(now time.Time, o Outcome, r *record) Verdict {
 	r.work(now, o.Task)
 	h := j.task(o.Task)
 	h.worked[o.Worker] = now
@@ -106,7 +106,7 @@
 
 // probe counts a task that worked during a probation, and ends the probation
 // once enough distinct ones have.
-func (j *Judge) probe(now time.Time, o Outcome, r *record) *WorkerVerdict {
+func (j *Evaluator) probe(now time.Time, o Outcome, r *record) *WorkerVerdict {
 	r.probed[o.Task] = struct{}{}
 	if len(r.probed) < j.options.ProbationTasks {
 		return nil
@@ -118,7 +118,7 @@
 
 // advance moves a worker from quarantine to probation when its time is up, and
 // lowers the level of one that has long been open.
-func (j *Judge) advance(now time.Time, r *record) {
+func (j *Evaluator) advance(now time.Time, r *record) {
 	if r.state == Quarantined && !now.Before(r.until) {
 		r.state = Probation
 		clear(r.probed)
@@ -131,7 +131,7 @@
 
 // reconsider weighs again the other workers on which the task of an outcome
 // failed: what it did here is evidence for or against them.
-func (j *Judge) reconsider(now time.Time, o Outcome) []WorkerVerdict {
+func (j *Evaluator) reconsider(now time.Time, o Outcome) []WorkerVerdict {
 	var changed []WorkerVerdict
 	for _, w := range slices.Sorted(maps.Keys(j.task(o.Task).failed)) {
 		if w == o.Worker {
@@ -148,13 +148,13 @@
 
 // weigh quarantines a worker when the evidence against it suffices, and puts
 // it on probation when it would but for the proof.
-func (j *Judge) weigh(now time.Time, w model.WorkerID, r *record) *WorkerVerdict {
+func (j *Evaluator) weigh(now time.Time, w model.WorkerID, r *record) *WorkerVerdict {
 	if r.state == Quarantined || j.commonCause(now) {
 		return nil
 	}
-	threshold := j.options.Strikes
+	threshold := j.options.EvidenceThreshold
 	if r.state == Probation {
-		threshold = j.options.ProbationStrikes
+		threshold = j.options.ProbationThreshold
 	}
 	e := j.against(w, r)
 	strikes := e.strikes(threshold)
@@ -166,8 +166,8 @@
 
 // weighUnproven puts an open worker on probation on evidence without proof,
 // and lifts that probation when the evidence has turned against the tasks.
-func (j *Judge) weighUnproven(now time.Time, w model.WorkerID, r *record, e evidence) *WorkerVerdict {
-	doubted := e.unproven >= j.options.Strikes && j.large(e.unproven, r)
+func (j *Evaluator) weighUnproven(now time.Time, w model.WorkerID, r *record, e evidence) *WorkerVerdict {
+	doubted := e.unproven >= j.options.EvidenceThreshold && j.large(e.unproven, r)
 	switch {
 	case r.state == Open && doubted:
 		r.state = Probation
@@ -182,7 +182,7 @@
 
 // close quarantines a worker, or puts it on probation when too many are
 // quarantined already.
-func (j *Judge) close(now time.Time, w model.WorkerID, r *record) *WorkerVerdict {
+func (j *Evaluator) close(now time.Time, w model.WorkerID, r *record) *WorkerVerdict {
 	r.level++
 	r.failures = r.failures[:0]
 	clear(r.probed)
@@ -196,12 +196,12 @@
 	return &WorkerVerdict{Worker: w, State: Quarantined, Until: r.until, Level: r.level}
 }
 
-func (j *Judge) length(level uint32) time.Duration {
-	length := float64(j.options.Base) * math.Pow(2, float64(level-1))
-	return time.Duration(min(length, float64(j.options.Longest)))
+func (j *Evaluator) length(level uint32) time.Duration {
+	length := float64(j.options.BaseDuration) * math.Pow(2, float64(level-1))
+	return time.Duration(min(length, float64(j.options.MaxDuration)))
 }
 
-func (j *Judge) tooMany(now time.Time) bool {
+func (j *Evaluator) tooMany(now time.Time) bool {
 	quarantined := 0
 	for w := range j.workers {
 		if j.State(now, w) == Quarantined {
@@ -212,11 +212,11 @@
 	return quarantined+1 > max(1, int(float64(fleet)*j.options.MaxShare))
 }
 
-func (j *Judge) worker(w model.WorkerID) *record { return ensure(j.workers, w, newRecord) }
+func (j *Evaluator) worker(w model.WorkerID) *record { return ensure(j.workers, w, newRecord) }
 
-func (j *Judge) task(key model.TaskKey) *history { return ensure(j.tasks, key, newHistory) }
+func (j *Evaluator) task(key model.TaskKey) *history { return ensure(j.tasks, key, newHistory) }
 
-func (j *Judge) workload(name string) *history { return ensure(j.workloads, name, newHistory) }
+func (j *Evaluator) workload(name string) *history { return ensure(j.workloads, name, newHistory) }
 
 func ensure[K comparable, V any](m map[K]*V, key K, create func() *V) *V {
 	v, ok := m[key]
@@ -230,7 +230,7 @@
 // pruneEvery is how often old evidence is dropped.
 const pruneEvery = time.Minute
 
-func (j *Judge) prune(now time.Time) {
+func (j *Evaluator) prune(now time.Time) {
 	if now.Sub(j.prunedAt) < pruneEvery {
 		return
 	}
--- a/core/quarantine/judge_test.go
+++ b/core/quarantine/judge_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func (l *ledger) report(j *Judge, now time.Time, k model.TaskKey, w model.WorkerID, result Result) Verdict {
+func (l *ledger) report(j *Evaluator, now time.Time, k model.TaskKey, w model.WorkerID, result Result) Verdict {
 	l.attempts[k]++
 	v := j.Observe(now, Outcome{
 		Task: k, Attempt: l.attempts[k], Worker: w, Result: result,
@@ -67,8 +67,8 @@
 
 // run deals tasks over workers round by round. A task that failed is tried on
 // the next open worker. broken and poison say which workers and tasks fail.
-func run(j *Judge, l *ledger, workers, tasks int, broken func(model.WorkerID) bool, poison func(int) bool) {
-	j.SetFleet(workers)
+func run(j *Evaluator, l *ledger, workers, tasks int, broken func(model.WorkerID) bool, poison func(int) bool) {
+	j.SetFleetSize(workers)
 	done := map[int]bool{}
 	for round := range 12 {
 		for i := range tasks {
@@ -146,7 +146,7 @@
 // fails everywhere.
 func TestBrokenWorkloadClosesNoWorker(t *testing.T) {
 	j, l := New(DefaultOptions()), newLedger()
-	j.SetFleet(10)
+	j.SetFleetSize(10)
 	for i := range 200 {
 		w := worker(i % 10)
 		l.report(j, at(3*i), key("good", i), w, Succeeded)
@@ -161,7 +161,7 @@
 // job has been given up and every worker is quarantined.
 func TestCommonCauseBlamesNobody(t *testing.T) {
 	j, l := New(DefaultOptions()), newLedger()
-	j.SetFleet(10)
+	j.SetFleetSize(10)
 	for i := range 40 {
 		l.report(j, at(i), key(fmt.Sprintf("job-%d", i%4), i), worker(i%10), Succeeded)
 	}
@@ -178,7 +178,7 @@
 // Symptom: half of the fleet is closed on the evidence of a bad hour.
 func TestQuarantineIsBoundedToAPartOfTheFleet(t *testing.T) {
 	j, l := New(DefaultOptions()), newLedger()
-	j.SetFleet(10)
+	j.SetFleetSize(10)
 	for i := range 5 {
 		closeWorker(t, j, l, at(i), worker(i), i < 2)
 	}
@@ -191,7 +191,7 @@
 
 // closeWorker has tasks fail on a worker and work elsewhere until it is no
 // longer open, and checks whether it is quarantined or only on probation.
-func closeWorker(t *testing.T, j *Judge, l *ledger, now time.Time, w model.WorkerID, quarantined bool) WorkerVerdict {
+func closeWorker(t *testing.T, j *Evaluator, l *ledger, now time.Time, w model.WorkerID, quarantined bool) WorkerVerdict {
 	t.Helper()
 	level := l.closed[w].Level
 	for i := range 8 {
@@ -213,7 +213,7 @@
 // stay away longer.
 func TestProbationAndGrowingLevels(t *testing.T) {
 	j, l := New(DefaultOptions()), newLedger()
-	j.SetFleet(10)
+	j.SetFleetSize(10)
 	now := at(0)
 	length := time.Duration(0)
 	for level := range uint32(4) {
@@ -255,7 +255,7 @@
 // Symptom: good tasks are given up because they were dealt to bad workers.
 func TestFailuresOnBadWorkersDoNotCount(t *testing.T) {
 	j, l := New(DefaultOptions()), newLedger()
-	j.SetFleet(20)
+	j.SetFleetSize(20)
 	closeWorker(t, j, l, at(0), "bad1", true)
 	closeWorker(t, j, l, at(1), "bad2", true)
 	o := Outcome{Task: key("good", 1), Attempt: 3, FailedWorkers: []model.WorkerID{"bad1", "bad2"}, Failures: 2}
--- a/core/quarantine/options.go
+++ b/core/quarantine/options.go
@@ -6,15 +6,15 @@
 type Options struct {
 	// Window is how long evidence counts.
 	Window time.Duration
-	// Strikes is the weight of evidence that quarantines an open worker,
-	// ProbationStrikes one on probation.
-	Strikes, ProbationStrikes float64
-	// FailShare is the least part of a worker's recent tasks that must speak
+	// EvidenceThreshold is the weight of evidence that quarantines an open worker,
+	// ProbationThreshold one on probation.
+	EvidenceThreshold, ProbationThreshold float64
+	// MinFailureShare is the least part of a worker's recent tasks that must speak
 	// against it.
-	FailShare float64
-	// Base is the length of a level 1 quarantine; it doubles with each level
-	// up to Longest.
-	Base, Longest time.Duration
+	MinFailureShare float64
+	// BaseDuration is the length of a level 1 quarantine; it doubles with each level
+	// up to MaxDuration.
+	BaseDuration, MaxDuration time.Duration
 	// ProbationTasks is how many distinct tasks must work on a worker on
 	// probation before it is open.
 	ProbationTasks int
@@ -48,11 +48,11 @@
 func DefaultOptions() Options {
 	return Options{
 		Window:           30 * time.Minute,
-		Strikes:          3,
-		ProbationStrikes: 1,
-		FailShare:        0.3,
-		Base:             time.Minute,
-		Longest:          6 * time.Hour,
+		EvidenceThreshold:          3,
+		ProbationThreshold: 1,
+		MinFailureShare:        0.3,
+		BaseDuration:             time.Minute,
+		MaxDuration:          6 * time.Hour,
 		ProbationTasks:   3,
 		LevelDecay:       2 * time.Hour,
 		MaxShare:         0.2,
--- a/core/quarantine/strikes.go
+++ b/core/quarantine/strikes.go
@@ -39,7 +39,7 @@
 const maxUnprovenShare = 2.0 / 3
 
 // against gathers the evidence against a worker.
-func (j *Judge) against(w model.WorkerID, r *record) evidence {
+func (j *Evaluator) against(w model.WorkerID, r *record) evidence {
 	var e evidence
 	byWorkload := make(map[string]float64)
 	for _, f := range r.failures {
@@ -61,7 +61,7 @@
 
 // strike returns the weight of one failure, and the most that its workload can
 // add by such failures (0: no bound).
-func (j *Judge) strike(w model.WorkerID, f taskFailure) (weight, limit float64) {
+func (j *Evaluator) strike(w model.WorkerID, f taskFailure) (weight, limit float64) {
 	task := j.tasks[f.task]
 	if task.workedElsewhere(w, f.at) {
 		return provenWeight, 0
@@ -77,7 +77,7 @@
 
 // failedOnTrusted reports whether a task failed on another worker that is not
 // itself known to be bad.
-func (j *Judge) failedOnTrusted(task *history, than model.WorkerID) bool {
+func (j *Evaluator) failedOnTrusted(task *history, than model.WorkerID) bool {
 	for w := range task.failed {
 		if w != than && !j.knownBad(w) {
 			return true
@@ -87,21 +87,21 @@
 }
 
 // knownBad reports whether a worker was quarantined not long ago.
-func (j *Judge) knownBad(w model.WorkerID) bool {
+func (j *Evaluator) knownBad(w model.WorkerID) bool {
 	r, ok := j.workers[w]
 	return ok && (r.state == Quarantined || r.level > 0)
 }
 
 // large reports whether strikes are a large enough part of what ran on a
 // worker since they count.
-func (j *Judge) large(strikes float64, r *record) bool {
+func (j *Evaluator) large(strikes float64, r *record) bool {
 	worked := 0
 	for _, at := range r.worked {
 		if !at.Before(r.strikesFrom) {
 			worked++
 		}
 	}
-	return strikes >= j.options.FailShare*(strikes+float64(worked))
+	return strikes >= j.options.MinFailureShare*(strikes+float64(worked))
 }
 
 // suspectShare is the part of Strikes from which a worker is under suspicion.
@@ -110,7 +110,7 @@
 // suspect reports whether a worker is quarantined or on its way there, so that
 // failures on it do not count against tasks. Proof is needed for that: a task
 // that makes its workers look bad would otherwise never be blamed.
-func (j *Judge) suspect(w model.WorkerID) bool {
+func (j *Evaluator) suspect(w model.WorkerID) bool {
 	r, ok := j.workers[w]
 	if !ok {
 		return false
@@ -119,15 +119,15 @@
 		return true
 	}
 	e := j.against(w, r)
-	strikes := e.strikes(j.options.Strikes)
-	return e.proven > 0 && strikes >= suspectShare*j.options.Strikes && j.large(strikes, r)
+	strikes := e.strikes(j.options.EvidenceThreshold)
+	return e.proven > 0 && strikes >= suspectShare*j.options.EvidenceThreshold && j.large(strikes, r)
 }
 
 // commonCause reports whether most of the workers that had an outcome lately
 // had a failure as their latest, over more than one workload. Then the cause
 // is a service that all tasks need, not the tasks or the workers; blaming
 // either would end every job or close every worker.
-func (j *Judge) commonCause(now time.Time) bool {
+func (j *Evaluator) commonCause(now time.Time) bool {
 	horizon := now.Add(-j.options.CommonWindow)
 	active, failing := 0, 0
 	for _, r := range j.workers {
@@ -147,7 +147,7 @@
 
 // failingWorkloads counts the workloads that failed somewhere since horizon
 // and worked nowhere since.
-func (j *Judge) failingWorkloads(horizon time.Time) int {
+func (j *Evaluator) failingWorkloads(horizon time.Time) int {
 	n := 0
 	for _, h := range j.workloads {
 		if latest(h.failed).After(horizon) && latest(h.worked).Before(latest(h.failed)) {
--- a/core/quarantine/task.go
+++ b/core/quarantine/task.go
@@ -8,7 +8,7 @@
 )
 
 // judgeTask says what becomes of a task that failed.
-func (j *Judge) judgeTask(now time.Time, o Outcome) TaskVerdict {
+func (j *Evaluator) judgeTask(now time.Time, o Outcome) TaskVerdict {
 	distinct := j.trustedFailures(o)
 	blame := j.blame(now, o, distinct)
 	failures := o.Failures
@@ -24,7 +24,7 @@
 	return v
 }
 
-func (j *Judge) blame(now time.Time, o Outcome, distinct int) Blame {
+func (j *Evaluator) blame(now time.Time, o Outcome, distinct int) Blame {
 	switch {
 	case j.commonCause(now):
 		return BlameCommon
@@ -40,7 +40,7 @@
 // use up its attempts, unless its workload bounds them itself: with no room
 // elsewhere a good task meets the same bad worker again and again, and would be
 // lost for it.
-func (j *Judge) over(o Outcome, blame Blame, failures uint32, distinct int) (GiveUpReason, bool) {
+func (j *Evaluator) over(o Outcome, blame Blame, failures uint32, distinct int) (GiveUpReason, bool) {
 	bound := o.MaxAttempts
 	if bound <= 0 {
 		bound = j.options.MaxAttempts
@@ -58,7 +58,7 @@
 
 // trustedFailures counts the distinct workers above suspicion on which a task
 // failed, by the ledger's record and this outcome.
-func (j *Judge) trustedFailures(o Outcome) int {
+func (j *Evaluator) trustedFailures(o Outcome) int {
 	seen := map[model.WorkerID]struct{}{}
 	for _, w := range append([]model.WorkerID{o.Worker}, o.FailedWorkers...) {
 		if !j.suspect(w) {
@@ -70,7 +70,7 @@
 
 // backoff doubles with each failure in a row and is spread by up to a quarter
 // either way, so that tasks that failed together do not come back together.
-func (j *Judge) backoff(o Outcome) time.Duration {
+func (j *Evaluator) backoff(o Outcome) time.Duration {
 	exponent := max(o.Failures, j.tasks[o.Task].streak-1)
 	wait := float64(j.options.Backoff) * math.Pow(2, float64(min(exponent, 30)))
 	wait = math.Min(wait, float64(j.options.MaxBackoff))
--- a/core/scheduler/observe.go
+++ b/core/scheduler/observe.go
@@ -46,7 +46,7 @@
 // Observer turns observations into changes of one shard's ledger.
 type Observer struct {
 	Ledger Ledger
-	Judge  *quarantine.Judge
+	Evaluator  *quarantine.Evaluator
 	// MaxAttempts returns a workload's bound on counted failures; 0 is the
 	// judge's own.
 	MaxAttempts func(workload string) int
@@ -82,7 +82,7 @@
 	if !known || t.State != ledger.Running || t.Attempt != attempt.Attempt {
 		return nil
 	}
-	return workerChanges(ob.Judge.Observe(now, ob.outcome(t, quarantine.Healthy)))
+	return workerChanges(ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Healthy)))
 }
 
 func observeRunning(t ledger.Task, o Observation) []ledger.Change {
@@ -102,7 +102,7 @@
 		o.Detail = "service ended by itself"
 		return ob.observeFailed(now, t, o)
 	}
-	verdict := ob.Judge.Observe(now, ob.outcome(t, quarantine.Succeeded))
+	verdict := ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Succeeded))
 	t.State = ledger.Succeeded
 	t.Reason = ""
 	t.Address = ""
@@ -115,7 +115,7 @@
 	if t.State == ledger.Stopping && !t.Resume {
 		return over(t, o)
 	}
-	verdict := ob.Judge.Observe(now, ob.outcome(t, quarantine.Failed))
+	verdict := ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Failed))
 	if verdict.Task.Blame.Counts() {
 		t.Failures++
 		t.FailedWorkers = withWorker(t.FailedWorkers, t.Worker)
--- a/daemon/failure_test.go
+++ b/daemon/failure_test.go
@@ -218,7 +218,7 @@
 	for _, e := range c.events() {
 		switch {
 		case e.Kind == timeline.WorkerQuarantined && e.Subject == "w2":
-			until = e.Time.Add(quarantine.DefaultOptions().Base)
+			until = e.Time.Add(quarantine.DefaultOptions().BaseDuration)
 		case e.Kind == timeline.TaskAssigned && e.Detail == "w2":
 			wasted++
 			if e.Time.Before(until) {
--- a/daemon/shard.go
+++ b/daemon/shard.go
@@ -30,7 +30,7 @@
 
 	ledger  *ledger.Ledger
 	workers map[model.WorkerID]*worker
-	judge   *quarantine.Judge
+	judge   *quarantine.Evaluator
 	placer  *placement.Placer
 	evictor *eviction.Controller
 
--- a/daemon/worker.go
+++ b/daemon/worker.go
@@ -70,7 +70,7 @@
 	for _, id := range s.sortedWorkers() {
 		s.unlistWorker(id)
 	}
-	s.judge.SetFleet(len(s.workers))
+	s.judge.SetFleetSize(len(s.workers))
 }
 
 func (s *shard) listWorker(vm model.VM) {
