--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -31,9 +31,9 @@
 	Reason RejectReason
 }
 
-// Capacities returns a worker's capacity, or false for a worker that is not in
+// CapacityFunc returns a worker's capacity, or false for a worker that is not in
 // the shard.
-type Capacities func(model.WorkerID) (model.Resources, bool)
+type CapacityFunc func(model.WorkerID) (model.Resources, bool)
 
 // Contents is what Apply needs to know of the ledger.
 type Contents interface {
@@ -42,7 +42,7 @@
 }
 
 // Apply returns the changes that still hold, in order, and the rejections.
-func Apply(contents Contents, capacity Capacities, p Plan) ([]ledger.Change, []Rejection) {
+func Apply(contents Contents, capacity CapacityFunc, p Plan) ([]ledger.Change, []Rejection) {
 	c := checker{
 		contents: contents,
 		capacity: capacity,
@@ -61,7 +61,7 @@
 
 type checker struct {
 	contents Contents
-	capacity Capacities
+	capacity CapacityFunc
 	// taken is the room that accepted changes of this plan add to each
 	// worker, beyond what the ledger holds.
 	taken    map[model.WorkerID]model.Resources
--- a/core/plan/plan_test.go
+++ b/core/plan/plan_test.go
@@ -21,7 +21,7 @@
 
 func (f fakeContents) Committed(w model.WorkerID) model.Resources { return f.committed[w] }
 
-func oneWorker(capacity model.Resources) Capacities {
+func oneWorker(capacity model.Resources) CapacityFunc {
 	return func(w model.WorkerID) (model.Resources, bool) {
 		return capacity, w == "w1"
 	}
--- a/core/routing/policies_test.go
+++ b/core/routing/policies_test.go
@@ -131,7 +131,7 @@
 		}
 	}
 	l.s.after(viewDelay, func() {
-		l.view(l.s.time(), shares.Weigh(members, published, allSlots))
+		l.view(l.s.time(), shares.WeightByDemand(members, published, allSlots))
 		l.pump()
 	})
 }
--- a/core/shares/demand.go
+++ b/core/shares/demand.go
@@ -62,13 +62,13 @@
 	return max(float64(slots)/float64(max(entries, 1))/demandSteps, 0.25)
 }
 
-// Weigh returns entries with the weights that follow from their published
+// WeightByDemand returns entries with the weights that follow from their published
 // demands: half of the slots are divided equally and half by demand, so that
 // an entry without demand keeps room for its next requests. Entries whose
 // demand is near the mean count as equal to each other: while load rises or
 // falls everywhere they publish their steps at different moments, and shares
 // moved for that would be moved back.
-func Weigh(entries []Entry, demand map[model.DaemonID]uint32, slots int) []Entry {
+func WeightByDemand(entries []Entry, demand map[model.DaemonID]uint32, slots int) []Entry {
 	equal := uint32(max(slots/max(len(entries), 1), 1))
 	claims := make([]uint32, len(entries))
 	for i, e := range entries {
--- a/core/shares/shares.go
+++ b/core/shares/shares.go
@@ -28,10 +28,10 @@
 	Connections int
 }
 
-// Assign divides targets over entries without regard to zones and returns
+// DivideUnzoned divides targets over entries without regard to zones and returns
 // self's part, sorted by address. Instances of which self has no part are
 // left out.
-func Assign(entries []model.DaemonID, self model.DaemonID, targets []Capacity) []Share {
+func DivideUnzoned(entries []model.DaemonID, self model.DaemonID, targets []Capacity) []Share {
 	unzoned := make([]Entry, len(entries))
 	for i, id := range entries {
 		unzoned[i] = Entry{ID: id}
--- a/core/shares/shares_test.go
+++ b/core/shares/shares_test.go
@@ -175,14 +175,14 @@
 	ids := []model.DaemonID{"a", "b", "c"}
 	sum := 0
 	for _, id := range ids {
-		for _, s := range Assign(ids, id, targets) {
+		for _, s := range DivideUnzoned(ids, id, targets) {
 			sum += s.Slots
 		}
 	}
 	if sum != 400 {
 		t.Errorf("%d of 400 slots are assigned", sum)
 	}
-	if got := Assign(ids, "stranger", targets); got != nil {
+	if got := DivideUnzoned(ids, "stranger", targets); got != nil {
 		t.Errorf("an entry outside the view has %v", got)
 	}
 }
--- a/core/shares/tracker_test.go
+++ b/core/shares/tracker_test.go
@@ -247,7 +247,7 @@
 			published[entries[i].ID] = d
 		}
 		var list []uint32
-		for _, e := range Weigh(entries, published, 400) {
+		for _, e := range WeightByDemand(entries, published, 400) {
 			list = append(list, e.Weight)
 		}
 		return list
