--- a/core/eviction/decide.go
+++ b/core/eviction/decide.go
@@ -14,7 +14,7 @@
 	LastMeasured time.Time
 	// OverCount is how many counted measurements in a row were over the limit,
 	// OverSince when the first of them was made.
-	OverCount      int
+	OverCount int
 	OverSince time.Time
 	// CalmSince is when the services became calm; zero while they are not.
 	CalmSince time.Time
--- a/core/eviction/options.go
+++ b/core/eviction/options.go
@@ -16,8 +16,8 @@
 	CalmPressure float64
 	// ConfirmCount is how many measurements in a row must be over the limit before
 	// it is acted on, unless pressure is at least Severe.
-	ConfirmCount int
-	SeverePressure  float64
+	ConfirmCount   int
+	SeverePressure float64
 	// PeakPressure bounds, as a pressure, what one task may be predicted to add at
 	// PeakStd standard deviations above its mean. A task that could add more
 	// runs throttled from the start.
@@ -44,21 +44,21 @@
 // DefaultOptions returns the settings that the policy measurements use.
 func DefaultOptions() Options {
 	return Options{
-		ReportLag:        10 * time.Second,
+		ReportLag:      10 * time.Second,
 		SettleTime:     2 * time.Second,
-		Limit:      1.5,
-		CalmPressure:       0.6,
-		ConfirmCount:    2,
-		SeverePressure:     2,
-		PeakPressure:       0.8,
-		PeakStd:    2.5,
-		EvictionDelay:   60 * time.Second,
-		CalmFor:    20 * time.Second,
-		MaxCalmFor: 5 * time.Minute,
-		MinPercent:      20,
-		MiddlePercent:       50,
-		MinRelief:  0.1,
-		ContendedLoad:   0.95,
-		Costs:      DefaultCosts(),
+		Limit:          1.5,
+		CalmPressure:   0.6,
+		ConfirmCount:   2,
+		SeverePressure: 2,
+		PeakPressure:   0.8,
+		PeakStd:        2.5,
+		EvictionDelay:  60 * time.Second,
+		CalmFor:        20 * time.Second,
+		MaxCalmFor:     5 * time.Minute,
+		MinPercent:     20,
+		MiddlePercent:  50,
+		MinRelief:      0.1,
+		ContendedLoad:  0.95,
+		Costs:          DefaultCosts(),
 	}
 }
--- a/core/eviction/view.go
+++ b/core/eviction/view.go
@@ -19,7 +19,7 @@
 	Size model.Resources
 	// FullSize is what is committed for it at full speed; zero stands for Size.
 	// See ThrottledHold.
-	FullSize        model.Resources
+	FullSize    model.Resources
 	LongRunning bool
 	// Percent of its committed processors that it may use; FullSpeed when not
 	// throttled.
@@ -31,7 +31,7 @@
 	SavedAt time.Time
 	// CanCheckpoint is whether it can be checkpointed when it is stopped.
 	CanCheckpoint bool
-	Evictions   uint32
+	Evictions     uint32
 	// Stopping is true once its end was asked for.
 	Stopping bool
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -19,7 +19,7 @@
 
 // The defaults of Options.
 const (
-	DefaultTightCandidates = 4
+	DefaultTightCandidates  = 4
 	DefaultRandomCandidates = 8
 )
 
--- a/core/scheduler/decide_test.go
+++ b/core/scheduler/decide_test.go
@@ -114,9 +114,9 @@
 	w.snapshot = Snapshot{
 		Now: epoch, Shards: 1, Config: accepted, Ledger: w.ledger,
 		LargestCapacities: []model.Resources{{MilliCPU: 8000, MemoryMB: 8000}},
-		CommitSize:    func(_ string, declared model.Resources) model.Resources { return declared },
-		Placer:  placement.Default(placement.Options{Random: rand.NewPCG(1, 1)}),
-		Costs:   eviction.DefaultCosts(),
+		CommitSize:        func(_ string, declared model.Resources) model.Resources { return declared },
+		Placer:            placement.Default(placement.Options{Random: rand.NewPCG(1, 1)}),
+		Costs:             eviction.DefaultCosts(),
 	}
 	for i := range workers {
 		w.snapshot.Workers = append(w.snapshot.Workers, Worker{VM: model.VM{
--- a/core/scheduler/observe.go
+++ b/core/scheduler/observe.go
@@ -45,8 +45,8 @@
 
 // Observer turns observations into changes of one shard's ledger.
 type Observer struct {
-	Ledger Ledger
-	Evaluator  *quarantine.Evaluator
+	Ledger    Ledger
+	Evaluator *quarantine.Evaluator
 	// MaxAttempts returns a workload's bound on counted failures; 0 is the
 	// judge's own.
 	MaxAttempts func(workload string) int
--- a/core/scheduler/preempt.go
+++ b/core/scheduler/preempt.go
@@ -59,14 +59,14 @@
 // EvictionTask describes a batch task of the ledger to the eviction policy.
 func EvictionTask(t ledger.Task, longRunning, stopping bool) eviction.Task {
 	return eviction.Task{
-		Key:         t.Key,
-		Class:       t.Class,
-		Priority:    t.Priority,
-		Size:        t.Size,
-		LongRunning: longRunning,
-		Percent:     eviction.FullSpeed,
+		Key:           t.Key,
+		Class:         t.Class,
+		Priority:      t.Priority,
+		Size:          t.Size,
+		LongRunning:   longRunning,
+		Percent:       eviction.FullSpeed,
 		CanCheckpoint: true,
-		Evictions:   t.Evictions,
-		Stopping:    stopping || t.State == ledger.Stopping,
+		Evictions:     t.Evictions,
+		Stopping:      stopping || t.State == ledger.Stopping,
 	}
 }
--- a/daemon/decide.go
+++ b/daemon/decide.go
@@ -52,20 +52,20 @@
 
 func (s *shard) snapshot(now time.Time) *scheduler.Snapshot {
 	return &scheduler.Snapshot{
-		Now:       now,
-		Shard:     s.id,
-		Shards:    s.c.topologyCount(),
-		Config:    s.c.config.Current(),
-		Synced:    s.synced,
-		Ledger:    s.ledger.Effective(),
-		Workers:   s.workerViews(now),
-		LargestCapacities:   s.c.largest,
-		ShardRoom: s.c.shardRoom(),
-		CommitSize:      s.c.sizes.Hold,
-		Predictor: s.c.slowdowns,
-		Costs:     eviction.DefaultCosts(),
-		Placer:    s.placer,
-		Random:    s.c.random.Uint64(),
+		Now:               now,
+		Shard:             s.id,
+		Shards:            s.c.topologyCount(),
+		Config:            s.c.config.Current(),
+		Synced:            s.synced,
+		Ledger:            s.ledger.Effective(),
+		Workers:           s.workerViews(now),
+		LargestCapacities: s.c.largest,
+		ShardRoom:         s.c.shardRoom(),
+		CommitSize:        s.c.sizes.Hold,
+		Predictor:         s.c.slowdowns,
+		Costs:             eviction.DefaultCosts(),
+		Placer:            s.placer,
+		Random:            s.c.random.Uint64(),
 	}
 }
 
--- a/daemon/observe.go
+++ b/daemon/observe.go
@@ -64,7 +64,7 @@
 func (s *shard) observer() *scheduler.Observer {
 	return &scheduler.Observer{
 		Ledger:      s.ledger.Effective(),
-		Evaluator:       s.judge,
+		Evaluator:   s.judge,
 		MaxAttempts: s.c.maxAttempts,
 	}
 }
