--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -21,8 +21,8 @@
 	prunedAt  time.Time
 }
 
-// New returns a judge without evidence.
-func New(o Options) *Evaluator {
+// NewEvaluator returns a judge without evidence.
+func NewEvaluator(o Options) *Evaluator {
 	return &Evaluator{
 		options:   o,
 		workers:   make(map[model.WorkerID]*record),
--- a/core/quarantine/judge_test.go
+++ b/core/quarantine/judge_test.go
@@ -96,7 +96,7 @@
 // Symptom: a worker fails everything it starts, and because it is always free
 // again it draws all work to it and ends every job.
 func TestBadWorkerIsQuarantinedAndItsTasksAreNotBlamed(t *testing.T) {
-	j, l := New(DefaultOptions()), newLedger()
+	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	run(j, l, 10, 40, func(w model.WorkerID) bool { return w == worker(3) }, never[int])
 	if len(l.closed) != 1 || l.closed[worker(3)].State != Quarantined {
 		t.Errorf("closed %v", l.closed)
@@ -108,7 +108,7 @@
 
 // Symptom: one job that can only fail closes worker after worker.
 func TestBadTasksAreGivenUpAndTheirWorkersStayOpen(t *testing.T) {
-	j, l := New(DefaultOptions()), newLedger()
+	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	run(j, l, 10, 40, never[model.WorkerID], func(i int) bool { return i%10 == 7 })
 	if len(l.closed) != 0 {
 		t.Errorf("closed %v", l.closed)
@@ -126,7 +126,7 @@
 // Symptom: with a bad worker and bad tasks at the same time, good tasks are
 // given up or good workers closed. Both kinds must be found, and only they.
 func TestBadWorkerAndBadTasksAreToldApart(t *testing.T) {
-	j, l := New(DefaultOptions()), newLedger()
+	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	run(j, l, 10, 60, func(w model.WorkerID) bool { return w == worker(3) }, func(i int) bool { return i%10 == 7 })
 	if len(l.closed) != 1 || l.closed[worker(3)].State != Quarantined {
 		t.Errorf("closed %v", l.closed)
@@ -145,7 +145,7 @@
 // reach is quarantined. Nothing speaks against the workers: what fails there
 // fails everywhere.
 func TestBrokenWorkloadClosesNoWorker(t *testing.T) {
-	j, l := New(DefaultOptions()), newLedger()
+	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
 	for i := range 200 {
 		w := worker(i % 10)
@@ -160,7 +160,7 @@
 // Symptom: a service that all tasks need is down for a while; afterwards every
 // job has been given up and every worker is quarantined.
 func TestCommonCauseBlamesNobody(t *testing.T) {
-	j, l := New(DefaultOptions()), newLedger()
+	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
 	for i := range 40 {
 		l.report(j, at(i), key(fmt.Sprintf("job-%d", i%4), i), worker(i%10), Succeeded)
@@ -177,7 +177,7 @@
 
 // Symptom: half of the fleet is closed on the evidence of a bad hour.
 func TestQuarantineIsBoundedToAPartOfTheFleet(t *testing.T) {
-	j, l := New(DefaultOptions()), newLedger()
+	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
 	for i := range 5 {
 		closeWorker(t, j, l, at(i), worker(i), i < 2)
@@ -212,7 +212,7 @@
 // fails it. It must return one task at a time, and each time it fails again
 // stay away longer.
 func TestProbationAndGrowingLevels(t *testing.T) {
-	j, l := New(DefaultOptions()), newLedger()
+	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
 	now := at(0)
 	length := time.Duration(0)
@@ -254,7 +254,7 @@
 
 // Symptom: good tasks are given up because they were dealt to bad workers.
 func TestFailuresOnBadWorkersDoNotCount(t *testing.T) {
-	j, l := New(DefaultOptions()), newLedger()
+	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(20)
 	closeWorker(t, j, l, at(0), "bad1", true)
 	closeWorker(t, j, l, at(1), "bad2", true)
@@ -271,7 +271,7 @@
 
 // Symptom: after a change of owner a quarantined worker gets work at once.
 func TestRestore(t *testing.T) {
-	j := New(DefaultOptions())
+	j := NewEvaluator(DefaultOptions())
 	j.Restore("bad", at(100), 3)
 	if j.MayStart(at(99), "bad", 0) || j.MayStart(at(101), "bad", 1) || !j.MayStart(at(101), "bad", 0) {
 		t.Error("the quarantine was not taken over")
@@ -282,7 +282,7 @@
 func TestBackoffGrowsIsBoundedAndSpread(t *testing.T) {
 	o := DefaultOptions()
 	o.DistinctWorkers, o.MaxAttempts = 100, 100
-	j, l := New(o), newLedger()
+	j, l := NewEvaluator(o), newLedger()
 	last := time.Duration(0)
 	for i := range 12 {
 		wait := l.report(j, at(i), key("job", 1), "w", Failed).Task.NotBefore.Sub(at(i))
@@ -302,7 +302,7 @@
 
 // A task whose attempts are used up ends with a typed reason.
 func TestAttemptsAreBounded(t *testing.T) {
-	j := New(DefaultOptions())
+	j := NewEvaluator(DefaultOptions())
 	v := j.Observe(at(0), Outcome{Task: key("job", 1), Attempt: 2, Worker: "w", Failures: 1, MaxAttempts: 2})
 	if v.Task.GaveUp == nil || v.Task.GaveUp.Reason != AttemptsExhausted || v.Task.GaveUp.Failures != 2 {
 		t.Errorf("got %+v", v.Task)
@@ -314,7 +314,7 @@
 // task is tried there until its attempts are used up.
 // Cause: failures on one bad worker are counted like failures on several.
 func TestOneWorkerAloneDoesNotUseUpAttempts(t *testing.T) {
-	j := New(DefaultOptions())
+	j := NewEvaluator(DefaultOptions())
 	failed := Outcome{Task: key("job", 1), Attempt: 9, Worker: "w", Failures: 8}
 	failed.FailedWorkers = []model.WorkerID{"w"}
 	if v := j.Observe(at(0), failed); v.Task.GaveUp != nil {
--- a/core/scheduler/observe_test.go
+++ b/core/scheduler/observe_test.go
@@ -12,7 +12,7 @@
 func observed(task ledger.Task, kind ObservationKind, checkpoint string) []ledger.Change {
 	ob := Observer{
 		Ledger:      fakeLedger{task.Key: task},
-		Evaluator:   quarantine.New(quarantine.DefaultOptions()),
+		Evaluator:   quarantine.NewEvaluator(quarantine.DefaultOptions()),
 		MaxAttempts: func(string) int { return 2 },
 	}
 	return ob.Observe(epoch, Observation{
--- a/daemon/shard.go
+++ b/daemon/shard.go
@@ -52,7 +52,7 @@
 		acquiredAt: at,
 		ledger:     ledger.New(id, writer, c.ledgerOptions()),
 		workers:    make(map[model.WorkerID]*worker),
-		judge:      quarantine.New(quarantine.DefaultOptions()),
+		judge:      quarantine.NewEvaluator(quarantine.DefaultOptions()),
 		placer:     placement.Default(placement.Options{Random: rand.NewPCG(c.random.Uint64(), 0)}),
 		evictor:    eviction.NewController(eviction.DefaultOptions(), c.slowdowns),
 	}
