--- a/daemon/shard.go
+++ b/daemon/shard.go
@@ -30,7 +30,7 @@
 
 	ledger  *ledger.Ledger
 	workers map[model.WorkerID]*worker
-	judge   *quarantine.Judge
+	judge   *quarantine.Evaluator
 	placer  *placement.Placer
 	evictor *eviction.Controller
 
@@ -52,7 +52,7 @@
 		acquiredAt: at,
 		ledger:     ledger.New(id, writer, c.ledgerOptions()),
 		workers:    make(map[model.WorkerID]*worker),
-		judge:      quarantine.New(quarantine.DefaultOptions()),
+		judge:      quarantine.NewEvaluator(quarantine.DefaultOptions()),
 		placer:     placement.Default(placement.Options{Random: rand.NewPCG(c.random.Uint64(), 0)}),
 		evictor:    eviction.NewController(eviction.DefaultOptions(), c.slowdowns),
 	}
@@ -73,7 +73,7 @@
 // without waiting for the next group commit.
 func (s *shard) propose(changes []ledger.Change) {
 	if len(changes) > 0 {
-		s.stepLedger(ledger.Propose{Changes: changes, Urgent: scheduler.Urgent(changes)})
+		s.stepLedger(ledger.Propose{Changes: changes, Urgent: scheduler.HasUrgent(changes)})
 	}
 }
 
