--- a/core/jobsched/bench_test.go
+++ b/core/jobsched/bench_test.go
@@ -119,8 +119,8 @@
 	}
 	c.run(time.Second)
 	const tasks = 40
-	c.options.RoundLooks = 1 << 40
-	c.machine.options.RoundLooks = 1 << 40
+	c.options.RoundBudget = 1 << 40
+	c.machine.options.RoundBudget = 1 << 40
 	var took time.Duration
 	for i := range b.N {
 		id := c.submit(10000+i, "batch", makeStep(tasks, 1800, time.Minute))
--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -225,11 +225,11 @@
 	c.held = nil
 	r := Recovered{
 		Wall: c.wall, Config: c.config, Accepted: make(map[job.ID]*job.Accepted), Progress: make(map[job.ID]*job.Progress),
-		SetAside: make(map[job.ID]*job.Accepted), Learned: c.learned, RosterLost: c.rosterDamaged,
+		Unreadable: make(map[job.ID]*job.Accepted), Learned: c.learned, RosterLost: c.rosterDamaged,
 		UnseenCrash: c.unseenCrash, RosterLostLeft: c.lostLeft,
 	}
 	if !c.rosterDamaged {
-		r.Roster, r.RosterStands, r.RosterAge = c.roster, c.rosterStands, c.rosterAge
+		r.Roster, r.RosterValid, r.RosterAge = c.roster, c.rosterStands, c.rosterAge
 	}
 	for id, a := range c.accepted {
 		if !c.damaged[id] {
@@ -242,7 +242,7 @@
 		}
 	}
 	for id := range c.damaged {
-		r.SetAside[id] = nil
+		r.Unreadable[id] = nil
 	}
 	c.machine = New(c.now, c.epoch, c.options, r)
 	c.list()
@@ -513,7 +513,7 @@
 
 func (c *cluster) store(e Commit) {
 	c.summary = e.Summary
-	c.rosterStands, c.rosterAge, c.unseenCrash = e.RosterStands, e.RosterAge, e.UnseenCrash
+	c.rosterStands, c.rosterAge, c.unseenCrash = e.RosterValid, e.RosterAge, e.UnseenCrash
 	c.lostLeft = e.RosterLostLeft
 	if e.Roster != nil {
 		c.roster = rereadRoster(c.t, e.Roster)
--- a/core/jobsched/effect.go
+++ b/core/jobsched/effect.go
@@ -70,9 +70,9 @@
 	// lacks workers that are cut off and run on, and for a while after an
 	// outage of the platform's store many that are well.
 	Roster []RosterEntry
-	// RosterStands is whether the next leader may rely on what the stored roster
+	// RosterValid is whether the next leader may rely on what the stored roster
 	// says of its workers. It is false until the term has stored a roster.
-	RosterStands bool
+	RosterValid bool
 	// RosterAge is how long before the commit the stored roster was written.
 	RosterAge time.Duration
 	// RosterLostLeft is how long, from the commit on, attempts may run on workers that
--- a/core/jobsched/entry.go
+++ b/core/jobsched/entry.go
@@ -12,8 +12,8 @@
 // The faults. Entries are written by workers and by whoever else may write
 // there, so that each field is held to what a worker says of itself.
 const (
-	// EntrySound is no fault.
-	EntrySound EntryFault = iota
+	// EntryValid is no fault.
+	EntryValid EntryFault = iota
 	// EntryUnreadable: the value is no JSON object.
 	EntryUnreadable
 	// EntryWrongType: a field without a fault of its own has another type.
@@ -36,8 +36,8 @@
 	EntryNoLabels
 	// EntryUnnamedService: the configuration does not name the service.
 	EntryUnnamedService
-	// EntryNoStart: it does not say when the worker was started, as workers here do.
-	EntryNoStart
+	// EntryNoStartTime: it does not say when the worker was started, as workers here do.
+	EntryNoStartTime
 )
 
 // entryFaultNames are the reasons in log lines and metrics.
@@ -75,7 +75,7 @@
 	fault := m.entryJudge()
 	usable, unusable := make([]WorkerEntry, 0, len(list.Workers)), slices.Clip(list.Unusable)
 	for _, e := range list.Workers {
-		if f := fault(e); f != EntrySound {
+		if f := fault(e); f != EntryValid {
 			unusable = append(unusable, UnusableEntry{ID: e.ID, Fault: f})
 		} else {
 			usable = append(usable, e)
@@ -97,9 +97,9 @@
 			return EntryUnnamedService
 		}
 		if m.startsTold && e.StartedMs == 0 {
-			return EntryNoStart
+			return EntryNoStartTime
 		}
-		return EntrySound
+		return EntryValid
 	}
 }
 
--- a/core/jobsched/entry_test.go
+++ b/core/jobsched/entry_test.go
@@ -23,7 +23,7 @@
 // add adds an entry with a fault as the platform's list brings it.
 func (l *WorkersListed) add(e WorkerEntry, fault EntryFault) {
 	switch fault {
-	case EntrySound:
+	case EntryValid:
 		l.Workers = append(l.Workers, e)
 	case EntryUnnamedService:
 		e.Service = unnamedService
@@ -133,7 +133,7 @@
 		if n := c.runningOf(wide); n != 6 {
 			t.Errorf("%d tasks run on the other worker, want 6", n)
 		}
-		w.fault = EntrySound
+		w.fault = EntryValid
 		c.run(time.Second)
 		if n := c.runningOf(wide); n != 8 {
 			t.Errorf("%d tasks run once the entry is good again, want 8", n)
@@ -221,7 +221,7 @@
 	if got := strings.Join(c.entryNotes(), "\n"); got != want {
 		t.Errorf("noted:\n%s\nwant:\n%s", got, want)
 	}
-	c.workers["w001"].fault = EntrySound
+	c.workers["w001"].fault = EntryValid
 	c.workers["w009"].listed = false
 	c.run(3 * time.Second)
 	want = "worker entry gone worker=w009: was no labels\nworker entry good again worker=w001: was unnamed service"
@@ -244,7 +244,7 @@
 		for i := range flood {
 			l.add(WorkerEntry{Incarnation: model.Incarnation{ID: model.WorkerID(fmt.Sprintf("x%d-%d", number, i))}}, EntryUnreadable)
 		}
-		l.add(c.workers["w000"].entry, EntrySound)
+		l.add(c.workers["w000"].entry, EntryValid)
 		l.add(c.workers["w001"].entry, EntryNoLabels)
 		return l
 	}
@@ -275,7 +275,7 @@
 	if counts.Unusable[EntryUnreadable] != flood || counts.Unusable[EntryNoLabels] != 1 {
 		t.Errorf("counted: %v", counts.Unusable)
 	}
-	if turned, gone := counts.Turns[EntryTurnedUnusable], counts.Turns[EntryGone]; turned != lists*trackedStrangers+1 || gone != (lists-1)*trackedStrangers {
+	if turned, gone := counts.Changes[EntryBecameUnusable], counts.Changes[EntryGone]; turned != lists*trackedStrangers+1 || gone != (lists-1)*trackedStrangers {
 		t.Errorf("%d turned unusable and %d are gone", turned, gone)
 	}
 }
--- a/core/jobsched/entrywatch.go
+++ b/core/jobsched/entrywatch.go
@@ -9,12 +9,12 @@
 	"github.com/guavarill/guavarill/core/ordered"
 )
 
-// EntryTurn is what became of an entry of the platform's list.
-type EntryTurn int
+// EntryChange is what became of an entry of the platform's list.
+type EntryChange int
 
 // The turns.
 const (
-	EntryTurnedUnusable EntryTurn = iota
+	EntryBecameUnusable EntryChange = iota
 	EntryRepaired
 	EntryGone
 )
@@ -25,7 +25,7 @@
 )
 
 // String returns the turn's name.
-func (t EntryTurn) String() string {
+func (t EntryChange) String() string {
 	if t < 0 || int(t) >= len(entryTurnNames) {
 		return "invalid turn"
 	}
@@ -36,8 +36,8 @@
 type EntryCounts struct {
 	// Unusable counts the unusable entries of the last list by their fault.
 	Unusable map[EntryFault]int
-	// Turns counts the turns since the counts were taken last.
-	Turns map[EntryTurn]int
+	// Changes counts the turns since the counts were taken last.
+	Changes map[EntryChange]int
 }
 
 const (
@@ -60,7 +60,7 @@
 type entryWatch struct {
 	tracked            ordered.Map[model.WorkerID, EntryFault]
 	unusable           map[EntryFault]int
-	turns              map[EntryTurn]int
+	turns              map[EntryChange]int
 	strangers, workers noteBudget
 }
 
@@ -109,7 +109,7 @@
 			strangers++
 		}
 		e.tracked.Set(u.ID, u.Fault)
-		m.entryTurned(u.ID, EntryTurnedUnusable, u.Fault.String())
+		m.entryTurned(u.ID, EntryBecameUnusable, u.Fault.String())
 	}
 }
 
@@ -136,10 +136,10 @@
 }
 
 // entryTurned counts a turn, and notes it within bounds.
-func (m *Machine) entryTurned(id model.WorkerID, turn EntryTurn, reason string) {
+func (m *Machine) entryTurned(id model.WorkerID, turn EntryChange, reason string) {
 	e := &m.entries
 	if e.turns == nil {
-		e.turns = make(map[EntryTurn]int)
+		e.turns = make(map[EntryChange]int)
 	}
 	e.turns[turn]++
 	budget, limit := &e.strangers, strangerTurnNotes
@@ -158,7 +158,7 @@
 
 // TakeEntryCounts returns the counts, and begins those of turns anew.
 func (m *Machine) TakeEntryCounts() EntryCounts {
-	counts := EntryCounts{Unusable: m.entries.unusable, Turns: m.entries.turns}
+	counts := EntryCounts{Unusable: m.entries.unusable, Changes: m.entries.turns}
 	m.entries.turns = nil
 	return counts
 }
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -102,9 +102,9 @@
 	})
 }
 
-// Unheard returns how many workers hold starts back, because an earlier leader
+// UnansweredWorkers returns how many workers hold starts back, because an earlier leader
 // may have started tasks there and they have not answered this one.
-func (m *Machine) Unheard() int {
+func (m *Machine) UnansweredWorkers() int {
 	unheard := 0
 	for _, w := range m.workers.All() {
 		if !w.answered && (m.unresolved.Has(w.id) || w.attempts.Len() > 0) {
--- a/core/jobsched/hold_test.go
+++ b/core/jobsched/hold_test.go
@@ -20,7 +20,7 @@
 	c.workers["w002"].cutOff = true
 	c.lead()
 	c.run(1500 * time.Millisecond)
-	if n := c.machine.Unheard(); n != 1 {
+	if n := c.machine.UnansweredWorkers(); n != 1 {
 		t.Errorf("%d workers hold starts back, want 1", n)
 	}
 	noted := false
--- a/core/jobsched/inherit.go
+++ b/core/jobsched/inherit.go
@@ -39,15 +39,15 @@
 		t := m.task(r.Task)
 		switch {
 		case w.attempts.Has(key):
-		case r.GivenUp:
+		case r.Lost:
 			w.lost[key] = struct{}{}
 			if t != nil {
 				t.givenUp = true
 			}
 		case t != nil && !t.done:
 			m.addAttempt(t, w, r.Attempt, phaseDoubtful).inherited = true
-			if r.StillFor > 0 {
-				w.still[key] = stillness{percent: r.Percent, since: m.recoveredAt.Add(-r.StillFor)}
+			if r.StalledFor > 0 {
+				w.still[key] = stillness{percent: r.Percent, since: m.recoveredAt.Add(-r.StalledFor)}
 			}
 		case m.aside[r.Task.Job] != nil:
 			a := m.addUnwanted(w, &RunningAttempt{Key: r.Task, Attempt: r.Attempt})
--- a/core/jobsched/machine.go
+++ b/core/jobsched/machine.go
@@ -27,10 +27,10 @@
 	KeepFinal time.Duration
 	// ThrottleDelay is how long a throttle takes to work.
 	ThrottleDelay time.Duration
-	// RoundLooks bounds the looks at a worker for a task in a round of placement;
+	// RoundBudget bounds the looks at a worker for a task in a round of placement;
 	// 0 stands for DefaultRoundLooks. A leader with a part of a core has as many
 	// less.
-	RoundLooks int
+	RoundBudget int
 	// StartsInFlight bounds the starts that are sent and not answered; 0 stands
 	// for DefaultStartsInFlight. A leader with a part of a core has as many less.
 	StartsInFlight int
@@ -128,15 +128,15 @@
 	Config   *job.Config
 	Accepted map[job.ID]*job.Accepted
 	Progress map[job.ID]*job.Progress
-	// SetAside holds the jobs whose records cannot be read, with their accepted
+	// Unreadable holds the jobs whose records cannot be read, with their accepted
 	// records where these can, else nil.
-	SetAside map[job.ID]*job.Accepted
+	Unreadable map[job.ID]*job.Accepted
 	// Roster is the one that was stored last.
 	Roster []RosterEntry
-	// RosterStands and RosterAge are those of the last commit, whichever term made
+	// RosterValid and RosterAge are those of the last commit, whichever term made
 	// it.
-	RosterStands bool
-	RosterAge    time.Duration
+	RosterValid bool
+	RosterAge   time.Duration
 	// RosterLost is set when the stored roster cannot be read: it is not known
 	// where attempts may run.
 	RosterLost bool
@@ -154,7 +154,7 @@
 		final: make(map[job.ID]time.Time), incarnations: make(map[model.WorkerID]*incarnations), aside: make(map[job.ID]*asideJob), learner: interference.New(learnerOptions()),
 	}
 	m.options.MaxLease = cmp.Or(o.MaxLease, o.Lease)
-	m.options.RoundLooks = cmp.Or(o.RoundLooks, DefaultRoundLooks)
+	m.options.RoundBudget = cmp.Or(o.RoundBudget, DefaultRoundBudget)
 	m.options.StartsInFlight = cmp.Or(o.StartsInFlight, DefaultStartsInFlight)
 	m.unseenCrash = r.UnseenCrash
 	m.learner.Import(now, r.Learned)
@@ -169,7 +169,7 @@
 			m.recoverJob(id, accepted, r.Progress[id])
 		}
 	}
-	m.setAsideAll(r.SetAside)
+	m.setAsideAll(r.Unreadable)
 	switch {
 	case r.RosterLost:
 		m.loseRoster(m.earlierLeasesEnd(), "it cannot be read")
@@ -177,7 +177,7 @@
 		m.loseRoster(now.Add(r.RosterLostLeft), "an earlier leader could not read it")
 	}
 	for _, entry := range r.Roster {
-		m.recoverWorker(entry, r.RosterStands, r.RosterAge)
+		m.recoverWorker(entry, r.RosterValid, r.RosterAge)
 	}
 	return m
 }
--- a/core/jobsched/pass.go
+++ b/core/jobsched/pass.go
@@ -1,8 +1,8 @@
 package jobsched
 
-// DefaultRoundLooks is how many looks at a worker for a task a round of placement
+// DefaultRoundBudget is how many looks at a worker for a task a round of placement
 // may take, for a leader with a whole core: some hundredths of a second.
-const DefaultRoundLooks = 50_000
+const DefaultRoundBudget = 50_000
 
 // startLooks is what a start counts as besides, in looks, for its order and its
 // line in the log.
--- a/core/jobsched/pass_test.go
+++ b/core/jobsched/pass_test.go
@@ -11,7 +11,7 @@
 // urgent; and each of them has its turn too.
 func TestUrgentStepComesNextInAnOpenPass(t *testing.T) {
 	c := newCluster(t, 1, 8)
-	c.options.RoundLooks = 16
+	c.options.RoundBudget = 16
 	c.lead()
 	c.run(200 * time.Millisecond)
 	for i := range 10 {
@@ -40,7 +40,7 @@
 // them.
 func manyRounds(t *testing.T) *cluster {
 	c := newCluster(t, 1, 8)
-	c.options.RoundLooks = 8
+	c.options.RoundBudget = 8
 	c.lead()
 	c.run(200 * time.Millisecond)
 	for i := range 10 {
@@ -92,7 +92,7 @@
 // for 15 s, while 270 attempts of others were started each second.
 func TestTheMostUrgentStepsHaveATurnInEveryRound(t *testing.T) {
 	c := newCluster(t, 1, 8)
-	c.options.RoundLooks = 32
+	c.options.RoundBudget = 32
 	c.lead()
 	c.run(200 * time.Millisecond)
 	// One of its tasks waits for a ninth worker, so that its step has its turn in
--- a/core/jobsched/property_test.go
+++ b/core/jobsched/property_test.go
@@ -46,7 +46,7 @@
 	const days, looks = 20, 32
 	for seed := range uint64(days) {
 		playFaults(t, seed, func(c *cluster) {
-			c.options.RoundLooks = looks
+			c.options.RoundBudget = looks
 			c.checkRounds = false
 			c.lead()
 		})
--- a/core/jobsched/restarted_test.go
+++ b/core/jobsched/restarted_test.go
@@ -196,7 +196,7 @@
 	stranger.ID = "stranger"
 	c.workers["stranger"] = &fakeWorker{c: c, entry: stranger, listed: true, dead: true}
 	c.run(time.Second)
-	if n := c.machine.TakeEntryCounts().Unusable[EntryNoStart]; n != 2 {
+	if n := c.machine.TakeEntryCounts().Unusable[EntryNoStartTime]; n != 2 {
 		t.Errorf("%d entries are unusable for want of a start, want 2", n)
 	}
 	for _, e := range c.roster {
--- a/core/jobsched/roster.go
+++ b/core/jobsched/roster.go
@@ -55,12 +55,12 @@
 type RosterAttempt struct {
 	Task    job.TaskKey `json:"task"`
 	Attempt int         `json:"n"`
-	// GivenUp is set when it was declared lost.
-	GivenUp bool `json:"givenUp,omitempty"`
-	// StillFor is for how long it has stood still at Percent; 0 if it has not, or not
+	// Lost is set when it was declared lost.
+	Lost bool `json:"givenUp,omitempty"`
+	// StalledFor is for how long it has stood still at Percent; 0 if it has not, or not
 	// for long.
-	StillFor time.Duration `json:"still,omitempty"`
-	Percent  int           `json:"percent,omitempty"`
+	StalledFor time.Duration `json:"still,omitempty"`
+	Percent    int           `json:"percent,omitempty"`
 }
 
 // rosterMark is what a roster should say of a worker, in short. A roster is due
@@ -206,8 +206,8 @@
 // addRosterAge adds to a commit whether the statements of the stored roster stand,
 // and how old they are.
 func (m *Machine) addRosterAge(commit *Commit) {
-	commit.RosterStands = m.roster.stands || commit.Roster != nil
-	if commit.RosterStands {
+	commit.RosterValid = m.roster.stands || commit.Roster != nil
+	if commit.RosterValid {
 		commit.RosterAge = m.now.Sub(m.roster.sentAt)
 	}
 }
@@ -241,7 +241,7 @@
 	for _, l := range m.rosterLines(m.lastMarkOf) {
 		commit.Roster = append(commit.Roster, l.entry)
 	}
-	commit.RosterStands = true
+	commit.RosterValid = true
 	m.deposed = true
 	return commit, m.takeNotes()
 }
@@ -327,7 +327,7 @@
 		if still > 0 {
 			percent = a.percent
 		}
-		list = append(list, RosterAttempt{Task: key.task, Attempt: key.attempt, StillFor: still, Percent: percent})
+		list = append(list, RosterAttempt{Task: key.task, Attempt: key.attempt, StalledFor: still, Percent: percent})
 	}
 	if w.over {
 		return list
@@ -336,7 +336,7 @@
 		list = append(list, RosterAttempt{Task: e.task, Attempt: e.attempt})
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(w.lost), attemptKey.compare) {
-		list = append(list, RosterAttempt{Task: key.task, Attempt: key.attempt, GivenUp: true})
+		list = append(list, RosterAttempt{Task: key.task, Attempt: key.attempt, Lost: true})
 	}
 	return list
 }
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -18,7 +18,7 @@
 		w.release(m.now)
 		m.startReserved(w)
 	}
-	if m.pass.begin(m.options.RoundLooks) {
+	if m.pass.begin(m.options.RoundBudget) {
 		m.crowded = false
 	}
 	m.misfits.reset()
--- a/jobservice/leader.go
+++ b/jobservice/leader.go
@@ -40,9 +40,9 @@
 	if o.Vigil == nil {
 		o.Vigil = deaf{}
 	}
-	if o.Machine.RoundLooks == 0 && o.Processors > 0 {
+	if o.Machine.RoundBudget == 0 && o.Processors > 0 {
 		// A round takes as long on a part of a core as on a whole one.
-		o.Machine.RoundLooks = max(int(jobsched.DefaultRoundLooks*min(o.Processors, 1)), leastRoundLooks)
+		o.Machine.RoundBudget = max(int(jobsched.DefaultRoundBudget*min(o.Processors, 1)), leastRoundLooks)
 	}
 	if o.Machine.StartsInFlight == 0 && o.Processors > 0 {
 		o.Machine.StartsInFlight = max(int(jobsched.DefaultStartsInFlight*min(o.Processors, 1)), leastStartsInFlight)
--- a/jobservice/recover.go
+++ b/jobservice/recover.go
@@ -18,7 +18,7 @@
 	l := t.leader
 	began := l.o.Clock.Now()
 	r := jobsched.Recovered{
-		Wall: l.o.Clock.Wall(), Config: l.o.Config.Current(), RosterStands: ledger.RosterStands, RosterAge: ledger.RosterAge,
+		Wall: l.o.Clock.Wall(), Config: l.o.Config.Current(), RosterValid: ledger.RosterStands, RosterAge: ledger.RosterAge,
 		UnseenCrash: ledger.UnseenCrash, RosterLostLeft: ledger.RosterLostLeft,
 	}
 	if err := l.recoverCluster(ctx, &r); err != nil {
@@ -29,8 +29,8 @@
 	}
 	t.machine = jobsched.New(l.o.Clock.Now(), t.epoch, l.o.Machine, r)
 	l.log.WithFields(logrus.Fields{
-		"epoch": t.epoch, "jobs": len(r.Accepted), "records": len(r.Progress), "setAside": len(r.SetAside),
-		"rosterStands": r.RosterStands, "took": l.o.Clock.Now().Sub(began).String(),
+		"epoch": t.epoch, "jobs": len(r.Accepted), "records": len(r.Progress), "setAside": len(r.Unreadable),
+		"rosterStands": r.RosterValid, "took": l.o.Clock.Now().Sub(began).String(),
 	}).Info("state read")
 	return nil
 }
@@ -110,7 +110,7 @@
 	if err != nil {
 		return err
 	}
-	t.jobsFrom, r.Accepted, r.Progress, r.SetAside = revision, accepted.byID, progress.byID, make(map[job.ID]*job.Accepted)
+	t.jobsFrom, r.Accepted, r.Progress, r.Unreadable = revision, accepted.byID, progress.byID, make(map[job.ID]*job.Accepted)
 	acceptedErrs, progressErrs := l.tellDamaged(kindAccepted, accepted), l.tellDamaged(kindProgress, progress)
 	for _, ids := range []iter.Seq[job.ID]{maps.Keys(acceptedErrs), maps.Keys(progressErrs), maps.Keys(r.Accepted)} {
 		for id := range ids {
@@ -123,10 +123,10 @@
 				l.o.Metrics.Unreadable(l.log, kindProgress, progress.items[id], err, asideConsequence)
 			}
 			t.aside.add(id)
-			r.SetAside[id] = r.Accepted[id]
+			r.Unreadable[id] = r.Accepted[id]
 		}
 	}
-	for id := range r.SetAside {
+	for id := range r.Unreadable {
 		delete(r.Accepted, id)
 		delete(r.Progress, id)
 	}
--- a/jobservice/term.go
+++ b/jobservice/term.go
@@ -67,7 +67,7 @@
 	jobs, attempts := t.machine.Jobs()
 	l.o.Metrics.jobs.Set(float64(jobs))
 	l.o.Metrics.attempts.Set(float64(attempts))
-	l.o.Metrics.unheard.Set(float64(t.machine.Unheard()))
+	l.o.Metrics.unheard.Set(float64(t.machine.UnansweredWorkers()))
 	return false, false
 }
 
@@ -229,7 +229,7 @@
 func (t *term) changes(c jobsched.Commit) []port.Op {
 	record := ledgerRecord{
 		Incarnation: t.leader.o.Incarnation, Number: c.Number, Summary: c.Summary,
-		RosterStands: c.RosterStands, RosterAge: c.RosterAge, UnseenCrash: c.UnseenCrash,
+		RosterStands: c.RosterValid, RosterAge: c.RosterAge, UnseenCrash: c.UnseenCrash,
 		RosterLostLeft: c.RosterLostLeft,
 	}
 	changes := []port.Op{{Key: ledgerKey, Value: encodeRecord(record)}}
