--- a/adapter/jobapi/messages.go
+++ b/adapter/jobapi/messages.go
@@ -87,7 +87,7 @@
 // RetryAfterS returns when to come back after an error that means "not done", in
 // seconds.
 func RetryAfterS(err error) string {
-	var unservable *job.UnservableError
+	var unservable *job.InfeasibleError
 	if errors.As(err, &unservable) {
 		return fleetRetryAfterS
 	}
@@ -101,7 +101,7 @@
 	var queue *jobservice.UnknownQueueError
 	var unknown *jobservice.UnknownJobError
 	var unavailable *jobservice.UnavailableError
-	var unservable *job.UnservableError
+	var unservable *job.InfeasibleError
 	var stale *jobservice.StaleError
 	var follower *jobservice.NotLeadingError
 	var routing *echo.HTTPError
--- a/core/job/fleet.go
+++ b/core/job/fleet.go
@@ -59,18 +59,18 @@
 	s[label] = g
 }
 
-// UnservableError says that no worker which is there could run a step of a job.
-type UnservableError struct {
+// InfeasibleError says that no worker which is there could run a step of a job.
+type InfeasibleError struct {
 	// Step numbers the job's steps from 0.
 	Step   int
 	Reason string
 }
 
 // Error implements error.
-func (e *UnservableError) Error() string { return fmt.Sprintf("step %d %s", e.Step, e.Reason) }
+func (e *InfeasibleError) Error() string { return fmt.Sprintf("step %d %s", e.Step, e.Reason) }
 
-// Knows reports whether anything is known of a service's workers.
-func (f *Fleet) Knows(service string) bool { return len(f.Services[service]) > 0 }
+// HasService reports whether anything is known of a service's workers.
+func (f *Fleet) HasService(service string) bool { return len(f.Services[service]) > 0 }
 
 // Check returns an *UnservableError for a job whose steps the workers of the
 // service could not all run, be they ever so idle. A service of which nothing is
@@ -83,7 +83,7 @@
 	for number := range spec.Steps {
 		step := &spec.Steps[number]
 		if reason := groups.ruleOut(step); reason != "" {
-			return &UnservableError{Step: number, Reason: reason}
+			return &InfeasibleError{Step: number, Reason: reason}
 		}
 	}
 	return nil
--- a/core/job/fleet_test.go
+++ b/core/job/fleet_test.go
@@ -41,7 +41,7 @@
 	}
 	for name, test := range tests {
 		err := testFleet().Check("pool", &Spec{Steps: []Step{{Count: 1}, test.step}})
-		var unservable *UnservableError
+		var unservable *InfeasibleError
 		if ruled := errors.As(err, &unservable); ruled != test.ruled {
 			t.Errorf("%s: %v, want ruled out %t", name, err, test.ruled)
 		} else if ruled && unservable.Step != 1 {
--- a/core/job/fuzz_test.go
+++ b/core/job/fuzz_test.go
@@ -41,7 +41,7 @@
 		if !bytes.Equal(stored, again.Encode()) {
 			t.Errorf("%s is stored as %s, and then as %s", data, stored, again.Encode())
 		}
-		if (record.Fits(spec) == nil) != (again.Fits(spec) == nil) {
+		if (record.CheckAgainst(spec) == nil) != (again.CheckAgainst(spec) == nil) {
 			t.Errorf("%s fits a job only before or after it is stored", data)
 		}
 	})
--- a/core/job/queue.go
+++ b/core/job/queue.go
@@ -29,8 +29,8 @@
 // Service is a pool of workers.
 type Service struct {
 	Name string
-	// GuardsCapacity is whether its workers refuse what does not fit.
-	GuardsCapacity bool
+	// EnforcesCapacity is whether its workers refuse what does not fit.
+	EnforcesCapacity bool
 	// Spare pools are switched off.
 	Spare bool
 }
--- a/core/job/record.go
+++ b/core/job/record.go
@@ -44,10 +44,10 @@
 	Queue Queue `json:"queue"`
 	// ConfigVersion is the version that Queue is from.
 	ConfigVersion uint64 `json:"configVersion"`
-	// AtMs is when the job was accepted, in milliseconds since 1970 on the
+	// AcceptedAtMs is when the job was accepted, in milliseconds since 1970 on the
 	// accepting daemon's clock.
-	AtMs     int64 `json:"atMs"`
-	Canceled bool  `json:"canceled,omitempty"`
+	AcceptedAtMs int64 `json:"atMs"`
+	Canceled     bool  `json:"canceled,omitempty"`
 	// CanceledAtMs is when it was canceled, on the clock of the daemon that was
 	// asked, in milliseconds since 1970; 0 if it was not, or that is not known.
 	CanceledAtMs int64 `json:"canceledAtMs,omitempty"`
@@ -57,9 +57,9 @@
 // the scheduling daemon alone, and outlives the job for a while.
 type Progress struct {
 	State State `json:"state"`
-	// OverAtMs is when the job came to its final state, in milliseconds since 1970 on
+	// FinalAtMs is when the job came to its final state, in milliseconds since 1970 on
 	// the clock of the daemon that led; 0 if it has not, or that is not known.
-	OverAtMs int64 `json:"overAtMs,omitempty"`
+	FinalAtMs int64 `json:"overAtMs,omitempty"`
 	// Occurrences holds those that began, by number; empty in a final state.
 	Occurrences map[int]OccurrenceProgress `json:"occurrences,omitempty"`
 	Restarts    Restarts                   `json:"restarts,omitempty"`
@@ -115,25 +115,27 @@
 	StartedMs int64          `json:"startedMs,omitempty"`
 }
 
-// On returns the incarnation that the trial names.
-func (t Trial) On() model.Incarnation { return model.Incarnation{ID: t.Worker, StartedMs: t.StartedMs} }
+// Incarnation returns the incarnation that the trial names.
+func (t Trial) Incarnation() model.Incarnation {
+	return model.Incarnation{ID: t.Worker, StartedMs: t.StartedMs}
+}
 
 // Crash is the end of an attempt with its worker.
 type Crash struct {
 	Attempt int `json:"n"`
-	// SeenMs is for how long the attempt had been seen to run, in milliseconds; 0 if
+	// ObservedRunMs is for how long the attempt had been seen to run, in milliseconds; 0 if
 	// no report of its worker listed it, CrashTimeUnknown if that is not known.
-	SeenMs int64 `json:"ms"`
-	// Unsure is set when the attempt may never have run, as its start was not
+	ObservedRunMs int64 `json:"ms"`
+	// Uncertain is set when the attempt may never have run, as its start was not
 	// answered, or its worker may have left as announced.
-	Unsure bool `json:"unsure,omitempty"`
-	// Several is whether several other workers ended at about the same time, without an
+	Uncertain bool `json:"unsure,omitempty"`
+	// Correlated is whether several other workers ended at about the same time, without an
 	// attempt of the task's step.
-	Several bool `json:"several,omitempty"`
+	Correlated bool `json:"several,omitempty"`
 }
 
-// CrashTimeUnknown stands for the time of a crash of which a later leader heard.
-const CrashTimeUnknown = -1
+// ObservedRunUnknown stands for the time of a crash of which a later leader heard.
+const ObservedRunUnknown = -1
 
 // Encode returns the record's stored form.
 func (a *Accepted) Encode() []byte { return encode(a) }
@@ -233,10 +235,10 @@
 	return nil
 }
 
-// Fits returns a *RecordError unless the progress can be that of a job with the
+// CheckAgainst returns a *RecordError unless the progress can be that of a job with the
 // declaration: otherwise tasks that are done would be taken for tasks that are
 // not, or the other way.
-func (p *Progress) Fits(spec *Spec) error {
+func (p *Progress) CheckAgainst(spec *Spec) error {
 	if p.State.Final() {
 		return nil
 	}
--- a/core/job/spec.go
+++ b/core/job/spec.go
@@ -144,9 +144,9 @@
 	return nil
 }
 
-// ChainMs returns the longest chain of steps that follow one another, by their
+// CriticalPathMs returns the longest chain of steps that follow one another, by their
 // estimates, in milliseconds.
-func (s *Spec) ChainMs() int64 {
+func (s *Spec) CriticalPathMs() int64 {
 	ends := make([]int64, len(s.Steps))
 	longest := int64(0)
 	for i := range s.Steps {
--- a/core/jobsched/aside_test.go
+++ b/core/jobsched/aside_test.go
@@ -136,7 +136,7 @@
 	c.run(time.Second)
 	c.accepted[id] = &job.Accepted{
 		Spec:  job.Spec{Payload: "p", Steps: []job.Step{makeStep(2, 1000, 100*time.Millisecond)}},
-		Queue: *c.config.Queues["urgent"], ConfigVersion: 1, AtMs: c.wall.UnixMilli(),
+		Queue: *c.config.Queues["urgent"], ConfigVersion: 1, AcceptedAtMs: c.wall.UnixMilli(),
 	}
 	c.repair(id)
 	c.completes(id, 2)
--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -281,7 +281,7 @@
 	id := job.ID(fmt.Sprintf("%016x", number))
 	c.accepted[id] = &job.Accepted{
 		Spec: job.Spec{Payload: "p", Steps: steps}, Queue: *c.config.Queues[queue], ConfigVersion: 1,
-		AtMs: c.wall.UnixMilli(),
+		AcceptedAtMs: c.wall.UnixMilli(),
 	}
 	c.machine.Handle(c.now, JobAccepted{ID: id, Record: c.accepted[id]})
 	return id
--- a/core/jobsched/crash.go
+++ b/core/jobsched/crash.go
@@ -63,7 +63,7 @@
 func (a *attempt) crashTime() int64 {
 	seen := a.seenFor()
 	if a.inherited || a.adopted && seen < longRun {
-		return job.CrashTimeUnknown
+		return job.ObservedRunUnknown
 	}
 	return seen.Milliseconds()
 }
@@ -133,8 +133,8 @@
 		return
 	}
 	m.countCrash(a.task, job.Crash{
-		Attempt: a.key.attempt, SeenMs: a.crashTime(), Several: m.crashedWithout(a.step(), on),
-		Unsure: a.startedAt.IsZero() && !a.inherited || leaves,
+		Attempt: a.key.attempt, ObservedRunMs: a.crashTime(), Correlated: m.crashedWithout(a.step(), on),
+		Uncertain: a.startedAt.IsZero() && !a.inherited || leaves,
 	})
 }
 
@@ -216,7 +216,7 @@
 		return []job.Crash{c}
 	}
 	last := crashes[len(crashes)-1]
-	long := max(last.SeenMs, c.SeenMs) >= longRun.Milliseconds()
+	long := max(last.ObservedRunMs, c.ObservedRunMs) >= longRun.Milliseconds()
 	if long && !alike(last, c) {
 		return []job.Crash{c}
 	}
@@ -229,7 +229,7 @@
 	n := len(crashes)
 	sure := 0
 	for _, c := range crashes {
-		if !c.Unsure {
+		if !c.Uncertain {
 			sure++
 		}
 	}
@@ -250,15 +250,15 @@
 // first attempt has none before it, and a crash of which a later leader heard may
 // have followed on others.
 func mayLack(crashes []job.Crash) bool {
-	unknown := func(c job.Crash) bool { return c.SeenMs == job.CrashTimeUnknown }
+	unknown := func(c job.Crash) bool { return c.ObservedRunMs == job.ObservedRunUnknown }
 	return crashes[0].Attempt > 1 || slices.ContainsFunc(crashes, unknown)
 }
 
 // explained reports whether something else than the task may have been the cause.
-func explained(c job.Crash) bool { return c.Several }
+func explained(c job.Crash) bool { return c.Correlated }
 
 // suspicious reports whether the start of the task may have been the cause.
-func suspicious(c job.Crash) bool { return !explained(c) && c.SeenMs < longRun.Milliseconds() }
+func suspicious(c job.Crash) bool { return !explained(c) && c.ObservedRunMs < longRun.Milliseconds() }
 
 // allAlike reports whether all crashes came at the same time of a run, with nothing
 // else to explain them.
@@ -276,11 +276,11 @@
 // alike reports whether two crashes came at the same time of a run, as far as
 // reports tell: before any of them, or late enough and near each other.
 func alike(a, b job.Crash) bool {
-	if a.SeenMs == 0 && b.SeenMs == 0 {
+	if a.ObservedRunMs == 0 && b.ObservedRunMs == 0 {
 		return true
 	}
-	near := max(a.SeenMs, b.SeenMs)-min(a.SeenMs, b.SeenMs) <= reportAge.Milliseconds()
-	return near && min(a.SeenMs, b.SeenMs) >= seenLeast.Milliseconds()
+	near := max(a.ObservedRunMs, b.ObservedRunMs)-min(a.ObservedRunMs, b.ObservedRunMs) <= reportAge.Milliseconds()
+	return near && min(a.ObservedRunMs, b.ObservedRunMs) >= seenLeast.Milliseconds()
 }
 
 // describeCrashes lists crashes with their attempts and times.
@@ -291,16 +291,16 @@
 			text += ", "
 		}
 		text += fmt.Sprintf("attempt %d ", c.Attempt)
-		switch c.SeenMs {
-		case job.CrashTimeUnknown:
+		switch c.ObservedRunMs {
+		case job.ObservedRunUnknown:
 			text += "at a time not known"
 		default:
-			text += "seen for " + (time.Duration(c.SeenMs) * time.Millisecond).String()
+			text += "seen for " + (time.Duration(c.ObservedRunMs) * time.Millisecond).String()
 		}
-		if c.Unsure {
+		if c.Uncertain {
 			text += ", perhaps not there"
 		}
-		if c.Several {
+		if c.Correlated {
 			text += " as other workers ended too"
 		}
 	}
--- a/core/jobsched/ended.go
+++ b/core/jobsched/ended.go
@@ -24,7 +24,7 @@
 func (m *Machine) rememberRecovered(progress map[job.ID]*job.Progress, wall time.Time) {
 	for id, p := range progress {
 		if p.State.Final() {
-			m.final[id] = m.now.Add(m.finalLeft(p.OverAtMs, wall))
+			m.final[id] = m.now.Add(m.finalLeft(p.FinalAtMs, wall))
 			m.expiry = append(m.expiry, id)
 		}
 	}
--- a/core/jobsched/inherit_test.go
+++ b/core/jobsched/inherit_test.go
@@ -36,7 +36,7 @@
 		Spec: job.Spec{Payload: "p", Steps: []job.Step{makeStep(1, 7000, 20*time.Second)}, Schedule: &job.Schedule{
 			StartMs: c.wall.UnixMilli(), IntervalMs: 1000, Repetitions: 2,
 		}},
-		Queue: *c.config.Queues["batch"], ConfigVersion: 1, AtMs: c.wall.UnixMilli(),
+		Queue: *c.config.Queues["batch"], ConfigVersion: 1, AcceptedAtMs: c.wall.UnixMilli(),
 	}
 	c.machine.latest("w000").closedUntil = c.now.Add(600 * time.Millisecond)
 	c.machine.latest("w002").closedUntil = c.now.Add(600 * time.Millisecond)
--- a/core/jobsched/inspect.go
+++ b/core/jobsched/inspect.go
@@ -100,7 +100,7 @@
 func (m *Machine) brief(j *jobState) JobView {
 	q := m.queue(j)
 	return JobView{
-		ID: j.id, Queue: q.Name, Priority: q.Priority, State: j.state, AcceptedMs: j.record.AtMs,
+		ID: j.id, Queue: q.Name, Priority: q.Priority, State: j.state, AcceptedMs: j.record.AcceptedAtMs,
 		ConfigVersion: j.record.ConfigVersion, Attempts: j.attempts,
 	}
 }
--- a/core/jobsched/jobs.go
+++ b/core/jobsched/jobs.go
@@ -22,7 +22,7 @@
 	j := m.jobs.Get(ev.ID)
 	if j == nil {
 		j = m.addJob(ev.ID, ev.Record)
-		m.emit(Note{Decision: joblog.MessageTakenIn, Job: ev.ID, Lag: m.since(ev.Record.AtMs), Reason: fmt.Sprintf(
+		m.emit(Note{Decision: joblog.MessageTakenIn, Job: ev.ID, Lag: m.since(ev.Record.AcceptedAtMs), Reason: fmt.Sprintf(
 			"queue %s, accepted %s ago under configuration %d", ev.Record.Queue.Name,
 			m.age(j), ev.Record.ConfigVersion)})
 	}
@@ -275,7 +275,7 @@
 }
 
 // age returns for how long a job has been accepted.
-func (m *Machine) age(j *jobState) time.Duration { return m.since(j.record.AtMs) }
+func (m *Machine) age(j *jobState) time.Duration { return m.since(j.record.AcceptedAtMs) }
 
 // since returns the time since a moment that another daemon has stored, in
 // milliseconds since 1970. That daemon's clock may be ahead of the leader's.
--- a/core/jobsched/jobstate.go
+++ b/core/jobsched/jobstate.go
@@ -142,7 +142,7 @@
 			s.blocking++
 		}
 	}
-	o.chainMs = j.record.Spec.ChainMs()
+	o.chainMs = j.record.Spec.CriticalPathMs()
 	return o
 }
 
@@ -209,7 +209,7 @@
 	t.checkpoint = p.Checkpoint
 	t.crashes = p.Crashes
 	if p.Trial != nil {
-		t.trial = trial{number: p.Trial.Attempt, worker: p.Trial.On(), inherited: true}
+		t.trial = trial{number: p.Trial.Attempt, worker: p.Trial.Incarnation(), inherited: true}
 	}
 	if t.step.spec.Gang {
 		t.step.checkpoint = p.Checkpoint
@@ -227,7 +227,7 @@
 func (j *jobState) progress() *job.Progress {
 	p := &job.Progress{State: j.state}
 	if j.state.Final() {
-		p.OverAtMs = j.overAtMs
+		p.FinalAtMs = j.overAtMs
 		return p
 	}
 	p.Occurrences = make(map[int]job.OccurrenceProgress, len(j.occurrences))
--- a/core/jobsched/restart_test.go
+++ b/core/jobsched/restart_test.go
@@ -32,7 +32,7 @@
 	id := job.ID("0000000000000001")
 	c.accepted[id] = &job.Accepted{
 		Spec:  job.Spec{Payload: "p", Steps: []job.Step{makeStep(1, 1000, 3*time.Second)}},
-		Queue: *c.config.Queues["batch"], ConfigVersion: 1, AtMs: c.wall.UnixMilli(),
+		Queue: *c.config.Queues["batch"], ConfigVersion: 1, AcceptedAtMs: c.wall.UnixMilli(),
 	}
 	c.lead()
 	for c.starts == 0 {
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -139,7 +139,7 @@
 	if schedule := s.job().record.Spec.Schedule; schedule != nil {
 		return schedule.Due(s.occurrence.number).UnixMilli()
 	}
-	return s.job().record.AtMs
+	return s.job().record.AcceptedAtMs
 }
 
 // allowanceMs returns the time from its being due that the occurrence may take.
--- a/core/jobsched/trial.go
+++ b/core/jobsched/trial.go
@@ -87,7 +87,7 @@
 	w := m.inheritedOn(t.trial.worker)
 	named := t.trial.named()
 	if named && (w == nil || w.over) || !named && m.unseenCrash {
-		m.countCrash(t, job.Crash{Attempt: t.trial.number, SeenMs: job.CrashTimeUnknown, Unsure: !named})
+		m.countCrash(t, job.Crash{Attempt: t.trial.number, ObservedRunMs: job.ObservedRunUnknown, Uncertain: !named})
 		return
 	}
 	t.trial = trial{}
@@ -233,7 +233,7 @@
 // trialsStored takes in that trials are stored.
 func (m *Machine) trialsStored(stored map[job.TaskKey]job.Trial) {
 	for key, record := range stored {
-		if t := m.task(key); t != nil && t.trial.number == record.Attempt && t.trial.worker == record.On() {
+		if t := m.task(key); t != nil && t.trial.number == record.Attempt && t.trial.worker == record.Incarnation() {
 			t.trial.stored = true
 			m.changed = true
 		}
--- a/core/jobsched/watched.go
+++ b/core/jobsched/watched.go
@@ -53,9 +53,9 @@
 func (t *task) trialTime() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range t.crashes {
-		seen := time.Duration(c.SeenMs) * time.Millisecond
+		seen := time.Duration(c.ObservedRunMs) * time.Millisecond
 		switch {
-		case c.SeenMs == job.CrashTimeUnknown:
+		case c.ObservedRunMs == job.ObservedRunUnknown:
 			seen = unknownTrial
 		case seen >= longRun:
 			// The start was not the cause.
--- a/jobservice/aside.go
+++ b/jobservice/aside.go
@@ -129,7 +129,7 @@
 	case progressErr != nil:
 		return progressErr
 	case accepted != nil && progress != nil:
-		return progress.Fits(&accepted.Spec)
+		return progress.CheckAgainst(&accepted.Spec)
 	}
 	return nil
 }
--- a/jobservice/damage_test.go
+++ b/jobservice/damage_test.go
@@ -354,7 +354,7 @@
 	d.lead()
 	d.awaitCompleted(soundJob)
 	q := testQueue()
-	record := job.Accepted{Spec: *testSpec(), Queue: q, ConfigVersion: 1, AtMs: time.Now().UnixMilli()}
+	record := job.Accepted{Spec: *testSpec(), Queue: q, ConfigVersion: 1, AcceptedAtMs: time.Now().UnixMilli()}
 	d.store.write(port.Op{Key: acceptedKey(damagedJob), Value: []byte("7")})
 	d.eventually("count", func() bool { return d.unreadable("job") == 1 })
 	d.store.write(port.Op{Key: acceptedKey(damagedJob), Value: record.Encode()})
--- a/jobservice/fleet.go
+++ b/jobservice/fleet.go
@@ -46,7 +46,7 @@
 func (v *fleetView) check(ctx context.Context, store Records, now time.Time, service string, spec *job.Spec) error {
 	if known := v.read.Load(); known != nil {
 		err := known.fleet.Check(service, spec)
-		fits := err == nil && known.fleet.Knows(service)
+		fits := err == nil && known.fleet.HasService(service)
 		if fits || now.Sub(known.at) < fleetAge {
 			return err
 		}
--- a/jobservice/fleet_test.go
+++ b/jobservice/fleet_test.go
@@ -48,7 +48,7 @@
 		now = now.Add(2 * fleetAge)
 		return view.check(context.Background(), store, now, "pool", spec)
 	}
-	var unservable *job.UnservableError
+	var unservable *job.InfeasibleError
 	if err := check(); err != nil {
 		t.Errorf("nothing written: %v", err)
 	}
--- a/jobservice/intake.go
+++ b/jobservice/intake.go
@@ -83,7 +83,7 @@
 		return err
 	}
 	return in.Accept(ctx, id, &job.Accepted{
-		Spec: *spec, Queue: *q, ConfigVersion: configVersion, AtMs: in.clock.Wall().UnixMilli(),
+		Spec: *spec, Queue: *q, ConfigVersion: configVersion, AcceptedAtMs: in.clock.Wall().UnixMilli(),
 	})
 }
 
@@ -108,7 +108,7 @@
 // AcceptedFields returns the fields of the log line of a job that was accepted.
 func AcceptedFields(id job.ID, spec *job.Spec, q *job.Queue, configVersion uint64) logrus.Fields {
 	return logrus.Fields{
-		"job": id, "queue": q.Name, "configuration": configVersion, "steps": len(spec.Steps), "chainMs": spec.ChainMs(),
+		"job": id, "queue": q.Name, "configuration": configVersion, "steps": len(spec.Steps), "chainMs": spec.CriticalPathMs(),
 	}
 }
 
