--- a/adapter/jobapi/server.go
+++ b/adapter/jobapi/server.go
@@ -93,7 +93,7 @@
 	if err := s.o.Intake.Submit(c.Request().Context(), id, spec, queue, config.Version); err != nil {
 		return err
 	}
-	s.log.WithFields(jobservice.AcceptedFields(id, spec, queue, config.Version)).Info(joblog.MessageAccepted)
+	s.log.WithFields(jobservice.AcceptedFields(id, spec, queue, config.Version)).Info(joblog.MessageJobAccepted)
 	return c.JSON(http.StatusOK, JobState{ID: id, State: job.Queued})
 }
 
@@ -157,7 +157,7 @@
 	if err := s.o.Intake.Cancel(c.Request().Context(), id); err != nil {
 		return err
 	}
-	s.log.WithField("job", id).Info(joblog.MessageCancelAsked)
+	s.log.WithField("job", id).Info(joblog.MessageCancelRequested)
 	return c.JSON(http.StatusOK, JobState{ID: id, State: job.Canceled})
 }
 
@@ -199,7 +199,7 @@
 	if kind != ProblemNotLeading {
 		s.log.WithError(err).WithFields(logrus.Fields{
 			"status": status, "method": c.Request().Method, "job": c.Param("id"), "queue": c.Param("queue"),
-		}).Info(joblog.MessageRefused)
+		}).Info(joblog.MessageRequestRefused)
 	}
 	if sent := c.JSON(status, Problem{Kind: kind, Detail: err.Error()}); sent != nil {
 		s.log.WithError(sent).Debug("answer not sent; the caller has gone")
--- a/cli/jobcommands.go
+++ b/cli/jobcommands.go
@@ -192,7 +192,7 @@
 	if err != nil {
 		return err
 	}
-	jobs := joblog.Jobs(lines)
+	jobs := joblog.SummarizeJobs(lines)
 	return c.app.print(jobs, func(w *tabwriter.Writer) {
 		row(w, "JOB", "QUEUE", "OUTCOME", "ACCEPTED", "STARTED", "ENDED", "ATTEMPTS")
 		for _, j := range jobs {
@@ -206,7 +206,7 @@
 	if t.IsZero() {
 		return ""
 	}
-	return joblog.Clock(t)
+	return joblog.FormatTime(t)
 }
 
 // askAnyJob asks one daemon after the other until one carries the call out, or
--- a/cli/jobexplain.go
+++ b/cli/jobexplain.go
@@ -111,7 +111,7 @@
 func lineRows(w *tabwriter.Writer, lines []joblog.Line) {
 	row(w, "TIME", "DAEMON", "WHAT", "ABOUT", "WORKER", "EPOCH", "WHY")
 	for _, l := range lines {
-		row(w, joblog.Clock(l.Time), l.Daemon, l.Message, about(l), l.Worker, number(l.Epoch), why(l))
+		row(w, joblog.FormatTime(l.Time), l.Daemon, l.Message, about(l), l.Worker, number(l.Epoch), why(l))
 	}
 }
 
@@ -166,7 +166,7 @@
 	if c.ID == "" {
 		lines = joblog.Events(lines)
 	} else {
-		lines = joblog.Of(lines, job.ID(c.ID))
+		lines = joblog.ForJob(lines, job.ID(c.ID))
 	}
 	if err := c.app.print(lines, func(w *tabwriter.Writer) { lineRows(w, lines) }); err != nil {
 		return err
@@ -207,11 +207,11 @@
 	if err != nil {
 		return err
 	}
-	daemons := joblog.Daemons(lines)
+	daemons := joblog.SummarizeDaemons(lines)
 	return c.app.print(daemons, func(w *tabwriter.Writer) {
 		row(w, "DAEMON", "LEADS", "EPOCH", "STORE LOST", "WARNINGS", "LAST LINE")
 		for _, d := range daemons {
-			row(w, d.Daemon, yes(d.Leads), number(d.Epoch), yes(d.StoreLost), d.Warnings, d.LastLine.UTC().Format(time.RFC3339Nano))
+			row(w, d.Daemon, yes(d.IsLeader), number(d.Epoch), yes(d.StoreLost), d.Warnings, d.LastLine.UTC().Format(time.RFC3339Nano))
 		}
 	})
 }
--- a/core/joblog/explain.go
+++ b/core/joblog/explain.go
@@ -55,7 +55,7 @@
 // Explain says what became of a job and why, from the merged lines of all
 // daemons.
 func Explain(lines []Line, id job.ID) *Explanation {
-	e := &explainer{all: lines, about: Of(lines, id), Explanation: Explanation{Job: id}}
+	e := &explainer{all: lines, about: ForJob(lines, id), Explanation: Explanation{Job: id}}
 	e.Lines = e.about
 	e.outcome()
 	e.explainAnswers()
@@ -102,7 +102,7 @@
 
 // final returns the line of the job's final state.
 func (e *explainer) final() *Line {
-	return e.first(MessageFinal(job.Completed), MessageFinal(job.Failed), MessageFinal(job.Canceled))
+	return e.first(JobFinalMessage(job.Completed), JobFinalMessage(job.Failed), JobFinalMessage(job.Canceled))
 }
 
 func (e *explainer) outcome() {
@@ -110,11 +110,11 @@
 	switch {
 	case final != nil:
 		e.Outcome = strings.TrimPrefix(final.Message, "job ")
-	case e.first(MessageStarted, MessageAdopted) != nil:
+	case e.first(MessageAttemptStarted, MessageAttemptAdopted) != nil:
 		e.Outcome = string(job.Running)
-	case e.first(MessageTakenIn) != nil:
+	case e.first(MessageJobTakenIn) != nil:
 		e.Outcome = string(job.Queued)
-	case e.first(MessageAccepted) != nil:
+	case e.first(MessageJobAccepted) != nil:
 		e.Outcome = outcomeAccepted
 	case len(e.about) == 0:
 		e.Outcome = outcomeNoTrace
@@ -127,7 +127,7 @@
 // answered returns the outcome of a job of which only answers are known.
 func (e *explainer) answered() string {
 	worst := 0
-	for _, l := range e.with(MessageRefused) {
+	for _, l := range e.with(MessageRequestRefused) {
 		worst = max(worst, l.Status)
 	}
 	switch {
@@ -142,7 +142,7 @@
 // explainAnswers tells the answers to callers that were errors, equal ones
 // together, and then what was wrong when they were given.
 func (e *explainer) explainAnswers() {
-	refused := e.with(MessageRefused)
+	refused := e.with(MessageRequestRefused)
 	for _, group := range byAnswer(refused) {
 		e.find("%s: %s", e.answerText(group), group[0].Error)
 	}
@@ -150,8 +150,8 @@
 		e.explainOutage(at[0], at[1])
 		e.explainLead(at[0], at[1])
 	}
-	if l := e.first(MessageAccepted); l != nil {
-		e.find("%s accepted the job at %s for queue %s", l.Daemon, Clock(l.Time), l.Queue)
+	if l := e.first(MessageJobAccepted); l != nil {
+		e.find("%s accepted the job at %s for queue %s", l.Daemon, FormatTime(l.Time), l.Queue)
 	}
 }
 
@@ -191,9 +191,9 @@
 	for _, l := range group {
 		daemons[l.Daemon] = struct{}{}
 	}
-	when := "at " + Clock(group[0].Time)
+	when := "at " + FormatTime(group[0].Time)
 	if len(group) > 1 {
-		when = fmt.Sprintf("%d times from %s to %s", len(group), Clock(group[0].Time), Clock(group[len(group)-1].Time))
+		when = fmt.Sprintf("%d times from %s to %s", len(group), FormatTime(group[0].Time), FormatTime(group[len(group)-1].Time))
 	}
 	return fmt.Sprintf("%s %s by %s", meaning, when, strings.Join(slices.Sorted(maps.Keys(daemons)), ", "))
 }
@@ -235,10 +235,10 @@
 	}
 	end := "and no line says that it returned"
 	if !ended.IsZero() {
-		end = "and the last had it back, or was restarted, at " + Clock(ended)
+		end = "and the last had it back, or was restarted, at " + FormatTime(ended)
 	}
 	e.find("%d of %d daemons were without the store from %s on, %s: %s",
-		len(lost), len(e.daemons()), Clock(begun), end, strings.Join(slices.Sorted(maps.Keys(lost)), ", "))
+		len(lost), len(e.daemons()), FormatTime(begun), end, strings.Join(slices.Sorted(maps.Keys(lost)), ", "))
 }
 
 // outage is a time in which a daemon was without the store; until is zero when
@@ -282,21 +282,21 @@
 			continue
 		}
 		switch l.Message {
-		case MessageLeadLostStore, MessageDeposed, MessageGaveUp, MessageLeads, MessageGoesOn:
-			e.find("%s: %s at %s", l.Daemon, l.Message, Clock(l.Time))
+		case MessageLeaseNotRenewed, MessageDeposed, MessageLeadershipReleased, MessageLeadershipAcquired, MessageLeadershipContinued:
+			e.find("%s: %s at %s", l.Daemon, l.Message, FormatTime(l.Time))
 		}
 	}
 }
 
 func (e *explainer) explainStart() {
-	accepted, taken := e.first(MessageAccepted), e.first(MessageTakenIn)
-	started := e.first(MessageStarted)
+	accepted, taken := e.first(MessageJobAccepted), e.first(MessageJobTakenIn)
+	started := e.first(MessageAttemptStarted)
 	switch {
 	case accepted != nil && taken == nil:
 		e.find("no leader has taken it in")
 		e.explainLead(accepted.Time, accepted.Time)
 	case taken != nil && started == nil && e.final() == nil:
-		e.find("no attempt was started; %s took it in at %s (%s)", taken.Daemon, Clock(taken.Time), taken.Reason)
+		e.find("no attempt was started; %s took it in at %s (%s)", taken.Daemon, FormatTime(taken.Time), taken.Reason)
 	case accepted != nil && started != nil && started.Time.Sub(accepted.Time) > slowStart:
 		e.find("the first attempt started %s after acceptance", span(started.Time.Sub(accepted.Time)))
 	}
@@ -304,8 +304,8 @@
 
 // explainAside tells when the job was set aside, at each leader that did so.
 func (e *explainer) explainAside() {
-	for _, l := range e.with(MessageSetAside) {
-		e.find("%s set it aside at %s: %s", l.Daemon, Clock(l.Time), l.Reason)
+	for _, l := range e.with(MessageJobSetAside) {
+		e.find("%s set it aside at %s: %s", l.Daemon, FormatTime(l.Time), l.Reason)
 	}
 }
 
@@ -325,41 +325,41 @@
 func (e *explainer) explainWaits() {
 	last, _ := lastByTask(e.with(MessageStepWaits))
 	for _, step := range slices.Sorted(maps.Keys(last)) {
-		e.find("step %s waited at %s %s", step, Clock(last[step].Time), last[step].Reason)
+		e.find("step %s waited at %s %s", step, FormatTime(last[step].Time), last[step].Reason)
 	}
 }
 
 // explainHolds tells, for each step or task that was held back, how often that was
 // noted and the last reason, with the worker that was waited for.
 func (e *explainer) explainHolds() {
-	last, count := lastByTask(e.with(MessageHeldBack))
+	last, count := lastByTask(e.with(MessageStartHeldBack))
 	for _, step := range slices.Sorted(maps.Keys(last)) {
 		l := last[step]
 		worker := ""
 		if l.Worker != "" {
 			worker = " for " + l.Worker
 		}
-		e.find("step %s was held back %d time(s), the last at %s%s: %s", step, count[step], Clock(l.Time), worker, l.Reason)
+		e.find("step %s was held back %d time(s), the last at %s%s: %s", step, count[step], FormatTime(l.Time), worker, l.Reason)
 	}
 }
 
 // explainAttempts counts what befell the attempts, by kind and reason.
 func (e *explainer) explainAttempts() {
 	kinds := []string{
-		MessageStarted, MessageAdopted, MessageStartRefused, MessageUnanswered, MessageStopped, MessageLost, MessageEndHeld, MessageNotThere,
-		MessageEnded,
+		MessageAttemptStarted, MessageAttemptAdopted, MessageStartRefused, MessageStartUnanswered, MessageAttemptStopped, MessageAttemptLost, MessageEndNotAcknowledged, MessageAttemptMissing,
+		MessageAttemptEnded,
 	}
 	for _, kind := range kinds {
 		lines := e.with(kind)
 		switch {
 		case len(lines) == 0:
-		case kind == MessageStarted || kind == MessageAdopted:
+		case kind == MessageAttemptStarted || kind == MessageAttemptAdopted:
 			e.find("%s: %d", kind, len(lines))
 		default:
 			e.find("%s: %s", kind, byReason(lines))
 		}
 	}
-	e.explainFailures(e.with(MessageEnded))
+	e.explainFailures(e.with(MessageAttemptEnded))
 	e.explainCrashes(e.with(MessageCrashCounted))
 }
 
@@ -391,7 +391,7 @@
 func (e *explainer) explainCrashes(counted []Line) {
 	last, count := lastByTask(counted)
 	for _, task := range slices.Sorted(maps.Keys(last)) {
-		e.find("task %s ended with its worker %d time(s), the last at %s: %s", task, count[task], Clock(last[task].Time), last[task].Reason)
+		e.find("task %s ended with its worker %d time(s), the last at %s: %s", task, count[task], FormatTime(last[task].Time), last[task].Reason)
 	}
 }
 
@@ -414,18 +414,18 @@
 	}
 	from, to := e.about[0].Time, e.about[len(e.about)-1].Time
 	for _, l := range e.all {
-		if l.Message == MessageLeads && l.Time.After(from) && l.Time.Before(to) {
-			e.find("%s took the lead at %s (epoch %d), while the job was not over", l.Daemon, Clock(l.Time), l.Epoch)
+		if l.Message == MessageLeadershipAcquired && l.Time.After(from) && l.Time.Before(to) {
+			e.find("%s took the lead at %s (epoch %d), while the job was not over", l.Daemon, FormatTime(l.Time), l.Epoch)
 		}
 	}
 }
 
 func (e *explainer) explainEnd() {
-	if l := e.first(MessageCancelAsked); l != nil {
-		e.find("its caller canceled it at %s", Clock(l.Time))
+	if l := e.first(MessageCancelRequested); l != nil {
+		e.find("its caller canceled it at %s", FormatTime(l.Time))
 	}
 	if l := e.final(); l != nil {
-		e.find("%s at %s, decided by %s in epoch %d: %s", e.Outcome, Clock(l.Time), l.Daemon, l.Epoch, l.Reason)
+		e.find("%s at %s, decided by %s in epoch %d: %s", e.Outcome, FormatTime(l.Time), l.Daemon, l.Epoch, l.Reason)
 	}
 }
 
@@ -437,11 +437,11 @@
 	from, to := e.about[0].Time, e.about[len(e.about)-1].Time
 	leftOut, dropped := 0, 0
 	for _, l := range e.all {
-		if l.Message == MessageDropped {
+		if l.Message == MessageLinesDropped {
 			dropped += l.Dropped
 		}
 		if !l.Time.Before(from) && !l.Time.After(to) {
-			leftOut += l.LeftOut
+			leftOut += l.Suppressed
 		}
 	}
 	if leftOut > 0 {
@@ -452,8 +452,8 @@
 	}
 }
 
-// Clock writes a time of day to the millisecond, in UTC.
-func Clock(t time.Time) string { return t.UTC().Format("15:04:05.000") }
+// FormatTime writes a time of day to the millisecond, in UTC.
+func FormatTime(t time.Time) string { return t.UTC().Format("15:04:05.000") }
 
 // span writes a duration to the millisecond.
 func span(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- a/core/joblog/joblog_test.go
+++ b/core/joblog/joblog_test.go
@@ -57,7 +57,7 @@
 		`  7.43 host-1 {"msg":"leads","epoch":4,"time":"2026-05-01T02:07:21Z"}` + "\n\n" +
 		`{"msg":"job accepted","job":"38794a2f`
 	lines, unread := Parse([]byte(log), "host-1")
-	if len(lines) != 1 || lines[0].Message != MessageLeads || lines[0].Daemon != "host-1" || lines[0].Epoch != 4 {
+	if len(lines) != 1 || lines[0].Message != MessageLeadershipAcquired || lines[0].Daemon != "host-1" || lines[0].Epoch != 4 {
 		t.Errorf("lines: %+v", lines)
 	}
 	if len(unread) != 1 || unread[0].Number != 4 {
@@ -80,13 +80,13 @@
 
 func TestSummaries(t *testing.T) {
 	lines := savedLines(t)
-	jobs := Jobs(lines)
+	jobs := SummarizeJobs(lines)
 	if len(jobs) != 4 || jobs[1].Job != failedJob || jobs[1].Outcome != "failed" || jobs[1].Attempts != 10 {
 		t.Errorf("jobs: %+v", jobs)
 	}
 	leaders := 0
-	for _, d := range Daemons(lines) {
-		if d.Leads {
+	for _, d := range SummarizeDaemons(lines) {
+		if d.IsLeader {
 			leaders++
 		}
 		if d.StoreLost {
@@ -106,8 +106,8 @@
 func TestExplainTellsOfAJobSetAside(t *testing.T) {
 	at := time.Unix(0, 0)
 	found := strings.Join(Explain([]Line{
-		{Time: at, Message: MessageAccepted, Job: failedJob, Daemon: "a"},
-		{Time: at.Add(time.Second), Message: MessageSetAside, Job: failedJob, Daemon: "b", Reason: "its records cannot be read"},
+		{Time: at, Message: MessageJobAccepted, Job: failedJob, Daemon: "a"},
+		{Time: at.Add(time.Second), Message: MessageJobSetAside, Job: failedJob, Daemon: "b", Reason: "its records cannot be read"},
 	}, failedJob).Findings, "; ")
 	if !strings.Contains(found, "b set it aside at") || !strings.Contains(found, "its records cannot be read") {
 		t.Errorf("findings: %s", found)
@@ -120,9 +120,9 @@
 	at := time.Unix(0, 0)
 	step := string(failedJob) + ".0.0"
 	found := strings.Join(Explain([]Line{
-		{Time: at, Message: MessageTakenIn, Job: failedJob, Daemon: "a"},
-		{Time: at.Add(time.Second), Message: MessageHeldBack, Job: failedJob, Task: step, Worker: "w1", Reason: "until 5s from now"},
-		{Time: at.Add(4 * time.Second), Message: MessageHeldBack, Job: failedJob, Task: step, Worker: "w2", Reason: "until 2s from now"},
+		{Time: at, Message: MessageJobTakenIn, Job: failedJob, Daemon: "a"},
+		{Time: at.Add(time.Second), Message: MessageStartHeldBack, Job: failedJob, Task: step, Worker: "w1", Reason: "until 5s from now"},
+		{Time: at.Add(4 * time.Second), Message: MessageStartHeldBack, Job: failedJob, Task: step, Worker: "w2", Reason: "until 2s from now"},
 	}, failedJob).Findings, "; ")
 	if !strings.Contains(found, "held back 2 time(s)") || !strings.Contains(found, "for w2: until 2s from now") {
 		t.Errorf("findings: %s", found)
@@ -133,7 +133,7 @@
 	at := time.Unix(0, 0)
 	task := string(failedJob) + ".0.0.3"
 	found := strings.Join(Explain([]Line{
-		{Time: at, Message: MessageTakenIn, Job: failedJob, Daemon: "a"},
+		{Time: at, Message: MessageJobTakenIn, Job: failedJob, Daemon: "a"},
 		{Time: at.Add(time.Second), Message: MessageCrashCounted, Job: failedJob, Task: task, Attempt: 1, Reason: "attempt 1 seen for 0s"},
 		{Time: at.Add(4 * time.Second), Message: MessageCrashCounted, Job: failedJob, Task: task, Attempt: 2, Reason: "attempt 1 seen for 0s, attempt 2 seen for 0s"},
 	}, failedJob).Findings, "; ")
@@ -147,10 +147,10 @@
 func TestExplainTellsOfGaps(t *testing.T) {
 	at := time.Unix(0, 0)
 	lines := []Line{
-		{Time: at, Message: MessageTakenIn, Job: failedJob},
-		{Time: at.Add(time.Second), Message: MessageStarted, Job: takenOver, LeftOut: 7},
-		{Time: at.Add(2 * time.Second), Message: MessageDropped, Dropped: 3},
-		{Time: at.Add(3 * time.Second), Message: MessageFinal(job.Failed), Job: failedJob},
+		{Time: at, Message: MessageJobTakenIn, Job: failedJob},
+		{Time: at.Add(time.Second), Message: MessageAttemptStarted, Job: takenOver, Suppressed: 7},
+		{Time: at.Add(2 * time.Second), Message: MessageLinesDropped, Dropped: 3},
+		{Time: at.Add(3 * time.Second), Message: JobFinalMessage(job.Failed), Job: failedJob},
 	}
 	gaps := strings.Join(Explain(lines, failedJob).Gaps, "; ")
 	if !strings.Contains(gaps, "7 routine lines") || !strings.Contains(gaps, "3 lines were dropped") {
--- a/core/joblog/line.go
+++ b/core/joblog/line.go
@@ -30,8 +30,8 @@
 	Error  string `json:"error,omitempty"`
 	Status int    `json:"status,omitempty"`
 	Queue  string `json:"queue,omitempty"`
-	// LeftOut counts routine lines left out before this one.
-	LeftOut int `json:"leftOut,omitempty"`
+	// Suppressed counts routine lines left out before this one.
+	Suppressed int `json:"leftOut,omitempty"`
 	// Dropped counts lines lost because standard output stalled.
 	Dropped int `json:"dropped,omitempty"`
 }
@@ -93,7 +93,7 @@
 	l := Line{
 		Time: w.Time, Daemon: w.Daemon, Level: w.Level, Message: w.Msg, Job: job.ID(w.Job), Task: w.Task,
 		Attempt: w.Attempt, Worker: w.Worker, Epoch: w.Epoch, Reason: w.Reason, Error: w.Error,
-		Status: w.Status, Queue: w.Queue, LeftOut: w.LeftOut, Dropped: w.Lines,
+		Status: w.Status, Queue: w.Queue, Suppressed: w.LeftOut, Dropped: w.Lines,
 	}
 	if l.Daemon == "" {
 		l.Daemon = daemon
@@ -115,8 +115,8 @@
 	})
 }
 
-// Of returns the lines about a job.
-func Of(lines []Line, id job.ID) []Line {
+// ForJob returns the lines about a job.
+func ForJob(lines []Line, id job.ID) []Line {
 	var about []Line
 	for _, l := range lines {
 		if strings.EqualFold(string(l.Job), string(id)) {
--- a/core/joblog/summary.go
+++ b/core/joblog/summary.go
@@ -22,8 +22,8 @@
 	Attempts int `json:"attempts"`
 }
 
-// Jobs summarizes every job that the lines name, by id.
-func Jobs(lines []Line) []JobSummary {
+// SummarizeJobs summarizes every job that the lines name, by id.
+func SummarizeJobs(lines []Line) []JobSummary {
 	byJob := make(map[job.ID][]Line)
 	for _, l := range lines {
 		if l.Job != "" {
@@ -40,11 +40,11 @@
 func summarize(id job.ID, about []Line) JobSummary {
 	e := &explainer{about: about}
 	e.outcome()
-	s := JobSummary{Job: id, Outcome: e.Outcome, Attempts: len(e.with(MessageStarted))}
-	if l := e.first(MessageAccepted); l != nil {
+	s := JobSummary{Job: id, Outcome: e.Outcome, Attempts: len(e.with(MessageAttemptStarted))}
+	if l := e.first(MessageJobAccepted); l != nil {
 		s.Queue, s.AcceptedAt = l.Queue, l.Time
 	}
-	if l := e.first(MessageStarted); l != nil {
+	if l := e.first(MessageAttemptStarted); l != nil {
 		s.StartedAt = l.Time
 	}
 	if l := e.final(); l != nil {
@@ -56,18 +56,18 @@
 // DaemonSummary is what the lines tell of a daemon.
 type DaemonSummary struct {
 	Daemon string `json:"daemon"`
-	// Leads is whether it led when its last line was written, Epoch its last
+	// IsLeader is whether it led when its last line was written, Epoch its last
 	// epoch.
-	Leads bool  `json:"leads"`
-	Epoch int64 `json:"epoch,omitempty"`
+	IsLeader bool  `json:"leads"`
+	Epoch    int64 `json:"epoch,omitempty"`
 	// StoreLost is whether it was without the store then.
 	StoreLost bool      `json:"storeLost"`
 	LastLine  time.Time `json:"lastLine"`
 	Warnings  int       `json:"warnings"`
 }
 
-// Daemons summarizes the daemons by name.
-func Daemons(lines []Line) []DaemonSummary {
+// SummarizeDaemons summarizes the daemons by name.
+func SummarizeDaemons(lines []Line) []DaemonSummary {
 	byName := make(map[string]*DaemonSummary)
 	for _, l := range lines {
 		if l.Daemon == "" {
@@ -93,12 +93,12 @@
 		d.Warnings++
 	}
 	switch l.Message {
-	case MessageLeads:
-		d.Leads, d.Epoch = true, l.Epoch
-	case MessageLeadLostStore, MessageDeposed, MessageGaveUp:
-		d.Leads = false
+	case MessageLeadershipAcquired:
+		d.IsLeader, d.Epoch = true, l.Epoch
+	case MessageLeaseNotRenewed, MessageDeposed, MessageLeadershipReleased:
+		d.IsLeader = false
 	case MessageProcessStarted:
-		d.Leads, d.StoreLost = false, false
+		d.IsLeader, d.StoreLost = false, false
 	case MessageStoreLost:
 		d.StoreLost = true
 	case MessageStoreRegained:
--- a/core/jobsched/aside.go
+++ b/core/jobsched/aside.go
@@ -36,7 +36,7 @@
 		return
 	}
 	m.aside[id] = &asideJob{record: record}
-	m.emit(Note{Decision: joblog.MessageSetAside, Job: id, Reason: "its records cannot be read; nothing of it is started, and what runs is left alone"})
+	m.emit(Note{Decision: joblog.MessageJobSetAside, Job: id, Reason: "its records cannot be read; nothing of it is started, and what runs is left alone"})
 }
 
 // setAsideAll sets the jobs aside whose records cannot be read at a take-over.
@@ -66,7 +66,7 @@
 	case ev.Progress != nil && ev.Progress.State.Final():
 		m.remember(ev.ID)
 	case ev.Record != nil:
-		m.emit(Note{Decision: joblog.MessageTakenIn, Job: ev.ID, Reason: "its records can be read again"})
+		m.emit(Note{Decision: joblog.MessageJobTakenIn, Job: ev.ID, Reason: "its records can be read again"})
 		m.recoverJob(ev.ID, ev.Record, ev.Progress)
 		if j := m.jobs.Get(ev.ID); j != nil {
 			j.reread = true
@@ -102,7 +102,7 @@
 	key := attemptKey{task: e.Key, attempt: e.Attempt}
 	delete(w.lost, key)
 	if a := w.attempts.Get(key); a != nil {
-		m.noteAttempt(joblog.MessageEnded, a, string(e.Cause))
+		m.noteAttempt(joblog.MessageAttemptEnded, a, string(e.Cause))
 		m.endAttempt(a, e.Cause, "")
 	}
 	aside.ends = append(aside.ends, asideEnd{worker: w, end: *e})
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -83,7 +83,7 @@
 	s.noteAt = m.now.Add(waitNotedAgain)
 	h := m.holdOnJob(s.job())
 	m.emit(Note{
-		Decision: joblog.MessageHeldBack, Job: s.job().id, Task: s.name(), Worker: h.worker,
+		Decision: joblog.MessageStartHeldBack, Job: s.job().id, Task: s.name(), Worker: h.worker,
 		Reason: h.describe(m.now), Routine: !s.spec.LongRunning,
 	})
 }
@@ -97,7 +97,7 @@
 	}
 	j.resumed = true
 	m.emit(Note{
-		Decision: joblog.MessageResumed, Job: j.id, Lag: m.now.Sub(m.recoveredAt), Routine: true,
+		Decision: joblog.MessageJobResumed, Job: j.id, Lag: m.now.Sub(m.recoveredAt), Routine: true,
 		Reason: fmt.Sprintf("%s after the take-over", m.now.Sub(m.recoveredAt).Round(time.Millisecond)),
 	})
 }
@@ -130,7 +130,7 @@
 		}
 		a.noteAt = m.now.Add(waitNotedAgain)
 		m.emit(Note{
-			Decision: joblog.MessageHeldBack, Job: a.key.task.Job, Task: a.key.task.String(), Attempt: a.key.attempt,
+			Decision: joblog.MessageStartHeldBack, Job: a.key.task.Job, Task: a.key.task.String(), Attempt: a.key.attempt,
 			Worker: w.id, Reason: m.holdByAttempt(a).describe(m.now), Routine: !a.longRunning,
 		})
 	}
--- a/core/jobsched/hold_test.go
+++ b/core/jobsched/hold_test.go
@@ -25,7 +25,7 @@
 	}
 	noted := false
 	for _, n := range c.notes {
-		if n.Decision == joblog.MessageHeldBack && n.Job == id && n.Worker.ID == "w002" && strings.Contains(n.Reason, "until") {
+		if n.Decision == joblog.MessageStartHeldBack && n.Job == id && n.Worker.ID == "w002" && strings.Contains(n.Reason, "until") {
 			noted = true
 		}
 	}
@@ -50,7 +50,7 @@
 	c.run(2 * time.Second)
 	noted := 0
 	for _, n := range c.notes {
-		if n.Decision == joblog.MessageResumed && n.Job == id && n.Lag > 0 {
+		if n.Decision == joblog.MessageJobResumed && n.Job == id && n.Lag > 0 {
 			noted++
 		}
 	}
--- a/core/jobsched/incarnation.go
+++ b/core/jobsched/incarnation.go
@@ -203,7 +203,7 @@
 	if len(r.Ended) > 0 {
 		first = r.Ended[0].Number
 	}
-	m.emit(Note{Decision: joblog.MessageWorkerAgain, Worker: next.id, Reason: fmt.Sprintf(
+	m.emit(Note{Decision: joblog.MessageWorkerRestarted, Worker: next.id, Reason: fmt.Sprintf(
 		"the one before was started at %d; of that, ends up to %d were taken in and up to %d acknowledged; this one tells %d ends from %d on",
 		w.id.StartedMs, w.seenEnds, w.ackedEnds, len(r.Ended), first)})
 }
--- a/core/jobsched/jobs.go
+++ b/core/jobsched/jobs.go
@@ -22,7 +22,7 @@
 	j := m.jobs.Get(ev.ID)
 	if j == nil {
 		j = m.addJob(ev.ID, ev.Record)
-		m.emit(Note{Decision: joblog.MessageTakenIn, Job: ev.ID, Lag: m.since(ev.Record.AcceptedAtMs), Reason: fmt.Sprintf(
+		m.emit(Note{Decision: joblog.MessageJobTakenIn, Job: ev.ID, Lag: m.since(ev.Record.AcceptedAtMs), Reason: fmt.Sprintf(
 			"queue %s, accepted %s ago under configuration %d", ev.Record.Queue.Name,
 			m.age(j), ev.Record.ConfigVersion)})
 	}
@@ -173,7 +173,7 @@
 	if !m.wall.IsZero() {
 		j.overAtMs = m.wall.UnixMilli()
 	}
-	m.emit(Note{Decision: joblog.MessageFinal(state), Job: j.id, Lag: lag, Reason: fmt.Sprintf("%s; accepted %s ago",
+	m.emit(Note{Decision: joblog.JobFinalMessage(state), Job: j.id, Lag: lag, Reason: fmt.Sprintf("%s; accepted %s ago",
 		reason, m.age(j))})
 	for number := range j.next {
 		o := j.occurrences[number]
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -78,7 +78,7 @@
 		m.now.Sub(w.clockAt).Round(time.Millisecond), m.configVersion(), m.score(t, w))
 	a := m.addAttempt(t, w, number, phaseStarting)
 	t.known = true
-	m.noteAttempt(joblog.MessageStarted, a, reason)
+	m.noteAttempt(joblog.MessageAttemptStarted, a, reason)
 	m.noteResumed(t.step.job())
 	m.emit(Start{
 		Order: m.order(w), Key: a.key.task, Attempt: number, Payload: t.step.job().record.Spec.Payload,
@@ -184,7 +184,7 @@
 // the task waits until that is certain.
 func (m *Machine) doubt(a *attempt) {
 	m.setPhase(a, phaseDoubtful)
-	m.noteAttempt(joblog.MessageUnanswered, a, "it is barred before the task starts elsewhere")
+	m.noteAttempt(joblog.MessageStartUnanswered, a, "it is barred before the task starts elsewhere")
 	m.stops.Set(a, struct{}{})
 	a.worker.closedUntil = m.now.Add(unhealthyPause)
 }
@@ -196,7 +196,7 @@
 	}
 	m.beginStop(a)
 	m.stops.Set(a, struct{}{})
-	m.noteAttempt(joblog.MessageStopped, a, reason)
+	m.noteAttempt(joblog.MessageAttemptStopped, a, reason)
 }
 
 // sendStops sends the stops that are due, and again those without an answer.
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -166,7 +166,7 @@
 // forget them, and what became of their attempts is not known.
 func (m *Machine) noteGap(w *worker, number int64) {
 	if w.seenEnds > 0 && number > w.seenEnds+1 {
-		m.emit(Note{Decision: joblog.MessageEndsUntold, Worker: w.id, Reason: fmt.Sprintf(
+		m.emit(Note{Decision: joblog.MessageEndsNotReported, Worker: w.id, Reason: fmt.Sprintf(
 			"ends %d to %d were never told; up to %d were acknowledged", w.seenEnds+1, number-1, w.ackedEnds)})
 	}
 }
@@ -201,7 +201,7 @@
 	if a == nil {
 		return
 	}
-	m.noteAttempt(joblog.MessageEnded, a, string(e.Cause))
+	m.noteAttempt(joblog.MessageAttemptEnded, a, string(e.Cause))
 	m.endAttempt(a, e.Cause, e.Checkpoint)
 }
 
@@ -240,7 +240,7 @@
 	}
 	for _, a := range w.attempts.All() {
 		if _, ok := listed[a.key]; !ok && a.overBefore(sentAt) {
-			m.noteAttempt(joblog.MessageNotThere, a, "not in the worker's report")
+			m.noteAttempt(joblog.MessageAttemptMissing, a, "not in the worker's report")
 			if a.before != nil {
 				m.crashed(a, a.before)
 			}
@@ -291,7 +291,7 @@
 		return a
 	}
 	m.begun(t)
-	m.noteAttempt(joblog.MessageAdopted, a, "an earlier leader started it")
+	m.noteAttempt(joblog.MessageAttemptAdopted, a, "an earlier leader started it")
 	return a
 }
 
--- a/core/jobsched/silence.go
+++ b/core/jobsched/silence.go
@@ -90,7 +90,7 @@
 func (m *Machine) holdEnd(w *worker, e *EndedAttempt) {
 	w.taken[len(w.taken)-1].held = true
 	m.emit(Note{
-		Decision: joblog.MessageEndHeld, Job: e.Key.Job, Task: e.Key.String(), Attempt: e.Attempt, Worker: w.id,
+		Decision: joblog.MessageEndNotAcknowledged, Job: e.Key.Job, Task: e.Key.String(), Attempt: e.Attempt, Worker: w.id,
 		Reason: "it was given up, and its task has been started again; the end is not acknowledged",
 	})
 }
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -146,7 +146,7 @@
 	if a.task != nil {
 		a.task.givenUp = true
 	}
-	m.noteAttempt(joblog.MessageLost, a, reason)
+	m.noteAttempt(joblog.MessageAttemptLost, a, reason)
 	m.endAttempt(a, endLost, "")
 	m.prepareRestart(a.task)
 }
--- a/jobservice/campaign.go
+++ b/jobservice/campaign.go
@@ -41,7 +41,7 @@
 		return nil, err
 	}
 	l.extend(grantedAt)
-	l.log.WithFields(logrus.Fields{"epoch": won, "lease": lease}).Info(joblog.MessageLeads)
+	l.log.WithFields(logrus.Fields{"epoch": won, "lease": lease}).Info(joblog.MessageLeadershipAcquired)
 	return l.take(ctx, lease, won, earlier)
 }
 
@@ -236,7 +236,7 @@
 		l.kept = nil
 		t.lease, t.epoch, t.ledger = lease, model.Epoch(revision), revision
 		t.machine.Resume(l.o.Clock.Now(), t.epoch)
-		l.log.WithField("epoch", revision).Info(joblog.MessageGoesOn)
+		l.log.WithField("epoch", revision).Info(joblog.MessageLeadershipContinued)
 		return t, nil
 	}
 	t := &term{
--- a/jobservice/handover.go
+++ b/jobservice/handover.go
@@ -62,7 +62,7 @@
 // handTheLeadOver ends the term in favor of another daemon, which is faster to
 // take a lead that is free, see giveWay.
 func (t *term) handTheLeadOver() {
-	t.leader.log.WithFields(logrus.Fields{"epoch": t.epoch, "processors": t.leader.o.Processors}).Info(joblog.MessageHandsOver)
+	t.leader.log.WithFields(logrus.Fields{"epoch": t.epoch, "processors": t.leader.o.Processors}).Info(joblog.MessageLeadershipHandedOver)
 	t.handedOver.Store(true)
 	t.end()
 }
--- a/jobservice/handover_test.go
+++ b/jobservice/handover_test.go
@@ -28,7 +28,7 @@
 		now, err := d.store.Get(t.Context(), leaderKey)
 		return err == nil && now.ModRevision != key.ModRevision
 	})
-	d.eventually("the line that says why", func() bool { return d.log.says(joblog.MessageHandsOver) })
+	d.eventually("the line that says why", func() bool { return d.log.says(joblog.MessageLeadershipHandedOver) })
 
 	// Nobody else takes it, so that the daemon leads again, and does not give it
 	// up over and over.
--- a/jobservice/leader.go
+++ b/jobservice/leader.go
@@ -132,7 +132,7 @@
 	default:
 		l.kept = t
 		l.o.Metrics.terms.WithLabelValues("lease lost").Inc()
-		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageLeadLostStore)
+		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageLeaseNotRenewed)
 	}
 }
 
@@ -142,7 +142,7 @@
 	complete := t.finish()
 	l.revoke(t.lease)
 	l.o.Metrics.terms.WithLabelValues(end).Inc()
-	l.log.WithField("complete", complete).Info(joblog.MessageGaveUp)
+	l.log.WithField("complete", complete).Info(joblog.MessageLeadershipReleased)
 }
 
 // mayAct reports whether the daemon's right to lead is certainly valid.
--- a/jobservice/pace.go
+++ b/jobservice/pace.go
@@ -46,7 +46,7 @@
 	case !p.behindSince.IsZero() && ended.Sub(p.slowAt) >= caughtUpTime:
 		p.log.WithFields(logrus.Fields{
 			"for": p.slowAt.Sub(p.behindSince).String(), "longestStep": p.longest.String(),
-		}).Info(joblog.MessageCaughtUp)
+		}).Info(joblog.MessageLeaderCaughtUp)
 		p.behindSince, p.longest = time.Time{}, 0
 	}
 }
@@ -56,6 +56,6 @@
 	p.longest = max(p.longest, took)
 	if p.behindSince.IsZero() {
 		p.behindSince = began
-		p.log.WithFields(logrus.Fields{"step": took.String(), "events": waiting}).Warn(joblog.MessageBehind)
+		p.log.WithFields(logrus.Fields{"step": took.String(), "events": waiting}).Warn(joblog.MessageLeaderBehind)
 	}
 }
--- a/jobservice/pace_test.go
+++ b/jobservice/pace_test.go
@@ -43,12 +43,12 @@
 	if len(lines) != 2 {
 		t.Fatalf("%d lines, want one at the beginning and one at the end:\n%s", len(lines), out.String())
 	}
-	for _, want := range []string{joblog.MessageBehind, `"step":"100ms"`, `"events":40`} {
+	for _, want := range []string{joblog.MessageLeaderBehind, `"step":"100ms"`, `"events":40`} {
 		if !strings.Contains(lines[0], want) {
 			t.Errorf("the first line lacks %s: %s", want, lines[0])
 		}
 	}
-	for _, want := range []string{joblog.MessageCaughtUp, `"longestStep":"1s"`, `"for":"1.235s"`} {
+	for _, want := range []string{joblog.MessageLeaderCaughtUp, `"longestStep":"1s"`, `"for":"1.235s"`} {
 		if !strings.Contains(lines[1], want) {
 			t.Errorf("the second line lacks %s: %s", want, lines[1])
 		}
--- a/jobservice/roster_test.go
+++ b/jobservice/roster_test.go
@@ -27,7 +27,7 @@
 		return err == nil && now.ModRevision > key.ModRevision
 	})
 	d.eventually("a lead given up with its last commit stored", func() bool {
-		return d.log.says("complete=true") && d.log.says(joblog.MessageGaveUp)
+		return d.log.says("complete=true") && d.log.says(joblog.MessageLeadershipReleased)
 	})
 	d.eventually("the state read as the leader left it", func() bool { return d.log.says("rosterStands=true") })
 }
