--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -435,9 +435,9 @@
 // holds returns how many tasks like t the worker has room for.
 func (w *worker) holds(t *task) int {
 	spec := t.step.spec
-	n := spec.Committed().Times(w.roomFor(t))
+	n := spec.Committed().FitCount(w.roomFor(t))
 	if spec.BestEffort {
-		n = min(n, model.Resources{MilliCPU: spec.Size.MilliCPU}.Times(model.Resources{MilliCPU: w.freeCPU()}))
+		n = min(n, model.Resources{MilliCPU: spec.Size.MilliCPU}.FitCount(model.Resources{MilliCPU: w.freeCPU()}))
 	}
 	if spec.MaxPerWorker > 0 {
 		n = min(n, spec.MaxPerWorker)
--- a/core/model/resources.go
+++ b/core/model/resources.go
@@ -58,8 +58,8 @@
 		r.Accelerators <= room.Accelerators
 }
 
-// Times returns how many times r fits within room, math.MaxInt if r is nothing.
-func (r Resources) Times(room Resources) int {
+// FitCount returns how many times r fits within room, math.MaxInt if r is nothing.
+func (r Resources) FitCount(room Resources) int {
 	times := math.MaxInt
 	for _, d := range [][2]int64{
 		{r.MilliCPU, room.MilliCPU}, {r.MemoryMB, room.MemoryMB}, {r.Accelerators, room.Accelerators},
--- a/core/model/resources_test.go
+++ b/core/model/resources_test.go
@@ -17,7 +17,7 @@
 		{Resources{}, Resources{}, math.MaxInt},
 	}
 	for _, test := range tests {
-		if got := test.need.Times(test.room); got != test.want {
+		if got := test.need.FitCount(test.room); got != test.want {
 			t.Errorf("%v fits %d times in %v, want %d", test.need, got, test.room, test.want)
 		}
 	}
