--- a/core/eviction/policy_compare_test.go
+++ b/core/eviction/policy_compare_test.go
@@ -139,7 +139,7 @@
 // grow raises a task's hold to what it was seen to need, as far as there is
 // room.
 func (s *sim) grow(t *simTask, view *eviction.WorkerView) {
-	want := s.sizes.Want(t.key, t.workload.declared, t.full)
+	want := s.sizes.RunningSize(t.key, t.workload.declared, t.full)
 	if want == t.full {
 		return
 	}
@@ -147,7 +147,7 @@
 	if s.policy.shrink {
 		target = eviction.ThrottledHold(want, t.percent)
 	}
-	granted, missing := interference.Grow(t.held, target, t.worker.room.Free)
+	granted, missing := interference.SplitGrowth(t.held, target, t.worker.room.Free)
 	s.resize(t, granted)
 	if missing == (model.Resources{}) {
 		t.full = want
--- a/core/eviction/policy_test.go
+++ b/core/eviction/policy_test.go
@@ -253,7 +253,7 @@
 func (s *sim) request(t *simTask) *placement.Request {
 	size := t.workload.declared
 	if s.policy.learn {
-		size = s.sizes.Hold(t.workload.name, size)
+		size = s.sizes.CommitSize(t.workload.name, size)
 	}
 	r := &placement.Request{
 		Key: t.key, Workload: t.workload.name, Class: t.workload.class.name, Service: t.service,
@@ -273,7 +273,7 @@
 	t.worker, t.held, t.full, t.percent, t.done = w, r.Size, r.Size, eviction.FullSpeed, t.saved
 	t.savedAt, t.throttledAt = s.now, s.now
 	w.tasks = append(w.tasks, t)
-	s.model.Started(s.now, id, t.key, r.Class)
+	s.model.TaskStarted(s.now, id, t.key, r.Class)
 	if s.policy.start != nil && !t.service {
 		if percent := s.policy.start(s, t); percent < t.percent {
 			s.throttle(t, percent)
@@ -292,7 +292,7 @@
 		}
 	}
 	s.snapshot.Release(t.key, w.id)
-	s.model.Stopped(s.now, w.id, t.key)
+	s.model.TaskStopped(s.now, w.id, t.key)
 	t.worker, t.last = nil, w.id
 }
 
@@ -329,7 +329,7 @@
 		return
 	}
 	t.percent, t.throttledAt = percent, s.now
-	s.model.Throttled(s.now, t.worker.id, t.key, float64(percent)/eviction.FullSpeed)
+	s.model.TaskThrottled(s.now, t.worker.id, t.key, float64(percent)/eviction.FullSpeed)
 	s.out.throttles++
 }
 
@@ -509,7 +509,7 @@
 	}
 	for _, t := range over {
 		s.end(t)
-		s.sizes.Ended(t.key)
+		s.sizes.TaskEnded(t.key)
 		if s.now.Sub(s.start) >= warmUp {
 			s.finished++
 		}
--- a/core/interference/export_test.go
+++ b/core/interference/export_test.go
@@ -13,8 +13,8 @@
 	now := time.UnixMilli(1_700_000_000_000)
 	m := New(DefaultOptions())
 	victim, loud := model.TaskKey{Workload: "v"}, model.TaskKey{Workload: "loud"}
-	m.Started(now, "w", victim, "v")
-	m.Started(now, "w", loud, "loud")
+	m.TaskStarted(now, "w", victim, "v")
+	m.TaskStarted(now, "w", loud, "loud")
 	for i := range 20 {
 		at := now.Add(time.Duration(i+1) * time.Second)
 		m.Observe(at, Observation{Worker: "w", Victim: victim, Class: "v", MeasuredAt: at, Slowdown: 2})
--- a/core/interference/model.go
+++ b/core/interference/model.go
@@ -56,12 +56,12 @@
 // The results of Observe. All but Learned leave the model as it was.
 const (
 	Learned Result = iota
-	// RepeatedMeasurement is one at or before the victim's latest.
-	RepeatedMeasurement
-	// BeforeMemory is one older than the residency that is remembered.
-	BeforeMemory
-	// Alone is one with no aggressor present, so there is nothing to learn.
-	Alone
+	// NotNewer is one at or before the victim's latest.
+	NotNewer
+	// TooOld is one older than the residency that is remembered.
+	TooOld
+	// NoAggressor is one with no aggressor present, so there is nothing to learn.
+	NoAggressor
 	// Malformed is a slowdown or time that cannot be.
 	Malformed
 )
@@ -89,29 +89,29 @@
 		buckets:   make(map[bucketKey]*term),
 		workloads: make(map[string]*term),
 		loudness:  make(map[model.TaskKey]*term),
-		variances: newVariances(o.LoudnessStd),
+		variances: newVariances(o.IntensityStd),
 	}
 }
 
-// Started records that a task is on a worker from now on, unthrottled.
-func (m *Model) Started(now time.Time, w model.WorkerID, key model.TaskKey, class string) {
-	m.residency.Started(now, w, key, class)
+// TaskStarted records that a task is on a worker from now on, unthrottled.
+func (m *Model) TaskStarted(now time.Time, w model.WorkerID, key model.TaskKey, class string) {
+	m.residency.TaskStarted(now, w, key, class)
 }
 
-// Throttled records the share of its effect that counts from now on, as a Presence
+// TaskThrottled records the share of its effect that counts from now on, as a Presence
 // has it.
-func (m *Model) Throttled(now time.Time, w model.WorkerID, key model.TaskKey, share float64) {
-	m.residency.Throttled(now, w, key, share)
+func (m *Model) TaskThrottled(now time.Time, w model.WorkerID, key model.TaskKey, share float64) {
+	m.residency.TaskThrottled(now, w, key, share)
 }
 
-// Stopped records that a task is no longer on a worker.
-func (m *Model) Stopped(now time.Time, w model.WorkerID, key model.TaskKey) {
-	m.residency.Stopped(now, w, key)
+// TaskStopped records that a task is no longer on a worker.
+func (m *Model) TaskStopped(now time.Time, w model.WorkerID, key model.TaskKey) {
+	m.residency.TaskStopped(now, w, key)
 	delete(m.loudness, key)
 }
 
 // DropWorker forgets who was on a worker that is gone.
-func (m *Model) DropWorker(w model.WorkerID) { m.residency.Drop(w) }
+func (m *Model) DropWorker(w model.WorkerID) { m.residency.DropWorker(w) }
 
 // ForgetWorkload drops what was learned of a workload that is retired. What
 // its class learned from it stays.
@@ -131,17 +131,17 @@
 		return Malformed
 	}
 	if !m.residency.fresh(o.Worker, o.Victim, o.MeasuredAt) {
-		return RepeatedMeasurement
+		return NotNewer
 	}
 	residents, known := m.residency.At(o.Worker, o.MeasuredAt)
 	if !known {
-		return BeforeMemory
+		return TooOld
 	}
-	aggressors := slices.DeleteFunc(residents, func(p Presence) bool {
+	aggressors := slices.DeleteFunc(residents, func(p Resident) bool {
 		return p.Key == o.Victim || p.Share <= 0
 	})
 	if len(aggressors) == 0 {
-		return Alone
+		return NoAggressor
 	}
 	m.learn(now, o, aggressors)
 	m.spread(aggressors)
@@ -156,7 +156,7 @@
 	weight float64
 }
 
-func (m *Model) learn(now time.Time, o Observation, aggressors []Presence) {
+func (m *Model) learn(now time.Time, o Observation, aggressors []Resident) {
 	excess := math.Max(0, o.Slowdown-1)
 	predicted := 0.0
 	parts := make([]part, 0, 5*len(aggressors))
@@ -168,7 +168,7 @@
 		}
 		effect = math.Max(0, effect)
 		loudness := 1.0
-		if a.Present {
+		if a.StillRunning {
 			own := m.loudnessOf(now, a)
 			loudness = math.Max(0, 1+own.mean)
 			parts = append(parts, part{own, a.Share * math.Max(effect, leastEffect)})
@@ -225,16 +225,16 @@
 }
 
 // loudnessOf returns by how much a task's loudness differs from 1.
-func (m *Model) loudnessOf(now time.Time, a Presence) *term {
+func (m *Model) loudnessOf(now time.Time, a Resident) *term {
 	variance := m.variances.of(a.Class, a.Key.Workload)
 	t := ensure(m.loudness, a.Key, now, 0, math.Sqrt(variance))
 	t.priorVariance = variance
-	t.age(now, m.options.LoudnessDecay)
+	t.age(now, m.options.IntensityDecay)
 	return t
 }
 
 // spread learns from the tasks' loudness how much loudness varies.
-func (m *Model) spread(aggressors []Presence) {
+func (m *Model) spread(aggressors []Resident) {
 	for _, a := range aggressors {
 		if t, ok := m.loudness[a.Key]; ok {
 			m.variances.observe(a.Class, a.Key, t)
--- a/core/interference/model_test.go
+++ b/core/interference/model_test.go
@@ -29,17 +29,17 @@
 // seconds ago arrives. Cause: charging a late measurement to today's tasks.
 func TestLateMeasurementIsChargedToThoseWhoWereThere(t *testing.T) {
 	m := New(DefaultOptions())
-	m.Started(at(0), "w", key("orders", 1), "orders")
+	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
 	for i := range 40 {
 		start := 30 * i
-		m.Started(at(start), "w", key("loud", uint32(i)), "loud")
-		m.Stopped(at(start+15), "w", key("loud", uint32(i)))
-		m.Started(at(start+15), "w", key("quiet", uint32(i)), "quiet")
+		m.TaskStarted(at(start), "w", key("loud", uint32(i)), "loud")
+		m.TaskStopped(at(start+15), "w", key("loud", uint32(i)))
+		m.TaskStarted(at(start+15), "w", key("quiet", uint32(i)), "quiet")
 		if got := observe(m, at(start+20), at(start+10), 1.6); got != Learned {
 			t.Fatalf("round %d: result %d", i, got)
 		}
 		observe(m, at(start+30), at(start+20), 1)
-		m.Stopped(at(start+30), "w", key("quiet", uint32(i)))
+		m.TaskStopped(at(start+30), "w", key("quiet", uint32(i)))
 	}
 	loud := m.PredictWorkload("orders", "loud", "loud", 0.5)
 	quiet := m.PredictWorkload("orders", "quiet", "quiet", 0.5)
@@ -52,11 +52,11 @@
 // twice, or after a later one, must change nothing.
 func TestRepeatedAndUnusableMeasurements(t *testing.T) {
 	m := New(DefaultOptions())
-	m.Started(at(0), "w", key("orders", 1), "orders")
-	if got := observe(m, at(5), at(4), 1.5); got != Alone {
+	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
+	if got := observe(m, at(5), at(4), 1.5); got != NoAggressor {
 		t.Errorf("alone: %d", got)
 	}
-	m.Started(at(10), "w", key("job", 1), "job")
+	m.TaskStarted(at(10), "w", key("job", 1), "job")
 	if got := observe(m, at(30), at(20), 1.5); got != Learned {
 		t.Fatalf("first: %d", got)
 	}
@@ -66,8 +66,8 @@
 		slowdown      float64
 		want          Result
 	}{
-		"again":           {at(31), at(20), 1.5, RepeatedMeasurement},
-		"out of order":    {at(31), at(15), 3, RepeatedMeasurement},
+		"again":           {at(31), at(20), 1.5, NotNewer},
+		"out of order":    {at(31), at(15), 3, NotNewer},
 		"from the future": {at(31), at(40), 1.5, Malformed},
 		"not a number":    {at(31), at(31), math.NaN(), Malformed},
 		"zero":            {at(31), at(31), 0, Malformed},
@@ -80,7 +80,7 @@
 		t.Errorf("prediction moved from %v to %v", before, got)
 	}
 	other := Observation{Worker: "w", Victim: key("orders", 2), MeasuredAt: at(-100), Slowdown: 2}
-	if got := m.Observe(at(31), other); got != BeforeMemory {
+	if got := m.Observe(at(31), other); got != TooOld {
 		t.Errorf("before memory: %d", got)
 	}
 }
@@ -104,8 +104,8 @@
 func trained(t *testing.T, effect float64) *Model {
 	t.Helper()
 	m := New(DefaultOptions())
-	m.Started(at(0), "w", key("orders", 1), "orders")
-	m.Started(at(0), "w", key("loud", 1), "loud")
+	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
+	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
 	for i := range 300 {
 		if got := observe(m, at(3*i+13), at(3*i+3), 1+effect); got != Learned {
 			t.Fatalf("result %d", got)
@@ -120,8 +120,8 @@
 	m := trained(t, 0.8)
 	before := m.PredictWorkload("orders", "loud", "loud", 0.5).Mean
 	later := epoch.Add(10 * DefaultOptions().Decay)
-	m.Started(later, "x", key("loud", 2), "loud")
-	m.Started(later, "x", key("orders", 2), "orders")
+	m.TaskStarted(later, "x", key("loud", 2), "loud")
+	m.TaskStarted(later, "x", key("orders", 2), "orders")
 	m.Observe(later.Add(time.Second), Observation{
 		Worker: "x", Victim: key("orders", 2), Class: "orders", MeasuredAt: later.Add(time.Second), Slowdown: 1, Load: 0.5,
 	})
@@ -137,9 +137,9 @@
 func TestLoudnessFindsTheLoudTask(t *testing.T) {
 	m := New(DefaultOptions())
 	rnd := rand.New(rand.NewPCG(1, 1))
-	m.Started(at(0), "w", key("orders", 1), "orders")
+	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
 	for i := range uint32(3) {
-		m.Started(at(0), "w", key("job", i), "job")
+		m.TaskStarted(at(0), "w", key("job", i), "job")
 	}
 	for i := range 100 {
 		now := at(3*i + 3)
@@ -167,9 +167,9 @@
 // do at full speed.
 func TestThrottledShareIsTakenIntoAccount(t *testing.T) {
 	m := New(DefaultOptions())
-	m.Started(at(0), "w", key("orders", 1), "orders")
-	m.Started(at(0), "w", key("loud", 1), "loud")
-	m.Throttled(at(0), "w", key("loud", 1), 0.2)
+	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
+	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
+	m.TaskThrottled(at(0), "w", key("loud", 1), 0.2)
 	for i := range 300 {
 		observe(m, at(3*i+13), at(3*i+3), 1.1)
 	}
@@ -180,8 +180,8 @@
 
 func BenchmarkPredict(b *testing.B) {
 	m := New(DefaultOptions())
-	m.Started(at(0), "w", key("orders", 1), "orders")
-	m.Started(at(0), "w", key("loud", 1), "loud")
+	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
+	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
 	observe(m, at(13), at(3), 1.5)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -192,9 +192,9 @@
 // BenchmarkObserve learns from one service's report beside a dozen tasks.
 func BenchmarkObserve(b *testing.B) {
 	m := New(DefaultOptions())
-	m.Started(at(0), "w", key("orders", 1), "orders")
+	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
 	for i := range uint32(12) {
-		m.Started(at(0), "w", key("job", i), "job")
+		m.TaskStarted(at(0), "w", key("job", i), "job")
 	}
 	b.ReportAllocs()
 	now := at(1)
--- a/core/interference/residency.go
+++ b/core/interference/residency.go
@@ -7,22 +7,22 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Presence is a task on a worker at one time.
-type Presence struct {
+// Resident is a task on a worker at one time.
+type Resident struct {
 	Key   model.TaskKey
 	Class string
 	// Share is how much of its effect counts: 1 for a task at full speed, less for
 	// one that is throttled, 0 for one that disturbs nobody. A caller that knows how
 	// large tasks are may tell effects by size and give large ones more than 1.
 	Share float64
-	// Present is whether the task is still there.
-	Present bool
+	// StillRunning is whether the task is still there.
+	StillRunning bool
 }
 
 // span is a stretch of time in which a presence did not change. An open span
 // has a zero end.
 type span struct {
-	Presence
+	Resident
 	from, to time.Time
 }
 
@@ -48,27 +48,27 @@
 	return &Residency{retain: retain, workers: make(map[model.WorkerID]*workerSpans)}
 }
 
-// Started records that a task is on a worker from now on, unthrottled. The
+// TaskStarted records that a task is on a worker from now on, unthrottled. The
 // first call for a worker also begins its record: nothing is known of it
 // before that time.
-func (r *Residency) Started(now time.Time, w model.WorkerID, key model.TaskKey, class string) {
-	r.change(now, w, Presence{Key: key, Class: class, Share: 1})
+func (r *Residency) TaskStarted(now time.Time, w model.WorkerID, key model.TaskKey, class string) {
+	r.change(now, w, Resident{Key: key, Class: class, Share: 1})
 }
 
-// Throttled records the share of its effect that counts from now on, 0 or more. A
+// TaskThrottled records the share of its effect that counts from now on, 0 or more. A
 // task that is not on the worker is ignored.
-func (r *Residency) Throttled(now time.Time, w model.WorkerID, key model.TaskKey, share float64) {
+func (r *Residency) TaskThrottled(now time.Time, w model.WorkerID, key model.TaskKey, share float64) {
 	ws, ok := r.workers[w]
 	if !ok {
 		return
 	}
 	if i := ws.open(key); i >= 0 && ws.spans[i].Share != share {
-		r.change(now, w, Presence{Key: key, Class: ws.spans[i].Class, Share: share})
+		r.change(now, w, Resident{Key: key, Class: ws.spans[i].Class, Share: share})
 	}
 }
 
-// Stopped records that a task is no longer on a worker.
-func (r *Residency) Stopped(now time.Time, w model.WorkerID, key model.TaskKey) {
+// TaskStopped records that a task is no longer on a worker.
+func (r *Residency) TaskStopped(now time.Time, w model.WorkerID, key model.TaskKey) {
 	ws, ok := r.workers[w]
 	if !ok {
 		return
@@ -80,25 +80,25 @@
 	ws.forget(now.Add(-r.retain))
 }
 
-// Drop forgets a worker that is gone.
-func (r *Residency) Drop(w model.WorkerID) { delete(r.workers, w) }
+// DropWorker forgets a worker that is gone.
+func (r *Residency) DropWorker(w model.WorkerID) { delete(r.workers, w) }
 
 // At returns who was on a worker at a time, in order of task key. The second
 // result is false when the record does not reach back that far.
-func (r *Residency) At(w model.WorkerID, at time.Time) ([]Presence, bool) {
+func (r *Residency) At(w model.WorkerID, at time.Time) ([]Resident, bool) {
 	ws, ok := r.workers[w]
 	if !ok || at.Before(ws.since) {
 		return nil, false
 	}
-	var found []Presence
+	var found []Resident
 	for i := range ws.spans {
 		if ws.spans[i].covers(at) {
-			presence := ws.spans[i].Presence
-			presence.Present = ws.open(presence.Key) >= 0
+			presence := ws.spans[i].Resident
+			presence.StillRunning = ws.open(presence.Key) >= 0
 			found = append(found, presence)
 		}
 	}
-	slices.SortFunc(found, func(a, b Presence) int {
+	slices.SortFunc(found, func(a, b Resident) int {
 		if a.Key.Less(b.Key) {
 			return -1
 		}
@@ -107,7 +107,7 @@
 	return found, true
 }
 
-func (r *Residency) change(now time.Time, w model.WorkerID, p Presence) {
+func (r *Residency) change(now time.Time, w model.WorkerID, p Resident) {
 	ws, ok := r.workers[w]
 	if !ok {
 		ws = &workerSpans{since: now, latest: make(map[model.TaskKey]time.Time)}
@@ -116,7 +116,7 @@
 	if i := ws.open(p.Key); i >= 0 {
 		ws.spans[i].to = now
 	}
-	ws.spans = append(ws.spans, span{Presence: p, from: now})
+	ws.spans = append(ws.spans, span{Resident: p, from: now})
 	ws.forget(now.Add(-r.retain))
 }
 
--- a/core/interference/sizes.go
+++ b/core/interference/sizes.go
@@ -13,10 +13,10 @@
 	MinRatio, MaxRatio float64
 	// Margin is added to what was seen, as a ratio.
 	Margin float64
-	// Spread is how many standard deviations above the mean peak are held.
-	// Memory gets MemorySpread: too little memory kills a task, too little
+	// CPUStdFactor is how many standard deviations above the mean peak are held.
+	// Memory gets MemoryStdFactor: too little memory kills a task, too little
 	// processor only slows it.
-	Spread, MemorySpread float64
+	CPUStdFactor, MemoryStdFactor float64
 	// PriorWeight is how many tasks' worth of evidence the declaration counts.
 	PriorWeight float64
 	// ReclaimPerHour is the largest fall of a hold in an hour, as a ratio.
@@ -29,14 +29,14 @@
 // DefaultSizeOptions returns the settings that the policy measurements use.
 func DefaultSizeOptions() SizeOptions {
 	return SizeOptions{
-		MinRatio:       0.3,
-		MaxRatio:       4,
-		Margin:         0.10,
-		Spread:         0,
-		MemorySpread:   2,
-		PriorWeight:    2,
-		ReclaimPerHour: 0.25,
-		MinTasks:       5,
+		MinRatio:        0.3,
+		MaxRatio:        4,
+		Margin:          0.10,
+		CPUStdFactor:    0,
+		MemoryStdFactor: 2,
+		PriorWeight:     2,
+		ReclaimPerHour:  0.25,
+		MinTasks:        5,
 	}
 }
 
@@ -89,13 +89,13 @@
 	w.peaks[key] = next
 	w.cpu.replace(seen, old.cpu, next.cpu)
 	w.memory.replace(seen, old.memory, next.memory)
-	w.cpu.settle(now, s.wanted(&w.cpu, s.options.Spread), s.options.ReclaimPerHour)
-	w.memory.settle(now, s.wanted(&w.memory, s.options.MemorySpread), s.options.ReclaimPerHour)
+	w.cpu.settle(now, s.wanted(&w.cpu, s.options.CPUStdFactor), s.options.ReclaimPerHour)
+	w.memory.settle(now, s.wanted(&w.memory, s.options.MemoryStdFactor), s.options.ReclaimPerHour)
 }
 
-// Ended drops the record of a task that is over. What its workload learned
+// TaskEnded drops the record of a task that is over. What its workload learned
 // from it stays, and fades as later tasks are seen.
-func (s *Sizes) Ended(key model.TaskKey) {
+func (s *Sizes) TaskEnded(key model.TaskKey) {
 	if w, ok := s.workloads[key.Workload]; ok {
 		delete(w.peaks, key)
 	}
@@ -104,9 +104,9 @@
 // Forget drops a workload that is retired.
 func (s *Sizes) Forget(workload string) { delete(s.workloads, workload) }
 
-// Hold returns what to commit for a task of a workload that is to be placed.
+// CommitSize returns what to commit for a task of a workload that is to be placed.
 // Accelerators are always as declared.
-func (s *Sizes) Hold(workload string, declared model.Resources) model.Resources {
+func (s *Sizes) CommitSize(workload string, declared model.Resources) model.Resources {
 	w, ok := s.workloads[workload]
 	if !ok {
 		return declared
@@ -117,10 +117,10 @@
 	return hold
 }
 
-// Want returns what a running task should have committed: its present hold,
+// RunningSize returns what a running task should have committed: its present hold,
 // or more when it was seen to use more. It never shrinks a hold, since a task
 // that goes on may need its room again before others give it back.
-func (s *Sizes) Want(key model.TaskKey, declared, held model.Resources) model.Resources {
+func (s *Sizes) RunningSize(key model.TaskKey, declared, held model.Resources) model.Resources {
 	w, ok := s.workloads[key.Workload]
 	if !ok {
 		return held
@@ -135,11 +135,11 @@
 	return want
 }
 
-// Grow splits a wish for more room into what the worker's free room allows and
+// SplitGrowth splits a wish for more room into what the worker's free room allows and
 // what is missing. held plus free is never exceeded: a worker is not committed
 // beyond its capacity because a task turned out larger than declared. A
 // shortage is for package eviction to settle.
-func Grow(held, want, free model.Resources) (granted, shortage model.Resources) {
+func SplitGrowth(held, want, free model.Resources) (granted, shortage model.Resources) {
 	more := want.Sub(held)
 	given := model.Resources{
 		MilliCPU:     clampInt(more.MilliCPU, free.MilliCPU),
--- a/core/interference/sizes_test.go
+++ b/core/interference/sizes_test.go
@@ -18,7 +18,7 @@
 	for i := range n {
 		usage := Usage{MilliCPU: int64(1000 * ratio), MemoryMB: int64(1000 * ratio)}
 		s.Observe(now, key("job", i), declared, usage)
-		s.Ended(key("job", i))
+		s.TaskEnded(key("job", i))
 	}
 }
 
@@ -26,11 +26,11 @@
 // placed with the size that was declared.
 func TestHoldGrowsAtOnce(t *testing.T) {
 	s := NewSizes(DefaultSizeOptions())
-	if got := s.Hold("job", declared); got != declared {
+	if got := s.CommitSize("job", declared); got != declared {
 		t.Fatalf("before anything was seen: %v", got)
 	}
 	seen(s, at(0), 20, 3)
-	if got := s.Hold("job", declared); got.MemoryMB < 3000 || got.MilliCPU < 2700 || got.Accelerators != 1 {
+	if got := s.CommitSize("job", declared); got.MemoryMB < 3000 || got.MilliCPU < 2700 || got.Accelerators != 1 {
 		t.Errorf("after tasks three times the size: %v", got)
 	}
 }
@@ -39,19 +39,19 @@
 func TestHoldShrinksSlowlyAndNotOnFewTasks(t *testing.T) {
 	s := NewSizes(DefaultSizeOptions())
 	seen(s, at(0), 3, 0.4)
-	if got := s.Hold("job", declared); got != declared {
+	if got := s.CommitSize("job", declared); got != declared {
 		t.Errorf("after three small tasks: %v", got)
 	}
 	seen(s, at(0), 50, 0.4)
-	if got := s.Hold("job", declared).MilliCPU; got < 990 {
+	if got := s.CommitSize("job", declared).MilliCPU; got < 990 {
 		t.Errorf("at once: %d", got)
 	}
 	seen(s, at(3600), 50, 0.4)
-	if got := s.Hold("job", declared).MilliCPU; got < 740 || got > 760 {
+	if got := s.CommitSize("job", declared).MilliCPU; got < 740 || got > 760 {
 		t.Errorf("after an hour: %d, want three quarters", got)
 	}
 	seen(s, at(24*3600), 50, 0.1)
-	if got := s.Hold("job", declared).MilliCPU; got < 300 || got > 500 {
+	if got := s.CommitSize("job", declared).MilliCPU; got < 300 || got > 500 {
 		t.Errorf("after a day: %d, want the learned size, not below the bound", got)
 	}
 }
@@ -61,12 +61,12 @@
 	s := NewSizes(DefaultSizeOptions())
 	k := key("job", 1)
 	s.Observe(at(0), k, declared, Usage{MilliCPU: 2000, MemoryMB: 100})
-	want := s.Want(k, declared, declared)
+	want := s.RunningSize(k, declared, declared)
 	if want.MilliCPU < 2000 || want.MemoryMB != declared.MemoryMB {
 		t.Errorf("want %v", want)
 	}
 	s.Observe(at(10), k, declared, Usage{MilliCPU: 10, MemoryMB: 10})
-	if got := s.Want(k, declared, want); got != want {
+	if got := s.RunningSize(k, declared, want); got != want {
 		t.Errorf("after a quiet report: %v, want %v", got, want)
 	}
 }
@@ -83,7 +83,7 @@
 			held := model.Resources{MilliCPU: heldCPU, MemoryMB: heldMemory, Accelerators: 1}
 			want := model.Resources{MilliCPU: wantCPU, MemoryMB: wantMemory, Accelerators: 1}
 			free := model.Resources{MilliCPU: freeCPU, MemoryMB: freeMemory}
-			granted, missing := Grow(held, want, free)
+			granted, missing := SplitGrowth(held, want, free)
 			return granted.Sub(held).Fits(free) && held.Fits(granted) && want.Fits(granted.Add(missing))
 		}, amount, amount, amount, amount, amount, amount))
 	properties.TestingRun(t)
--- a/core/jobsched/interference.go
+++ b/core/jobsched/interference.go
@@ -20,7 +20,7 @@
 		// Load and workload are not told apart here.
 		BucketStd: 0.02, WorkloadStd: 0.01,
 		// Amounts change within seconds, by less than their size.
-		LoudnessStd: 0.3, LoudnessDecay: 5 * time.Second,
+		IntensityStd: 0.3, IntensityDecay: 5 * time.Second,
 		// Readings of undisturbed tasks of a step differ by a tenth.
 		NoiseStd: 0.15, NoiseRatio: 0.2,
 		// Images keep their ways for much longer than a leader its term.
@@ -83,16 +83,16 @@
 	image := a.step().spec.Image
 	a.image = m.effects.imageIndex(image)
 	a.learnKey = model.TaskKey{Workload: image, Generation: m.learnSerial}
-	m.learner.Started(m.now, a.worker.learnID(), a.learnKey, image)
+	m.learner.TaskStarted(m.now, a.worker.learnID(), a.learnKey, image)
 	// Serving tasks weigh nothing: blamed for each other's tails, they would take a
 	// part of the blame from the work that disturbs.
-	m.learner.Throttled(m.now, a.worker.learnID(), a.learnKey, a.presentWeight())
+	m.learner.TaskThrottled(m.now, a.worker.learnID(), a.learnKey, a.presentWeight())
 }
 
 // learnStop tells the learner that an attempt has gone.
 func (m *Machine) learnStop(a *attempt) {
 	if a.learnKey.Generation != 0 {
-		m.learner.Stopped(m.now, a.worker.learnID(), a.learnKey)
+		m.learner.TaskStopped(m.now, a.worker.learnID(), a.learnKey)
 	}
 }
 
--- a/core/jobsched/throttle.go
+++ b/core/jobsched/throttle.go
@@ -209,7 +209,7 @@
 		a.throttle = ev.Percent
 		w.tails.stale = true
 		if a.learnKey.Generation != 0 {
-			m.learner.Throttled(m.now, w.learnID(), a.learnKey, a.presentWeight())
+			m.learner.TaskThrottled(m.now, w.learnID(), a.learnKey, a.presentWeight())
 		}
 	case VerdictFenced:
 		m.depose(w)
--- a/core/scheduler/scheduler_capacity_test.go
+++ b/core/scheduler/scheduler_capacity_test.go
@@ -70,7 +70,7 @@
 	sizes := interference.NewSizes(interference.DefaultSizeOptions())
 	s.snapshot = &scheduler.Snapshot{
 		Shards: capacityShards, Config: accepted, Ledger: s.ledger.Effective(),
-		Hold: sizes.Hold, Predictor: slowdowns, Costs: eviction.DefaultCosts(),
+		Hold: sizes.CommitSize, Predictor: slowdowns, Costs: eviction.DefaultCosts(),
 		Placer: placement.Default(placement.Options{}),
 	}
 	for i := range capacityWorkers {
--- a/daemon/decide.go
+++ b/daemon/decide.go
@@ -61,7 +61,7 @@
 		Workers:   s.workerViews(now),
 		Largest:   s.c.largest,
 		ShardRoom: s.c.shardRoom(),
-		Hold:      s.c.sizes.Hold,
+		Hold:      s.c.sizes.CommitSize,
 		Predictor: s.c.slowdowns,
 		Costs:     eviction.DefaultCosts(),
 		Placer:    s.placer,
--- a/daemon/observe.go
+++ b/daemon/observe.go
@@ -77,14 +77,14 @@
 	key := o.Attempt.Task
 	if o.Kind == scheduler.SawRunning {
 		if t, known := s.ledger.Effective().Task(key); known {
-			slowdowns.Started(now, w.vm.ID, key, t.Class)
+			slowdowns.TaskStarted(now, w.vm.ID, key, t.Class)
 			w.healthyAt[o.Attempt] = now.Add(healthyAfter)
 		}
 		return
 	}
 	delete(w.healthyAt, o.Attempt)
-	slowdowns.Stopped(now, w.vm.ID, key)
-	s.c.sizes.Ended(key)
+	slowdowns.TaskStopped(now, w.vm.ID, key)
+	s.c.sizes.TaskEnded(key)
 	delete(w.throttles, key)
 	delete(w.measured, key)
 	delete(w.shortages, key)
--- a/daemon/policy.go
+++ b/daemon/policy.go
@@ -45,9 +45,9 @@
 	if t.State != ledger.Running || !w.listed {
 		return
 	}
-	want := s.c.sizes.Want(t.Key, declared, t.Size)
+	want := s.c.sizes.RunningSize(t.Key, declared, t.Size)
 	free := w.vm.Capacity.Sub(s.ledger.Effective().Committed(w.vm.ID))
-	granted, missing := interference.Grow(t.Size, want, free)
+	granted, missing := interference.SplitGrowth(t.Size, want, free)
 	delete(w.shortages, t.Key)
 	if missing != (model.Resources{}) {
 		w.shortages[t.Key] = missing
@@ -94,7 +94,7 @@
 	if a.Percent >= eviction.FullSpeed {
 		delete(w.throttles, a.Task)
 	}
-	s.c.slowdowns.Throttled(now, w.vm.ID, a.Task, float64(a.Percent)/eviction.FullSpeed)
+	s.c.slowdowns.TaskThrottled(now, w.vm.ID, a.Task, float64(a.Percent)/eviction.FullSpeed)
 	s.wish(w)
 }
 
--- a/daemon/shard.go
+++ b/daemon/shard.go
@@ -146,7 +146,7 @@
 	}
 	for t := range s.ledger.Contents().Tasks() {
 		if t.State == ledger.Running {
-			s.c.slowdowns.Started(s.c.clock.Now(), t.Worker, t.Key, t.Class)
+			s.c.slowdowns.TaskStarted(s.c.clock.Now(), t.Worker, t.Key, t.Class)
 		}
 	}
 	s.refreshWorkers()
