--- a/cli/golden_test.go
+++ b/cli/golden_test.go
@@ -49,7 +49,7 @@
 		},
 		events: []timeline.Event{{
 			Time: start.Add(time.Second), Sequence: 7, Process: "entry-2", Kind: timeline.ShardAcquired,
-			Shard: timeline.InShard(1), Epoch: 12,
+			Shard: timeline.ShardPtr(1), Epoch: 12,
 		}},
 	}
 	return one, two
--- a/core/timeline/event.go
+++ b/core/timeline/event.go
@@ -26,5 +26,5 @@
 	Detail   string         `json:"detail,omitempty"`
 }
 
-// InShard returns id in the form that Event.Shard holds it.
-func InShard(id model.ShardID) *model.ShardID { return &id }
+// ShardPtr returns id in the form that Event.Shard holds it.
+func ShardPtr(id model.ShardID) *model.ShardID { return &id }
--- a/core/timeline/kind.go
+++ b/core/timeline/kind.go
@@ -29,22 +29,22 @@
 
 // Events of the configuration.
 const (
-	ConfigAccepted  Kind = "config accepted"
-	ConfigRefused   Kind = "config refused"
-	ConfigConflict  Kind = "config conflict"
-	ConfigUnknown   Kind = "config outcome unknown"
-	ConfigInstalled Kind = "config installed"
-	ConfigMismatch  Kind = "config mismatch"
+	ConfigAccepted       Kind = "config accepted"
+	ConfigRefused        Kind = "config refused"
+	ConfigConflict       Kind = "config conflict"
+	ConfigOutcomeUnknown Kind = "config outcome unknown"
+	ConfigInstalled      Kind = "config installed"
+	ConfigMismatch       Kind = "config mismatch"
 )
 
 // Events of a shard's ownership and its ledger.
 const (
-	ShardAcquired    Kind = "shard acquired"
-	ShardLost        Kind = "shard lost"
-	LedgerLoaded     Kind = "ledger loaded"
-	LedgerUnknown    Kind = "ledger commit unknown"
-	LedgerStoodDown  Kind = "ledger stood down"
-	TopologyExtended Kind = "topology extended"
+	ShardAcquired       Kind = "shard acquired"
+	ShardLost           Kind = "shard lost"
+	LedgerLoaded        Kind = "ledger loaded"
+	LedgerCommitUnknown Kind = "ledger commit unknown"
+	LedgerStoodDown     Kind = "ledger stood down"
+	TopologyExtended    Kind = "topology extended"
 )
 
 // Events of a task.
--- a/core/timeline/ring.go
+++ b/core/timeline/ring.go
@@ -44,7 +44,7 @@
 	e.Process = r.process
 	e.Sequence = r.last
 	if e.Shard != nil {
-		e.Shard = InShard(*e.Shard)
+		e.Shard = ShardPtr(*e.Shard)
 	}
 	r.store(e)
 }
--- a/core/timeline/timeline_capacity_test.go
+++ b/core/timeline/timeline_capacity_test.go
@@ -18,7 +18,7 @@
 		ring := NewRing("entry-mvd-a-017", events)
 		for i := range events {
 			ring.Append(time.Unix(1_800_000_000, 0), Event{
-				Kind: TargetAdded, Subject: fmt.Sprintf("reorder-service-%04d@12/7", i), Shard: InShard(17), Attempt: 3,
+				Kind: TargetAdded, Subject: fmt.Sprintf("reorder-service-%04d@12/7", i), Shard: ShardPtr(17), Attempt: 3,
 			})
 		}
 		perEvent = float64(measure.Heap()-before) / events
--- a/core/timeline/timeline_test.go
+++ b/core/timeline/timeline_test.go
@@ -94,8 +94,8 @@
 
 func TestFormatGolden(t *testing.T) {
 	a, b := NewRing("entry-1", 8), NewRing("entry-10", 8)
-	a.Append(start, Event{Kind: ShardAcquired, Subject: "entry-1", Shard: InShard(0), Epoch: 17})
-	a.Append(start.Add(1500*time.Microsecond), Event{Kind: TaskAssigned, Subject: "route-watcher@1/3", Shard: InShard(0), Epoch: 17, Attempt: 1, Detail: "worker w-7"})
+	a.Append(start, Event{Kind: ShardAcquired, Subject: "entry-1", Shard: ShardPtr(0), Epoch: 17})
+	a.Append(start.Add(1500*time.Microsecond), Event{Kind: TaskAssigned, Subject: "route-watcher@1/3", Shard: ShardPtr(0), Epoch: 17, Attempt: 1, Detail: "worker w-7"})
 	b.Append(start.Add(time.Millisecond), Event{Kind: ConfigInstalled, Revision: 4, Detail: "two\nlines"})
 	var out bytes.Buffer
 	if err := Format(&out, Merge(a.All(), b.All())); err != nil {
@@ -116,7 +116,7 @@
 
 func TestEventSurvivesJSON(t *testing.T) {
 	r := NewRing("a", 1)
-	r.Append(start, Event{Kind: ShardLost, Shard: InShard(0), Epoch: 3})
+	r.Append(start, Event{Kind: ShardLost, Shard: ShardPtr(0), Epoch: 3})
 	data, err := json.Marshal(r.All())
 	if err != nil {
 		t.Fatal(err)
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -95,7 +95,7 @@
 	case config.ApplyRefused:
 		c.record(timeline.Event{Kind: timeline.ConfigRefused})
 	case config.ApplyUnknown:
-		c.record(timeline.Event{Kind: timeline.ConfigUnknown, Revision: r.Revision})
+		c.record(timeline.Event{Kind: timeline.ConfigOutcomeUnknown, Revision: r.Revision})
 	}
 	a.reply <- result
 }
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -72,7 +72,7 @@
 func (c *control) shardAcquired(cmd ownership.ShardAcquired) {
 	c.record(timeline.Event{
 		Kind:  timeline.ShardAcquired,
-		Shard: timeline.InShard(cmd.Shard),
+		Shard: timeline.ShardPtr(cmd.Shard),
 		Epoch: cmd.Epoch,
 	})
 	c.log.WithField("shard", cmd.Shard).WithField("epoch", cmd.Epoch).Info("shard acquired")
@@ -88,7 +88,7 @@
 	}
 	c.record(timeline.Event{
 		Kind:   timeline.ShardLost,
-		Shard:  timeline.InShard(cmd.Shard),
+		Shard:  timeline.ShardPtr(cmd.Shard),
 		Epoch:  s.epoch,
 		Detail: string(cmd.Reason),
 	})
--- a/daemon/owner_test.go
+++ b/daemon/owner_test.go
@@ -166,7 +166,7 @@
 	c.declare("d1", service("front", 2, 1000), batch("job", 6, 1000, time.Minute))
 	c.until("job done", 5*time.Minute, c.inState("job", ledger.Succeeded, 6))
 	c.until("service runs", time.Minute, c.inState("front", ledger.Running, 2))
-	if c.happened(timeline.LedgerUnknown, "") == 0 {
+	if c.happened(timeline.LedgerCommitUnknown, "") == 0 {
 		t.Error("no answer was lost")
 	}
 	// What the owner believes is committed must be what its successor finds.
--- a/daemon/shard.go
+++ b/daemon/shard.go
@@ -103,7 +103,7 @@
 			return ledgerEvent{s, ledger.InboxListed{KVs: kvs, Err: err}}
 		})
 	case ledger.ReadBack:
-		s.record(timeline.Event{Kind: timeline.LedgerUnknown})
+		s.record(timeline.Event{Kind: timeline.LedgerCommitUnknown})
 		s.c.list(storebudget.ClassReadBack, cmd.Prefix, func(kvs []port.KeyValue, _ int64, err error) event {
 			return ledgerEvent{s, ledger.ReadAnswered{ID: cmd.ID, KVs: kvs, Err: err}}
 		})
@@ -186,7 +186,7 @@
 
 // record adds an event about this shard to the time line.
 func (s *shard) record(e timeline.Event) {
-	e.Shard = timeline.InShard(s.id)
+	e.Shard = timeline.ShardPtr(s.id)
 	s.c.record(e)
 }
 
