--- a/adapter/callerapi/answer.go
+++ b/adapter/callerapi/answer.go
@@ -112,7 +112,7 @@
 	case fate.ReasonRequestTooLarge:
 		return http.StatusRequestEntityTooLarge
 	}
-	if f.Reason.Shed() {
+	if f.Reason.IsShed() {
 		return http.StatusTooManyRequests
 	}
 	return http.StatusServiceUnavailable
@@ -122,7 +122,7 @@
 	switch {
 	case f.Reason == fate.ReasonClaimMismatch:
 		return http.StatusUnprocessableEntity
-	case f.Reason == fate.ReasonDeadline, f.Reason == fate.ReasonSilent, errors.Is(f.Cause, context.DeadlineExceeded):
+	case f.Reason == fate.ReasonDeadline, f.Reason == fate.ReasonTargetSilent, errors.Is(f.Cause, context.DeadlineExceeded):
 		return http.StatusGatewayTimeout
 	}
 	return http.StatusBadGateway
--- a/adapter/callerapi/callerapi_test.go
+++ b/adapter/callerapi/callerapi_test.go
@@ -75,7 +75,7 @@
 		{&fate.Error{Fate: fate.Unknown, Reason: fate.ReasonConnectionBroken}, 502},
 		{&fate.Error{Fate: fate.Unknown, Reason: fate.ReasonClaimHeld}, 502},
 		{&fate.Error{Fate: fate.Unknown, Reason: fate.ReasonDeadline}, 504},
-		{&fate.Error{Fate: fate.Unknown, Reason: fate.ReasonSilent}, 504},
+		{&fate.Error{Fate: fate.Unknown, Reason: fate.ReasonTargetSilent}, 504},
 		{&fate.Error{Fate: fate.Unknown, Reason: fate.ReasonClaimMismatch}, 422},
 	}
 	for _, test := range tests {
--- a/adapter/httptarget/connection_test.go
+++ b/adapter/httptarget/connection_test.go
@@ -179,7 +179,7 @@
 	call.Silent = func(proven bool) bool { return proven }
 	_, err := client.Do(within(t), instance.Address(), call)
 	x := exchangeError(t, err)
-	if !x.ConnectionOnly || x.Reason != fate.ReasonSilent || x.Fate() != fate.Unknown {
+	if !x.ConnectionOnly || x.Reason != fate.ReasonTargetSilent || x.Fate() != fate.Unknown {
 		t.Fatalf("got %v, connection only %t", err, x.ConnectionOnly)
 	}
 	if got := client.Open(instance.Address()); got != 1 {
--- a/adapter/httptarget/exchange.go
+++ b/adapter/httptarget/exchange.go
@@ -197,7 +197,7 @@
 }
 
 // pointBeforeHead is how far an exchange got whose head did not come whole.
-func (x *exchange) pointBeforeHead() fate.Point {
+func (x *exchange) pointBeforeHead() fate.Stage {
 	switch {
 	case x.c.receivedBytes() > 0:
 		return fate.ReadingHead
@@ -211,7 +211,7 @@
 
 // fail ends the exchange and its connection, on which a late answer must find
 // nobody.
-func (x *exchange) fail(ctx context.Context, err error, point fate.Point) *traffic.ExchangeError {
+func (x *exchange) fail(ctx context.Context, err error, point fate.Stage) *traffic.ExchangeError {
 	sent := x.c.seal()
 	cut := x.c.wasCut()
 	x.c.close()
@@ -231,10 +231,10 @@
 	return failure
 }
 
-func (x *exchange) reason(ctx context.Context, err error, point fate.Point, cut bool) fate.Reason {
+func (x *exchange) reason(ctx context.Context, err error, point fate.Stage, cut bool) fate.Reason {
 	switch {
 	case context.Cause(ctx) == faultSilent:
-		return fate.ReasonSilent
+		return fate.ReasonTargetSilent
 	case ctx.Err() != nil:
 		return ctxReason(ctx)
 	case errors.Is(err, faultPastDeadline):
@@ -248,7 +248,7 @@
 	case point < fate.ReadingHead:
 		return fate.ReasonConnectionBroken
 	case cut:
-		return fate.ReasonAnswerCut
+		return fate.ReasonAnswerCutShort
 	}
 	return fate.ReasonAnswerMalformed
 }
--- a/adapter/httptarget/fate_test.go
+++ b/adapter/httptarget/fate_test.go
@@ -77,7 +77,7 @@
 func TestFateAtEveryPoint(t *testing.T) {
 	tests := []struct {
 		kind   target.Kind
-		point  fate.Point
+		point  fate.Stage
 		fate   fate.Fate
 		reason fate.Reason
 		runs   int
@@ -86,10 +86,10 @@
 		{target.Refuse, fate.NotStarted, fate.NotRun, fate.ReasonTargetNotStarted, 0},
 		{target.ResetRefusal, fate.NotStarted, fate.NotRun, fate.ReasonTargetNotStarted, 0},
 		{target.ResetBeforeHead, fate.AwaitingHead, fate.Unknown, fate.ReasonConnectionBroken, 1},
-		{target.ResetMidHead, fate.ReadingHead, fate.Unknown, fate.ReasonAnswerCut, 1},
-		{target.ResetMidBody, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerCut, 1},
-		{target.ShortBody, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerCut, 1},
-		{target.ShortChunks, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerCut, 1},
+		{target.ResetMidHead, fate.ReadingHead, fate.Unknown, fate.ReasonAnswerCutShort, 1},
+		{target.ResetMidBody, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerCutShort, 1},
+		{target.ShortBody, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerCutShort, 1},
+		{target.ShortChunks, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerCutShort, 1},
 		{target.Unbounded, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerMalformed, 1},
 		{target.Conflicting, fate.ReadingHead, fate.Unknown, fate.ReasonAnswerMalformed, 1},
 		{target.BadHead, fate.ReadingHead, fate.Unknown, fate.ReasonAnswerMalformed, 1},
--- a/core/fate/error.go
+++ b/core/fate/error.go
@@ -19,7 +19,7 @@
 	ReasonDeadlineTooNear Reason = "deadline-too-near"
 	ReasonOverload        Reason = "overload"
 	ReasonNoCapacity      Reason = "no-capacity"
-	ReasonDisplaced       Reason = "displaced-by-priority"
+	ReasonPreempted       Reason = "displaced-by-priority"
 	ReasonDeadline        Reason = "deadline-exceeded"
 	ReasonCallerGone      Reason = "caller-gone"
 	ReasonInternal        Reason = "internal"
@@ -41,17 +41,17 @@
 	ReasonNoConnection     Reason = "no-connection-free"
 	ReasonTargetNotStarted Reason = "target-did-not-start"
 	ReasonConnectionBroken Reason = "connection-broken"
-	ReasonSilent           Reason = "target-silent"
-	ReasonAnswerCut        Reason = "answer-cut-short"
+	ReasonTargetSilent     Reason = "target-silent"
+	ReasonAnswerCutShort   Reason = "answer-cut-short"
 	ReasonAnswerMalformed  Reason = "answer-malformed"
 	ReasonAnswerTooLarge   Reason = "answer-too-large"
 )
 
-// Shed reports whether the request was turned away because of load, so that
+// IsShed reports whether the request was turned away because of load, so that
 // the caller does better to wait than to try another entry at once.
-func (r Reason) Shed() bool {
+func (r Reason) IsShed() bool {
 	switch r {
-	case ReasonQueueFull, ReasonDeadlineTooNear, ReasonOverload, ReasonDisplaced, ReasonClaimFull:
+	case ReasonQueueFull, ReasonDeadlineTooNear, ReasonOverload, ReasonPreempted, ReasonClaimFull:
 		return true
 	}
 	return false
--- a/core/fate/fate.go
+++ b/core/fate/fate.go
@@ -25,11 +25,11 @@
 	return fateNames[f]
 }
 
-// After returns the fate of a request whose earlier exchanges ended in f and
+// Combine returns the fate of a request whose earlier exchanges ended in f and
 // whose latest one ended in last. A request that may have been run once stays
 // so until an answer comes: a later exchange that certainly did not run takes
 // nothing back.
-func (f Fate) After(last Fate) Fate {
+func (f Fate) Combine(last Fate) Fate {
 	if last == Answered {
 		return Answered
 	}
@@ -39,13 +39,13 @@
 	return Unknown
 }
 
-// Point is how far an exchange with a target got.
-type Point uint8
+// Stage is how far an exchange with a target got.
+type Stage uint8
 
 // The points, in the order in which an exchange passes them.
 const (
 	// BeforeConnect: no connection was asked for.
-	BeforeConnect Point = iota
+	BeforeConnect Stage = iota
 	// Connecting: a connection was asked for and not had.
 	Connecting
 	// SendingHead: the connection stood; the head was not yet all written.
@@ -63,21 +63,21 @@
 	// NotStarted: the target said that it did not start the request.
 	NotStarted
 
-	// NumPoints is how many points there are.
-	NumPoints = int(NotStarted) + 1
+	// NumStages is how many points there are.
+	NumStages = int(NotStarted) + 1
 )
 
-var pointNames = [NumPoints]string{
+var stageNames = [NumStages]string{
 	"before connect", "connecting", "sending head", "sending body",
 	"awaiting head", "reading head", "reading body", "after end", "not started",
 }
 
 // String returns the point's name.
-func (p Point) String() string {
-	if int(p) >= NumPoints {
+func (p Stage) String() string {
+	if int(p) >= NumStages {
 		return "invalid"
 	}
-	return pointNames[p]
+	return stageNames[p]
 }
 
 // Sent is how much of a request was handed to the network.
@@ -105,7 +105,7 @@
 
 // Of returns the fate of an exchange that ended at p with sent of the request
 // handed to the network.
-func Of(p Point, sent Sent) Fate {
+func Of(p Stage, sent Sent) Fate {
 	switch p {
 	case AfterEnd:
 		return Answered
--- a/core/fate/fate_test.go
+++ b/core/fate/fate_test.go
@@ -13,7 +13,7 @@
 		n = fate.NotRun
 		a = fate.Answered
 	)
-	want := [fate.NumPoints][fate.NumSent]fate.Fate{
+	want := [fate.NumStages][fate.NumSent]fate.Fate{
 		fate.BeforeConnect: {n, u, u},
 		fate.Connecting:    {n, u, u},
 		fate.SendingHead:   {n, u, u},
@@ -26,9 +26,9 @@
 	}
 	for p := range want {
 		for s := range want[p] {
-			got := fate.Of(fate.Point(p), fate.Sent(s))
+			got := fate.Of(fate.Stage(p), fate.Sent(s))
 			if got != want[p][s] {
-				t.Errorf("%s, %s sent: got %s, want %s", fate.Point(p), fate.Sent(s), got, want[p][s])
+				t.Errorf("%s, %s sent: got %s, want %s", fate.Stage(p), fate.Sent(s), got, want[p][s])
 			}
 		}
 	}
@@ -37,17 +37,17 @@
 // Symptom: a caller is told "not run", repeats, and the request runs twice.
 // Events: the first exchange breaks after sending; the retry is refused by its
 // target. Cause: only the last exchange's fate was reported.
-func TestAfterKeepsUnknown(t *testing.T) {
-	if got := fate.Unknown.After(fate.NotRun); got != fate.Unknown {
+func TestCombineKeepsUnknown(t *testing.T) {
+	if got := fate.Unknown.Combine(fate.NotRun); got != fate.Unknown {
 		t.Errorf("unknown, then not run: got %s", got)
 	}
-	if got := fate.NotRun.After(fate.Unknown); got != fate.Unknown {
+	if got := fate.NotRun.Combine(fate.Unknown); got != fate.Unknown {
 		t.Errorf("not run, then unknown: got %s", got)
 	}
-	if got := fate.NotRun.After(fate.NotRun); got != fate.NotRun {
+	if got := fate.NotRun.Combine(fate.NotRun); got != fate.NotRun {
 		t.Errorf("not run twice: got %s", got)
 	}
-	if got := fate.Unknown.After(fate.Answered); got != fate.Answered {
+	if got := fate.Unknown.Combine(fate.Answered); got != fate.Answered {
 		t.Errorf("unknown, then answered: got %s", got)
 	}
 }
--- a/traffic/engine_test.go
+++ b/traffic/engine_test.go
@@ -362,7 +362,7 @@
 	})
 	select {
 	case f := <-displaced:
-		if f.Fate != fate.NotRun || f.Reason != fate.ReasonDisplaced || f.RetryAfter == 0 {
+		if f.Fate != fate.NotRun || f.Reason != fate.ReasonPreempted || f.RetryAfter == 0 {
 			t.Errorf("got %v", f)
 		}
 	case <-time.After(patience / 2):
--- a/traffic/exchange.go
+++ b/traffic/exchange.go
@@ -115,7 +115,7 @@
 }
 
 func (j *journey) failed(address string, failure *ExchangeError) {
-	j.fate = j.fate.After(failure.Fate())
+	j.fate = j.fate.Combine(failure.Fate())
 	if failure.Fate() != fate.NotRun {
 		j.unknown = failure
 	}
@@ -140,7 +140,7 @@
 		return routing.Canceled
 	case x.Reason == fate.ReasonConnectRefused, x.Reason == fate.ReasonTargetNotStarted:
 		return routing.Refused
-	case x.Reason == fate.ReasonSilent, x.Reason == fate.ReasonConnectFailed:
+	case x.Reason == fate.ReasonTargetSilent, x.Reason == fate.ReasonConnectFailed:
 		return routing.Silent
 	case ctx.Err() != nil && x.Point == fate.AwaitingHead && overdue:
 		return routing.Silent
--- a/traffic/journey.go
+++ b/traffic/journey.go
@@ -191,7 +191,7 @@
 // outweighs whatever came later.
 func (j *journey) end(err *fate.Error) *fate.Error {
 	last := err.Fate
-	err.Fate = j.fate.After(last)
+	err.Fate = j.fate.Combine(last)
 	if last == fate.NotRun && err.Fate == fate.Unknown {
 		err.Reason = j.unknown.Reason
 		err.Cause = j.unknown
--- a/traffic/request.go
+++ b/traffic/request.go
@@ -76,7 +76,7 @@
 // ExchangeError is an exchange that brought no answer.
 type ExchangeError struct {
 	Address string
-	Point   fate.Point
+	Point   fate.Stage
 	Sent    fate.Sent
 	Reason  fate.Reason
 	// Leaving is set when the target said that it is leaving.
--- a/traffic/wait.go
+++ b/traffic/wait.go
@@ -228,7 +228,7 @@
 	admission.ReasonDeadline:   fate.ReasonDeadlineTooNear,
 	admission.ReasonOverload:   fate.ReasonOverload,
 	admission.ReasonNoCapacity: fate.ReasonNoCapacity,
-	admission.ReasonEvicted:    fate.ReasonDisplaced,
+	admission.ReasonEvicted:    fate.ReasonPreempted,
 }
 
 func shedError(r admission.ShedReason, retryAfter time.Duration) *fate.Error {
