--- a/capacity/topology_capacity_test.go
+++ b/capacity/topology_capacity_test.go
@@ -26,5 +26,5 @@
 		t, _ = topology.Extend(nil, list, 2)
 	}
 	b.ReportMetric(float64(proto.Size(t.Encode()))/racks, "stored-B/rack")
-	b.ReportMetric(float64(t.Count()), "shards")
+	b.ReportMetric(float64(t.ShardCount()), "shards")
 }
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -75,8 +75,8 @@
 	return p.shard, ok
 }
 
-// Count returns how many shards there are: their ids are 0 to Count()-1.
-func (t *Topology) Count() uint32 {
+// ShardCount returns how many shards there are: their ids are 0 to ShardCount()-1.
+func (t *Topology) ShardCount() uint32 {
 	if t == nil {
 		return 0
 	}
@@ -85,7 +85,7 @@
 
 // Racks returns a shard's racks in name order. The slice must not be changed.
 func (t *Topology) Racks(shard model.ShardID) []model.Rack {
-	if uint32(shard) >= t.Count() {
+	if uint32(shard) >= t.ShardCount() {
 		return nil
 	}
 	return t.members[shard]
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -33,7 +33,7 @@
 func check(t *topology.Topology, known []topology.RackInZone, maxRacks int) string {
 	for _, r := range known {
 		shard, ok := t.ShardOf(r.Rack)
-		if !ok || uint32(shard) >= t.Count() {
+		if !ok || uint32(shard) >= t.ShardCount() {
 			return fmt.Sprintf("%s is in no shard", r.Rack)
 		}
 		if zone, _ := t.Zone(shard); zone != r.Zone {
@@ -43,7 +43,7 @@
 			return fmt.Sprintf("shard %d does not list %s", shard, r.Rack)
 		}
 	}
-	for shard := range t.Count() {
+	for shard := range t.ShardCount() {
 		if n := len(t.Racks(model.ShardID(shard))); n == 0 || n > maxRacks {
 			return fmt.Sprintf("shard %d has %d racks", shard, n)
 		}
@@ -99,7 +99,7 @@
 
 func TestEmptyTopology(t *testing.T) {
 	var none *topology.Topology
-	if _, ok := none.ShardOf("a"); ok || none.Count() != 0 || len(none.Encode().Racks) != 0 {
+	if _, ok := none.ShardOf("a"); ok || none.ShardCount() != 0 || len(none.Encode().Racks) != 0 {
 		t.Error("a nil topology is not empty")
 	}
 }
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -191,7 +191,7 @@
 	if c.topology == nil {
 		return 0
 	}
-	return c.topology.Count()
+	return c.topology.ShardCount()
 }
 
 // record appends to the time line.
--- a/daemon/harness_test.go
+++ b/daemon/harness_test.go
@@ -395,10 +395,10 @@
 	c.t.Helper()
 	c.until("all shards owned", 2*time.Minute, func() bool {
 		for _, n := range c.nodes {
-			if n.dead || n.control.topology == nil || n.control.topology.Count() == 0 {
+			if n.dead || n.control.topology == nil || n.control.topology.ShardCount() == 0 {
 				continue
 			}
-			for id := range n.control.topology.Count() {
+			for id := range n.control.topology.ShardCount() {
 				if c.owner(model.ShardID(id)) == nil {
 					return false
 				}
--- a/daemon/platform.go
+++ b/daemon/platform.go
@@ -185,7 +185,7 @@
 	key := c.o.topologyKey()
 	conditions := []port.Condition{{Key: key, Kind: port.CompareModRevision, Revision: c.topologyMod}}
 	c.txn(storebudget.ClassCommit, conditions, []port.Op{{Key: key, Value: value}}, func(r port.TxnResult, err error) event {
-		return topologyWritten{extended: r.Succeeded && err == nil, shards: next.Count()}
+		return topologyWritten{extended: r.Succeeded && err == nil, shards: next.ShardCount()}
 	})
 }
 
