--- a/daemon/decide.go
+++ b/daemon/decide.go
@@ -61,7 +61,7 @@
 		Workers:           s.workerViews(now),
 		LargestCapacities: s.c.largest,
 		ShardRoom:         s.c.shardRoom(),
-		CommitSize:        s.c.sizes.Hold,
+		CommitSize:        s.c.sizes.CommitSize,
 		Predictor:         s.c.slowdowns,
 		Costs:             eviction.DefaultCosts(),
 		Placer:            s.placer,
