--- a/adapter/jobapi/messages.go
+++ b/adapter/jobapi/messages.go
@@ -90,7 +90,7 @@
 // RetryAfterSeconds returns the value of the Retry-After header for an error that means
 // that the request was not carried out.
 func RetryAfterSeconds(err error) string {
-	var unservable *job.UnservableError
+	var unservable *job.InfeasibleError
 	if errors.As(err, &unservable) {
 		return unservableRetryAfter
 	}
@@ -105,8 +105,8 @@
 	var queue *jobservice.UnknownQueueError
 	var unknown *jobservice.UnknownJobError
 	var unavailable *jobservice.UnavailableError
-	var unservable *job.UnservableError
-	var stale *jobservice.StaleError
+	var unservable *job.InfeasibleError
+	var stale *jobservice.StaleSummaryError
 	var follower *jobservice.NotLeadingError
 	var routing *echo.HTTPError
 	switch {
--- a/adapter/jobapi/server.go
+++ b/adapter/jobapi/server.go
@@ -94,7 +94,7 @@
 	if err := s.o.Intake.Submit(c.Request().Context(), id, spec, queue, config.Version); err != nil {
 		return err
 	}
-	s.log.WithFields(jobservice.AcceptedFields(id, spec, queue, config.Version)).Info(joblog.MessageAccepted)
+	s.log.WithFields(jobservice.AcceptedFields(id, spec, queue, config.Version)).Info(joblog.MessageJobAccepted)
 	return c.JSON(http.StatusOK, JobState{ID: id, State: job.Queued})
 }
 
@@ -104,7 +104,7 @@
 	if err := s.o.Config.CheckAge(); err != nil {
 		return nil, nil, err
 	}
-	return s.o.Config.Queue(func(c *job.Config) *job.Queue { return c.Queues[name] })
+	return s.o.Config.FindQueue(func(c *job.Config) *job.Queue { return c.Queues[name] })
 }
 
 // ReadBody decodes a submission's JSON, of at most limit bytes, into v; a limit of 0
@@ -131,7 +131,7 @@
 	if err != nil {
 		return err
 	}
-	waiting, err := s.o.Intake.Waiting(c.Request().Context(), queue.Name)
+	waiting, err := s.o.Intake.WaitingJobs(c.Request().Context(), queue.Name)
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 	if err := s.o.Intake.Cancel(c.Request().Context(), id); err != nil {
 		return err
 	}
-	s.log.WithField("job", id).Info(joblog.MessageCancelAsked)
+	s.log.WithField("job", id).Info(joblog.MessageCancelRequested)
 	return c.JSON(http.StatusOK, JobState{ID: id, State: job.Canceled})
 }
 
@@ -200,7 +200,7 @@
 	if kind != ProblemNotLeading {
 		s.log.WithError(err).WithFields(logrus.Fields{
 			"status": status, "method": c.Request().Method, "job": c.Param("id"), "queue": c.Param("queue"),
-		}).Info(joblog.MessageRefused)
+		}).Info(joblog.MessageRequestRefused)
 	}
 	if sent := c.JSON(status, Problem{Kind: kind, Detail: err.Error()}); sent != nil {
 		s.log.WithError(sent).Debug("cannot send the response; the caller closed the connection")
--- a/jobservice/handover_test.go
+++ b/jobservice/handover_test.go
@@ -17,18 +17,18 @@
 	d := newDeployment(t)
 	d.lead()
 	d.awaitCompleted(soundJob)
-	d.store.write(port.Op{Key: membersPrefix + "a", Value: encodeRecord(Carrier{Address: "a", Weight: 1})})
-	d.store.write(port.Op{Key: membersPrefix + "like", Value: encodeRecord(Carrier{Address: "like", Weight: 1.5})})
+	d.store.write(port.Op{Key: membersPrefix + "a", Value: encodeRecord(Relay{Address: "a", Weight: 1})})
+	d.store.write(port.Op{Key: membersPrefix + "like", Value: encodeRecord(Relay{Address: "like", Weight: 1.5})})
 	key, err := d.store.Get(t.Context(), leaderKey)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.store.write(port.Op{Key: membersPrefix + "large", Value: encodeRecord(Carrier{Address: "large", Weight: 4})})
+	d.store.write(port.Op{Key: membersPrefix + "large", Value: encodeRecord(Relay{Address: "large", Weight: 4})})
 	d.eventually("the lead given up", func() bool {
 		now, err := d.store.Get(t.Context(), leaderKey)
 		return err == nil && now.ModRevision != key.ModRevision
 	})
-	d.eventually("the line that says why", func() bool { return d.log.says(joblog.MessageHandsOver) })
+	d.eventually("the line that says why", func() bool { return d.log.says(joblog.MessageLeadershipHandedOver) })
 
 	// Nobody else takes it, so that the daemon leads again, and does not give it
 	// up over and over.
--- a/jobservice/leader.go
+++ b/jobservice/leader.go
@@ -37,12 +37,12 @@
 
 // NewLeader makes a Leader; Run starts it.
 func NewLeader(o Options) *Leader {
-	if o.Vigil == nil {
-		o.Vigil = deaf{}
+	if o.FailureDetector == nil {
+		o.FailureDetector = deaf{}
 	}
-	if o.Machine.RoundLooks == 0 && o.Processors > 0 {
+	if o.Machine.RoundBudget == 0 && o.Processors > 0 {
 		// A round takes as long on a part of a core as on a whole one.
-		o.Machine.RoundLooks = max(int(jobsched.DefaultRoundLooks*min(o.Processors, 1)), leastRoundLooks)
+		o.Machine.RoundBudget = max(int(jobsched.DefaultRoundBudget*min(o.Processors, 1)), leastRoundLooks)
 	}
 	if o.Machine.StartsInFlight == 0 && o.Processors > 0 {
 		o.Machine.StartsInFlight = max(int(jobsched.DefaultStartsInFlight*min(o.Processors, 1)), leastStartsInFlight)
@@ -132,7 +132,7 @@
 	default:
 		l.kept = t
 		l.o.Metrics.terms.WithLabelValues("lease lost").Inc()
-		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageLeadLostStore)
+		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageLeaseNotRenewed)
 	}
 }
 
@@ -142,7 +142,7 @@
 	complete := t.finish()
 	l.revoke(t.lease)
 	l.o.Metrics.terms.WithLabelValues(end).Inc()
-	l.log.WithField("complete", complete).Info(joblog.MessageGaveUp)
+	l.log.WithField("complete", complete).Info(joblog.MessageLeadershipReleased)
 }
 
 // mayAct reports whether the daemon's right to lead is certainly valid.
--- a/jobservice/roster_test.go
+++ b/jobservice/roster_test.go
@@ -21,13 +21,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.store.write(port.Op{Key: membersPrefix + "large", Value: encodeRecord(Carrier{Address: "large", Weight: 4})})
+	d.store.write(port.Op{Key: membersPrefix + "large", Value: encodeRecord(Relay{Address: "large", Weight: 4})})
 	d.eventually("the lead taken again", func() bool {
 		now, err := d.store.Get(t.Context(), leaderKey)
 		return err == nil && now.ModRevision > key.ModRevision
 	})
 	d.eventually("a lead given up with its last commit stored", func() bool {
-		return d.log.says("complete=true") && d.log.says(joblog.MessageGaveUp)
+		return d.log.says("complete=true") && d.log.says(joblog.MessageLeadershipReleased)
 	})
 	d.eventually("the state read as the leader left it", func() bool { return d.log.says("rosterStands=true") })
 }
--- a/jobservice/term.go
+++ b/jobservice/term.go
@@ -67,7 +67,7 @@
 	jobs, attempts := t.machine.Jobs()
 	l.o.Metrics.jobs.Set(float64(jobs))
 	l.o.Metrics.attempts.Set(float64(attempts))
-	l.o.Metrics.unheard.Set(float64(t.machine.Unheard()))
+	l.o.Metrics.unheard.Set(float64(t.machine.UnansweredWorkers()))
 	return false, false
 }
 
@@ -217,7 +217,7 @@
 		// No leader writes such a value: another writer has put it over the ledger,
 		// and with it what told whether the commit was made. The term ends, and the
 		// next leader writes the ledger anew and reads what was stored.
-		t.leader.o.Metrics.Unreadable(t.leader.log, kindLedger, kv, err, "another writer has written it, and the term ends")
+		t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindLedger, kv, err, "another writer has written it, and the term ends")
 	}
 	if err == nil && record.Incarnation == t.leader.o.Incarnation && record.Number == c.Number {
 		return committedAt{jobsched.Committed{Number: c.Number}, kv.ModRevision}
@@ -229,7 +229,7 @@
 func (t *term) changes(c jobsched.Commit) []port.Op {
 	record := ledgerRecord{
 		Incarnation: t.leader.o.Incarnation, Number: c.Number, Summary: c.Summary,
-		RosterStands: c.RosterStands, RosterAge: c.RosterAge, UnseenCrash: c.UnseenCrash,
+		RosterStands: c.RosterValid, RosterAge: c.RosterAge, UnseenCrash: c.UnseenCrash,
 		RosterLostLeft: c.RosterLostLeft,
 	}
 	changes := []port.Op{{Key: ledgerKey, Value: encodeRecord(record)}}
