--- a/adapter/jobapi/messages.go
+++ b/adapter/jobapi/messages.go
@@ -82,17 +82,17 @@
 	// It is short because outages of the store last seconds, and because other daemons
 	// may serve the request at once.
 	defaultRetryAfter = "1"
-	// unservableRetryAfter is the same for a job that no worker can run, because larger
+	// infeasibleRetryAfter is the same for a job that no worker can run, because larger
 	// workers are not added within seconds.
-	unservableRetryAfter = "60"
+	infeasibleRetryAfter = "60"
 )
 
 // RetryAfterSeconds returns the value of the Retry-After header for an error that means
 // that the request was not carried out.
 func RetryAfterSeconds(err error) string {
-	var unservable *job.InfeasibleError
-	if errors.As(err, &unservable) {
-		return unservableRetryAfter
+	var infeasible *job.InfeasibleError
+	if errors.As(err, &infeasible) {
+		return infeasibleRetryAfter
 	}
 	return defaultRetryAfter
 }
@@ -105,7 +105,7 @@
 	var queue *jobservice.UnknownQueueError
 	var unknown *jobservice.UnknownJobError
 	var unavailable *jobservice.UnavailableError
-	var unservable *job.InfeasibleError
+	var infeasible *job.InfeasibleError
 	var stale *jobservice.StaleSummaryError
 	var follower *jobservice.NotLeadingError
 	var routing *echo.HTTPError
@@ -120,7 +120,7 @@
 		return http.StatusNotFound, ProblemUnknownJob
 	case errors.As(err, &follower):
 		return http.StatusConflict, ProblemNotLeading
-	case errors.As(err, &unservable):
+	case errors.As(err, &infeasible):
 		return http.StatusServiceUnavailable, ProblemUnservable
 	case errors.As(err, &unavailable), errors.As(err, &stale):
 		return http.StatusServiceUnavailable, ProblemNotDone
