--- a/core/scheduler/decide.go
+++ b/core/scheduler/decide.go
@@ -16,9 +16,9 @@
 		return plan.Plan{}
 	}
 	c := &cycle{
-		s:       s,
-		o:       o,
-		touched: make(map[model.TaskKey]bool),
+		snapshot: s,
+		options:  o,
+		touched:  make(map[model.TaskKey]bool),
 	}
 	if s.Synced != s.Config.Revision {
 		c.createMissing()
@@ -29,16 +29,16 @@
 		// old instances would look superfluous.
 		c.replaceServices()
 	}
-	c.leaveWorkers()
+	c.drainLeavingWorkers()
 	c.placePending()
 	return c.plan
 }
 
 // cycle is one run of Decide.
 type cycle struct {
-	s    *Snapshot
-	o    Options
-	plan plan.Plan
+	snapshot *Snapshot
+	options  Options
+	plan     plan.Plan
 	// touched are the tasks that this cycle already changes: a second change
 	// of the same task would be decided on a record that is no longer true.
 	touched map[model.TaskKey]bool
@@ -60,7 +60,7 @@
 	t.Resume = resume
 	t.Reason = reason
 	if t.Service {
-		t.NotBefore = c.s.Now.Add(c.drainTime(t.Key.Workload))
+		t.NotBefore = c.snapshot.Now.Add(c.drainTime(t.Key.Workload))
 	}
 	c.put(t)
 }
@@ -69,17 +69,17 @@
 // committed: until every entry has stopped sending to it, and then for as long
 // as a request may take. Stopped earlier, it would cut off the slow ones.
 func (c *cycle) drainTime(workload string) time.Duration {
-	longest := c.o.RequestTimeout
-	if w, known := c.s.Config.Workloads[workload]; known && w.Spec.Timeout > 0 {
+	longest := c.options.RequestTimeout
+	if w, known := c.snapshot.Config.Workloads[workload]; known && w.Spec.Timeout > 0 {
 		longest = time.Duration(w.Spec.Timeout)
 	}
-	return c.o.DrainDelay + min(longest, c.o.MaxDrain)
+	return c.options.DrainDelay + min(longest, c.options.MaxDrain)
 }
 
 // declared returns the accepted declaration that a task belongs to; false when
 // its generation is not the one in force or was cancelled.
 func (c *cycle) declared(key model.TaskKey) (config.AcceptedWorkload, bool) {
-	w, known := c.s.Config.Workloads[key.Workload]
+	w, known := c.snapshot.Config.Workloads[key.Workload]
 	if !known || w.Generation != key.Generation || w.Cancelled {
 		return config.AcceptedWorkload{}, false
 	}
--- a/core/scheduler/decide_test.go
+++ b/core/scheduler/decide_test.go
@@ -257,7 +257,7 @@
 	team := manifest.Team{Name: "a", Quota: &model.Resources{MilliCPU: 10_007, MemoryMB: 3, Accelerators: 11}}
 	var sum model.Resources
 	for shard := range uint32(7) {
-		sum = sum.Add(quotaPart(team, model.ShardID(shard), 7))
+		sum = sum.Add(shardQuota(team, model.ShardID(shard), 7))
 	}
 	if sum != *team.Quota {
 		t.Errorf("parts sum to %s, quota is %s", sum, *team.Quota)
--- a/core/scheduler/handoff.go
+++ b/core/scheduler/handoff.go
@@ -12,7 +12,7 @@
 // room for it. Room that this cycle has already handed tasks to is counted as
 // taken: what other shards told is some seconds old, and a whole queue would
 // otherwise follow it to the same place.
-func (p *placing) handOff(t ledger.Task, size model.Resources) bool {
+func (p *placementPass) handOff(t ledger.Task, size model.Resources) bool {
 	to, found := p.shardWithRoom(t, size)
 	if !found {
 		return false
@@ -27,13 +27,13 @@
 
 // shardWithRoom picks a shard by a number drawn for this cycle, so that many
 // full shards do not all choose the same one.
-func (p *placing) shardWithRoom(t ledger.Task, size model.Resources) (model.ShardID, bool) {
+func (p *placementPass) shardWithRoom(t ledger.Task, size model.Resources) (model.ShardID, bool) {
 	if p.shardRoom == nil {
-		p.shardRoom = maps.Clone(p.s.ShardRoom)
+		p.shardRoom = maps.Clone(p.snapshot.ShardRoom)
 	}
 	var fits []model.ShardID
 	for shard, room := range p.shardRoom {
-		if shard != p.s.Shard && size.Fits(room) {
+		if shard != p.snapshot.Shard && size.Fits(room) {
 			fits = append(fits, shard)
 		}
 	}
@@ -41,5 +41,5 @@
 		return 0, false
 	}
 	slices.Sort(fits)
-	return fits[(p.s.Random+uint64(t.Key.Index))%uint64(len(fits))], true
+	return fits[(p.snapshot.Random+uint64(t.Key.Index))%uint64(len(fits))], true
 }
--- a/core/scheduler/observe.go
+++ b/core/scheduler/observe.go
@@ -68,10 +68,10 @@
 		return ob.observeFailed(now, t, o)
 	case ObservedRefused:
 		t.NotBefore = now.Add(RefusedRetry)
-		return over(t, o)
+		return endAttempt(t, o)
 	default:
 		t.NotBefore = time.Time{}
-		return over(t, o)
+		return endAttempt(t, o)
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	t.State = ledger.Running
 	t.Address = o.Address
-	return put(t)
+	return putChange(t)
 }
 
 func (ob *Observer) observeSucceeded(now time.Time, t ledger.Task, o Observation) []ledger.Change {
@@ -106,19 +106,19 @@
 	t.State = ledger.Succeeded
 	t.Reason = ""
 	t.Address = ""
-	return append(put(t), workerChanges(verdict)...)
+	return append(putChange(t), workerChanges(verdict)...)
 }
 
 // observeFailed asks the judge whom to blame. A task that was being stopped
 // for good is over either way, and its failure is evidence of nothing.
 func (ob *Observer) observeFailed(now time.Time, t ledger.Task, o Observation) []ledger.Change {
 	if t.State == ledger.Stopping && !t.Resume {
-		return over(t, o)
+		return endAttempt(t, o)
 	}
 	verdict := ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Failed))
 	if verdict.Task.Blame.Counts() {
 		t.Failures++
-		t.FailedWorkers = withWorker(t.FailedWorkers, t.Worker)
+		t.FailedWorkers = appendWorker(t.FailedWorkers, t.Worker)
 	}
 	t.Address = ""
 	t.Reason = "failed: " + o.Detail
@@ -131,7 +131,7 @@
 		t.NotBefore = verdict.Task.NotBefore
 		t.Resume = false
 	}
-	return append(put(t), workerChanges(verdict)...)
+	return append(putChange(t), workerChanges(verdict)...)
 }
 
 func (ob *Observer) outcome(t ledger.Task, result quarantine.Result) quarantine.Outcome {
@@ -146,14 +146,14 @@
 	}
 }
 
-// over returns the record of a task whose attempt ended before its work was
+// endAttempt returns the record of a task whose attempt ended before its work was
 // done: it ends for good when that was asked for, and else becomes pending, to
 // resume from its last checkpoint.
-func over(t ledger.Task, o Observation) []ledger.Change {
+func endAttempt(t ledger.Task, o Observation) []ledger.Change {
 	if t.State == ledger.Stopping && !t.Resume {
 		t.State = ledger.Cancelled
 		t.Address = ""
-		return put(t)
+		return putChange(t)
 	}
 	if t.State == ledger.Stopping {
 		t.Evictions++
@@ -169,17 +169,17 @@
 	if t.Reason != ReasonPreempted {
 		t.Reason = ""
 	}
-	return put(t)
+	return putChange(t)
 }
 
-func put(t ledger.Task) []ledger.Change {
+func putChange(t ledger.Task) []ledger.Change {
 	return []ledger.Change{{Put: &t}}
 }
 
 // maxFailedWorkers bounds how many distinct workers a task's record names.
 const maxFailedWorkers = 8
 
-func withWorker(list []model.WorkerID, w model.WorkerID) []model.WorkerID {
+func appendWorker(list []model.WorkerID, w model.WorkerID) []model.WorkerID {
 	if slices.Contains(list, w) {
 		return list
 	}
--- a/core/scheduler/observe_test.go
+++ b/core/scheduler/observe_test.go
@@ -9,7 +9,7 @@
 	"github.com/guavarill/guavarill/core/quarantine"
 )
 
-func observed(task ledger.Task, kind ObservationKind, checkpoint string) []ledger.Change {
+func observe(task ledger.Task, kind ObservationKind, checkpoint string) []ledger.Change {
 	ob := Observer{
 		Ledger:      fakeLedger{task.Key: task},
 		Evaluator:   quarantine.NewEvaluator(quarantine.DefaultOptions()),
@@ -48,7 +48,7 @@
 				Service: c.service, Attempt: 3, Worker: "w0", Checkpoint: "old",
 			}
 			got := task.State
-			for _, change := range observed(task, c.kind, "") {
+			for _, change := range observe(task, c.kind, "") {
 				if change.Put != nil {
 					got = change.Put.State
 					if got == ledger.Pending && (change.Put.Worker != "" || change.Put.Checkpoint != "old") {
@@ -71,7 +71,7 @@
 		Key: model.TaskKey{Workload: "j", Generation: 1}, State: ledger.Stopping, Resume: true,
 		Attempt: 3, Worker: "w0", NotBefore: epoch.Add(time.Hour),
 	}
-	changes := observed(task, ObservedStopped, "half")
+	changes := observe(task, ObservedStopped, "half")
 	if len(changes) != 1 {
 		t.Fatalf("%d changes, want 1", len(changes))
 	}
@@ -79,7 +79,7 @@
 	if after.Checkpoint != "half" || after.Evictions != 1 || !after.NotBefore.IsZero() {
 		t.Errorf("record after eviction: %+v", after)
 	}
-	if again := observed(after, ObservedStopped, "half"); again != nil {
+	if again := observe(after, ObservedStopped, "half"); again != nil {
 		t.Errorf("the repeat makes %d changes", len(again))
 	}
 }
@@ -93,7 +93,7 @@
 		{State: ledger.Running, Attempt: 3, Worker: "w1"},
 	} {
 		task.Key = model.TaskKey{Workload: "j", Generation: 1}
-		if changes := observed(task, ObservedLost, ""); changes != nil {
+		if changes := observe(task, ObservedLost, ""); changes != nil {
 			t.Errorf("attempt %d on %s: %d changes", task.Attempt, task.Worker, len(changes))
 		}
 	}
--- a/core/scheduler/place.go
+++ b/core/scheduler/place.go
@@ -17,14 +17,14 @@
 	if len(ready) == 0 {
 		return
 	}
-	p := &placing{
-		cycle:    c,
-		snapshot: c.placementSnapshot(),
-		usage:    c.teamUsage(),
+	p := &placementPass{
+		cycle:   c,
+		workers: c.placementSnapshot(),
+		usage:   c.teamUsage(),
 	}
 	c.sortFairly(ready, p.usage)
 	for _, t := range ready {
-		if p.started >= c.o.MaxStartsPerCycle {
+		if p.started >= c.options.MaxStartsPerCycle {
 			return
 		}
 		p.place(t)
@@ -33,8 +33,8 @@
 
 func (c *cycle) readyTasks() []ledger.Task {
 	var ready []ledger.Task
-	for _, t := range c.s.Ledger.Pending() {
-		if c.touched[t.Key] || t.NotBefore.After(c.s.Now) {
+	for _, t := range c.snapshot.Ledger.Pending() {
+		if c.touched[t.Key] || t.NotBefore.After(c.snapshot.Now) {
 			continue
 		}
 		if _, current := c.declared(t.Key); current {
@@ -75,10 +75,10 @@
 	})
 }
 
-// placing is the state of placing one cycle's pending tasks.
-type placing struct {
+// placementPass is the state of placementPass one cycle's pending tasks.
+type placementPass struct {
 	*cycle
-	snapshot  *placement.Snapshot
+	workers   *placement.Snapshot
 	usage     teamUsage
 	started   int
 	preempted int
@@ -86,23 +86,23 @@
 	shardRoom map[model.ShardID]model.Resources
 }
 
-func (p *placing) place(t ledger.Task) {
+func (p *placementPass) place(t ledger.Task) {
 	w, _ := p.declared(t.Key)
-	size := p.s.CommitSize(t.Key.Workload, w.Spec.Size)
+	size := p.snapshot.CommitSize(t.Key.Workload, w.Spec.Size)
 	if p.neverFits(t, size) {
 		return
 	}
-	if dimension, over := p.usage.overQuota(p.s, t.Team, size); over {
-		p.wait(t, size, "team quota reached: "+string(dimension))
+	if dimension, over := p.usage.overQuota(p.snapshot, t.Team, size); over {
+		p.setPendingReason(t, size, "team quota reached: "+string(dimension))
 		return
 	}
 	request := p.request(t, w, size)
-	decision, err := p.s.Placer.Place(p.snapshot, request)
+	decision, err := p.snapshot.Placer.Place(p.workers, request)
 	if err != nil {
 		p.unplaceable(t, size, err)
 		return
 	}
-	if !p.snapshot.Assume(request, decision.Worker) {
+	if !p.workers.Assume(request, decision.Worker) {
 		return
 	}
 	p.usage.add(t.Team, size)
@@ -113,16 +113,16 @@
 // neverFits reports at once a task that no worker of the cluster could hold.
 // It stays pending, since a larger worker may come; only the reason is
 // recorded.
-func (p *placing) neverFits(t ledger.Task, size model.Resources) bool {
-	err := placement.NeverFits(t.Key, size, p.s.LargestCapacities)
+func (p *placementPass) neverFits(t ledger.Task, size model.Resources) bool {
+	err := placement.NeverFits(t.Key, size, p.snapshot.LargestCapacities)
 	if err == nil {
 		return false
 	}
-	p.wait(t, size, "no worker is large enough: "+string(err.Dimension))
+	p.setPendingReason(t, size, "no worker is large enough: "+string(err.Dimension))
 	return true
 }
 
-func (p *placing) request(t ledger.Task, w config.AcceptedWorkload, size model.Resources) *placement.Request {
+func (p *placementPass) request(t ledger.Task, w config.AcceptedWorkload, size model.Resources) *placement.Request {
 	return &placement.Request{
 		Key:           t.Key,
 		Workload:      t.Key.Workload,
@@ -137,7 +137,7 @@
 	}
 }
 
-func (p *placing) assign(t ledger.Task, worker model.WorkerID, size model.Resources) {
+func (p *placementPass) assign(t ledger.Task, worker model.WorkerID, size model.Resources) {
 	t.State = ledger.Assigned
 	t.Attempt++
 	t.Worker = worker
@@ -150,7 +150,7 @@
 
 // unplaceable deals with a task that finds no room. It is handed on only once
 // it has waited here for a cycle, which is what its recorded reason tells.
-func (p *placing) unplaceable(t ledger.Task, size model.Resources, err error) {
+func (p *placementPass) unplaceable(t ledger.Task, size model.Resources, err error) {
 	if t.Priority == model.PriorityUrgent && p.preempt(t, size) {
 		return
 	}
@@ -159,15 +159,15 @@
 	}
 	var full *placement.UnplaceableError
 	if errors.As(err, &full) && full.Dimension != "" {
-		p.wait(t, size, "no room now: "+string(full.Dimension))
+		p.setPendingReason(t, size, "no room now: "+string(full.Dimension))
 		return
 	}
-	p.wait(t, size, "no worker can take it now")
+	p.setPendingReason(t, size, "no worker can take it now")
 }
 
-// wait records why a task does not start. The record changes only with the
+// setPendingReason records why a task does not start. The record changes only with the
 // reason, so that a long queue behind a full shard costs no writes.
-func (p *placing) wait(t ledger.Task, size model.Resources, reason string) {
+func (p *placementPass) setPendingReason(t ledger.Task, size model.Resources, reason string) {
 	if t.Reason == reason && t.Size == size {
 		return
 	}
@@ -178,15 +178,15 @@
 
 // placementSnapshot describes the shard's workers to the placer.
 func (c *cycle) placementSnapshot() *placement.Snapshot {
-	workers := make([]placement.Worker, 0, len(c.s.Workers))
-	for i := range c.s.Workers {
-		workers = append(workers, c.placementWorker(&c.s.Workers[i]))
+	workers := make([]placement.Worker, 0, len(c.snapshot.Workers))
+	for i := range c.snapshot.Workers {
+		workers = append(workers, c.placementWorker(&c.snapshot.Workers[i]))
 	}
-	return placement.NewSnapshot(workers, c.s.Predictor)
+	return placement.NewSnapshot(workers, c.snapshot.Predictor)
 }
 
 func (c *cycle) placementWorker(w *Worker) placement.Worker {
-	committed := c.s.Ledger.Committed(w.VM.ID)
+	committed := c.snapshot.Ledger.Committed(w.VM.ID)
 	view := placement.Worker{
 		VM:          w.VM,
 		Free:        w.VM.Capacity.Sub(committed),
@@ -196,7 +196,7 @@
 		Unreachable: w.Unreachable,
 		Load:        w.Load,
 	}
-	for _, t := range c.s.Ledger.OnWorker(w.VM.ID) {
+	for _, t := range c.snapshot.Ledger.OnWorker(w.VM.ID) {
 		view.Tasks = append(view.Tasks, placement.Resident{
 			Key:         t.Key,
 			Class:       t.Class,
--- a/core/scheduler/preempt.go
+++ b/core/scheduler/preempt.go
@@ -9,31 +9,31 @@
 // preempt makes room for urgent work by stopping the cheapest batch tasks of
 // lower priority on one worker. The urgent task itself stays pending: it is
 // first in order when the room comes free, once the stops are confirmed.
-func (p *placing) preempt(t ledger.Task, size model.Resources) bool {
-	if p.preempted >= p.o.MaxPreemptionsPerCycle {
+func (p *placementPass) preempt(t ledger.Task, size model.Resources) bool {
+	if p.preempted >= p.options.MaxPreemptionsPerCycle {
 		return false
 	}
-	choice, possible := eviction.Preempt(p.s.Now, size, t.Priority, p.preemptionCandidates(), p.s.Costs)
+	choice, possible := eviction.Preempt(p.snapshot.Now, size, t.Priority, p.preemptionCandidates(), p.snapshot.Costs)
 	if !possible {
 		return false
 	}
 	for _, key := range choice.Victims {
-		victim, known := p.s.Ledger.Task(key)
+		victim, known := p.snapshot.Ledger.Task(key)
 		if !known || p.touched[key] {
 			continue
 		}
 		p.stop(victim, true, ReasonPreempted)
 		p.preempted++
 	}
-	p.wait(t, size, "waits for room being freed for it")
+	p.setPendingReason(t, size, "waits for room being freed for it")
 	p.touched[t.Key] = true
 	return true
 }
 
-func (p *placing) preemptionCandidates() []eviction.Candidate {
+func (p *placementPass) preemptionCandidates() []eviction.Candidate {
 	var candidates []eviction.Candidate
-	for i := range p.s.Workers {
-		w := &p.s.Workers[i]
+	for i := range p.snapshot.Workers {
+		w := &p.snapshot.Workers[i]
 		if w.Leaving || w.Quarantined || w.Unreachable || w.VM.State == model.VMLeaving {
 			continue
 		}
@@ -42,12 +42,12 @@
 	return candidates
 }
 
-func (p *placing) preemptionCandidate(w *Worker) eviction.Candidate {
+func (p *placementPass) preemptionCandidate(w *Worker) eviction.Candidate {
 	c := eviction.Candidate{
 		Worker: w.VM.ID,
-		Free:   w.VM.Capacity.Sub(p.s.Ledger.Committed(w.VM.ID)),
+		Free:   w.VM.Capacity.Sub(p.snapshot.Ledger.Committed(w.VM.ID)),
 	}
-	for _, t := range p.s.Ledger.OnWorker(w.VM.ID) {
+	for _, t := range p.snapshot.Ledger.OnWorker(w.VM.ID) {
 		if t.Service {
 			continue
 		}
--- a/core/scheduler/quota.go
+++ b/core/scheduler/quota.go
@@ -17,33 +17,33 @@
 		held:   make(map[string]model.Resources),
 		quotas: make(map[string]model.Resources),
 	}
-	for i := range c.s.Workers {
-		w := &c.s.Workers[i]
+	for i := range c.snapshot.Workers {
+		w := &c.snapshot.Workers[i]
 		u.total = u.total.Add(w.VM.Capacity)
-		for _, t := range c.s.Ledger.OnWorker(w.VM.ID) {
+		for _, t := range c.snapshot.Ledger.OnWorker(w.VM.ID) {
 			u.add(t.Team, t.Size)
 		}
 	}
-	for _, team := range c.s.Config.Manifest.Teams {
+	for _, team := range c.snapshot.Config.Manifest.Teams {
 		if team.Quota != nil {
-			u.quotas[team.Name] = quotaPart(team, c.s.Shard, c.s.Shards)
+			u.quotas[team.Name] = shardQuota(team, c.snapshot.Shard, c.snapshot.Shards)
 		}
 	}
 	return u
 }
 
-// quotaPart divides a team's quota over the shards, so that the sum over all
+// shardQuota divides a team's quota over the shards, so that the sum over all
 // shards is the quota whatever each of them does at the same time: a shard
 // asks nobody before it starts a task. The remainder goes to the first shards.
-func quotaPart(team manifest.Team, shard model.ShardID, shards uint32) model.Resources {
+func shardQuota(team manifest.Team, shard model.ShardID, shards uint32) model.Resources {
 	return model.Resources{
-		MilliCPU:     divide(team.Quota.MilliCPU, shard, shards),
-		MemoryMB:     divide(team.Quota.MemoryMB, shard, shards),
-		Accelerators: divide(team.Quota.Accelerators, shard, shards),
+		MilliCPU:     divideOverShards(team.Quota.MilliCPU, shard, shards),
+		MemoryMB:     divideOverShards(team.Quota.MemoryMB, shard, shards),
+		Accelerators: divideOverShards(team.Quota.Accelerators, shard, shards),
 	}
 }
 
-func divide(amount int64, shard model.ShardID, shards uint32) int64 {
+func divideOverShards(amount int64, shard model.ShardID, shards uint32) int64 {
 	if shards == 0 {
 		return amount
 	}
@@ -73,13 +73,13 @@
 func (u teamUsage) dominantShare(team string) float64 {
 	held := u.held[team]
 	return max(
-		part(held.MilliCPU, u.total.MilliCPU),
-		part(held.MemoryMB, u.total.MemoryMB),
-		part(held.Accelerators, u.total.Accelerators),
+		fraction(held.MilliCPU, u.total.MilliCPU),
+		fraction(held.MemoryMB, u.total.MemoryMB),
+		fraction(held.Accelerators, u.total.Accelerators),
 	)
 }
 
-func part(amount, total int64) float64 {
+func fraction(amount, total int64) float64 {
 	if total <= 0 {
 		return 0
 	}
--- a/core/scheduler/replace.go
+++ b/core/scheduler/replace.go
@@ -26,19 +26,19 @@
 	workload string
 	old      []ledger.Task
 	stopping int
-	wanted   int
+	desired  int
 	running  int
-	waiting  int
+	pending  int
 }
 
 func (c *cycle) replacements() []*replacement {
 	byName := make(map[string]*replacement)
 	var names []string
-	for t := range c.s.Ledger.Tasks() {
+	for t := range c.snapshot.Ledger.Tasks() {
 		if !t.Service || !t.State.HoldsRoom() {
 			continue
 		}
-		w, named := c.s.Config.Workloads[t.Key.Workload]
+		w, named := c.snapshot.Config.Workloads[t.Key.Workload]
 		if !named || w.Cancelled || w.Generation == t.Key.Generation {
 			continue
 		}
@@ -66,7 +66,7 @@
 }
 
 func (c *cycle) countSuccessors(byName map[string]*replacement) {
-	for t := range c.s.Ledger.Tasks() {
+	for t := range c.snapshot.Ledger.Tasks() {
 		r := byName[t.Key.Workload]
 		if r == nil {
 			continue
@@ -76,21 +76,21 @@
 		}
 		switch t.State {
 		case ledger.Running:
-			r.wanted++
+			r.desired++
 			r.running++
 		case ledger.Pending:
-			r.wanted++
-			r.waiting++
+			r.desired++
+			r.pending++
 		case ledger.Assigned, ledger.Stopping:
-			r.wanted++
+			r.desired++
 		}
 	}
 }
 
 func (c *cycle) replace(r *replacement) {
-	missing := r.wanted - r.running
+	missing := r.desired - r.running
 	surplus := len(r.old) - missing
-	if surplus <= 0 && r.waiting > 0 && r.stopping == 0 {
+	if surplus <= 0 && r.pending > 0 && r.stopping == 0 {
 		surplus = 1
 	}
 	for _, t := range r.old {
@@ -105,16 +105,16 @@
 	}
 }
 
-// leaveWorkers moves tasks away from workers that are about to be taken away.
+// drainLeavingWorkers moves tasks away from workers that are about to be taken away.
 // A service's instance leaves a worker as soon as that is known, since entries
 // send it nothing new from then on anyway.
-func (c *cycle) leaveWorkers() {
-	for i := range c.s.Workers {
-		w := &c.s.Workers[i]
+func (c *cycle) drainLeavingWorkers() {
+	for i := range c.snapshot.Workers {
+		w := &c.snapshot.Workers[i]
 		if !w.Leaving && w.VM.State != model.VMLeaving {
 			continue
 		}
-		for _, t := range c.s.Ledger.OnWorker(w.VM.ID) {
+		for _, t := range c.snapshot.Ledger.OnWorker(w.VM.ID) {
 			if t.State == ledger.Stopping || c.touched[t.Key] {
 				continue
 			}
--- a/core/scheduler/sync.go
+++ b/core/scheduler/sync.go
@@ -18,8 +18,8 @@
 // createMissing makes pending records for the tasks that the configuration
 // deals to this shard and the ledger has never seen.
 func (c *cycle) createMissing() {
-	for _, name := range c.s.Config.Names() {
-		w := c.s.Config.Workloads[name]
+	for _, name := range c.snapshot.Config.Names() {
+		w := c.snapshot.Config.Workloads[name]
 		if w.Cancelled {
 			continue
 		}
@@ -29,9 +29,9 @@
 
 func (c *cycle) createMissingOf(w config.AcceptedWorkload) {
 	spec := w.Spec
-	for index := range manifest.TasksOf(spec.Name, uint32(spec.Tasks), w.Shards, c.s.Shard) {
+	for index := range manifest.TasksOf(spec.Name, uint32(spec.Tasks), w.Shards, c.snapshot.Shard) {
 		key := model.TaskKey{Workload: spec.Name, Generation: w.Generation, Index: index}
-		if _, known := c.s.Ledger.Task(key); known {
+		if _, known := c.snapshot.Ledger.Task(key); known {
 			continue
 		}
 		c.put(ledger.Task{
@@ -52,7 +52,7 @@
 // Services are left to replaceServices while a newer generation is declared,
 // since they go on until their successors answer.
 func (c *cycle) retireObsolete() {
-	for t := range c.s.Ledger.Tasks() {
+	for t := range c.snapshot.Ledger.Tasks() {
 		if c.touched[t.Key] {
 			continue
 		}
@@ -64,7 +64,7 @@
 }
 
 func (c *cycle) retire(t ledger.Task) {
-	w, named := c.s.Config.Workloads[t.Key.Workload]
+	w, named := c.snapshot.Config.Workloads[t.Key.Workload]
 	cancelled := named && w.Generation == t.Key.Generation && w.Cancelled
 	replaced := named && !w.Cancelled && t.Service
 	switch {
@@ -77,11 +77,11 @@
 		t.Reason = ReasonCancelled
 		c.put(t)
 	case t.State.HoldsRoom() && !replaced:
-		c.cancelHeld(t)
+		c.cancelActive(t)
 	}
 }
 
-func (c *cycle) cancelHeld(t ledger.Task) {
+func (c *cycle) cancelActive(t ledger.Task) {
 	if t.State == ledger.Stopping && !t.Resume {
 		return
 	}
