--- a/core/scheduler/decide.go
+++ b/core/scheduler/decide.go
@@ -9,8 +9,10 @@
 	"github.com/guavarill/guavarill/core/plan"
 )
 
-// Decide returns what should change in the shard's ledger. It changes nothing
-// that the snapshot refers to, save the placer's random source.
+// Decide runs one scheduling cycle and returns the changes to make to the
+// shard's ledger. The plan is empty when the snapshot has no configuration.
+// Decide modifies nothing that the snapshot refers to except the state of its
+// placer, which includes a random source.
 func Decide(s *Snapshot, o Options) plan.Plan {
 	if s.Config == nil {
 		return plan.Plan{}
@@ -25,8 +27,8 @@
 		c.retireObsolete()
 		c.plan.Synced = s.Config.Revision
 	} else {
-		// Only now does the ledger hold the successors: with none in sight all
-		// old instances would look superfluous.
+		// The new generation's tasks are in the ledger only once it is
+		// synced. Before that, every old instance would look surplus.
 		c.replaceServices()
 	}
 	c.drainLeavingWorkers()
@@ -34,13 +36,13 @@
 	return c.plan
 }
 
-// cycle is one run of Decide.
+// cycle holds the input and the growing plan of one call of Decide.
 type cycle struct {
 	snapshot *Snapshot
 	options  Options
 	plan     plan.Plan
-	// touched are the tasks that this cycle already changes: a second change
-	// of the same task would be decided on a record that is no longer true.
+	// touched holds the tasks that the plan already changes. A second change
+	// of a task would be based on an outdated record.
 	touched map[model.TaskKey]bool
 }
 
@@ -54,7 +56,8 @@
 	c.plan.Changes = append(c.plan.Changes, ledger.Change{Remove: &key})
 }
 
-// stop begins the end of a task that holds room.
+// stop moves a task that holds resources to the Stopping state. With resume
+// set it becomes pending again once it has stopped.
 func (c *cycle) stop(t ledger.Task, resume bool, reason string) {
 	t.State = ledger.Stopping
 	t.Resume = resume
@@ -65,9 +68,10 @@
 	c.put(t)
 }
 
-// drainTime is how long a service's instance goes on after its stop was
-// committed: until every entry has stopped sending to it, and then for as long
-// as a request may take. Stopped earlier, it would cut off the slow ones.
+// drainTime returns how long an instance of a service keeps running after its
+// stop was committed: the time until every entry has stopped sending requests
+// to it, plus the longest time that a request may take, up to MaxDrain.
+// Stopping it earlier would cut off slow requests.
 func (c *cycle) drainTime(workload string) time.Duration {
 	longest := c.options.RequestTimeout
 	if w, known := c.snapshot.Config.Workloads[workload]; known && w.Spec.Timeout > 0 {
@@ -76,8 +80,8 @@
 	return c.options.DrainDelay + min(longest, c.options.MaxDrain)
 }
 
-// declared returns the accepted declaration that a task belongs to; false when
-// its generation is not the one in force or was cancelled.
+// declared returns the accepted declaration that a task belongs to. It returns
+// false when the task's generation is not the one in force, or is cancelled.
 func (c *cycle) declared(key model.TaskKey) (config.AcceptedWorkload, bool) {
 	w, known := c.snapshot.Config.Workloads[key.Workload]
 	if !known || w.Generation != key.Generation || w.Cancelled {
--- a/core/scheduler/decide_test.go
+++ b/core/scheduler/decide_test.go
@@ -21,7 +21,7 @@
 
 var epoch = time.Date(2100, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fakeLedger is a ledger's contents as a map.
+// fakeLedger is an in-memory Ledger.
 type fakeLedger map[model.TaskKey]ledger.Task
 
 func (f fakeLedger) Task(k model.TaskKey) (ledger.Task, bool) {
@@ -60,7 +60,7 @@
 	return f.sorted(func(t ledger.Task) bool { return t.State == ledger.Pending })
 }
 
-// commit makes a plan's changes.
+// commit applies the changes of a plan.
 func (f fakeLedger) commit(p plan.Plan) {
 	for _, c := range p.Changes {
 		switch {
@@ -127,7 +127,8 @@
 	return w
 }
 
-// cycle decides and commits once, and lets time pass.
+// cycle runs one scheduling cycle, commits its plan and advances the clock by
+// a second.
 func (w *world) cycle() plan.Plan {
 	p := Decide(&w.snapshot, DefaultOptions())
 	w.ledger.commit(p)
@@ -138,7 +139,8 @@
 	return p
 }
 
-// run makes assigned tasks running and ends stopping ones whose time has come.
+// run moves assigned tasks to running, and ends stopping tasks whose drain
+// time has passed.
 func (w *world) run() {
 	for key, t := range w.ledger {
 		switch {
@@ -168,10 +170,9 @@
 	}
 }
 
-// Symptom: callers are told `not run` while a new release rolls out.
-// Sequence: a service's declaration changes; its old instances are stopped
-// before the new ones answer.
-// Cause: old and new generation are retired and created independently.
+// Guards against callers getting `not run` while a new release rolls out. It
+// happens when the old and the new generation are stopped and created
+// independently, so that the old instances stop before the new ones answer.
 func TestServiceIsReplacedStepByStep(t *testing.T) {
 	first := accept(t, nil, teams, service("svc", 4, 2000))
 	w := newWorld(first, 1)
@@ -197,9 +198,8 @@
 	}
 }
 
-// Symptom: urgent work waits behind batch tasks that fill the shard.
-// Sequence: low tasks take all room; an urgent task is declared.
-// Cause: placement alone never frees room.
+// Guards against an urgent task waiting while batch tasks of low priority fill
+// the shard. Placement alone never frees room; preemption must.
 func TestUrgentWorkPreemptsAndStarts(t *testing.T) {
 	first := accept(t, nil, teams, batch("low", "a", "low", 8, 2000))
 	w := newWorld(first, 2)
@@ -264,9 +264,9 @@
 	}
 }
 
-// Symptom: a job that fits no worker waits without a word.
-// Sequence: its size is above every worker's.
-// Cause: to a filter it looks like a full cluster.
+// Guards against a job that is larger than every worker staying pending
+// without that reason. To the placement filters this case looks like a full
+// cluster.
 func TestJobThatNeverFitsIsReported(t *testing.T) {
 	w := newWorld(accept(t, nil, teams, batch("huge", "a", "normal", 1, 9000)), 1)
 	w.cycle()
--- a/core/scheduler/doc.go
+++ b/core/scheduler/doc.go
@@ -1,19 +1,20 @@
-// Package scheduler decides what a shard's ledger should become. Decide is a
-// pure function of a Snapshot and returns a plan; Observe turns what a worker
-// reported into changes. Neither does I/O nor keeps state: what must last is
-// in the ledger, and what is learned lives with the learners that the snapshot
-// refers to.
+// Package scheduler decides which changes to make to the ledger of one shard.
+// Decide is a pure function of a Snapshot and returns a plan. Observer.Observe
+// turns a report from a worker into ledger changes. Neither does I/O nor keeps
+// state of its own: durable state is in the ledger, and learned sizes and
+// slowdowns are kept by the estimators that the snapshot refers to.
 //
-// A cycle runs in a fixed order:
+// A scheduling cycle has a fixed order:
 //
-//  1. tasks that the configuration wants and the ledger lacks become pending;
-//     tasks whose generation is gone or cancelled are stopped or removed;
-//  2. services whose declaration changed are replaced step by step;
-//  3. tasks on leaving workers are moved;
-//  4. pending tasks are placed, urgent ones first and teams in fair order;
-//  5. urgent tasks that found no room preempt.
+//  1. Declared tasks that the ledger does not hold yet become pending. Tasks
+//     whose generation was replaced, removed or cancelled are stopped or
+//     deleted.
+//  2. Services whose declaration changed are replaced instance by instance.
+//  3. Tasks on leaving workers are stopped, to be started elsewhere.
+//  4. Pending tasks are placed: by priority, and within a priority in turns
+//     between the teams.
+//  5. Urgent tasks that do not fit preempt tasks of lower priority.
 //
-// One rule holds throughout: a task gets a new attempt only from the pending
-// state, and it becomes pending only when its last attempt is known to be
-// over.
+// A task gets a new attempt only when it is pending, and it becomes pending
+// only after its previous attempt is known to have ended.
 package scheduler
--- a/core/scheduler/handoff.go
+++ b/core/scheduler/handoff.go
@@ -8,10 +8,11 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// handOff gives a task that found no room here to a shard whose owner told of
-// room for it. Room that this cycle has already handed tasks to is counted as
-// taken: what other shards told is some seconds old, and a whole queue would
-// otherwise follow it to the same place.
+// handOff hands a task that does not fit in this shard to a shard whose owner
+// reported enough free resources, and returns false when there is none.
+// Resources for tasks that were handed off earlier in this cycle are deducted:
+// the reports of other shards are some seconds old, and a whole queue would
+// otherwise be sent to the same shard.
 func (p *placementPass) handOff(t ledger.Task, size model.Resources) bool {
 	to, found := p.shardWithRoom(t, size)
 	if !found {
@@ -25,8 +26,9 @@
 	return true
 }
 
-// shardWithRoom picks a shard by a number drawn for this cycle, so that many
-// full shards do not all choose the same one.
+// shardWithRoom picks one of the other shards that reported enough free
+// resources for a task. The choice depends on the cycle's random number, so
+// that many full shards do not all pick the same one.
 func (p *placementPass) shardWithRoom(t ledger.Task, size model.Resources) (model.ShardID, bool) {
 	if p.shardRoom == nil {
 		p.shardRoom = maps.Clone(p.snapshot.ShardRoom)
--- a/core/scheduler/observe.go
+++ b/core/scheduler/observe.go
@@ -10,50 +10,57 @@
 	"github.com/guavarill/guavarill/core/quarantine"
 )
 
-// ObservationKind is what became of an attempt.
+// ObservationKind is the state of an attempt as a worker session reports it.
 type ObservationKind uint8
 
-// The kinds of observation. All but ObservedRunning say that the attempt is
-// certainly over.
+// The kinds of observation. All except ObservedRunning mean that the attempt
+// has ended for certain.
 const (
 	ObservedRunning ObservationKind = iota + 1
 	ObservedSucceeded
 	ObservedFailed
-	// ObservedStopped: stopped by command, or by the agent when its lease ran out.
+	// ObservedStopped means that the attempt was stopped on request, or by the
+	// agent because its lease expired.
 	ObservedStopped
-	// ObservedRefused: the worker had no room or no valid grant; nothing started.
+	// ObservedRefused means that the worker started nothing because it had no
+	// room or no valid grant.
 	ObservedRefused
-	// ObservedLost: over without a report, by the bound on its lease or because
-	// the worker restarted.
+	// ObservedLost means that the attempt ended without a report: its lease
+	// must have expired by now, or the worker restarted.
 	ObservedLost
 )
 
-// Observation is news of one attempt from its worker's session.
+// Observation is a report on one attempt from the session of its worker.
 type Observation struct {
-	Attempt    model.AttemptKey
-	Worker     model.WorkerID
-	Kind       ObservationKind
-	Address    string
+	Attempt model.AttemptKey
+	Worker  model.WorkerID
+	Kind    ObservationKind
+	// Address is where a running instance of a service accepts requests.
+	Address string
+	// Checkpoint refers to the progress that was saved when the attempt
+	// stopped; it is empty if none was saved.
 	Checkpoint string
-	Detail     string
+	// Detail is the cause of a failure, for people to read.
+	Detail string
 }
 
-// RefusedRetry is how long a task waits after a worker refused it. The
-// worker's own view of its room lags the ledger's while a predecessor's tasks
-// end there.
+// RefusedRetry is the delay before a task that a worker refused is placed
+// again. A worker's own count of its free resources lags behind the ledger's
+// while tasks started by a previous owner of the shard end there.
 const RefusedRetry = time.Second
 
 // Observer turns observations into changes of one shard's ledger.
 type Observer struct {
 	Ledger    Ledger
 	Evaluator *quarantine.Evaluator
-	// MaxAttempts returns a workload's bound on counted failures; 0 is the
-	// judge's own.
+	// MaxAttempts returns the limit on counted failures of a workload's tasks;
+	// 0 selects the default of the evaluator.
 	MaxAttempts func(workload string) int
 }
 
-// Observe returns what follows from one observation. News of another attempt
-// than the one in the ledger, and repeats, change nothing.
+// Observe returns the ledger changes that follow from one observation. It
+// returns none for a repeated observation, or for an attempt other than the
+// task's current one.
 func (ob *Observer) Observe(now time.Time, o Observation) []ledger.Change {
 	t, known := ob.Ledger.Task(o.Attempt.Task)
 	if !known || !t.State.HoldsRoom() || t.Attempt != o.Attempt.Attempt || t.Worker != o.Worker {
@@ -75,8 +82,9 @@
 	}
 }
 
-// ObserveHealthy returns what follows from an attempt that has run long enough to
-// speak for its worker. It changes quarantines only.
+// ObserveHealthy returns the ledger changes that follow from an attempt that
+// has run long enough to count as a success of its worker. Only quarantines
+// change; the task's record does not.
 func (ob *Observer) ObserveHealthy(now time.Time, attempt model.AttemptKey) []ledger.Change {
 	t, known := ob.Ledger.Task(attempt.Task)
 	if !known || t.State != ledger.Running || t.Attempt != attempt.Attempt {
@@ -109,8 +117,9 @@
 	return append(putChange(t), workerChanges(verdict)...)
 }
 
-// observeFailed asks the judge whom to blame. A task that was being stopped
-// for good is over either way, and its failure is evidence of nothing.
+// observeFailed lets the evaluator attribute a failure to the task, the worker
+// or a common cause. The failure of a task that is being stopped for good is
+// not evaluated: the task ends in any case, and the stop may have caused it.
 func (ob *Observer) observeFailed(now time.Time, t ledger.Task, o Observation) []ledger.Change {
 	if t.State == ledger.Stopping && !t.Resume {
 		return endAttempt(t, o)
@@ -146,9 +155,9 @@
 	}
 }
 
-// endAttempt returns the record of a task whose attempt ended before its work was
-// done: it ends for good when that was asked for, and else becomes pending, to
-// resume from its last checkpoint.
+// endAttempt returns the change of a task whose attempt ended before its work
+// was done. A task that was being stopped for good becomes cancelled. Any
+// other task becomes pending, to resume from its last checkpoint.
 func endAttempt(t ledger.Task, o Observation) []ledger.Change {
 	if t.State == ledger.Stopping && !t.Resume {
 		t.State = ledger.Cancelled
@@ -176,7 +185,8 @@
 	return []ledger.Change{{Put: &t}}
 }
 
-// maxFailedWorkers bounds how many distinct workers a task's record names.
+// maxFailedWorkers limits the number of workers in a task's list of failed
+// workers. The oldest entries are dropped.
 const maxFailedWorkers = 8
 
 func appendWorker(list []model.WorkerID, w model.WorkerID) []model.WorkerID {
@@ -203,9 +213,10 @@
 	return changes
 }
 
-// NeedsSync reports whether a committed change leaves a record that only a
-// comparison with the configuration will remove: a task of a generation that
-// is not in force came to rest.
+// NeedsSync reports whether the ledger must be compared with the configuration
+// again after a committed change. That is so when a task holds no resources
+// and its generation is not in force, or when it is pending and its workload
+// is cancelled: only the comparison updates or removes such a record.
 func NeedsSync(c *config.Accepted, change ledger.Change) bool {
 	if c == nil || change.Put == nil && change.Receive == nil {
 		return false
@@ -221,8 +232,8 @@
 	return !named || w.Generation != t.Key.Generation || w.Cancelled && t.State == ledger.Pending
 }
 
-// HasUrgent reports whether urgent work waits for one of the changes: they are of
-// an urgent task, or of one that makes room for one.
+// HasUrgent reports whether an urgent task depends on one of the changes: the
+// change is of an urgent task, or of a task that is preempted for one.
 func HasUrgent(changes []ledger.Change) bool {
 	return slices.ContainsFunc(changes, func(c ledger.Change) bool {
 		return c.Put != nil && (c.Put.Priority == model.PriorityUrgent || c.Put.Reason == ReasonPreempted)
--- a/core/scheduler/observe_test.go
+++ b/core/scheduler/observe_test.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// Symptom: an evicted task starts over, or counts one eviction twice.
-// Sequence: the agent reports the end with its checkpoint, and repeats it.
-// Cause: the report is taken again after the record was changed.
+// Guards against an evicted task that starts from scratch or whose eviction is
+// counted twice. The agent reports the end with the checkpoint and repeats the
+// report; the repeat must not be applied to the changed record.
 func TestEvictionResumesOnceFromItsCheckpoint(t *testing.T) {
 	task := ledger.Task{
 		Key: model.TaskKey{Workload: "j", Generation: 1}, State: ledger.Stopping, Resume: true,
@@ -84,9 +84,9 @@
 	}
 }
 
-// Symptom: a task is given up, or restarted, for what an earlier attempt did.
-// Sequence: a late report names an attempt that is not the ledger's.
-// Cause: reports are matched by task alone.
+// Guards against a task being given up or restarted because of an earlier
+// attempt. A late report names an attempt that is not the current one; it must
+// be matched by attempt and worker, not by task alone.
 func TestNewsOfAnotherAttemptIsIgnored(t *testing.T) {
 	for _, task := range []ledger.Task{
 		{State: ledger.Running, Attempt: 4, Worker: "w0"},
--- a/core/scheduler/place.go
+++ b/core/scheduler/place.go
@@ -11,7 +11,8 @@
 	"github.com/guavarill/guavarill/core/placement"
 )
 
-// placePending places the pending tasks whose time has come.
+// placePending places pending tasks whose NotBefore time has passed, at most
+// MaxStartsPerCycle of them.
 func (c *cycle) placePending() {
 	ready := c.readyTasks()
 	if len(ready) == 0 {
@@ -44,9 +45,9 @@
 	return ready
 }
 
-// sortFairly puts higher priorities first, and within one priority takes turns
-// among the teams, beginning with the team that holds least: a team that sends
-// a thousand tasks does not keep another's ten waiting behind them.
+// sortFairly sorts tasks by descending priority. Within a priority the teams
+// take turns, starting with the team that has the smallest dominant share, so
+// that a team's ten tasks do not wait for the thousand tasks of another team.
 func (c *cycle) sortFairly(ready []ledger.Task, usage teamUsage) {
 	type rank struct {
 		turn int
@@ -82,7 +83,8 @@
 	usage     teamUsage
 	started   int
 	preempted int
-	// shardRoom is what is left of Snapshot.ShardRoom; nil until needed.
+	// shardRoom is Snapshot.ShardRoom less the resources of the tasks handed
+	// off in this cycle. It is nil until the first task is handed off.
 	shardRoom map[model.ShardID]model.Resources
 }
 
@@ -110,9 +112,9 @@
 	p.assign(t, decision.Worker, size)
 }
 
-// neverFits reports at once a task that no worker of the cluster could hold.
-// It stays pending, since a larger worker may come; only the reason is
-// recorded.
+// neverFits reports whether a task is larger than every worker of the cluster,
+// and records that as the reason why it is pending. The task stays pending
+// because a larger worker may join.
 func (p *placementPass) neverFits(t ledger.Task, size model.Resources) bool {
 	err := placement.NeverFits(t.Key, size, p.snapshot.LargestCapacities)
 	if err == nil {
@@ -148,8 +150,10 @@
 	p.put(t)
 }
 
-// unplaceable deals with a task that finds no room. It is handed on only once
-// it has waited here for a cycle, which is what its recorded reason tells.
+// unplaceable handles a task that no worker of the shard can take now: it
+// preempts for an urgent task, hands the task off to another shard, or leaves
+// it pending with a reason. A task is handed off only if it was unplaceable
+// in an earlier cycle too, which shows in its recorded reason.
 func (p *placementPass) unplaceable(t ledger.Task, size model.Resources, err error) {
 	if t.Priority == model.PriorityUrgent && p.preempt(t, size) {
 		return
@@ -165,8 +169,9 @@
 	p.setPendingReason(t, size, "no worker can take it now")
 }
 
-// setPendingReason records why a task does not start. The record changes only with the
-// reason, so that a long queue behind a full shard costs no writes.
+// setPendingReason records why a task stays pending. It writes nothing if the
+// reason and the size are unchanged, so that a long queue in a full shard
+// causes no writes.
 func (p *placementPass) setPendingReason(t ledger.Task, size model.Resources, reason string) {
 	if t.Reason == reason && t.Size == size {
 		return
@@ -176,7 +181,8 @@
 	p.put(t)
 }
 
-// placementSnapshot describes the shard's workers to the placer.
+// placementSnapshot returns the shard's workers in the form that the placer
+// reads.
 func (c *cycle) placementSnapshot() *placement.Snapshot {
 	workers := make([]placement.Worker, 0, len(c.snapshot.Workers))
 	for i := range c.snapshot.Workers {
--- a/core/scheduler/preempt.go
+++ b/core/scheduler/preempt.go
@@ -6,9 +6,11 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// preempt makes room for urgent work by stopping the cheapest batch tasks of
-// lower priority on one worker. The urgent task itself stays pending: it is
-// first in order when the room comes free, once the stops are confirmed.
+// preempt stops the cheapest set of batch tasks of lower priority on one
+// worker to make room for an urgent task. The urgent task stays pending and is
+// placed first once the stops are confirmed and the room is free. preempt
+// returns false when the cycle's limit of preemptions is reached or no worker
+// can be made to hold the task.
 func (p *placementPass) preempt(t ledger.Task, size model.Resources) bool {
 	if p.preempted >= p.options.MaxPreemptionsPerCycle {
 		return false
@@ -56,7 +58,9 @@
 	return c
 }
 
-// EvictionTask describes a batch task of the ledger to the eviction policy.
+// EvictionTask converts a batch task of the ledger to the form that the
+// eviction policy reads. The task is taken to run at full speed and to be able
+// to write a checkpoint.
 func EvictionTask(t ledger.Task, longRunning, stopping bool) eviction.Task {
 	return eviction.Task{
 		Key:           t.Key,
--- a/core/scheduler/quota.go
+++ b/core/scheduler/quota.go
@@ -5,11 +5,14 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// teamUsage is what each team's tasks hold in this shard, and what they may.
+// teamUsage holds the committed resources and the quota of each team in this
+// shard.
 type teamUsage struct {
-	held   map[string]model.Resources
+	held map[string]model.Resources
+	// quotas has no entry for teams without a quota.
 	quotas map[string]model.Resources
-	total  model.Resources
+	// total is the capacity of the shard's workers.
+	total model.Resources
 }
 
 func (c *cycle) teamUsage() teamUsage {
@@ -32,9 +35,10 @@
 	return u
 }
 
-// shardQuota divides a team's quota over the shards, so that the sum over all
-// shards is the quota whatever each of them does at the same time: a shard
-// asks nobody before it starts a task. The remainder goes to the first shards.
+// shardQuota returns the part of a team's quota that belongs to one shard. A
+// shard starts tasks without asking the others, so the parts of all shards add
+// up to exactly the quota. The remainder of the division goes to the shards
+// with the lowest numbers.
 func shardQuota(team manifest.Team, shard model.ShardID, shards uint32) model.Resources {
 	return model.Resources{
 		MilliCPU:     divideOverShards(team.Quota.MilliCPU, shard, shards),
@@ -58,8 +62,8 @@
 	u.held[team] = u.held[team].Add(size)
 }
 
-// overQuota returns the dimension in which a further task of the given size
-// would pass the team's quota in this shard.
+// overQuota reports whether one more task of the given size would exceed the
+// team's quota in this shard, and in which dimension.
 func (u teamUsage) overQuota(s *Snapshot, team string, size model.Resources) (model.Dimension, bool) {
 	quota, limited := u.quotas[team]
 	if !limited {
@@ -68,8 +72,8 @@
 	return u.held[team].Add(size).Exceeds(quota)
 }
 
-// dominantShare is the largest part of the shard's capacity that a team holds
-// in any dimension.
+// dominantShare returns the largest fraction of the shard's capacity that a
+// team holds in any dimension.
 func (u teamUsage) dominantShare(team string) float64 {
 	held := u.held[team]
 	return max(
--- a/core/scheduler/replace.go
+++ b/core/scheduler/replace.go
@@ -7,28 +7,33 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// replaceServices stops the instances of a service's older generation as those
-// of the newer one come to answer: in this shard, no more old instances go on
-// than are still missing of the new one. When the new ones find no room, one
-// old instance at a time makes way.
+// replaceServices stops the instances of a service's old generation as
+// instances of the new generation start running. In this shard, the number of
+// old instances that keep running is at most the number of new instances that
+// do not run yet. If new instances are pending for lack of room, one old
+// instance at a time is stopped to free some.
 //
-// Without this, a changed declaration would stop all instances of a service at
-// once, and its callers would be told `not run` until the new ones are up.
+// Otherwise a changed declaration would stop all instances of a service at
+// once, and callers would get `not run` until the new ones are up.
 func (c *cycle) replaceServices() {
 	for _, r := range c.replacements() {
 		c.replace(r)
 	}
 }
 
-// replacement is one service of which the shard holds instances of an older
-// generation.
+// replacement is a service that still has instances of an old generation in
+// this shard.
 type replacement struct {
 	workload string
+	// old holds the instances of old generations that are not being stopped,
+	// and stopping counts those that are.
 	old      []ledger.Task
 	stopping int
-	desired  int
-	running  int
-	pending  int
+	// desired counts the unfinished instances of the new generation. Of
+	// these, running and pending are in the states of those names.
+	desired int
+	running int
+	pending int
 }
 
 func (c *cycle) replacements() []*replacement {
@@ -105,9 +110,10 @@
 	}
 }
 
-// drainLeavingWorkers moves tasks away from workers that are about to be taken away.
-// A service's instance leaves a worker as soon as that is known, since entries
-// send it nothing new from then on anyway.
+// drainLeavingWorkers stops the tasks on workers that are about to be removed,
+// so that they start on other workers. Instances of services are stopped right
+// away too: entries stop sending new requests to an instance as soon as its
+// worker is known to leave.
 func (c *cycle) drainLeavingWorkers() {
 	for i := range c.snapshot.Workers {
 		w := &c.snapshot.Workers[i]
--- a/core/scheduler/scheduler_capacity_test.go
+++ b/core/scheduler/scheduler_capacity_test.go
@@ -18,16 +18,17 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// One shard of a cluster with 2,000 workloads, 220 teams and 220 shards.
+// The benchmarks use one shard of a cluster with 2,000 workloads, 220 teams
+// and 220 shards.
 const (
 	capacityShards  = 220
 	capacityWorkers = 16
-	// capacityFilled is how many of the 2,000 workloads have a task here, which
-	// runs.
+	// capacityFilled is the number of workloads, out of 2,000, that have a
+	// running task in the shard.
 	capacityFilled = 214
 )
 
-// capacityShard is a shard with the tasks of a configuration placed.
+// capacityShard is the shard under test, with an in-memory ledger.
 type capacityShard struct {
 	now      time.Time
 	ledger   *ledger.Ledger
@@ -35,8 +36,9 @@
 	workers  map[model.WorkerID]model.Resources
 }
 
-// capacityManifest declares 2,000 workloads, of which each task of the first
-// filled ones is in shard 0; tasks is how many each of those has there.
+// capacityManifest declares 2,000 workloads. The first filled of them have
+// the given number of tasks in each shard; the others have one task in the
+// whole cluster.
 func capacityManifest(filled, tasks int) *manifest.Manifest {
 	m := &manifest.Manifest{Cluster: "c"}
 	for i := range 220 {
@@ -87,7 +89,8 @@
 	return s
 }
 
-// step answers the ledger's calls as a store that makes every change.
+// step passes an event to the ledger and answers its commands like a store on
+// which every transaction succeeds.
 func (s *capacityShard) step(ev ledger.Event) {
 	queue := []ledger.Event{ev}
 	for len(queue) > 0 {
@@ -105,7 +108,8 @@
 	}
 }
 
-// cycle decides and applies once, and returns how many changes were taken.
+// cycle runs one scheduling cycle, applies its plan, and returns the number of
+// accepted changes.
 func (s *capacityShard) cycle() int {
 	s.now = s.now.Add(time.Second)
 	s.snapshot.Now = s.now
@@ -127,8 +131,9 @@
 	}
 }
 
-// BenchmarkCapacityCycle is one scheduling cycle of a shard in which 214 tasks
-// run: with nothing to do, and after a change of configuration elsewhere.
+// BenchmarkCapacityCycle measures one scheduling cycle of a shard with 214
+// running tasks, with nothing to do and after a configuration change that does
+// not concern the shard.
 func BenchmarkCapacityCycle(b *testing.B) {
 	for _, name := range []string{"idle", "changed"} {
 		b.Run(name, func(b *testing.B) {
@@ -148,9 +153,9 @@
 	}
 }
 
-// BenchmarkCapacityPlace is the placing of 400 pending tasks in one cycle, plan
-// and commit included, in a shard of 16 workers. The cycle before, that makes
-// them pending, is left out.
+// BenchmarkCapacityPlace measures placing 400 pending tasks in one cycle in a
+// shard of 16 workers, including the plan and the commit. The preceding cycle,
+// which creates the pending tasks, is not measured.
 func BenchmarkCapacityPlace(b *testing.B) {
 	const tasks = 400
 	spent := time.Duration(0)
--- a/core/scheduler/snapshot.go
+++ b/core/scheduler/snapshot.go
@@ -11,23 +11,25 @@
 	"github.com/guavarill/guavarill/core/placement"
 )
 
-// Options are the scheduler's fixed settings.
+// Options are the settings of the scheduler.
 type Options struct {
-	// DrainDelay is how long entries may take to stop sending to an instance
-	// after its stop was committed.
+	// DrainDelay is the longest time that entries take to stop sending
+	// requests to an instance after its stop was committed.
 	DrainDelay time.Duration
-	// RequestTimeout is how long a request may take when its service declares
-	// no timeout, and MaxDrain the longest that is waited for.
+	// RequestTimeout is the longest time that a request takes if its service
+	// declares no timeout. MaxDrain limits how long the requests of a stopping
+	// instance are waited for.
 	RequestTimeout time.Duration
 	MaxDrain       time.Duration
-	// MaxStartsPerCycle bounds the placements of one cycle, and so the time
-	// it takes and the size of its commit.
+	// MaxStartsPerCycle limits the placements of one cycle, and with them the
+	// duration of the cycle and the size of its commit.
 	MaxStartsPerCycle int
-	// MaxPreemptionsPerCycle bounds the victims of one cycle.
+	// MaxPreemptionsPerCycle limits the tasks preempted in one cycle. It is
+	// checked before each urgent task, so the last one may exceed it.
 	MaxPreemptionsPerCycle int
 }
 
-// DefaultOptions suit shards of some tens of workers.
+// DefaultOptions returns settings for shards of some tens of workers.
 func DefaultOptions() Options {
 	return Options{
 		DrainDelay:             3 * time.Second,
@@ -38,48 +40,53 @@
 	}
 }
 
-// Worker is what a cycle knows of one worker of the shard.
+// Worker is the state of one worker of the shard.
 type Worker struct {
 	VM          model.VM
 	Leaving     bool
 	Unreachable bool
 	Quarantined bool
-	// Load is the worker's measured use of its processors, 0 to 1.
+	// Load is the measured utilization of the worker's processors, from 0 to
+	// 1.
 	Load float64
 }
 
-// Snapshot is everything that a cycle decides on.
+// Snapshot is the complete input of a scheduling cycle.
 type Snapshot struct {
 	Now   time.Time
 	Shard model.ShardID
-	// Shards is how many shards the cluster has.
+	// Shards is the number of shards of the cluster.
 	Shards uint32
 	Config *config.Accepted
 	// Synced is the configuration revision whose tasks the ledger already
-	// holds completely; the comparison is passed over while it is Config's.
+	// holds completely. The ledger is compared with the configuration only
+	// when Synced is not the revision of Config.
 	Synced model.Revision
-	// Ledger is the effective contents: committed and assumed.
+	// Ledger is the effective contents of the ledger: committed changes and
+	// changes whose commit is in flight.
 	Ledger Ledger
 	// Workers are the shard's workers, ordered by VM id.
 	Workers []Worker
-	// LargestCapacities are the capacities of the cluster's largest workers: a task
-	// that fits none of them can never run.
+	// LargestCapacities are the capacities of the largest workers of the
+	// cluster. A task that fits none of them cannot run.
 	LargestCapacities []model.Resources
-	// ShardRoom is the free room of other shards as far as their owners told.
+	// ShardRoom is the free room of the other shards whose owners reported it.
 	ShardRoom map[model.ShardID]model.Resources
-	// CommitSize returns the size to commit for a workload's next task.
+	// CommitSize returns the resources to commit for the next task of a
+	// workload.
 	CommitSize func(workload string, declared model.Resources) model.Resources
-	// Predictor tells how much tasks slow each other; nil predicts nothing.
+	// Predictor predicts how much tasks slow each other down. Nil predicts no
+	// slowdown.
 	Predictor placement.Predictor
-	// Costs weighs the tasks that urgent work may displace.
+	// Costs are the weights by which tasks to preempt are chosen.
 	Costs eviction.Costs
-	// Placer decides where a task goes.
+	// Placer chooses the worker for a task.
 	Placer *placement.Placer
-	// Random is a number for this cycle's random choices.
+	// Random is the random number of this cycle.
 	Random uint64
 }
 
-// Ledger is the part of a ledger's contents that a cycle reads.
+// Ledger is the part of a ledger's contents that the scheduler reads.
 type Ledger interface {
 	Task(model.TaskKey) (ledger.Task, bool)
 	Tasks() iter.Seq[ledger.Task]
--- a/core/scheduler/sync.go
+++ b/core/scheduler/sync.go
@@ -15,8 +15,8 @@
 	ReasonPreempted = "preempted by urgent work"
 )
 
-// createMissing makes pending records for the tasks that the configuration
-// deals to this shard and the ledger has never seen.
+// createMissing adds a pending record for each task that the configuration
+// assigns to this shard and that has no record in the ledger.
 func (c *cycle) createMissing() {
 	for _, name := range c.snapshot.Config.Names() {
 		w := c.snapshot.Config.Workloads[name]
@@ -46,11 +46,11 @@
 	}
 }
 
-// retireObsolete ends the tasks whose generation is not in force any more, and
-// drops the records of those that are over and no longer declared.
+// retireObsolete stops tasks whose generation is no longer in force, and
+// removes the records of final and moved tasks that are no longer declared.
 //
-// Services are left to replaceServices while a newer generation is declared,
-// since they go on until their successors answer.
+// It leaves running instances of services that have a newer generation to
+// replaceServices, because they must serve until the new instances run.
 func (c *cycle) retireObsolete() {
 	for t := range c.snapshot.Ledger.Tasks() {
 		if c.touched[t.Key] {
