--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -90,8 +90,8 @@
 	return r
 }
 
-// benchChoose ends the oldest task and places a new one, b.N times.
-func benchChoose(b *testing.B, n int, share float64, choose chooser) {
+// benchmarkChooser ends the oldest task and places a new one, b.N times.
+func benchmarkChooser(b *testing.B, n int, share float64, choose chooser) {
 	s, tasks, where := benchSnapshot(n, share)
 	rnd := rand.New(rand.NewPCG(9, 9))
 	next := make([]*Request, 4096)
@@ -133,7 +133,7 @@
 			}
 			for _, name := range []string{"default", "first fit", "random"} {
 				b.Run(fmt.Sprintf("%s/full=%.0f%%/workers=%d", name, 100*share, n), func(b *testing.B) {
-					benchChoose(b, n, share, choosers[name])
+					benchmarkChooser(b, n, share, choosers[name])
 				})
 			}
 		}
--- a/core/placement/filter_room_test.go
+++ b/core/placement/filter_room_test.go
@@ -5,7 +5,7 @@
 // Symptom: a worker is committed beyond one of its dimensions. Cause: a filter
 // that compares only some of them.
 func TestRoomFilterChecksEveryDimension(t *testing.T) {
-	s, w := first(fleet(1, 1, 1, res(1000, 1000, 1))...)
+	s, w := newSnapshotOf(fleet(1, 1, 1, res(1000, 1000, 1))...)
 	cases := map[string]struct {
 		cpu, memory, accelerators int64
 		want                      bool
--- a/core/placement/filter_spread.go
+++ b/core/placement/filter_spread.go
@@ -33,14 +33,14 @@
 	}
 	switch r.Spread {
 	case SpreadZone:
-		return f.even(countAt(c.zones, w.zone), instances(r, c), s.zones.inUse)
+		return f.withinEvenShare(countAt(c.zones, w.zone), expectedInstances(r, c), s.zones.inUse)
 	case SpreadRack:
-		return f.even(countAt(c.racks, w.rack), instances(r, c), s.racks.inUse)
+		return f.withinEvenShare(countAt(c.racks, w.rack), expectedInstances(r, c), s.racks.inUse)
 	}
 	return true
 }
 
-func (f SpreadFilter) even(held, n, places int) bool {
+func (f SpreadFilter) withinEvenShare(held, n, places int) bool {
 	if places <= 1 {
 		return true
 	}
--- a/core/placement/filter_survive.go
+++ b/core/placement/filter_survive.go
@@ -32,20 +32,20 @@
 	if !ok {
 		return true
 	}
-	n := instances(r, c)
-	own := s.effects.profile(r.Class, r.Workload, true)
-	return below(countAt(c.zones, w.zone), n, f.Zone, s.zones.inUse) &&
-		below(countAt(c.racks, w.rack), n, f.Rack, s.racks.inUse) &&
-		below(w.instancesOf(own), n, f.Worker, len(s.eligible))
+	n := expectedInstances(r, c)
+	own := s.predictions.profile(r.Class, r.Workload, true)
+	return withinShare(countAt(c.zones, w.zone), n, f.Zone, s.zones.inUse) &&
+		withinShare(countAt(c.racks, w.rack), n, f.Rack, s.racks.inUse) &&
+		withinShare(w.instancesOf(own), n, f.Worker, len(s.eligible))
 }
 
-// instances returns how many instances the shares are of.
-func instances(r *Request, c *spreadCount) int { return max(r.Instances, c.total+1) }
+// expectedInstances returns how many expectedInstances the shares are of.
+func expectedInstances(r *Request, c *spreadCount) int { return max(r.Instances, c.total+1) }
 
-// below reports whether one more instance keeps a place within its share. A
+// withinShare reports whether one more instance keeps a place within its share. A
 // share too small for the number of places there are is widened to an even
 // one: two racks cannot each hold less than half.
-func below(held, n int, share float64, places int) bool {
+func withinShare(held, n int, share float64, places int) bool {
 	if places <= 1 {
 		return true
 	}
--- a/core/placement/filter_survive_test.go
+++ b/core/placement/filter_survive_test.go
@@ -58,7 +58,7 @@
 	if !ok {
 		return 0
 	}
-	held := countAt(c.zones, w.zone)*10_000 + countAt(c.racks, w.rack)*100 + w.instancesOf(s.effects.profile(r.Class, r.Workload, true))
+	held := countAt(c.zones, w.zone)*10_000 + countAt(c.racks, w.rack)*100 + w.instancesOf(s.predictions.profile(r.Class, r.Workload, true))
 	return float64(held) / 1e6
 }
 
--- a/core/placement/helpers_test.go
+++ b/core/placement/helpers_test.go
@@ -49,8 +49,8 @@
 
 func (fixedEffects) Version() uint64 { return 0 }
 
-// first returns the worker of a snapshot made of the given ones.
-func first(workers ...Worker) (*Snapshot, *Worker) {
+// newSnapshotOf returns the worker of a snapshot made of the given ones.
+func newSnapshotOf(workers ...Worker) (*Snapshot, *Worker) {
 	s := NewSnapshot(workers, nil)
 	return s, s.workers[0]
 }
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -93,27 +93,27 @@
 	if never := NeverFits(r.Key, r.Size, s.shapes.capacities()); never != nil {
 		return Decision{}, never
 	}
-	s.effects.refresh()
-	if known, ok := s.refused.find(r.Size); ok {
+	s.predictions.refresh()
+	if known, ok := s.rejected.find(r.Size); ok {
 		again := *known
 		again.Key = r.Key
 		return Decision{}, &again
 	}
-	p.draw(s, r)
+	p.sampleCandidates(s, r)
 	if len(p.candidates) > 0 {
 		return p.best(s, r, nil), nil
 	}
-	return p.placeAnywhere(s, r)
+	return p.searchAll(s, r)
 }
 
-// draw gathers candidates that pass every filter: the tightest fits first,
+// sampleCandidates gathers candidates that pass every filter: the tightest fits first,
 // then random ones. Looking into a cell stops after a few workers so that a
 // crowded cell costs no more than a sparse one.
-func (p *Placer) draw(s *Snapshot, r *Request) {
+func (p *Placer) sampleCandidates(s *Snapshot, r *Request) {
 	p.candidates = p.candidates[:0]
 	looks := 4 * p.options.TightCandidates
 	s.grid.visit(r.Size, func(slots []int32) bool {
-		p.lookInto(s, r, slots, &looks)
+		p.tryCell(s, r, slots, &looks)
 		return len(p.candidates) < p.options.TightCandidates && looks > 0
 	})
 	if len(s.eligible) == 0 {
@@ -121,35 +121,35 @@
 	}
 	for range p.options.RandomCandidates {
 		slot := s.eligible[p.random.IntN(len(s.eligible))]
-		p.consider(s, r, s.workers[slot])
+		p.addCandidate(s, r, s.workers[slot])
 	}
 }
 
-// looksPerCell is how many workers of one cell are tried for a tight fit.
-const looksPerCell = 2
+// triesPerCell is how many workers of one cell are tried for a tight fit.
+const triesPerCell = 2
 
-func (p *Placer) lookInto(s *Snapshot, r *Request, slots []int32, looks *int) {
+func (p *Placer) tryCell(s *Snapshot, r *Request, slots []int32, looks *int) {
 	start := p.random.IntN(len(slots))
-	for i := range min(looksPerCell, len(slots), *looks) {
+	for i := range min(triesPerCell, len(slots), *looks) {
 		*looks--
-		p.consider(s, r, s.workers[slots[(start+i)%len(slots)]])
+		p.addCandidate(s, r, s.workers[slots[(start+i)%len(slots)]])
 	}
 }
 
-func (p *Placer) consider(s *Snapshot, r *Request, w *Worker) {
+func (p *Placer) addCandidate(s *Snapshot, r *Request, w *Worker) {
 	for _, c := range p.candidates {
 		if c == w {
 			return
 		}
 	}
-	if p.rejects(s, r, w, 0) == nil {
+	if p.rejectedBy(s, r, w, 0) == nil {
 		p.candidates = append(p.candidates, w)
 	}
 }
 
-// rejects returns the first filter that rejects a worker, passing over the
+// rejectedBy returns the first filter that rejectedBy a worker, passing over the
 // first relaxed soft filters.
-func (p *Placer) rejects(s *Snapshot, r *Request, w *Worker, relaxed int) Filter {
+func (p *Placer) rejectedBy(s *Snapshot, r *Request, w *Worker, relaxed int) Filter {
 	for _, f := range p.filters {
 		if _, soft := f.(SoftFilter); soft && relaxed > 0 {
 			relaxed--
@@ -162,16 +162,16 @@
 	return nil
 }
 
-// placeAnywhere examines every worker that may have room, giving up the soft
+// searchAll examines every worker that may have room, giving up the soft
 // filters one after the other.
-func (p *Placer) placeAnywhere(s *Snapshot, r *Request) (Decision, error) {
+func (p *Placer) searchAll(s *Snapshot, r *Request) (Decision, error) {
 	var names []string
 	for relaxed := 0; ; relaxed++ {
-		p.gather(s, r, relaxed)
+		p.scanAll(s, r, relaxed)
 		if len(p.candidates) > 0 {
 			return p.best(s, r, names), nil
 		}
-		name, ok := p.softName(relaxed)
+		name, ok := p.softFilterName(relaxed)
 		if !ok {
 			return Decision{}, p.unplaceable(s, r)
 		}
@@ -179,8 +179,8 @@
 	}
 }
 
-// softName returns the name of the n-th soft filter.
-func (p *Placer) softName(n int) (string, bool) {
+// softFilterName returns the name of the n-th soft filter.
+func (p *Placer) softFilterName(n int) (string, bool) {
 	for _, f := range p.filters {
 		if _, soft := f.(SoftFilter); !soft {
 			continue
@@ -193,12 +193,12 @@
 	return "", false
 }
 
-func (p *Placer) gather(s *Snapshot, r *Request, relaxed int) {
+func (p *Placer) scanAll(s *Snapshot, r *Request, relaxed int) {
 	p.candidates = p.candidates[:0]
 	enough := p.options.TightCandidates + p.options.RandomCandidates
 	s.grid.visit(r.Size, func(slots []int32) bool {
 		for _, slot := range slots {
-			if p.rejects(s, r, s.workers[slot], relaxed) == nil {
+			if p.rejectedBy(s, r, s.workers[slot], relaxed) == nil {
 				p.candidates = append(p.candidates, s.workers[slot])
 			}
 			if len(p.candidates) == enough {
@@ -238,7 +238,7 @@
 	lacking := make(map[model.Dimension]int)
 	general := true
 	for _, w := range s.workers {
-		f := p.rejects(s, r, w, len(p.filters))
+		f := p.rejectedBy(s, r, w, len(p.filters))
 		if f == nil {
 			continue
 		}
@@ -252,14 +252,14 @@
 			general = false
 		}
 	}
-	err.Dimension = mostLacking(lacking)
+	err.Dimension = scarcestDimension(lacking)
 	if general {
-		s.refused.add(r.Size, err)
+		s.rejected.add(r.Size, err)
 	}
 	return err
 }
 
-func mostLacking(counts map[model.Dimension]int) model.Dimension {
+func scarcestDimension(counts map[model.Dimension]int) model.Dimension {
 	var most model.Dimension
 	for _, d := range []model.Dimension{model.DimensionCPU, model.DimensionMemory, model.DimensionAccelerators} {
 		if counts[d] > counts[most] {
--- a/core/placement/prediction.go
+++ b/core/placement/prediction.go
@@ -28,15 +28,15 @@
 // decision asks for dozens of pairs, and hashing their names for each would be
 // most of its cost.
 type predictions struct {
-	source     Predictor
-	version    uint64
-	age        int
-	caution    float64
-	classes    map[string]classID
-	classNames []string
-	profiles   map[profile]profileID
-	named      []profile
-	rows       [][]cachedEffect
+	source      Predictor
+	version     uint64
+	staleUses   int
+	caution     float64
+	classes     map[string]classID
+	classNames  []string
+	profiles    map[profile]profileID
+	profileKeys []profile
+	cache       [][]cachedEffect
 }
 
 type cachedEffect struct {
@@ -59,7 +59,7 @@
 		id = classID(len(p.classNames))
 		p.classes[name] = id
 		p.classNames = append(p.classNames, name)
-		p.rows = append(p.rows, nil)
+		p.cache = append(p.cache, nil)
 	}
 	return id
 }
@@ -68,30 +68,30 @@
 	key := profile{class, workload, service}
 	id, ok := p.profiles[key]
 	if !ok {
-		id = profileID(len(p.named))
+		id = profileID(len(p.profileKeys))
 		p.profiles[key] = id
-		p.named = append(p.named, key)
+		p.profileKeys = append(p.profileKeys, key)
 	}
 	return id
 }
 
-// refreshAfter is how many decisions may use what was kept although the
+// maxStaleUses is how many decisions may use what was kept although the
 // predictor has learned since. Reports arrive all the time, and no single one
 // changes a prediction much.
-const refreshAfter = 64
+const maxStaleUses = 64
 
 // refresh forgets what was kept once the predictor has learned.
 func (p *predictions) refresh() {
 	if p.source == nil || p.source.Version() == p.version {
 		return
 	}
-	p.age++
-	if p.age < refreshAfter {
+	p.staleUses++
+	if p.staleUses < maxStaleUses {
 		return
 	}
-	p.age = 0
+	p.staleUses = 0
 	p.version = p.source.Version()
-	for _, row := range p.rows {
+	for _, row := range p.cache {
 		clear(row)
 	}
 }
@@ -104,24 +104,24 @@
 	}
 	bucket := interference.LoadBucket(load)
 	at := int(aggressor)*interference.NumLoadBuckets + bucket
-	row := p.rows[victim]
+	row := p.cache[victim]
 	if at >= len(row) {
-		grown := make([]cachedEffect, 2*len(p.named)*interference.NumLoadBuckets)
+		grown := make([]cachedEffect, 2*len(p.profileKeys)*interference.NumLoadBuckets)
 		copy(grown, row)
-		p.rows[victim] = grown
+		p.cache[victim] = grown
 		row = grown
 	}
 	if !row[at].known {
-		row[at] = cachedEffect{known: true, effect: float32(p.ask(victim, aggressor, load))}
+		row[at] = cachedEffect{known: true, effect: float32(p.predict(victim, aggressor, load))}
 	}
 	return float64(row[at].effect)
 }
 
-// ask is cautious about batch aggressors only. Services are what batch is kept
+// predict is cautious about batch aggressors only. Services are what batch is kept
 // away from: one next to another is given the benefit of the doubt until it is
 // known to harm, or every service would claim a worker of its own.
-func (p *predictions) ask(victim classID, aggressor profileID, load float64) float64 {
-	who := p.named[aggressor]
+func (p *predictions) predict(victim classID, aggressor profileID, load float64) float64 {
+	who := p.profileKeys[aggressor]
 	estimate := p.source.PredictWorkload(p.classNames[victim], who.class, who.workload, load)
 	if who.service {
 		return estimate.Upper(-p.caution)
--- a/core/placement/refusals.go
+++ b/core/placement/refusals.go
@@ -2,24 +2,24 @@
 
 import "github.com/guavarill/guavarill/core/model"
 
-// maxRefusals bounds how many sizes are remembered.
-const maxRefusals = 16
+// maxRejectedSizes bounds how many sizes are remembered.
+const maxRejectedSizes = 16
 
-// refusals remembers sizes that no eligible worker had room for. Nothing
+// rejectedSizes remembers sizes that no eligible worker had room for. Nothing
 // larger fits either until a worker gains room. Without it each waiting task
 // behind a full cluster would have every worker examined on every cycle.
-type refusals struct {
-	list []refusal
+type rejectedSizes struct {
+	list []rejectedSize
 }
 
-type refusal struct {
+type rejectedSize struct {
 	size model.Resources
 	err  *UnplaceableError
 }
 
-func (r *refusals) reset() { r.list = r.list[:0] }
+func (r *rejectedSizes) reset() { r.list = r.list[:0] }
 
-func (r *refusals) find(size model.Resources) (*UnplaceableError, bool) {
+func (r *rejectedSizes) find(size model.Resources) (*UnplaceableError, bool) {
 	for i := range r.list {
 		if r.list[i].size.Fits(size) {
 			return r.list[i].err, true
@@ -28,8 +28,8 @@
 	return nil, false
 }
 
-func (r *refusals) add(size model.Resources, err *UnplaceableError) {
-	if len(r.list) < maxRefusals {
-		r.list = append(r.list, refusal{size, err})
+func (r *rejectedSizes) add(size model.Resources, err *UnplaceableError) {
+	if len(r.list) < maxRejectedSizes {
+		r.list = append(r.list, rejectedSize{size, err})
 	}
 }
--- a/core/placement/score_history.go
+++ b/core/placement/score_history.go
@@ -15,8 +15,8 @@
 // Weight implements Score.
 func (c HistoryScore) Weight() float64 { return c.W }
 
-// evictionsToFear is how many evictions make a task avoid load altogether.
-const evictionsToFear = 3
+// fullAvoidanceEvictions is how many evictions make a task avoid load altogether.
+const fullAvoidanceEvictions = 3
 
 // Score implements Score.
 func (HistoryScore) Score(_ *Snapshot, r *Request, w *Worker) float64 {
@@ -29,6 +29,6 @@
 	if r.LastWorker == w.VM.ID {
 		return 0
 	}
-	fear := min(1, float64(r.Evictions)/evictionsToFear)
+	fear := min(1, float64(r.Evictions)/fullAvoidanceEvictions)
 	return 1 - fear*min(1, w.Load)
 }
--- a/core/placement/score_packing.go
+++ b/core/placement/score_packing.go
@@ -14,14 +14,14 @@
 
 // Score implements Score.
 func (PackingScore) Score(_ *Snapshot, r *Request, w *Worker) float64 {
-	cpu := filled(w.Committed.MilliCPU+r.Size.MilliCPU, w.VM.Capacity.MilliCPU)
-	memory := filled(w.Committed.MemoryMB+r.Size.MemoryMB, w.VM.Capacity.MemoryMB)
+	cpu := utilization(w.Committed.MilliCPU+r.Size.MilliCPU, w.VM.Capacity.MilliCPU)
+	memory := utilization(w.Committed.MemoryMB+r.Size.MemoryMB, w.VM.Capacity.MemoryMB)
 	// A worker full in one dimension and empty in the other is stranded:
 	// the difference counts against it.
 	return (cpu+memory)/2 - absolute(cpu-memory)/4
 }
 
-func filled(used, capacity int64) float64 {
+func utilization(used, capacity int64) float64 {
 	if capacity <= 0 {
 		return 0
 	}
--- a/core/placement/score_separation.go
+++ b/core/placement/score_separation.go
@@ -6,13 +6,13 @@
 // which loud tasks would harm nobody either.
 type SeparationScore struct {
 	W float64
-	// NoisyEffect is the predicted effect on a service from which a task counts as
+	// NoisyIntensity is the predicted effect on a service from which a task counts as
 	// altogether loud.
-	NoisyEffect float64
+	NoisyIntensity float64
 }
 
 // DefaultSeparationScore is the weighting that the policy measurements use.
-func DefaultSeparationScore() SeparationScore { return SeparationScore{W: 2, NoisyEffect: 0.15} }
+func DefaultSeparationScore() SeparationScore { return SeparationScore{W: 2, NoisyIntensity: 0.15} }
 
 // Name implements Score.
 func (SeparationScore) Name() string { return "separation" }
@@ -25,7 +25,7 @@
 	if r.Service {
 		return 1
 	}
-	loud := min(1, s.loudness(r, w.Load)/c.NoisyEffect)
+	loud := min(1, s.intensity(r, w.Load)/c.NoisyIntensity)
 	for _, g := range w.residents {
 		if g.service {
 			return 1 - loud
@@ -34,13 +34,13 @@
 	return loud
 }
 
-// loudness returns the largest predicted effect of a task on any class of
+// intensity returns the largest predicted effect of a task on any class of
 // service.
-func (s *Snapshot) loudness(r *Request, load float64) float64 {
-	own := s.effects.profile(r.Class, r.Workload, r.Service)
+func (s *Snapshot) intensity(r *Request, load float64) float64 {
+	own := s.predictions.profile(r.Class, r.Workload, r.Service)
 	worst := 0.0
 	for _, class := range s.services {
-		worst = max(worst, s.effects.effect(class, own, load))
+		worst = max(worst, s.predictions.effect(class, own, load))
 	}
 	return worst
 }
--- a/core/placement/score_slowdown.go
+++ b/core/placement/score_slowdown.go
@@ -26,14 +26,14 @@
 
 // Score implements Score.
 func (c SlowdownScore) Score(s *Snapshot, r *Request, w *Worker) float64 {
-	class := s.effects.class(r.Class)
-	own := s.effects.profile(r.Class, r.Workload, r.Service)
+	class := s.predictions.class(r.Class)
+	own := s.predictions.profile(r.Class, r.Workload, r.Service)
 	load := w.Load
 	harm := 0.0
 	suffered := 0.0
 	for _, victim := range w.residents {
-		suffered += s.effects.effect(class, victim.profile, load) * float64(victim.count)
-		added := s.effects.effect(victim.class, own, load)
+		suffered += s.predictions.effect(class, victim.profile, load) * float64(victim.count)
+		added := s.predictions.effect(victim.class, own, load)
 		if added == 0 {
 			continue
 		}
@@ -64,7 +64,7 @@
 		if other.profile == victim.profile && other.service == victim.service {
 			count--
 		}
-		sum += s.effects.effect(victim.class, other.profile, load) * float64(count)
+		sum += s.predictions.effect(victim.class, other.profile, load) * float64(count)
 	}
 	return sum
 }
--- a/core/placement/score_spread.go
+++ b/core/placement/score_spread.go
@@ -23,7 +23,7 @@
 	if !ok {
 		return 1
 	}
-	n := float64(instances(r, c))
+	n := float64(expectedInstances(r, c))
 	zone := crowding(countAt(c.zones, w.zone), n, s.zones.inUse)
 	rack := crowding(countAt(c.racks, w.rack), n, s.racks.inUse)
 	return 1 - (zone+rack)/2
--- a/core/placement/shapes.go
+++ b/core/placement/shapes.go
@@ -46,7 +46,7 @@
 		if size.Fits(capacity) {
 			return nil
 		}
-		ratio := overRatio(size, capacity)
+		ratio := excessRatio(size, capacity)
 		if best < 0 || ratio < bestRatio || (ratio == bestRatio && larger(capacity, capacities[best])) {
 			best, bestRatio = i, ratio
 		}
@@ -72,20 +72,20 @@
 	return a.Accelerators > b.Accelerators
 }
 
-// absent stands for the ratio to a capacity that is zero.
-const absent = 1e9
+// zeroCapacityRatio stands for the ratio to a capacity that is zero.
+const zeroCapacityRatio = 1e9
 
 func dimensionRatio(size, capacity int64) float64 {
 	if size <= capacity {
 		return 0
 	}
 	if capacity <= 0 {
-		return absent
+		return zeroCapacityRatio
 	}
 	return float64(size) / float64(capacity)
 }
 
-func overRatio(size, capacity model.Resources) float64 {
+func excessRatio(size, capacity model.Resources) float64 {
 	return max(
 		dimensionRatio(size.MilliCPU, capacity.MilliCPU),
 		dimensionRatio(size.MemoryMB, capacity.MemoryMB),
--- a/core/placement/snapshot.go
+++ b/core/placement/snapshot.go
@@ -19,25 +19,25 @@
 	grid     *grid
 	position []int32
 	shapes   shapes
-	zones    *places
-	racks    *places
+	zones    *domains
+	racks    *domains
 	spread   map[string]*spreadCount
 	// services are the classes of service seen, in order of appearance.
-	services []classID
-	effects  *predictions
-	refused  refusals
+	services    []classID
+	predictions *predictions
+	rejected    rejectedSizes
 }
 
 // NewSnapshot indexes workers. The predictor may be nil: every slowdown is
 // then predicted as none.
 func NewSnapshot(workers []Worker, predictor Predictor) *Snapshot {
 	s := &Snapshot{
-		bySlot:  make(map[model.WorkerID]int, len(workers)),
-		grid:    new(grid),
-		zones:   newPlaces(),
-		racks:   newPlaces(),
-		spread:  make(map[string]*spreadCount),
-		effects: newPredictions(predictor, CautionStd),
+		bySlot:      make(map[model.WorkerID]int, len(workers)),
+		grid:        new(grid),
+		zones:       newDomains(),
+		racks:       newDomains(),
+		spread:      make(map[string]*spreadCount),
+		predictions: newPredictions(predictor, CautionStd),
 	}
 	for _, w := range workers {
 		s.Put(w)
@@ -74,10 +74,10 @@
 	s.bySlot[w.VM.ID] = own.slot
 	s.shapes.add(w.VM.Capacity, 1)
 	for i := range own.Tasks {
-		s.count(&own, &own.Tasks[i], 1)
+		s.countResident(&own, &own.Tasks[i], 1)
 	}
-	s.enter(&own)
-	s.refused.reset()
+	s.addEligible(&own)
+	s.rejected.reset()
 }
 
 // Remove forgets a worker.
@@ -87,9 +87,9 @@
 		return
 	}
 	w := s.workers[slot]
-	s.leave(w)
+	s.removeEligible(w)
 	for i := range w.Tasks {
-		s.count(w, &w.Tasks[i], -1)
+		s.countResident(w, &w.Tasks[i], -1)
 	}
 	s.shapes.add(w.VM.Capacity, -1)
 	delete(s.bySlot, id)
@@ -103,13 +103,13 @@
 		moved := s.workers[last]
 		eligible := moved.eligibleAt >= 0
 		if eligible {
-			s.leave(moved)
+			s.removeEligible(moved)
 		}
 		moved.slot = slot
 		s.workers[slot] = moved
 		s.bySlot[moved.VM.ID] = slot
 		if eligible {
-			s.enter(moved)
+			s.addEligible(moved)
 		}
 	}
 	s.workers[last] = nil
@@ -138,13 +138,13 @@
 		Priority: r.Priority,
 		Size:     r.Size,
 	})
-	s.count(w, &w.Tasks[len(w.Tasks)-1], 1)
-	s.take(w, r.Size)
+	s.countResident(w, &w.Tasks[len(w.Tasks)-1], 1)
+	s.adjustCommitted(w, r.Size)
 	return true
 }
 
-// resident finds a task on a worker: the worker, and the task's index there.
-func (s *Snapshot) resident(key model.TaskKey, id model.WorkerID) (*Worker, int, bool) {
+// findTask finds a task on a worker: the worker, and the task's index there.
+func (s *Snapshot) findTask(key model.TaskKey, id model.WorkerID) (*Worker, int, bool) {
 	w, ok := s.Worker(id)
 	if !ok {
 		return nil, 0, false
@@ -156,15 +156,15 @@
 // Release gives back the room of a task that is over. It reports false when
 // the task is not on the worker.
 func (s *Snapshot) Release(key model.TaskKey, id model.WorkerID) bool {
-	w, i, ok := s.resident(key, id)
+	w, i, ok := s.findTask(key, id)
 	if !ok {
 		return false
 	}
 	task := w.Tasks[i]
 	w.Tasks = slices.Delete(w.Tasks, i, i+1)
-	s.count(w, &task, -1)
-	s.take(w, model.Resources{}.Sub(task.Size))
-	s.refused.reset()
+	s.countResident(w, &task, -1)
+	s.adjustCommitted(w, model.Resources{}.Sub(task.Size))
+	s.rejected.reset()
 	return true
 }
 
@@ -172,7 +172,7 @@
 // nothing, when the task is not on the worker or the worker has no room for
 // the growth.
 func (s *Snapshot) Resize(key model.TaskKey, id model.WorkerID, size model.Resources) bool {
-	w, i, ok := s.resident(key, id)
+	w, i, ok := s.findTask(key, id)
 	if !ok {
 		return false
 	}
@@ -181,28 +181,28 @@
 		return false
 	}
 	w.Tasks[i].Size = size
-	s.take(w, growth)
-	s.refused.reset()
+	s.adjustCommitted(w, growth)
+	s.rejected.reset()
 	return true
 }
 
-// take changes a worker's committed sum and moves it to its new cell.
-func (s *Snapshot) take(w *Worker, size model.Resources) {
+// adjustCommitted changes a worker's committed sum and moves it to its new cell.
+func (s *Snapshot) adjustCommitted(w *Worker, size model.Resources) {
 	w.Committed = w.Committed.Add(size)
 	w.Free = w.Free.Sub(size)
 	if w.eligibleAt < 0 || cellOf(w.Free) == w.cell {
 		return
 	}
-	s.leaveCell(w)
-	s.enterCell(w)
+	s.removeFromCell(w)
+	s.addToCell(w)
 }
 
-// count adds n to the counts that a resident takes part in.
-func (s *Snapshot) count(w *Worker, t *Resident, n int) {
-	class := s.effects.class(t.Class)
+// countResident adds n to the counts that a resident takes part in.
+func (s *Snapshot) countResident(w *Worker, t *Resident, n int) {
+	class := s.predictions.class(t.Class)
 	w.countGroup(group{
 		class:   class,
-		profile: s.effects.profile(t.Class, t.Key.Workload, t.Service),
+		profile: s.predictions.profile(t.Class, t.Key.Workload, t.Service),
 		service: t.Service,
 		count:   int32(n),
 	})
@@ -223,7 +223,7 @@
 	}
 }
 
-func (s *Snapshot) enter(w *Worker) {
+func (s *Snapshot) addEligible(w *Worker) {
 	w.eligibleAt = -1
 	if !w.eligible() {
 		return
@@ -232,14 +232,14 @@
 	s.eligible = append(s.eligible, int32(w.slot))
 	s.zones.count(w.zone, 1)
 	s.racks.count(w.rack, 1)
-	s.enterCell(w)
+	s.addToCell(w)
 }
 
-func (s *Snapshot) leave(w *Worker) {
+func (s *Snapshot) removeEligible(w *Worker) {
 	if w.eligibleAt < 0 {
 		return
 	}
-	s.leaveCell(w)
+	s.removeFromCell(w)
 	s.zones.count(w.zone, -1)
 	s.racks.count(w.rack, -1)
 	last := len(s.eligible) - 1
@@ -250,12 +250,12 @@
 	w.eligibleAt = -1
 }
 
-func (s *Snapshot) enterCell(w *Worker) {
+func (s *Snapshot) addToCell(w *Worker) {
 	w.cell = cellOf(w.Free)
 	s.position[w.slot] = int32(s.grid.add(w.cell, int32(w.slot)))
 }
 
-func (s *Snapshot) leaveCell(w *Worker) {
+func (s *Snapshot) removeFromCell(w *Worker) {
 	position := s.position[w.slot]
 	if moved := s.grid.remove(w.cell, int(position)); moved >= 0 {
 		s.position[moved] = position
--- a/core/placement/spreadcount.go
+++ b/core/placement/spreadcount.go
@@ -1,7 +1,7 @@
 package placement
 
-// place numbers a zone or a rack of a snapshot.
-type place int32
+// domainID numbers a zone or a rack of a snapshot.
+type domainID int32
 
 // spreadCount is where one service's instances are.
 type spreadCount struct {
@@ -12,11 +12,11 @@
 
 func (c *spreadCount) add(w *Worker, n int) {
 	c.total += n
-	c.zones = bump(c.zones, w.zone, n)
-	c.racks = bump(c.racks, w.rack, n)
+	c.zones = addAt(c.zones, w.zone, n)
+	c.racks = addAt(c.racks, w.rack, n)
 }
 
-func bump(counts []int, at place, n int) []int {
+func addAt(counts []int, at domainID, n int) []int {
 	for len(counts) <= int(at) {
 		counts = append(counts, 0)
 	}
@@ -24,34 +24,34 @@
 	return counts
 }
 
-func countAt(counts []int, at place) int {
+func countAt(counts []int, at domainID) int {
 	if int(at) >= len(counts) {
 		return 0
 	}
 	return counts[at]
 }
 
-// places numbers names and counts the eligible workers of each.
-type places struct {
-	byName   map[string]place
+// domains numbers names and counts the eligible workers of each.
+type domains struct {
+	ids      map[string]domainID
 	eligible []int
 	// inUse is how many places have an eligible worker.
 	inUse int
 }
 
-func newPlaces() *places { return &places{byName: make(map[string]place)} }
+func newDomains() *domains { return &domains{ids: make(map[string]domainID)} }
 
-func (p *places) id(name string) place {
-	id, ok := p.byName[name]
+func (p *domains) id(name string) domainID {
+	id, ok := p.ids[name]
 	if !ok {
-		id = place(len(p.byName))
-		p.byName[name] = id
+		id = domainID(len(p.ids))
+		p.ids[name] = id
 		p.eligible = append(p.eligible, 0)
 	}
 	return id
 }
 
-func (p *places) count(id place, n int) {
+func (p *domains) count(id domainID, n int) {
 	before := p.eligible[id]
 	p.eligible[id] += n
 	if before == 0 && n > 0 {
--- a/core/placement/worker.go
+++ b/core/placement/worker.go
@@ -26,7 +26,7 @@
 
 	// The rest is the snapshot's own index of the worker.
 	slot       int
-	zone, rack place
+	zone, rack domainID
 	residents  []group
 	cell       cellRef
 	eligibleAt int
