--- a/core/scheduler/decide.go
+++ b/core/scheduler/decide.go
@@ -13,19 +13,19 @@
 // shard's ledger. The plan is empty when the snapshot has no configuration.
 // Decide modifies nothing that the snapshot refers to except the state of its
 // placer, which includes a random source.
-func Decide(s *Snapshot, o Options) plan.Plan {
-	if s.Config == nil {
+func Decide(snapshot *Snapshot, options Options) plan.Plan {
+	if snapshot.Config == nil {
 		return plan.Plan{}
 	}
 	c := &cycle{
-		snapshot: s,
-		options:  o,
+		snapshot: snapshot,
+		options:  options,
 		touched:  make(map[model.TaskKey]bool),
 	}
-	if s.Synced != s.Config.Revision {
+	if snapshot.Synced != snapshot.Config.Revision {
 		c.createMissing()
 		c.retireObsolete()
-		c.plan.Synced = s.Config.Revision
+		c.plan.Synced = snapshot.Config.Revision
 	} else {
 		// The new generation's tasks are in the ledger only once it is
 		// synced. Before that, every old instance would look surplus.
