--- a/core/scheduler/place.go
+++ b/core/scheduler/place.go
@@ -76,7 +76,7 @@
 	})
 }
 
-// placementPass is the state of placementPass one cycle's pending tasks.
+// placementPass is the state of placing the pending tasks of one cycle.
 type placementPass struct {
 	*cycle
 	workers   *placement.Snapshot
