--- a/core/placement/score_separation.go
+++ b/core/placement/score_separation.go
@@ -6,13 +6,13 @@
 // which loud tasks would harm nobody either.
 type SeparationScore struct {
 	W float64
-	// NoisyIntensity is the predicted effect on a service from which a task counts as
+	// NoisyEffect is the predicted effect on a service from which a task counts as
 	// altogether loud.
-	NoisyIntensity float64
+	NoisyEffect float64
 }
 
 // DefaultSeparationScore is the weighting that the policy measurements use.
-func DefaultSeparationScore() SeparationScore { return SeparationScore{W: 2, NoisyIntensity: 0.15} }
+func DefaultSeparationScore() SeparationScore { return SeparationScore{W: 2, NoisyEffect: 0.15} }
 
 // Name implements Score.
 func (SeparationScore) Name() string { return "separation" }
@@ -25,7 +25,7 @@
 	if r.Service {
 		return 1
 	}
-	loud := min(1, s.intensity(r, w.Load)/c.NoisyIntensity)
+	loud := min(1, s.maxServiceEffect(r, w.Load)/c.NoisyEffect)
 	for _, g := range w.residents {
 		if g.service {
 			return 1 - loud
@@ -34,9 +34,9 @@
 	return loud
 }
 
-// intensity returns the largest predicted effect of a task on any class of
+// maxServiceEffect returns the largest predicted effect of a task on any class of
 // service.
-func (s *Snapshot) intensity(r *Request, load float64) float64 {
+func (s *Snapshot) maxServiceEffect(r *Request, load float64) float64 {
 	own := s.predictions.profile(r.Class, r.Workload, r.Service)
 	worst := 0.0
 	for _, class := range s.services {
