--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// chooser is a way to place one task, for comparison.
+// chooser is a placement method to compare.
 type chooser func(s *Snapshot, r *Request) (model.WorkerID, bool)
 
 func chooseFirstFit(s *Snapshot, r *Request) (model.WorkerID, bool) {
@@ -46,8 +46,9 @@
 	benchWorkloads = 120
 )
 
-// benchSnapshot returns a fleet filled to about share of its processors, with
-// accelerators on a third of the workers, and the tasks on it in order.
+// benchSnapshot returns a fleet of n workers in which the given share of the
+// processors is committed and a third of the workers have accelerators. It also
+// returns the tasks in the order of their placement, and their workers.
 func benchSnapshot(n int, share float64) (*Snapshot, []*Request, []model.WorkerID) {
 	rnd := rand.New(rand.NewPCG(5, uint64(n)))
 	workers := fleet(n, 8, 8, big)
@@ -90,7 +91,7 @@
 	return r
 }
 
-// benchmarkChooser ends the oldest task and places a new one, b.N times.
+// benchmarkChooser releases the oldest task and places a new one, b.N times.
 func benchmarkChooser(b *testing.B, n int, share float64, choose chooser) {
 	s, tasks, where := benchSnapshot(n, share)
 	rnd := rand.New(rand.NewPCG(9, 9))
@@ -121,8 +122,8 @@
 	b.ReportMetric(100*float64(refused)/float64(b.N), "%refused")
 }
 
-// BenchmarkPlace measures a placement, with the end of an older task, at
-// several sizes of fleet and against simpler choices.
+// BenchmarkPlace measures the placement of one task and the release of an older
+// one, for several fleet sizes, and compares the placer with simpler methods.
 func BenchmarkPlace(b *testing.B) {
 	for _, share := range []float64{0.6, 0.85} {
 		for _, n := range []int{50, 400, 3500} {
--- a/core/placement/doc.go
+++ b/core/placement/doc.go
@@ -1,19 +1,20 @@
-// Package placement chooses the worker on which a task is to run.
+// Package placement chooses the worker on which a task runs.
 //
-// A Snapshot holds the workers that may be chosen from and indexes them by
-// free room. It lives as long as its owner likes: Put, Remove, Assume and
-// Release keep it current, so nothing is rebuilt for each cycle. Placer.Place
-// takes a few candidates from the index (the tightest that fit and some drawn
-// at random), admits them through the filters and takes the best by the
-// weighted sum of the scores. The work for one decision is bounded by the
-// number of candidates and of index cells, not by the number of workers.
+// A Snapshot holds the workers and indexes them by free resources. Put,
+// Remove, Assume, Release and Resize keep it current, so it need not be rebuilt
+// for each cycle. Placer.Place takes a few candidates from the index (the
+// tightest fits and a random sample), drops those that a filter rejects, and
+// chooses the one with the highest weighted sum of scores. The cost of one
+// decision depends on the number of candidates and index cells, not on the
+// number of workers.
 //
-// Only when the candidates yield nothing are all workers examined, so a task
-// is never called unplaceable because the draw was unlucky. Soft filters are
-// then given up one by one. A size that no worker had room for is remembered
-// until room is freed, so that a long queue behind a full cluster costs one
-// comparison a task.
+// All workers are examined only when no candidate passes, so that a task is
+// not reported as unplaceable because of an unlucky sample. Soft filters are
+// then dropped one after the other. A size that no worker had room for is
+// remembered until room is freed, so that each task of a long queue in a full
+// cluster costs only a few comparisons.
 //
-// Place changes nothing. The caller commits the decision and calls Assume.
-// The package does no I/O; its random source is handed in.
+// Place does not modify the snapshot: the caller commits the decision and then
+// calls Assume. The package does no I/O, and the caller provides the random
+// source.
 package placement
--- a/core/placement/errors.go
+++ b/core/placement/errors.go
@@ -8,14 +8,14 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// UnplaceableError says that no worker can take a task now.
+// UnplaceableError is returned for a task that no worker can take now.
 type UnplaceableError struct {
 	Key model.TaskKey
 	// Reasons counts the workers by the name of the first filter that
 	// rejected them.
 	Reasons map[string]int
-	// Dimension is the one in which most workers lacked room; empty when room
-	// was not the reason.
+	// Dimension is the dimension in which most workers lacked room. It is
+	// empty if no worker was rejected for lack of room.
 	Dimension model.Dimension
 }
 
@@ -36,15 +36,15 @@
 	return fmt.Sprintf("task %s: no worker can take it now: %s", e.Key, strings.Join(parts, ", "))
 }
 
-// NeverFitsError says that no worker, even an empty one, holds a task.
+// NeverFitsError is returned for a task that is larger than every worker, so
+// that it would not fit even on an empty one.
 type NeverFitsError struct {
 	Key  model.TaskKey
 	Size model.Resources
-	// Dimension is the one that is too large for the worker that comes
-	// closest.
+	// Largest is the capacity that comes closest to holding the task, and
+	// Dimension is the dimension in which the task exceeds it most.
 	Dimension model.Dimension
-	// Largest is the capacity of that worker.
-	Largest model.Resources
+	Largest   model.Resources
 }
 
 // Error implements error.
--- a/core/placement/filter_failed.go
+++ b/core/placement/filter_failed.go
@@ -1,11 +1,11 @@
 package placement
 
-// FailedFilterName names the filter by earlier failures.
+// FailedFilterName is the name of FailedFilter.
 const FailedFilterName = "failed there before"
 
-// FailedFilter rejects workers on which the task failed before. It is soft:
-// when no other worker is left, another try there is better than none, and
-// package quarantine bounds how many there are.
+// FailedFilter rejects workers on which the task failed before. It is soft
+// because another attempt on the same worker is better than none when no other
+// worker is left. Package quarantine limits the number of attempts.
 type FailedFilter struct{}
 
 // Name implements Filter.
--- a/core/placement/filter_failed_test.go
+++ b/core/placement/filter_failed_test.go
@@ -7,8 +7,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Symptom: a task is retried on the worker where it just failed while others
-// are free; or waits for ever because that worker is the only one.
+// Guards against a task being retried on the worker where it just failed while
+// others are free, and against a task staying pending forever because that
+// worker is the only one.
 func TestFailedWorkerIsTheLastResort(t *testing.T) {
 	workers := fleet(2, 1, 1, big)
 	s := NewSnapshot(workers, nil)
--- a/core/placement/filter_room.go
+++ b/core/placement/filter_room.go
@@ -1,10 +1,10 @@
 package placement
 
-// RoomFilterName names the filter by committed sizes.
+// RoomFilterName is the name of RoomFilter.
 const RoomFilterName = "room"
 
-// RoomFilter admits workers with free room in all three dimensions, by
-// committed sizes.
+// RoomFilter admits workers whose uncommitted resources are at least the
+// task's size in all three dimensions.
 type RoomFilter struct{}
 
 // Name implements Filter.
--- a/core/placement/filter_room_test.go
+++ b/core/placement/filter_room_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Symptom: a worker is committed beyond one of its dimensions. Cause: a filter
-// that compares only some of them.
+// Guards against a worker being committed beyond its capacity in one dimension
+// because the filter compares only some dimensions.
 func TestRoomFilterChecksEveryDimension(t *testing.T) {
 	s, w := newSnapshotOf(fleet(1, 1, 1, res(1000, 1000, 1))...)
 	cases := map[string]struct {
--- a/core/placement/filter_spread.go
+++ b/core/placement/filter_spread.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// SpreadFilterName names the filter by even spread.
+// SpreadFilterName is the name of SpreadFilter.
 const SpreadFilterName = "spread"
 
-// SpreadFilter keeps a service that asks for it evenly spread over zones or
-// racks, with Slack as the share by which one may exceed an even part. It is
-// soft: when the even place has no room, running there is better than waiting,
-// and SurviveFilter still holds.
+// SpreadFilter spreads the instances of a service evenly over availability
+// zones or racks if the service's declaration asks for it. It is soft: when an
+// even spread has no room, an uneven one is better than a pending instance,
+// and FailureDomainFilter still applies.
 type SpreadFilter struct {
+	// Slack is the fraction by which a zone or rack may exceed its even share.
 	Slack float64
 }
 
-// DefaultSpreadFilter lets a place exceed its even part by a fifth.
+// DefaultSpreadFilter lets a zone or rack exceed its even share by a fifth.
 func DefaultSpreadFilter() SpreadFilter { return SpreadFilter{Slack: 0.2} }
 
 // Name implements Filter.
--- a/core/placement/filter_spread_test.go
+++ b/core/placement/filter_spread_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Symptom: instances wait although there is room, because the zone whose turn
-// it is has none.
+// Guards against instances staying pending although there is room, because the
+// zone that an even spread requires has none.
 func TestSpreadYieldsToRoom(t *testing.T) {
 	workers := fleet(4, 1, 4, big)
 	for i := range workers[:2] {
@@ -50,6 +50,6 @@
 		relaxed = relaxed || slices.Contains(d.Relaxed, SpreadFilterName)
 	}
 	if !relaxed {
-		t.Error("the spread was never given up, so two zones held an even part of four")
+		t.Error("the spread filter was never dropped, although two of four zones have no room")
 	}
 }
--- a/core/placement/filter_state.go
+++ b/core/placement/filter_state.go
@@ -2,7 +2,7 @@
 
 import "github.com/guavarill/guavarill/core/model"
 
-// The names of the filters by a worker's state.
+// The names of the filters on a worker's state.
 const (
 	QuarantineFilterName  = "quarantined"
 	LeavingFilterName     = "leaving"
@@ -18,8 +18,8 @@
 // Admit implements Filter.
 func (QuarantineFilter) Admit(_ *Snapshot, _ *Request, w *Worker) bool { return !w.Quarantined }
 
-// LeavingFilter rejects workers whose VM is to be taken away, by the
-// platform's list or the worker's own word.
+// LeavingFilter rejects workers whose VM is about to be removed, according to
+// the platform's list of VMs or to the worker itself.
 type LeavingFilter struct{}
 
 // Name implements Filter.
@@ -30,8 +30,8 @@
 	return !w.Leaving && w.VM.State != model.VMLeaving
 }
 
-// UnreachableFilter rejects workers that do not answer. A start sent to one
-// would hold its room until the lease bound has passed.
+// UnreachableFilter rejects workers that do not answer. A task placed on one
+// would hold resources there until its lease is certain to have expired.
 type UnreachableFilter struct{}
 
 // Name implements Filter.
--- a/core/placement/filter_state_test.go
+++ b/core/placement/filter_state_test.go
@@ -7,8 +7,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Symptom: a task starts on a worker that is quarantined, leaving or
-// unreachable. Each state alone must keep every task away, and be named.
+// Guards against a task starting on a worker that is quarantined, leaving or
+// unreachable. Each state alone must exclude every task and be named as the
+// reason.
 func TestWorkerStateKeepsTasksAway(t *testing.T) {
 	cases := map[string]func(w *Worker){
 		QuarantineFilterName:  func(w *Worker) { w.Quarantined = true },
--- a/core/placement/filter_survive.go
+++ b/core/placement/filter_survive.go
@@ -2,20 +2,21 @@
 
 import "math"
 
-// FailureDomainFilterName names the filter by what one loss would leave.
+// FailureDomainFilterName is the name of FailureDomainFilter.
 const FailureDomainFilterName = "loss bound"
 
-// FailureDomainFilter bounds the share of a service's instances that one worker,
-// rack or zone may hold, so that the loss of any one of them leaves enough. A
-// bound applies only while there is more than one place to choose from, and
-// always allows one instance.
+// FailureDomainFilter limits the share of a service's instances in one failure
+// domain (a worker, a rack or an availability zone), so that enough instances
+// are left when one of them is lost. A limit applies only if there are at
+// least two domains of its kind, and always allows one instance.
 type FailureDomainFilter struct {
-	// Zone, Rack and Worker are the largest shares, above 0 and at most 1.
+	// Zone, Rack and Worker are the largest allowed shares, above 0 and at
+	// most 1.
 	Zone, Rack, Worker float64
 }
 
-// DefaultFailureDomainFilter lets a zone hold half of a service, a rack a third and
-// a worker one in twenty-five.
+// DefaultFailureDomainFilter lets a zone hold half of a service's instances, a
+// rack a third and a worker one in twenty-five.
 func DefaultFailureDomainFilter() FailureDomainFilter {
 	return FailureDomainFilter{Zone: 0.5, Rack: 0.34, Worker: 0.04}
 }
@@ -39,12 +40,15 @@
 		withinShare(w.instancesOf(own), n, f.Worker, len(s.eligible))
 }
 
-// expectedInstances returns how many expectedInstances the shares are of.
+// expectedInstances returns the number of instances of which shares are
+// computed: the requested number, or the instances already placed plus this
+// one if that is more.
 func expectedInstances(r *Request, c *spreadCount) int { return max(r.Instances, c.total+1) }
 
-// withinShare reports whether one more instance keeps a place within its share. A
-// share too small for the number of places there are is widened to an even
-// one: two racks cannot each hold less than half.
+// withinShare reports whether a domain that holds the given number of
+// instances stays within its share of n when it gets one more. The share is
+// raised to an even one if it is smaller: two racks cannot each hold less than
+// half.
 func withinShare(held, n int, share float64, places int) bool {
 	if places <= 1 {
 		return true
--- a/core/placement/filter_survive_test.go
+++ b/core/placement/filter_survive_test.go
@@ -2,8 +2,9 @@
 
 import "testing"
 
-// Symptom: a rack or zone is lost and too few instances are left. Cause:
-// packing put them together. The bounds must hold whatever the scores say.
+// Guards against too few instances being left after the loss of a rack or zone
+// because packing put them together. The limits must hold whatever the scores
+// are.
 func TestLossOfOnePlaceLeavesEnough(t *testing.T) {
 	const n = 50
 	for name, c := range map[string]struct {
@@ -27,8 +28,8 @@
 	}
 }
 
-// pack places n instances as tightly as a filter lets it and counts them by
-// place.
+// pack places n instances as tightly as a filter allows and counts them by
+// domain.
 func pack(t *testing.T, n int, f FailureDomainFilter) (zones, racks, workers map[string]int) {
 	t.Helper()
 	s := NewSnapshot(fleet(50, 8, 3, big), nil)
@@ -48,7 +49,8 @@
 	return zones, racks, workers
 }
 
-// keepTogether prefers the places that hold most, as a bound's worst case.
+// keepTogether prefers the domains that hold the most instances, which is the
+// worst case for a limit.
 type keepTogether struct{}
 
 func (keepTogether) Name() string    { return "together" }
@@ -70,8 +72,8 @@
 	return most
 }
 
-// Symptom: after the loss of a zone its instances are not placed again.
-// Cause: a bound that still counts the lost zone as a place to choose.
+// Guards against instances of a lost zone not being placed again because the
+// limit still counts the lost zone as a domain to choose from.
 func TestBoundsFollowThePlacesThatAreLeft(t *testing.T) {
 	s := NewSnapshot(fleet(4, 2, 2, big), nil)
 	p := Default(Options{})
--- a/core/placement/grid.go
+++ b/core/placement/grid.go
@@ -6,9 +6,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// The grid sorts eligible workers into cells by the size of their free room:
-// processors and memory on scales with two steps to each doubling,
-// accelerators with one. Amounts below a unit share the first step.
+// The grid sorts eligible workers into cells by their free resources.
+// Processors and memory have two levels to each doubling, accelerators one.
+// Amounts below one unit share the lowest level.
 const (
 	levels            = 32
 	acceleratorLevels = 4
@@ -16,8 +16,8 @@
 	memoryUnitMB      = 128
 )
 
-// level returns the step of a number of units: 0 for none, then two steps a
-// doubling.
+// level returns the level of a number of units: 0 for none, then two levels to
+// each doubling.
 func level(units int64) int {
 	if units <= 0 {
 		return 0
@@ -34,7 +34,7 @@
 	return min(bits.Len64(uint64(max(0, n))), acceleratorLevels-1)
 }
 
-// cellRef is a cell's place in the grid.
+// cellRef holds the coordinates of a cell in the grid.
 type cellRef struct {
 	accelerators, cpu, memory int8
 }
@@ -47,8 +47,8 @@
 	}
 }
 
-// grid holds, per cell, the slots of the workers in it, and bitmaps of the
-// cells that are not empty so that empty ones cost nothing to pass over.
+// grid holds the slots of the workers in each cell. Bitmaps of the non-empty
+// cells let a search skip empty ones at no cost.
 type grid struct {
 	cells [acceleratorLevels][levels][levels][]int32
 	// memory marks the occupied memory levels of a row.
@@ -61,7 +61,7 @@
 	return &g.cells[c.accelerators][c.cpu][c.memory]
 }
 
-// add puts a slot into a cell and returns its position there.
+// add appends a slot to a cell and returns its position in the cell.
 func (g *grid) add(c cellRef, slot int32) int {
 	list := g.cell(c)
 	*list = append(*list, slot)
@@ -70,8 +70,8 @@
 	return len(*list) - 1
 }
 
-// remove takes out the slot at a position and returns the slot that took its
-// place there, or -1.
+// remove deletes the slot at a position of a cell. It returns the slot that was
+// moved to that position, or -1 if none was.
 func (g *grid) remove(c cellRef, position int) int32 {
 	list := g.cell(c)
 	last := len(*list) - 1
@@ -90,9 +90,11 @@
 	return moved
 }
 
-// visit calls fn for each occupied cell whose workers may have room, the
-// tightest first and those with unneeded accelerators last, until fn returns
-// false.
+// visit calls fn for each non-empty cell whose workers may have room for a
+// size, until fn returns false. Cells with fewer accelerators come first, then
+// those with less free processors, then those with less free memory, so that
+// workers with unneeded accelerators come last. Workers of the lowest cells
+// may still lack room.
 func (g *grid) visit(size model.Resources, fn func(slots []int32) bool) {
 	from := cellOf(size)
 	for a := int(from.accelerators); a < acceleratorLevels; a++ {
--- a/core/placement/helpers_test.go
+++ b/core/placement/helpers_test.go
@@ -13,7 +13,8 @@
 
 var big = res(16000, 60000, 0)
 
-// fleet returns n empty workers, perRack to a rack, racks dealt over zones.
+// fleet returns n empty workers, perRack of them in each rack, with the racks
+// distributed over the zones in turn.
 func fleet(n, perRack, zones int, capacity model.Resources) []Worker {
 	workers := make([]Worker, n)
 	for i := range workers {
@@ -40,7 +41,7 @@
 	}
 }
 
-// fixedEffects predicts the same whatever the victim, by aggressor class.
+// fixedEffects is a Predictor that returns an effect by aggressor class only.
 type fixedEffects map[string]float64
 
 func (f fixedEffects) PredictWorkload(_, aggressor, _ string, _ float64) interference.Estimate {
@@ -49,7 +50,7 @@
 
 func (fixedEffects) Version() uint64 { return 0 }
 
-// newSnapshotOf returns the worker of a snapshot made of the given ones.
+// newSnapshotOf returns a snapshot of the given workers, and its first worker.
 func newSnapshotOf(workers ...Worker) (*Snapshot, *Worker) {
 	s := NewSnapshot(workers, nil)
 	return s, s.workers[0]
--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -6,24 +6,27 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Options sets a placer.
+// Options are the settings of a placer.
 type Options struct {
-	// Random is the source of the draws; the same source and calls give the
-	// same decisions. Nil stands for a source with a fixed seed.
+	// Random is the source of random candidates. The same source and the same
+	// calls give the same decisions. Nil selects a source with a fixed seed.
 	Random rand.Source
-	// TightCandidates is how many of the tightest workers that fit are candidates.
+	// TightCandidates is the number of candidates taken from the workers with
+	// the least free resources that still fit the task. Values of 0 and less
+	// select the default.
 	TightCandidates int
-	// RandomCandidates is how many workers are drawn at random besides.
+	// RandomCandidates is the number of workers sampled at random in addition.
+	// Values of 0 and less select the default.
 	RandomCandidates int
 }
 
-// The defaults of Options.
+// The default numbers of candidates.
 const (
 	DefaultTightCandidates  = 4
 	DefaultRandomCandidates = 8
 )
 
-// Placer decides where tasks run. It is not safe for concurrent use.
+// Placer chooses workers for tasks. It is not safe for concurrent use.
 type Placer struct {
 	filters     []Filter
 	scores      []Score
@@ -61,7 +64,7 @@
 	return New(DefaultFilters(), DefaultScores(), o)
 }
 
-// DefaultFilters returns the standard filters, cheapest first.
+// DefaultFilters returns the standard filters, the cheapest to evaluate first.
 func DefaultFilters() []Filter {
 	return []Filter{
 		QuarantineFilter{},
@@ -86,9 +89,9 @@
 	}
 }
 
-// Place returns the worker that a task should run on. It changes nothing in
-// the snapshot. The error is a *NeverFitsError when no worker could ever hold
-// the task, and an *UnplaceableError when none can now.
+// Place returns the worker on which a task should run. It does not change the
+// workers of the snapshot. The error is a *NeverFitsError if the task is larger
+// than every worker, and an *UnplaceableError if no worker can take it now.
 func (p *Placer) Place(s *Snapshot, r *Request) (Decision, error) {
 	if never := NeverFits(r.Key, r.Size, s.shapes.capacities()); never != nil {
 		return Decision{}, never
@@ -106,9 +109,9 @@
 	return p.searchAll(s, r)
 }
 
-// sampleCandidates gathers candidates that pass every filter: the tightest fits first,
-// then random ones. Looking into a cell stops after a few workers so that a
-// crowded cell costs no more than a sparse one.
+// sampleCandidates collects candidates that pass every filter: first the
+// tightest fits, then random workers. Only a few workers of each cell are
+// tried, so that a crowded cell costs no more than a sparse one.
 func (p *Placer) sampleCandidates(s *Snapshot, r *Request) {
 	p.candidates = p.candidates[:0]
 	looks := 4 * p.options.TightCandidates
@@ -125,7 +128,8 @@
 	}
 }
 
-// triesPerCell is how many workers of one cell are tried for a tight fit.
+// triesPerCell is the number of workers of one cell that are tried for a tight
+// fit.
 const triesPerCell = 2
 
 func (p *Placer) tryCell(s *Snapshot, r *Request, slots []int32, looks *int) {
@@ -147,8 +151,8 @@
 	}
 }
 
-// rejectedBy returns the first filter that rejectedBy a worker, passing over the
-// first relaxed soft filters.
+// rejectedBy returns the first filter that rejects a worker, or nil. It skips
+// as many soft filters as relaxed says, from the first on.
 func (p *Placer) rejectedBy(s *Snapshot, r *Request, w *Worker, relaxed int) Filter {
 	for _, f := range p.filters {
 		if _, soft := f.(SoftFilter); soft && relaxed > 0 {
@@ -162,8 +166,8 @@
 	return nil
 }
 
-// searchAll examines every worker that may have room, giving up the soft
-// filters one after the other.
+// searchAll examines every worker that may have room. While none passes, it
+// drops one more soft filter and starts over.
 func (p *Placer) searchAll(s *Snapshot, r *Request) (Decision, error) {
 	var names []string
 	for relaxed := 0; ; relaxed++ {
@@ -231,8 +235,10 @@
 	return sum / p.totalWeight
 }
 
-// unplaceable counts why each worker was rejected. When room and the workers'
-// own state are the only reasons, the size is remembered as refused.
+// unplaceable returns an error that counts the workers by the filter that
+// rejected them. The size is remembered as rejected if every rejection was due
+// to a lack of room or to the state of the worker, since the result is then
+// the same for any task of that size.
 func (p *Placer) unplaceable(s *Snapshot, r *Request) *UnplaceableError {
 	err := &UnplaceableError{Key: r.Key, Reasons: make(map[string]int)}
 	lacking := make(map[model.Dimension]int)
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -19,8 +19,9 @@
 	return p
 }
 
-// churn places and ends tasks of random sizes on a fleet and checks every
-// decision against an exhaustive search. It returns what went wrong first.
+// churn places and releases tasks of random sizes on a fleet and checks every
+// decision against an exhaustive search. It returns a description of the first
+// error, or an empty string.
 func churn(seed uint64) string {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	workers := append(fleet(6, 2, 2, res(4000, 8000, 0)), fleet(2, 2, 1, res(4000, 8000, 2))...)
@@ -70,7 +71,8 @@
 	return ""
 }
 
-// inconsistent checks the sums and the index of a snapshot.
+// inconsistent describes a wrong sum or index entry of a snapshot. It returns an
+// empty string if there is none.
 func inconsistent(s *Snapshot) string {
 	for slot, w := range s.workers {
 		sum := model.Resources{}
@@ -91,8 +93,9 @@
 	return ""
 }
 
-// Symptom: a task waits although a worker has room, or is placed where none
-// is. Cause: an index that lost or misplaced a worker as its room changed.
+// Guards against a task staying pending although a worker has room, or being
+// placed on a worker without room, because the index lost or misplaced a worker
+// when its free resources changed.
 func TestPlaceAgreesWithExhaustiveSearch(t *testing.T) {
 	properties := gopter.NewProperties(seeded(60))
 	properties.Property("every decision is possible, every refusal necessary", prop.ForAll(
@@ -105,8 +108,8 @@
 	properties.TestingRun(t)
 }
 
-// Symptom: after room was freed a waiting task is still refused. Cause: a
-// refusal remembered too long.
+// Guards against a pending task being rejected after room was freed because its
+// size is remembered as rejected for too long.
 func TestRefusalIsForgottenWhenRoomIsFreed(t *testing.T) {
 	s := NewSnapshot(fleet(1, 1, 1, big), nil)
 	p := Default(Options{})
--- a/core/placement/prediction.go
+++ b/core/placement/prediction.go
@@ -4,39 +4,48 @@
 	"github.com/guavarill/guavarill/core/interference"
 )
 
-// Predictor tells how much one aggressor slows a victim; see
-// interference.Model.
+// Predictor predicts how much one task (the aggressor) slows another (the
+// victim) on the same worker; see interference.Model.
 type Predictor interface {
+	// PredictWorkload returns the slowdown that a task of a workload adds to a
+	// task of another class, at a load of the worker from 0 to 1.
 	PredictWorkload(victimClass, aggressorClass, workload string, load float64) interference.Estimate
-	// Version changes when predictions may have changed.
+	// Version returns a number that changes when predictions may have changed.
 	Version() uint64
 }
 
-// classID numbers the victim classes of a snapshot, profileID its aggressors.
+// classID identifies a victim's class within a snapshot, and profileID an
+// aggressor's profile.
 type (
 	classID   int32
 	profileID int32
 )
 
-// profile is an aggressor: a workload, its class and its kind.
+// profile identifies an aggressor by its workload, its class and its kind.
 type profile struct {
 	class, workload string
 	service         bool
 }
 
-// predictions keeps what the predictor said, by number and load bucket. A
-// decision asks for dozens of pairs, and hashing their names for each would be
-// most of its cost.
+// predictions caches the predictor's results by class, profile and load bucket.
+// One decision needs dozens of pairs, and hashing their names each time would
+// be most of its cost.
 type predictions struct {
-	source      Predictor
-	version     uint64
-	staleUses   int
+	source Predictor
+	// version is the predictor's version at the latest refresh, and staleUses
+	// counts the decisions since it changed.
+	version   uint64
+	staleUses int
+	// caution is the number of standard deviations by which a prediction
+	// differs from the mean; see predict.
 	caution     float64
 	classes     map[string]classID
 	classNames  []string
 	profiles    map[profile]profileID
 	profileKeys []profile
-	cache       [][]cachedEffect
+	// cache has a row for each class, with one entry for each profile and load
+	// bucket.
+	cache [][]cachedEffect
 }
 
 type cachedEffect struct {
@@ -75,12 +84,13 @@
 	return id
 }
 
-// maxStaleUses is how many decisions may use what was kept although the
-// predictor has learned since. Reports arrive all the time, and no single one
-// changes a prediction much.
+// maxStaleUses is the number of decisions after which the cache is cleared when
+// the predictor's version has changed. Reports arrive all the time, and no
+// single one changes a prediction much.
 const maxStaleUses = 64
 
-// refresh forgets what was kept once the predictor has learned.
+// refresh clears the cache when the predictor's version has changed and
+// maxStaleUses decisions have been made since. It is called once per decision.
 func (p *predictions) refresh() {
 	if p.source == nil || p.source.Version() == p.version {
 		return
@@ -96,8 +106,8 @@
 	}
 }
 
-// effect returns a cautious estimate of what an aggressor adds to a victim's
-// slowdown.
+// effect returns a cautious estimate of the slowdown that an aggressor adds to
+// a victim, 0 meaning none.
 func (p *predictions) effect(victim classID, aggressor profileID, load float64) float64 {
 	if p.source == nil {
 		return 0
@@ -117,9 +127,11 @@
 	return float64(row[at].effect)
 }
 
-// predict is cautious about batch aggressors only. Services are what batch is kept
-// away from: one next to another is given the benefit of the doubt until it is
-// known to harm, or every service would claim a worker of its own.
+// predict returns the upper bound of the estimate for a batch aggressor and the
+// lower bound for a service. Batch work is kept away from services, so it is
+// assumed to be harmful until it is known not to be. A service is assumed to
+// be harmless until it is known to harm; otherwise each service would get a
+// worker of its own.
 func (p *predictions) predict(victim classID, aggressor profileID, load float64) float64 {
 	who := p.profileKeys[aggressor]
 	estimate := p.source.PredictWorkload(p.classNames[victim], who.class, who.workload, load)
--- a/core/placement/refusals.go
+++ b/core/placement/refusals.go
@@ -2,12 +2,12 @@
 
 import "github.com/guavarill/guavarill/core/model"
 
-// maxRejectedSizes bounds how many sizes are remembered.
+// maxRejectedSizes limits the number of remembered sizes.
 const maxRejectedSizes = 16
 
-// rejectedSizes remembers sizes that no eligible worker had room for. Nothing
-// larger fits either until a worker gains room. Without it each waiting task
-// behind a full cluster would have every worker examined on every cycle.
+// rejectedSizes holds sizes that no eligible worker had room for. Nothing
+// larger fits either until a worker gains room. Otherwise every cycle would
+// examine every worker of a full cluster for each pending task.
 type rejectedSizes struct {
 	list []rejectedSize
 }
--- a/core/placement/request.go
+++ b/core/placement/request.go
@@ -6,30 +6,34 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// The values of Request.Spread.
+// The values of Request.Spread. An empty value asks for no even spread.
 const (
 	SpreadZone = "zone"
 	SpreadRack = "rack"
 )
 
-// Request is one task to be placed.
+// Request describes a task to be placed.
 type Request struct {
 	Key                   model.TaskKey
 	Workload, Class, Team string
 	Service               bool
 	Priority              model.Priority
-	// Size is what is to be committed, learned or declared.
-	Size   model.Resources
+	// Size is the resources to commit for the task: the learned size, or the
+	// declared one.
+	Size model.Resources
+	// Spread is the kind of domain over which the instances of a service are
+	// spread evenly: SpreadZone, SpreadRack or empty.
 	Spread string
-	// Instances is how many tasks of the workload the snapshot's workers are
-	// to hold in all; the spread bounds are shares of it. Zero means that the
-	// number is unknown and that the tasks already placed plus this one count.
+	// Instances is the number of tasks of the workload that the workers of the
+	// snapshot are to hold in total. The limits of SpreadFilter and
+	// FailureDomainFilter are shares of it. If it is 0, the tasks already
+	// placed plus this one are used.
 	Instances int
 	// FailedWorkers are the workers on which the task failed before.
 	FailedWorkers []model.WorkerID
-	// LastWorker is where the task's latest attempt ran, if any.
+	// LastWorker is the worker of the task's latest attempt, if there was one.
 	LastWorker model.WorkerID
-	// Evictions is how often the task was evicted.
+	// Evictions is the number of times that the task was evicted.
 	Evictions uint32
 }
 
@@ -37,13 +41,13 @@
 	return slices.Contains(r.FailedWorkers, id)
 }
 
-// Decision is a chosen worker.
+// Decision is the result of placing a task.
 type Decision struct {
 	Worker model.WorkerID
 	// Score is the weighted mean of the scores, from 0 to 1.
 	Score float64
-	// Considered is how many workers passed the filters.
+	// Considered is the number of candidates that passed the filters.
 	Considered int
-	// Relaxed names the soft filters that were given up, in order.
+	// Relaxed holds the names of the soft filters that were dropped, in order.
 	Relaxed []string
 }
--- a/core/placement/score_accelerators.go
+++ b/core/placement/score_accelerators.go
@@ -1,8 +1,10 @@
 package placement
 
-// AcceleratorScore keeps workers with free accelerators for the tasks that
-// need them, and prefers the fewest left over for those that do.
+// AcceleratorScore prefers workers on which the task leaves the fewest free
+// accelerators. Tasks without accelerators thus stay away from workers that
+// have some.
 type AcceleratorScore struct {
+	// W is the weight of the score.
 	W float64
 }
 
--- a/core/placement/score_accelerators_test.go
+++ b/core/placement/score_accelerators_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Symptom: a task that needs an accelerator waits because tasks that need none
-// filled the workers that have them.
+// Guards against a task that needs an accelerator staying pending because tasks
+// without that need fill the workers that have accelerators.
 func TestAcceleratorsAreKeptForThoseThatNeedThem(t *testing.T) {
 	plain, special := fleet(1, 1, 1, big), fleet(1, 1, 1, res(16000, 60000, 4))
 	special[0].VM.ID = "special"
@@ -13,10 +13,10 @@
 	p := Default(Options{})
 	d, err := p.Place(s, batch(1, res(1000, 1000, 0)))
 	if err != nil || d.Worker == "special" {
-		t.Errorf("a task without need went to %v, %v", d, err)
+		t.Errorf("a task without accelerators was placed on %v, %v", d, err)
 	}
 	d, err = p.Place(s, batch(2, res(1000, 1000, 1)))
 	if err != nil || d.Worker != "special" {
-		t.Errorf("a task with need went to %v, %v", d, err)
+		t.Errorf("a task with an accelerator was placed on %v, %v", d, err)
 	}
 }
--- a/core/placement/score_history.go
+++ b/core/placement/score_history.go
@@ -1,11 +1,12 @@
 package placement
 
-// HistoryScore steers a task by what happened to it. A task that was evicted
-// does not go back to the worker it was evicted from, where the same cause
-// would evict it again, and the more often it was evicted the more it prefers
-// lightly loaded workers. A task that failed keeps away from the racks of its
-// failures when FailedFilter was given up.
+// HistoryScore rates workers by the task's earlier attempts. A worker on which
+// the task failed gets the lowest score, which matters when FailedFilter was
+// dropped. So does the last worker of a task that was evicted, because the same
+// cause would evict it there again. The more often a task was evicted, the more
+// it prefers workers with a low load.
 type HistoryScore struct {
+	// W is the weight of the score.
 	W float64
 }
 
@@ -15,7 +16,8 @@
 // Weight implements Score.
 func (c HistoryScore) Weight() float64 { return c.W }
 
-// fullAvoidanceEvictions is how many evictions make a task avoid load altogether.
+// fullAvoidanceEvictions is the number of evictions from which on a fully
+// loaded worker gets the lowest score.
 const fullAvoidanceEvictions = 3
 
 // Score implements Score.
--- a/core/placement/score_history_test.go
+++ b/core/placement/score_history_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Symptom: a task is evicted, goes back to the same worker, and is evicted
-// again for the same cause.
+// Guards against an evicted task being placed on the same worker again and
+// evicted again for the same cause.
 func TestEvictedTaskGoesElsewhere(t *testing.T) {
 	workers := fleet(3, 1, 1, big)
 	workers[1].Load = 0.9
--- a/core/placement/score_packing.go
+++ b/core/placement/score_packing.go
@@ -1,8 +1,9 @@
 package placement
 
-// PackingScore prefers workers that the task fills well: best fit keeps large
-// holes for large tasks.
+// PackingScore prefers workers that the task fills well. Best fit leaves large
+// blocks of free resources for large tasks.
 type PackingScore struct {
+	// W is the weight of the score.
 	W float64
 }
 
@@ -16,8 +17,8 @@
 func (PackingScore) Score(_ *Snapshot, r *Request, w *Worker) float64 {
 	cpu := utilization(w.Committed.MilliCPU+r.Size.MilliCPU, w.VM.Capacity.MilliCPU)
 	memory := utilization(w.Committed.MemoryMB+r.Size.MemoryMB, w.VM.Capacity.MemoryMB)
-	// A worker full in one dimension and empty in the other is stranded:
-	// the difference counts against it.
+	// Free memory without free processors, or the reverse, cannot be used, so
+	// an imbalance lowers the score.
 	return (cpu+memory)/2 - absolute(cpu-memory)/4
 }
 
--- a/core/placement/score_separation.go
+++ b/core/placement/score_separation.go
@@ -1,17 +1,19 @@
 package placement
 
-// SeparationScore keeps workers without services for the batch work that would
-// harm them: a loud task rates such workers high, a quiet one rates them low.
-// Without it quiet tasks, which harm nobody anywhere, fill the workers on
-// which loud tasks would harm nobody either.
+// SeparationScore keeps workers without services free for noisy batch tasks,
+// which would slow services down: a noisy task prefers such workers and a quiet
+// one avoids them. Otherwise quiet tasks, which are harmless on any worker,
+// fill the only workers on which noisy tasks are harmless.
 type SeparationScore struct {
+	// W is the weight of the score.
 	W float64
-	// NoisyEffect is the predicted effect on a service from which a task counts as
-	// altogether loud.
+	// NoisyEffect is the predicted slowdown of a service from which on a task
+	// counts as fully noisy.
 	NoisyEffect float64
 }
 
-// DefaultSeparationScore is the weighting that the policy measurements use.
+// DefaultSeparationScore returns the weights that the policy benchmarks in
+// package eviction use.
 func DefaultSeparationScore() SeparationScore { return SeparationScore{W: 2, NoisyEffect: 0.15} }
 
 // Name implements Score.
@@ -34,8 +36,8 @@
 	return loud
 }
 
-// maxServiceEffect returns the largest predicted effect of a task on any class of
-// service.
+// maxServiceEffect returns the largest predicted effect of a task on any of the
+// service classes in the snapshot.
 func (s *Snapshot) maxServiceEffect(r *Request, load float64) float64 {
 	own := s.predictions.profile(r.Class, r.Workload, r.Service)
 	worst := 0.0
--- a/core/placement/score_separation_test.go
+++ b/core/placement/score_separation_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// Symptom: loud tasks have nowhere harmless to go, because quiet ones filled
-// the workers without services.
+// Guards against noisy tasks being placed next to services because quiet tasks
+// fill the workers without services.
 func TestSeparationScore(t *testing.T) {
 	workers := fleet(2, 1, 1, big)
 	workers[0].Tasks = []Resident{{Key: instance(1, 1).Key, Class: "orders", Service: true}}
@@ -13,9 +13,9 @@
 	loud.Workload, loud.Class, quiet.Class = "noise", "loud", "quiet"
 	with, without := s.workers[0], s.workers[1]
 	if score.Score(s, loud, with) >= score.Score(s, loud, without) {
-		t.Error("a loud task prefers the service's worker")
+		t.Error("a noisy task prefers the worker with a service")
 	}
 	if score.Score(s, quiet, with) <= score.Score(s, quiet, without) {
-		t.Error("a quiet task takes the worker without a service")
+		t.Error("a quiet task prefers the worker without a service")
 	}
 }
--- a/core/placement/score_slowdown.go
+++ b/core/placement/score_slowdown.go
@@ -1,19 +1,21 @@
 package placement
 
-// SlowdownScore prefers workers where the task is predicted to slow residents
-// least and to be slowed least.
+// SlowdownScore prefers workers on which the task is predicted to slow the
+// residents least and to be slowed least by them.
 //
-// Harm to a victim grows with the square of its predicted slowdown: the tail
-// is what callers feel, and a service that two noisy neighbours share suffers
-// more at its 99th percentile than two that have one each.
+// The harm to a victim grows with the square of its predicted slowdown, because
+// callers notice the tail of the latency: one service next to two noisy
+// neighbours has a worse 99th percentile than two services next to one each.
 type SlowdownScore struct {
+	// W is the weight of the score.
 	W float64
-	// ServiceWeight and BatchWeight say how much harm to a resident service,
-	// and to batch or a batch task itself, counts.
+	// ServiceWeight and BatchWeight are the weights of harm to services and to
+	// batch tasks, including the placed task itself.
 	ServiceWeight, BatchWeight float64
 }
 
-// DefaultSlowdownScore is the weighting that the policy measurements use.
+// DefaultSlowdownScore returns the weights that the policy benchmarks in
+// package eviction use.
 func DefaultSlowdownScore() SlowdownScore {
 	return SlowdownScore{W: 4, ServiceWeight: 1, BatchWeight: 0.1}
 }
@@ -44,8 +46,8 @@
 	return 1 / (1 + harmScale*harm)
 }
 
-// harmScale sets where the score halves: a squared excess of 0.1, about a
-// third more run time for one service.
+// harmScale sets the harm at which the score is one half: a squared slowdown of
+// 0.1, which is about a third more run time for one service.
 const harmScale = 10
 
 func (c SlowdownScore) weight(service bool) float64 {
@@ -55,8 +57,8 @@
 	return c.BatchWeight
 }
 
-// presentSlowdown returns what the residents are predicted to add to a victim
-// among them.
+// presentSlowdown returns the predicted slowdown of a resident by the other
+// residents of its worker.
 func presentSlowdown(s *Snapshot, w *Worker, victim group, load float64) float64 {
 	sum := 0.0
 	for _, other := range w.residents {
--- a/core/placement/score_slowdown_test.go
+++ b/core/placement/score_slowdown_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Symptom: two noisy tasks meet beside one service while another has none.
+// Guards against two noisy tasks being placed next to the same service while
+// another service has no noisy neighbour.
 func TestSlowdownScoreSeparatesNoise(t *testing.T) {
 	effects := fixedEffects{"loud": 0.4, "quiet": 0.01}
 	workers := fleet(2, 1, 1, big)
@@ -12,25 +13,26 @@
 	workers[0].Tasks = append(workers[0].Tasks, Resident{Key: batch(1, big).Key, Class: "loud"})
 	workers[1].Tasks = append(workers[1].Tasks, Resident{Key: batch(4, big).Key, Class: "quiet"})
 	s := NewSnapshot(workers, effects)
-	// What batch suffers is left out: only the two services are compared.
+	// BatchWeight is 0, so only the harm to the two services is compared.
 	score := SlowdownScore{W: 1, ServiceWeight: 1}
 	loud, quiet := batch(2, big), batch(3, big)
 	loud.Class, quiet.Class = "loud", "quiet"
 	if score.Score(s, loud, s.workers[0]) >= score.Score(s, loud, s.workers[1]) {
-		t.Error("the second loud task is not kept from the first")
+		t.Error("the second noisy task does not avoid the worker of the first")
 	}
 	if score.Score(s, loud, s.workers[1]) >= score.Score(s, quiet, s.workers[1]) {
-		t.Error("a loud task is not rated below a quiet one")
+		t.Error("a noisy task does not get a lower score than a quiet one")
 	}
 }
 
-// The task's own slowdown counts too: a service keeps away from loud batch.
+// The slowdown of the placed task itself counts too: a service avoids noisy
+// batch tasks.
 func TestSlowdownScoreCountsTheTaskItself(t *testing.T) {
 	workers := fleet(2, 1, 1, big)
 	workers[0].Tasks = []Resident{{Key: batch(1, big).Key, Class: "loud"}}
 	s := NewSnapshot(workers, fixedEffects{"loud": 0.4})
 	score := DefaultSlowdownScore()
 	if score.Score(s, instance(1, 1), s.workers[0]) >= score.Score(s, instance(1, 1), s.workers[1]) {
-		t.Error("a service is not kept from loud batch")
+		t.Error("a service does not avoid a noisy batch task")
 	}
 }
--- a/core/placement/score_spread.go
+++ b/core/placement/score_spread.go
@@ -1,10 +1,12 @@
 package placement
 
 // SpreadScore prefers the zone and rack that hold the fewest instances of a
-// service. Workers are left out: within a rack services are better kept
-// together, up to SurviveFilter's bound, so that workers without any are left
-// where loud batch work harms nobody. Batch tasks are rated alike everywhere.
+// service. It does not spread over the workers of a rack: services should share
+// workers up to the limit of FailureDomainFilter, so that some workers have no
+// service and noisy batch work is harmless there. Batch tasks get the same
+// score everywhere.
 type SpreadScore struct {
+	// W is the weight of the score.
 	W float64
 }
 
@@ -29,8 +31,8 @@
 	return 1 - (zone+rack)/2
 }
 
-// crowding returns 0 for an empty place, one half for one that holds its even
-// part, and tends to 1.
+// crowding returns 0 for a domain without instances and 0.5 for one with its
+// even share of n, and approaches 1 beyond that.
 func crowding(held int, n float64, places int) float64 {
 	if held == 0 || places <= 1 {
 		return 0
--- a/core/placement/shapes.go
+++ b/core/placement/shapes.go
@@ -2,8 +2,8 @@
 
 import "github.com/guavarill/guavarill/core/model"
 
-// shapes counts workers by capacity. A fleet has few distinct capacities
-// however many workers it has.
+// shapes counts workers by capacity. Even a large fleet has few distinct
+// capacities.
 type shapes struct {
 	list []shape
 }
@@ -35,10 +35,10 @@
 	return out
 }
 
-// NeverFits returns a *NeverFitsError when size fits in none of the
-// capacities, and nil when it fits in one or none is known. A task can exceed
-// every worker in no single dimension and still fit none; the capacity that
-// comes closest decides which dimension is reported.
+// NeverFits returns a *NeverFitsError if size fits in none of the capacities,
+// and nil if it fits in one or there are none. A size may fit in none although
+// each of its dimensions fits in some capacity. The reported dimension is the
+// one that is exceeded most in the capacity that comes closest.
 func NeverFits(key model.TaskKey, size model.Resources, capacities []model.Resources) *NeverFitsError {
 	best := -1
 	bestRatio := 0.0
@@ -72,7 +72,7 @@
 	return a.Accelerators > b.Accelerators
 }
 
-// zeroCapacityRatio stands for the ratio to a capacity that is zero.
+// zeroCapacityRatio is used as the ratio of a size to a capacity of zero.
 const zeroCapacityRatio = 1e9
 
 func dimensionRatio(size, capacity int64) float64 {
--- a/core/placement/shapes_test.go
+++ b/core/placement/shapes_test.go
@@ -7,7 +7,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Symptom: a job that no worker can hold waits for ever without a word.
+// Guards against a job that is larger than every worker staying pending forever
+// without that reason.
 func TestNeverFits(t *testing.T) {
 	shapes := append(fleet(2, 1, 1, res(16000, 60000, 0)), fleet(1, 1, 1, res(8000, 30000, 4))...)
 	shapes[2].VM.ID = "special"
@@ -30,7 +31,7 @@
 	}
 }
 
-// A worker that is full, or none at all, is no reason to say never.
+// A full worker, or an empty snapshot, must not give a NeverFitsError.
 func TestFullIsNotNever(t *testing.T) {
 	workers := fleet(1, 1, 1, big)
 	workers[0].Free = model.Resources{}
--- a/core/placement/snapshot.go
+++ b/core/placement/snapshot.go
@@ -6,12 +6,13 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// CautionStd is how many standard deviations are added to the mean when a
-// slowdown is predicted, so that an unknown neighbour counts as a bad one.
+// CautionStd is the number of standard deviations added to the mean when the
+// slowdown by a batch task is predicted, so that an unknown neighbour counts as
+// a noisy one.
 const CautionStd = 1
 
-// Snapshot is the workers that tasks may be placed on. It is not safe for
-// concurrent use.
+// Snapshot holds the workers on which tasks may be placed, and indexes of them.
+// It is not safe for concurrent use.
 type Snapshot struct {
 	workers  []*Worker
 	bySlot   map[model.WorkerID]int
@@ -22,14 +23,15 @@
 	zones    *domains
 	racks    *domains
 	spread   map[string]*spreadCount
-	// services are the classes of service seen, in order of appearance.
+	// services holds the classes of the services placed so far, in the order
+	// of their first appearance.
 	services    []classID
 	predictions *predictions
 	rejected    rejectedSizes
 }
 
-// NewSnapshot indexes workers. The predictor may be nil: every slowdown is
-// then predicted as none.
+// NewSnapshot returns a snapshot of the given workers. A nil predictor predicts
+// no slowdowns.
 func NewSnapshot(workers []Worker, predictor Predictor) *Snapshot {
 	s := &Snapshot{
 		bySlot:      make(map[model.WorkerID]int, len(workers)),
@@ -45,10 +47,10 @@
 	return s
 }
 
-// Len returns how many workers there are.
+// Len returns the number of workers.
 func (s *Snapshot) Len() int { return len(s.workers) }
 
-// Worker returns a worker, which the caller must not change.
+// Worker returns a worker by its id. The caller must not modify it.
 func (s *Snapshot) Worker(id model.WorkerID) (*Worker, bool) {
 	slot, ok := s.bySlot[id]
 	if !ok {
@@ -60,7 +62,7 @@
 // Capacities returns the distinct capacities of the workers.
 func (s *Snapshot) Capacities() []model.Resources { return s.shapes.capacities() }
 
-// Put adds a worker or replaces what is known of it.
+// Put adds a worker or replaces its state.
 func (s *Snapshot) Put(w Worker) {
 	s.Remove(w.VM.ID)
 	own := w
@@ -80,7 +82,7 @@
 	s.rejected.reset()
 }
 
-// Remove forgets a worker.
+// Remove removes a worker and its tasks. An unknown id is ignored.
 func (s *Snapshot) Remove(id model.WorkerID) {
 	slot, ok := s.bySlot[id]
 	if !ok {
@@ -124,8 +126,8 @@
 	}
 }
 
-// Assume takes the room of a task that was placed. It reports false, and does
-// nothing, when the worker is unknown or has no room for it.
+// Assume commits the resources of a placed task on a worker. It returns false
+// and changes nothing if the worker is unknown or has no room for the task.
 func (s *Snapshot) Assume(r *Request, id model.WorkerID) bool {
 	w, ok := s.Worker(id)
 	if !ok || !r.Size.Fits(w.Free) {
@@ -143,7 +145,8 @@
 	return true
 }
 
-// findTask finds a task on a worker: the worker, and the task's index there.
+// findTask returns the worker with the given id and the index of a task among
+// its tasks. It returns false if the task is not on the worker.
 func (s *Snapshot) findTask(key model.TaskKey, id model.WorkerID) (*Worker, int, bool) {
 	w, ok := s.Worker(id)
 	if !ok {
@@ -153,8 +156,8 @@
 	return w, i, i >= 0
 }
 
-// Release gives back the room of a task that is over. It reports false when
-// the task is not on the worker.
+// Release frees the resources of a task that ended. It returns false if the
+// task is not on the worker.
 func (s *Snapshot) Release(key model.TaskKey, id model.WorkerID) bool {
 	w, i, ok := s.findTask(key, id)
 	if !ok {
@@ -168,9 +171,9 @@
 	return true
 }
 
-// Resize changes the room that a task holds. It reports false, and does
-// nothing, when the task is not on the worker or the worker has no room for
-// the growth.
+// Resize changes the committed size of a task. It returns false and changes
+// nothing if the task is not on the worker or the worker has no room for the
+// growth.
 func (s *Snapshot) Resize(key model.TaskKey, id model.WorkerID, size model.Resources) bool {
 	w, i, ok := s.findTask(key, id)
 	if !ok {
@@ -186,7 +189,8 @@
 	return true
 }
 
-// adjustCommitted changes a worker's committed sum and moves it to its new cell.
+// adjustCommitted adds a size, which may be negative, to a worker's committed
+// resources and moves the worker to its new cell.
 func (s *Snapshot) adjustCommitted(w *Worker, size model.Resources) {
 	w.Committed = w.Committed.Add(size)
 	w.Free = w.Free.Sub(size)
@@ -197,7 +201,7 @@
 	s.addToCell(w)
 }
 
-// countResident adds n to the counts that a resident takes part in.
+// countResident adds n to all counts to which a resident contributes.
 func (s *Snapshot) countResident(w *Worker, t *Resident, n int) {
 	class := s.predictions.class(t.Class)
 	w.countGroup(group{
--- a/core/placement/spreadcount.go
+++ b/core/placement/spreadcount.go
@@ -1,9 +1,10 @@
 package placement
 
-// domainID numbers a zone or a rack of a snapshot.
+// domainID identifies a zone or a rack within a snapshot.
 type domainID int32
 
-// spreadCount is where one service's instances are.
+// spreadCount counts the instances of one service in total, by zone and by
+// rack.
 type spreadCount struct {
 	total int
 	zones []int
@@ -31,11 +32,12 @@
 	return counts[at]
 }
 
-// domains numbers names and counts the eligible workers of each.
+// domains assigns ids to the names of zones or of racks, and counts the
+// eligible workers in each.
 type domains struct {
 	ids      map[string]domainID
 	eligible []int
-	// inUse is how many places have an eligible worker.
+	// inUse is the number of domains with at least one eligible worker.
 	inUse int
 }
 
--- a/core/placement/worker.go
+++ b/core/placement/worker.go
@@ -2,7 +2,7 @@
 
 import "github.com/guavarill/guavarill/core/model"
 
-// Resident is a task that holds room on a worker.
+// Resident is a task that holds resources on a worker.
 type Resident struct {
 	Key         model.TaskKey
 	Class       string
@@ -12,19 +12,20 @@
 	LongRunning bool
 }
 
-// Worker is a worker as a placement cycle sees it.
+// Worker is the state of a worker that placement depends on.
 type Worker struct {
 	VM model.VM
-	// Free is the capacity less Committed.
+	// Free is the capacity minus Committed.
 	Free      model.Resources
 	Committed model.Resources
 	Tasks     []Resident
-	// Quarantined, Leaving and Unreachable each keep new tasks away.
+	// Quarantined, Leaving and Unreachable each exclude the worker from new
+	// tasks.
 	Quarantined, Leaving, Unreachable bool
-	// Load is the share of the processors measured in use, from 0 to 1.
+	// Load is the measured utilization of the processors, from 0 to 1.
 	Load float64
 
-	// The rest is the snapshot's own index of the worker.
+	// The fields below are maintained by the Snapshot that holds the worker.
 	slot       int
 	zone, rack domainID
 	residents  []group
@@ -32,7 +33,7 @@
 	eligibleAt int
 }
 
-// group is how many residents of one workload a worker has.
+// group counts the residents of one workload on a worker.
 type group struct {
 	class   classID
 	profile profileID
@@ -40,7 +41,7 @@
 	service bool
 }
 
-// eligible reports whether any new task may be placed on w.
+// eligible reports whether the state of w allows new tasks.
 func (w *Worker) eligible() bool {
 	return !w.Quarantined && !w.Leaving && !w.Unreachable && w.VM.State != model.VMLeaving
 }
@@ -59,7 +60,7 @@
 	w.residents = append(w.residents, g)
 }
 
-// instancesOf returns how many instances of a service the worker has.
+// instancesOf returns the number of instances of a service on the worker.
 func (w *Worker) instancesOf(service profileID) int {
 	for i := range w.residents {
 		if w.residents[i].profile == service {
