--- a/core/placement/filter_failure_domain_test.go
+++ b/core/placement/filter_failure_domain_test.go
@@ -5,7 +5,7 @@
 // Guards against too few instances being left after the loss of a rack or zone
 // because packing put them together. The limits must hold whatever the scores
 // are.
-func TestLossOfOnePlaceLeavesEnough(t *testing.T) {
+func TestFailureDomainLimitsHold(t *testing.T) {
 	const n = 50
 	for name, c := range map[string]struct {
 		filter              FailureDomainFilter
@@ -74,7 +74,7 @@
 
 // Guards against instances of a lost zone not being placed again because the
 // limit still counts the lost zone as a domain to choose from.
-func TestBoundsFollowThePlacesThatAreLeft(t *testing.T) {
+func TestLimitsFollowRemainingDomains(t *testing.T) {
 	s := NewSnapshot(fleet(4, 2, 2, big), nil)
 	p := Default(Options{})
 	s.Remove("w0000")
--- a/core/placement/filter_spread_test.go
+++ b/core/placement/filter_spread_test.go
@@ -31,7 +31,7 @@
 
 // Guards against instances staying pending although there is room, because the
 // zone that an even spread requires has none.
-func TestSpreadYieldsToRoom(t *testing.T) {
+func TestSpreadIsDroppedForLackOfRoom(t *testing.T) {
 	workers := fleet(4, 1, 4, big)
 	for i := range workers[:2] {
 		workers[i].Free = model.Resources{}
--- a/core/placement/filter_state_test.go
+++ b/core/placement/filter_state_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestLeavingByThePlatformsList(t *testing.T) {
+func TestWorkerLeavingByListOfVMs(t *testing.T) {
 	workers := fleet(2, 1, 1, big)
 	workers[0].VM.State = model.VMLeaving
 	d, err := Default(Options{}).Place(NewSnapshot(workers, nil), batch(1, res(1, 1, 0)))
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -110,7 +110,7 @@
 
 // Guards against a pending task being rejected after room was freed because its
 // size is remembered as rejected for too long.
-func TestRefusalIsForgottenWhenRoomIsFreed(t *testing.T) {
+func TestRejectedSizeIsForgottenWhenRoomIsFreed(t *testing.T) {
 	s := NewSnapshot(fleet(1, 1, 1, big), nil)
 	p := Default(Options{})
 	first, second := batch(1, big), batch(2, res(1, 1, 0))
--- a/core/placement/score_accelerators_test.go
+++ b/core/placement/score_accelerators_test.go
@@ -4,7 +4,7 @@
 
 // Guards against a task that needs an accelerator staying pending because tasks
 // without that need fill the workers that have accelerators.
-func TestAcceleratorsAreKeptForThoseThatNeedThem(t *testing.T) {
+func TestAcceleratorsAreKeptForTasksThatNeedThem(t *testing.T) {
 	plain, special := fleet(1, 1, 1, big), fleet(1, 1, 1, res(16000, 60000, 4))
 	special[0].VM.ID = "special"
 	special[0].Committed = res(8000, 30000, 0)
--- a/core/placement/shapes_test.go
+++ b/core/placement/shapes_test.go
@@ -32,7 +32,7 @@
 }
 
 // A full worker, or an empty snapshot, must not give a NeverFitsError.
-func TestFullIsNotNever(t *testing.T) {
+func TestFullClusterIsNotNeverFits(t *testing.T) {
 	workers := fleet(1, 1, 1, big)
 	workers[0].Free = model.Resources{}
 	for _, s := range []*Snapshot{NewSnapshot(workers, nil), NewSnapshot(nil, nil)} {
