--- a/core/placement/score_history.go
+++ b/core/placement/score_history.go
@@ -31,6 +31,6 @@
 	if r.LastWorker == w.VM.ID {
 		return 0
 	}
-	fear := min(1, float64(r.Evictions)/fullAvoidanceEvictions)
-	return 1 - fear*min(1, w.Load)
+	avoidance := min(1, float64(r.Evictions)/fullAvoidanceEvictions)
+	return 1 - avoidance*min(1, w.Load)
 }
--- a/core/placement/score_separation.go
+++ b/core/placement/score_separation.go
@@ -27,13 +27,13 @@
 	if r.Service {
 		return 1
 	}
-	loud := min(1, s.maxServiceEffect(r, w.Load)/c.NoisyEffect)
+	noisiness := min(1, s.maxServiceEffect(r, w.Load)/c.NoisyEffect)
 	for _, g := range w.residents {
 		if g.service {
-			return 1 - loud
+			return 1 - noisiness
 		}
 	}
-	return loud
+	return noisiness
 }
 
 // maxServiceEffect returns the largest predicted effect of a task on any of the
--- a/core/placement/score_slowdown.go
+++ b/core/placement/score_slowdown.go
@@ -39,7 +39,7 @@
 		if added == 0 {
 			continue
 		}
-		before := presentSlowdown(s, w, victim, load)
+		before := currentSlowdown(s, w, victim, load)
 		harm += c.weight(victim.service) * float64(victim.count) * added * (added + 2*before)
 	}
 	harm += c.weight(r.Service) * suffered * suffered
@@ -57,9 +57,9 @@
 	return c.BatchWeight
 }
 
-// presentSlowdown returns the predicted slowdown of a resident by the other
+// currentSlowdown returns the predicted slowdown of a resident by the other
 // residents of its worker.
-func presentSlowdown(s *Snapshot, w *Worker, victim group, load float64) float64 {
+func currentSlowdown(s *Snapshot, w *Worker, victim group, load float64) float64 {
 	sum := 0.0
 	for _, other := range w.residents {
 		count := other.count
