--- a/core/placement/placer.go
+++ b/core/placement/placer.go
@@ -6,24 +6,27 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Options sets a placer.
+// Options are the settings of a placer.
 type Options struct {
-	// Random is the source of the draws; the same source and calls give the
-	// same decisions. Nil stands for a source with a fixed seed.
+	// Random is the source of random candidates. The same source and the same
+	// calls give the same decisions. Nil selects a source with a fixed seed.
 	Random rand.Source
-	// TightCandidates is how many of the tightest workers that fit are candidates.
+	// TightCandidates is the number of candidates taken from the workers with
+	// the least free resources that still fit the task. Values of 0 and less
+	// select the default.
 	TightCandidates int
-	// RandomCandidates is how many workers are drawn at random besides.
+	// RandomCandidates is the number of workers sampled at random in addition.
+	// Values of 0 and less select the default.
 	RandomCandidates int
 }
 
-// The defaults of Options.
+// The default numbers of candidates.
 const (
 	DefaultTightCandidates  = 4
 	DefaultRandomCandidates = 8
 )
 
-// Placer decides where tasks run. It is not safe for concurrent use.
+// Placer chooses workers for tasks. It is not safe for concurrent use.
 type Placer struct {
 	filters     []Filter
 	scores      []Score
@@ -61,7 +64,7 @@
 	return New(DefaultFilters(), DefaultScores(), o)
 }
 
-// DefaultFilters returns the standard filters, cheapest first.
+// DefaultFilters returns the standard filters, the cheapest to evaluate first.
 func DefaultFilters() []Filter {
 	return []Filter{
 		QuarantineFilter{},
@@ -86,34 +89,34 @@
 	}
 }
 
-// Place returns the worker that a task should run on. It changes nothing in
-// the snapshot. The error is a *NeverFitsError when no worker could ever hold
-// the task, and an *UnplaceableError when none can now.
+// Place returns the worker on which a task should run. It does not change the
+// workers of the snapshot. The error is a *NeverFitsError if the task is larger
+// than every worker, and an *UnplaceableError if no worker can take it now.
 func (p *Placer) Place(s *Snapshot, r *Request) (Decision, error) {
 	if never := NeverFits(r.Key, r.Size, s.shapes.capacities()); never != nil {
 		return Decision{}, never
 	}
-	s.effects.refresh()
-	if known, ok := s.refused.find(r.Size); ok {
+	s.predictions.refresh()
+	if known, ok := s.rejected.find(r.Size); ok {
 		again := *known
 		again.Key = r.Key
 		return Decision{}, &again
 	}
-	p.draw(s, r)
+	p.sampleCandidates(s, r)
 	if len(p.candidates) > 0 {
 		return p.best(s, r, nil), nil
 	}
-	return p.placeAnywhere(s, r)
+	return p.searchAll(s, r)
 }
 
-// draw gathers candidates that pass every filter: the tightest fits first,
-// then random ones. Looking into a cell stops after a few workers so that a
-// crowded cell costs no more than a sparse one.
-func (p *Placer) draw(s *Snapshot, r *Request) {
+// sampleCandidates collects candidates that pass every filter: first the
+// tightest fits, then random workers. Only a few workers of each cell are
+// tried, so that a crowded cell costs no more than a sparse one.
+func (p *Placer) sampleCandidates(s *Snapshot, r *Request) {
 	p.candidates = p.candidates[:0]
 	looks := 4 * p.options.TightCandidates
 	s.grid.visit(r.Size, func(slots []int32) bool {
-		p.lookInto(s, r, slots, &looks)
+		p.tryCell(s, r, slots, &looks)
 		return len(p.candidates) < p.options.TightCandidates && looks > 0
 	})
 	if len(s.eligible) == 0 {
@@ -121,35 +124,36 @@
 	}
 	for range p.options.RandomCandidates {
 		slot := s.eligible[p.random.IntN(len(s.eligible))]
-		p.consider(s, r, s.workers[slot])
+		p.addCandidate(s, r, s.workers[slot])
 	}
 }
 
-// looksPerCell is how many workers of one cell are tried for a tight fit.
-const looksPerCell = 2
+// triesPerCell is the number of workers of one cell that are tried for a tight
+// fit.
+const triesPerCell = 2
 
-func (p *Placer) lookInto(s *Snapshot, r *Request, slots []int32, looks *int) {
+func (p *Placer) tryCell(s *Snapshot, r *Request, slots []int32, looks *int) {
 	start := p.random.IntN(len(slots))
-	for i := range min(looksPerCell, len(slots), *looks) {
+	for i := range min(triesPerCell, len(slots), *looks) {
 		*looks--
-		p.consider(s, r, s.workers[slots[(start+i)%len(slots)]])
+		p.addCandidate(s, r, s.workers[slots[(start+i)%len(slots)]])
 	}
 }
 
-func (p *Placer) consider(s *Snapshot, r *Request, w *Worker) {
+func (p *Placer) addCandidate(s *Snapshot, r *Request, w *Worker) {
 	for _, c := range p.candidates {
 		if c == w {
 			return
 		}
 	}
-	if p.rejects(s, r, w, 0) == nil {
+	if p.rejectedBy(s, r, w, 0) == nil {
 		p.candidates = append(p.candidates, w)
 	}
 }
 
-// rejects returns the first filter that rejects a worker, passing over the
-// first relaxed soft filters.
-func (p *Placer) rejects(s *Snapshot, r *Request, w *Worker, relaxed int) Filter {
+// rejectedBy returns the first filter that rejects a worker, or nil. It skips
+// as many soft filters as relaxed says, from the first on.
+func (p *Placer) rejectedBy(s *Snapshot, r *Request, w *Worker, relaxed int) Filter {
 	for _, f := range p.filters {
 		if _, soft := f.(SoftFilter); soft && relaxed > 0 {
 			relaxed--
@@ -162,16 +166,16 @@
 	return nil
 }
 
-// placeAnywhere examines every worker that may have room, giving up the soft
-// filters one after the other.
-func (p *Placer) placeAnywhere(s *Snapshot, r *Request) (Decision, error) {
+// searchAll examines every worker that may have room. While none passes, it
+// drops one more soft filter and starts over.
+func (p *Placer) searchAll(s *Snapshot, r *Request) (Decision, error) {
 	var names []string
 	for relaxed := 0; ; relaxed++ {
-		p.gather(s, r, relaxed)
+		p.scanAll(s, r, relaxed)
 		if len(p.candidates) > 0 {
 			return p.best(s, r, names), nil
 		}
-		name, ok := p.softName(relaxed)
+		name, ok := p.softFilterName(relaxed)
 		if !ok {
 			return Decision{}, p.unplaceable(s, r)
 		}
@@ -179,8 +183,8 @@
 	}
 }
 
-// softName returns the name of the n-th soft filter.
-func (p *Placer) softName(n int) (string, bool) {
+// softFilterName returns the name of the n-th soft filter.
+func (p *Placer) softFilterName(n int) (string, bool) {
 	for _, f := range p.filters {
 		if _, soft := f.(SoftFilter); !soft {
 			continue
@@ -193,12 +197,12 @@
 	return "", false
 }
 
-func (p *Placer) gather(s *Snapshot, r *Request, relaxed int) {
+func (p *Placer) scanAll(s *Snapshot, r *Request, relaxed int) {
 	p.candidates = p.candidates[:0]
 	enough := p.options.TightCandidates + p.options.RandomCandidates
 	s.grid.visit(r.Size, func(slots []int32) bool {
 		for _, slot := range slots {
-			if p.rejects(s, r, s.workers[slot], relaxed) == nil {
+			if p.rejectedBy(s, r, s.workers[slot], relaxed) == nil {
 				p.candidates = append(p.candidates, s.workers[slot])
 			}
 			if len(p.candidates) == enough {
@@ -231,14 +235,16 @@
 	return sum / p.totalWeight
 }
 
-// unplaceable counts why each worker was rejected. When room and the workers'
-// own state are the only reasons, the size is remembered as refused.
+// unplaceable returns an error that counts the workers by the filter that
+// rejected them. The size is remembered as rejected if every rejection was due
+// to a lack of room or to the state of the worker, since the result is then
+// the same for any task of that size.
 func (p *Placer) unplaceable(s *Snapshot, r *Request) *UnplaceableError {
 	err := &UnplaceableError{Key: r.Key, Reasons: make(map[string]int)}
 	lacking := make(map[model.Dimension]int)
 	general := true
 	for _, w := range s.workers {
-		f := p.rejects(s, r, w, len(p.filters))
+		f := p.rejectedBy(s, r, w, len(p.filters))
 		if f == nil {
 			continue
 		}
@@ -252,14 +258,14 @@
 			general = false
 		}
 	}
-	err.Dimension = mostLacking(lacking)
+	err.Dimension = scarcestDimension(lacking)
 	if general {
-		s.refused.add(r.Size, err)
+		s.rejected.add(r.Size, err)
 	}
 	return err
 }
 
-func mostLacking(counts map[model.Dimension]int) model.Dimension {
+func scarcestDimension(counts map[model.Dimension]int) model.Dimension {
 	var most model.Dimension
 	for _, d := range []model.Dimension{model.DimensionCPU, model.DimensionMemory, model.DimensionAccelerators} {
 		if counts[d] > counts[most] {
--- a/core/placement/snapshot.go
+++ b/core/placement/snapshot.go
@@ -6,12 +6,13 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// CautionStd is how many standard deviations are added to the mean when a
-// slowdown is predicted, so that an unknown neighbour counts as a bad one.
+// CautionStd is the number of standard deviations added to the mean when the
+// slowdown by a batch task is predicted, so that an unknown neighbour counts as
+// a noisy one.
 const CautionStd = 1
 
-// Snapshot is the workers that tasks may be placed on. It is not safe for
-// concurrent use.
+// Snapshot holds the workers on which tasks may be placed, and indexes of them.
+// It is not safe for concurrent use.
 type Snapshot struct {
 	workers  []*Worker
 	bySlot   map[model.WorkerID]int
@@ -19,25 +20,26 @@
 	grid     *grid
 	position []int32
 	shapes   shapes
-	zones    *places
-	racks    *places
+	zones    *domains
+	racks    *domains
 	spread   map[string]*spreadCount
-	// services are the classes of service seen, in order of appearance.
-	services []classID
-	effects  *predictions
-	refused  refusals
+	// services holds the classes of the services placed so far, in the order
+	// of their first appearance.
+	services    []classID
+	predictions *predictions
+	rejected    rejectedSizes
 }
 
-// NewSnapshot indexes workers. The predictor may be nil: every slowdown is
-// then predicted as none.
+// NewSnapshot returns a snapshot of the given workers. A nil predictor predicts
+// no slowdowns.
 func NewSnapshot(workers []Worker, predictor Predictor) *Snapshot {
 	s := &Snapshot{
-		bySlot:  make(map[model.WorkerID]int, len(workers)),
-		grid:    new(grid),
-		zones:   newPlaces(),
-		racks:   newPlaces(),
-		spread:  make(map[string]*spreadCount),
-		effects: newPredictions(predictor, CautionStd),
+		bySlot:      make(map[model.WorkerID]int, len(workers)),
+		grid:        new(grid),
+		zones:       newDomains(),
+		racks:       newDomains(),
+		spread:      make(map[string]*spreadCount),
+		predictions: newPredictions(predictor, CautionStd),
 	}
 	for _, w := range workers {
 		s.Put(w)
@@ -45,10 +47,10 @@
 	return s
 }
 
-// Len returns how many workers there are.
+// Len returns the number of workers.
 func (s *Snapshot) Len() int { return len(s.workers) }
 
-// Worker returns a worker, which the caller must not change.
+// Worker returns a worker by its id. The caller must not modify it.
 func (s *Snapshot) Worker(id model.WorkerID) (*Worker, bool) {
 	slot, ok := s.bySlot[id]
 	if !ok {
@@ -60,7 +62,7 @@
 // Capacities returns the distinct capacities of the workers.
 func (s *Snapshot) Capacities() []model.Resources { return s.shapes.capacities() }
 
-// Put adds a worker or replaces what is known of it.
+// Put adds a worker or replaces its state.
 func (s *Snapshot) Put(w Worker) {
 	s.Remove(w.VM.ID)
 	own := w
@@ -74,22 +76,22 @@
 	s.bySlot[w.VM.ID] = own.slot
 	s.shapes.add(w.VM.Capacity, 1)
 	for i := range own.Tasks {
-		s.count(&own, &own.Tasks[i], 1)
+		s.countResident(&own, &own.Tasks[i], 1)
 	}
-	s.enter(&own)
-	s.refused.reset()
+	s.addEligible(&own)
+	s.rejected.reset()
 }
 
-// Remove forgets a worker.
+// Remove removes a worker and its tasks. An unknown id is ignored.
 func (s *Snapshot) Remove(id model.WorkerID) {
 	slot, ok := s.bySlot[id]
 	if !ok {
 		return
 	}
 	w := s.workers[slot]
-	s.leave(w)
+	s.removeEligible(w)
 	for i := range w.Tasks {
-		s.count(w, &w.Tasks[i], -1)
+		s.countResident(w, &w.Tasks[i], -1)
 	}
 	s.shapes.add(w.VM.Capacity, -1)
 	delete(s.bySlot, id)
@@ -103,13 +105,13 @@
 		moved := s.workers[last]
 		eligible := moved.eligibleAt >= 0
 		if eligible {
-			s.leave(moved)
+			s.removeEligible(moved)
 		}
 		moved.slot = slot
 		s.workers[slot] = moved
 		s.bySlot[moved.VM.ID] = slot
 		if eligible {
-			s.enter(moved)
+			s.addEligible(moved)
 		}
 	}
 	s.workers[last] = nil
@@ -124,8 +126,8 @@
 	}
 }
 
-// Assume takes the room of a task that was placed. It reports false, and does
-// nothing, when the worker is unknown or has no room for it.
+// Assume commits the resources of a placed task on a worker. It returns false
+// and changes nothing if the worker is unknown or has no room for the task.
 func (s *Snapshot) Assume(r *Request, id model.WorkerID) bool {
 	w, ok := s.Worker(id)
 	if !ok || !r.Size.Fits(w.Free) {
@@ -138,13 +140,14 @@
 		Priority: r.Priority,
 		Size:     r.Size,
 	})
-	s.count(w, &w.Tasks[len(w.Tasks)-1], 1)
-	s.take(w, r.Size)
+	s.countResident(w, &w.Tasks[len(w.Tasks)-1], 1)
+	s.adjustCommitted(w, r.Size)
 	return true
 }
 
-// resident finds a task on a worker: the worker, and the task's index there.
-func (s *Snapshot) resident(key model.TaskKey, id model.WorkerID) (*Worker, int, bool) {
+// findTask returns the worker with the given id and the index of a task among
+// its tasks. It returns false if the task is not on the worker.
+func (s *Snapshot) findTask(key model.TaskKey, id model.WorkerID) (*Worker, int, bool) {
 	w, ok := s.Worker(id)
 	if !ok {
 		return nil, 0, false
@@ -153,26 +156,26 @@
 	return w, i, i >= 0
 }
 
-// Release gives back the room of a task that is over. It reports false when
-// the task is not on the worker.
+// Release frees the resources of a task that ended. It returns false if the
+// task is not on the worker.
 func (s *Snapshot) Release(key model.TaskKey, id model.WorkerID) bool {
-	w, i, ok := s.resident(key, id)
+	w, i, ok := s.findTask(key, id)
 	if !ok {
 		return false
 	}
 	task := w.Tasks[i]
 	w.Tasks = slices.Delete(w.Tasks, i, i+1)
-	s.count(w, &task, -1)
-	s.take(w, model.Resources{}.Sub(task.Size))
-	s.refused.reset()
+	s.countResident(w, &task, -1)
+	s.adjustCommitted(w, model.Resources{}.Sub(task.Size))
+	s.rejected.reset()
 	return true
 }
 
-// Resize changes the room that a task holds. It reports false, and does
-// nothing, when the task is not on the worker or the worker has no room for
-// the growth.
+// Resize changes the committed size of a task. It returns false and changes
+// nothing if the task is not on the worker or the worker has no room for the
+// growth.
 func (s *Snapshot) Resize(key model.TaskKey, id model.WorkerID, size model.Resources) bool {
-	w, i, ok := s.resident(key, id)
+	w, i, ok := s.findTask(key, id)
 	if !ok {
 		return false
 	}
@@ -181,28 +184,29 @@
 		return false
 	}
 	w.Tasks[i].Size = size
-	s.take(w, growth)
-	s.refused.reset()
+	s.adjustCommitted(w, growth)
+	s.rejected.reset()
 	return true
 }
 
-// take changes a worker's committed sum and moves it to its new cell.
-func (s *Snapshot) take(w *Worker, size model.Resources) {
+// adjustCommitted adds a size, which may be negative, to a worker's committed
+// resources and moves the worker to its new cell.
+func (s *Snapshot) adjustCommitted(w *Worker, size model.Resources) {
 	w.Committed = w.Committed.Add(size)
 	w.Free = w.Free.Sub(size)
 	if w.eligibleAt < 0 || cellOf(w.Free) == w.cell {
 		return
 	}
-	s.leaveCell(w)
-	s.enterCell(w)
+	s.removeFromCell(w)
+	s.addToCell(w)
 }
 
-// count adds n to the counts that a resident takes part in.
-func (s *Snapshot) count(w *Worker, t *Resident, n int) {
-	class := s.effects.class(t.Class)
+// countResident adds n to all counts to which a resident contributes.
+func (s *Snapshot) countResident(w *Worker, t *Resident, n int) {
+	class := s.predictions.class(t.Class)
 	w.countGroup(group{
 		class:   class,
-		profile: s.effects.profile(t.Class, t.Key.Workload, t.Service),
+		profile: s.predictions.profile(t.Class, t.Key.Workload, t.Service),
 		service: t.Service,
 		count:   int32(n),
 	})
@@ -223,7 +227,7 @@
 	}
 }
 
-func (s *Snapshot) enter(w *Worker) {
+func (s *Snapshot) addEligible(w *Worker) {
 	w.eligibleAt = -1
 	if !w.eligible() {
 		return
@@ -232,14 +236,14 @@
 	s.eligible = append(s.eligible, int32(w.slot))
 	s.zones.count(w.zone, 1)
 	s.racks.count(w.rack, 1)
-	s.enterCell(w)
+	s.addToCell(w)
 }
 
-func (s *Snapshot) leave(w *Worker) {
+func (s *Snapshot) removeEligible(w *Worker) {
 	if w.eligibleAt < 0 {
 		return
 	}
-	s.leaveCell(w)
+	s.removeFromCell(w)
 	s.zones.count(w.zone, -1)
 	s.racks.count(w.rack, -1)
 	last := len(s.eligible) - 1
@@ -250,12 +254,12 @@
 	w.eligibleAt = -1
 }
 
-func (s *Snapshot) enterCell(w *Worker) {
+func (s *Snapshot) addToCell(w *Worker) {
 	w.cell = cellOf(w.Free)
 	s.position[w.slot] = int32(s.grid.add(w.cell, int32(w.slot)))
 }
 
-func (s *Snapshot) leaveCell(w *Worker) {
+func (s *Snapshot) removeFromCell(w *Worker) {
 	position := s.position[w.slot]
 	if moved := s.grid.remove(w.cell, int(position)); moved >= 0 {
 		s.position[moved] = position
