--- a/jobservice/campaign.go
+++ b/jobservice/campaign.go
@@ -40,9 +40,9 @@
 		l.revoke(lease)
 		return nil, err
 	}
-	l.extend(grantedAt)
+	l.extendDeadline(grantedAt)
 	l.log.WithFields(logrus.Fields{"epoch": won, "lease": lease}).Info(joblog.MessageLeads)
-	return l.take(ctx, lease, won, earlier)
+	return l.startTerm(ctx, lease, won, earlier)
 }
 
 // awaitVacancy returns when the leader's key is free, or belongs to no living
@@ -65,7 +65,7 @@
 			return 0, err
 		}
 		if kv.ModRevision == 0 {
-			l.giveWay(ctx)
+			l.delayCampaign(ctx)
 			return 0, nil
 		}
 		holder, err := decodeLeader(kv.Value)
@@ -123,10 +123,10 @@
 	return r, nil
 }
 
-// giveWay waits a moment, so that a daemon with more processors takes the lead
+// delayCampaign waits a moment, so that a daemon with more processors takes the lead
 // first, and not all at once ask for it.
-func (l *Leader) giveWay(ctx context.Context) {
-	delay := min(time.Duration(float64(campaignDelay)/max(l.o.Processors, 0.01)), campaignDelayMost)
+func (l *Leader) delayCampaign(ctx context.Context) {
+	delay := min(time.Duration(float64(campaignDelay)/max(l.o.Processors, 0.01)), maxCampaignDelay)
 	Pause(ctx, delay+time.Duration(rand.Int64N(int64(campaignDelay))))
 }
 
@@ -197,9 +197,9 @@
 		{Key: leaderKey, Value: record, Lease: lease},
 		{Key: ledgerKey, Value: value},
 	}
-	if l.kept != nil && l.kept.ledger != ledger.ModRevision {
+	if l.suspended != nil && l.suspended.ledger != ledger.ModRevision {
 		l.log.Info("another daemon has led meanwhile; state is read anew")
-		l.kept = nil
+		l.suspended = nil
 	}
 	call, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
@@ -210,12 +210,12 @@
 		}
 		return result.Revision, earlier, nil
 	}
-	revision, err := l.acquiredAfterAll(ctx, lease, err)
+	revision, err := l.wasAcquired(ctx, lease, err)
 	return revision, earlier, err
 }
 
-// acquiredAfterAll finds out whether an acquisition without an answer was made.
-func (l *Leader) acquiredAfterAll(ctx context.Context, lease port.LeaseID, cause error) (int64, error) {
+// wasAcquired finds out whether an acquisition without an answer was made.
+func (l *Leader) wasAcquired(ctx context.Context, lease port.LeaseID, cause error) (int64, error) {
 	if IsNotDone(cause) {
 		return 0, cause
 	}
@@ -229,11 +229,11 @@
 	return 0, cause
 }
 
-// take makes the term, of the kept state where that is still good.
+// startTerm makes the term, of the kept state where that is still good.
 // earlier is the ledger that the leader before left.
-func (l *Leader) take(ctx context.Context, lease port.LeaseID, revision int64, earlier ledgerRecord) (*term, error) {
-	if t := l.kept; t != nil {
-		l.kept = nil
+func (l *Leader) startTerm(ctx context.Context, lease port.LeaseID, revision int64, earlier ledgerRecord) (*term, error) {
+	if t := l.suspended; t != nil {
+		l.suspended = nil
 		t.lease, t.epoch, t.ledger = lease, model.Epoch(revision), revision
 		t.machine.Resume(l.o.Clock.Now(), t.epoch)
 		l.log.WithField("epoch", revision).Info(joblog.MessageGoesOn)
@@ -241,7 +241,7 @@
 	}
 	t := &term{
 		leader: l, lease: lease, epoch: model.Epoch(revision), ledger: revision,
-		aside: newAsideSet(), events: make(chan jobsched.Event, eventBuffer), stored: make(chan jobsched.Event, eventBuffer),
+		unreadableJobs: newUnreadableJobs(), events: make(chan jobsched.Event, eventBuffer), storeEvents: make(chan jobsched.Event, eventBuffer),
 	}
 	renewing, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/jobservice/campaign_test.go
+++ b/jobservice/campaign_test.go
@@ -16,7 +16,7 @@
 // was refused at once: the daemon read the key again, paused for 100 ms and asked
 // the same, for as long as the leader led. The watch has to go on from the store's
 // revision at the time of the read.
-func TestAFollowerOfALongTermIsNotRefused(t *testing.T) {
+func TestFollowerWatchesFromTheRevisionRead(t *testing.T) {
 	store := newMemStore()
 	lease, err := store.GrantLease(t.Context(), 0)
 	if err != nil {
@@ -26,7 +26,7 @@
 	for range 3 {
 		store.write(port.Op{Key: ledgerKey, Value: encodeRecord(ledgerRecord{})})
 	}
-	store.forget()
+	store.compact()
 	l := NewLeader(Options{
 		Daemon: "b", Incarnation: "1", Processors: 1, Store: store, Log: logsink.NewLogger(t.Output()),
 		Metrics: NewMetrics(prometheus.NewRegistry()),
--- a/jobservice/configfeed.go
+++ b/jobservice/configfeed.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// configPause is the time before a failed read of the configuration is tried
+	// configRetryDelay is the time before a failed read of the configuration is tried
 	// again; it doubles with each failure in a row, up to configPauseMost.
-	configPause     = 100 * time.Millisecond
-	configPauseMost = 800 * time.Millisecond
-	// configFailureLines is the least time between two lines about failed reads.
-	configFailureLines = 5 * time.Second
+	configRetryDelay    = 100 * time.Millisecond
+	maxConfigRetryDelay = 800 * time.Millisecond
+	// configFailureLogInterval is the least time between two lines about failed reads.
+	configFailureLogInterval = 5 * time.Second
 )
 
 // ConfigFeedOptions are what a ConfigFeed works with.
@@ -50,10 +50,10 @@
 	// confirmedAt is when the configuration in force was certainly the newest.
 	confirmedAt time.Time
 	failures    configFailures
-	// peerAsked is set while it is read through another daemon, peersFrom is when it may
+	// peerReading is set while it is read through another daemon, peersFrom is when it may
 	// be again.
-	peerAsked bool
-	peersFrom time.Time
+	peerReading  bool
+	nextPeerRead time.Time
 }
 
 // configFailures are the failed reads since the last good one.
@@ -61,8 +61,8 @@
 	count int
 	// bytes is how much had come of their answers.
 	bytes int
-	// toldAt is when they were told last.
-	toldAt time.Time
+	// loggedAt is when they were told last.
+	loggedAt time.Time
 }
 
 var _ port.ConfigFeed = (*ConfigFeed)(nil)
@@ -72,7 +72,7 @@
 	f := &ConfigFeed{
 		o: o, log: o.Log.WithField("component", "configuration"), changed: make(chan struct{}), confirmedAt: o.Clock.Now(),
 	}
-	o.Metrics.followConfigAge(f.Age)
+	o.Metrics.setConfigAgeSource(f.Age)
 	return f
 }
 
@@ -108,11 +108,11 @@
 		if err == nil {
 			continue
 		}
-		f.readFailed(err)
-		if f.peerDue() {
+		f.recordFailure(err)
+		if f.beginPeerRead() {
 			go f.readThroughPeer(ctx)
 		}
-		Pause(ctx, f.pause())
+		Pause(ctx, f.retryDelay())
 	}
 }
 
@@ -124,8 +124,8 @@
 	if err != nil {
 		return err
 	}
-	f.readWell()
-	f.take(kv)
+	f.clearFailures()
+	f.apply(kv)
 	f.confirm(sentAt)
 	for revision := kv.ModRevision; ; {
 		sentAt = f.o.Clock.Now()
@@ -139,27 +139,27 @@
 			return err
 		}
 		if news.Changed {
-			f.take(news.KeyValue)
+			f.apply(news.KeyValue)
 		}
 		f.confirm(sentAt.Add(news.Unchanged))
 		revision = max(revision, news.Revision)
 	}
 }
 
-// pause returns how long to wait before the next read after those that failed.
-func (f *ConfigFeed) pause() time.Duration {
+// retryDelay returns how long to wait before the next read after those that failed.
+func (f *ConfigFeed) retryDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	pause := configPause
+	pause := configRetryDelay
 	for range f.failures.count - 1 {
-		pause = min(2*pause, configPauseMost)
+		pause = min(2*pause, maxConfigRetryDelay)
 	}
 	return pause
 }
 
-// readFailed counts a read that failed, and tells of it and of those before it that
+// recordFailure counts a read that failed, and tells of it and of those before it that
 // were not told.
-func (f *ConfigFeed) readFailed(err error) {
+func (f *ConfigFeed) recordFailure(err error) {
 	bytes := 0
 	var transfer *port.TransferError
 	if errors.As(err, &transfer) {
@@ -179,10 +179,10 @@
 	f.failures.count++
 	f.failures.bytes += bytes
 	now := f.o.Clock.Now()
-	if now.Sub(f.failures.toldAt) < configFailureLines {
+	if now.Sub(f.failures.loggedAt) < configFailureLogInterval {
 		return nil
 	}
-	f.failures.toldAt = now
+	f.failures.loggedAt = now
 	fields := logrus.Fields{
 		"failures": f.failures.count, "bytes": f.failures.bytes, "age": now.Sub(f.confirmedAt).String(),
 	}
@@ -192,8 +192,8 @@
 	return fields
 }
 
-// readWell notes that a read has not failed.
-func (f *ConfigFeed) readWell() {
+// clearFailures notes that a read has not failed.
+func (f *ConfigFeed) clearFailures() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failures.count, f.failures.bytes = 0, 0
@@ -208,8 +208,8 @@
 	}
 }
 
-// take puts a configuration in force unless it is older than the one that is.
-func (f *ConfigFeed) take(kv port.KeyValue) {
+// apply puts a configuration in force unless it is older than the one that is.
+func (f *ConfigFeed) apply(kv port.KeyValue) {
 	if kv.ModRevision == 0 {
 		return
 	}
--- a/jobservice/configfeed_test.go
+++ b/jobservice/configfeed_test.go
@@ -16,29 +16,29 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// handClock is a clock that is set by hand.
-type handClock struct {
+// manualClock is a clock that is set by hand.
+type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *handClock) Now() time.Time {
+func (c *manualClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *handClock) Wall() time.Time { return c.Now() }
+func (c *manualClock) Wall() time.Time { return c.Now() }
 
-func (c *handClock) pass(d time.Duration) {
+func (c *manualClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 }
 
-// scripted is a source of versions: each call is answered by the next function of the
+// scriptedReader is a source of versions: each call is answered by the next function of the
 // script, and one beyond it when the context ends.
-type scripted struct {
+type scriptedReader struct {
 	mu     sync.Mutex
 	script []func() (port.Awaited, error)
 	// calls names those that were made, in order.
@@ -46,7 +46,7 @@
 	done  chan struct{}
 }
 
-func (s *scripted) answer(ctx context.Context, call string) (port.Awaited, error) {
+func (s *scriptedReader) answer(ctx context.Context, call string) (port.Awaited, error) {
 	s.mu.Lock()
 	if len(s.script) == 0 {
 		s.mu.Unlock()
@@ -61,12 +61,12 @@
 	return next()
 }
 
-func (s *scripted) Get(ctx context.Context, _ string) (port.KeyValue, error) {
+func (s *scriptedReader) Get(ctx context.Context, _ string) (port.KeyValue, error) {
 	a, err := s.answer(ctx, "get")
 	return a.KeyValue, err
 }
 
-func (s *scripted) Await(ctx context.Context, _ string, _ int64) (port.Awaited, error) {
+func (s *scriptedReader) Await(ctx context.Context, _ string, _ int64) (port.Awaited, error) {
 	return s.answer(ctx, "await")
 }
 
@@ -103,7 +103,7 @@
 }
 
 // play has a feed follow a script to its end.
-func play(t *testing.T, f *ConfigFeed, source *scripted) {
+func play(t *testing.T, f *ConfigFeed, source *scriptedReader) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -122,8 +122,8 @@
 // Guards against answers by a configuration that may have been replaced longer ago
 // than it may stay in force: that there is no such queue, and jobs taken in.
 func TestAgeOfTheConfiguration(t *testing.T) {
-	clock := &handClock{now: time.Unix(1000, 0)}
-	source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3)}}
+	clock := &manualClock{now: time.Unix(1000, 0)}
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3)}}
 	f := newFeed(clock, source, nil)
 	if err := f.CheckAge(); err == nil {
 		t.Error("no configuration is new enough")
@@ -135,7 +135,7 @@
 		age             time.Duration
 		sure, takesJobs bool
 	}{{2 * time.Second, true, true}, {2001 * time.Millisecond, false, true}, {7 * time.Second, false, true}, {7001 * time.Millisecond, false, false}} {
-		clock.pass(c.age - f.Age())
+		clock.advance(c.age - f.Age())
 		if _, q, err := f.FindQueue(queueNamed("q")); err != nil || q.Name != "q" {
 			t.Errorf("%s: a queue that is there: %v", c.age, err)
 		}
@@ -151,11 +151,11 @@
 
 // Guards against a configuration that grows old although the store says all the time
 // that it has not changed, or that what is newer cannot be read.
-func TestConfigurationThatIsConfirmed(t *testing.T) {
-	clock := &handClock{now: time.Unix(1000, 0)}
+func TestConfirmedConfigurationStaysFresh(t *testing.T) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	wait := func(a port.Awaited) func() (port.Awaited, error) {
 		return func() (port.Awaited, error) {
-			clock.pass(1100 * time.Millisecond)
+			clock.advance(1100 * time.Millisecond)
 			return a, nil
 		}
 	}
@@ -170,7 +170,7 @@
 		{"unreadable", damaged, 1100 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3), wait(port.Awaited{}), wait(c.last)}}
+			source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3), wait(port.Awaited{}), wait(c.last)}}
 			f := newFeed(clock, source, nil)
 			play(t, f, source)
 			if age := f.Age(); age != c.age || f.Current().Version != 3 {
@@ -183,7 +183,7 @@
 // Guards against large versions that are all transferred one after the other, when
 // only the newest matters.
 func TestSeveralLargeVersionsAtOnce(t *testing.T) {
-	source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){
 		version(3), failing(port.StoreTooLarge), version(9),
 	}}
 	f := newFeed(BootClock{}, source, nil)
@@ -199,7 +199,7 @@
 // Guards against reads of a configuration that is too large to be read, one after the
 // other without a pause, of which nobody hears.
 func TestConfigurationTooLargeToBeRead(t *testing.T) {
-	source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){
 		failing(port.StoreTooLarge), failing(port.StoreTooLarge),
 	}}
 	f := newFeed(BootClock{}, source, nil)
@@ -210,28 +210,28 @@
 }
 
 // Guards against a load of reads that fail one after the other without a pause.
-func TestFailedReadsPauseLongerEachTime(t *testing.T) {
+func TestFailedReadsBackOff(t *testing.T) {
 	f := newFeed(BootClock{}, nil, nil)
 	var pauses []time.Duration
 	for range 6 {
-		f.readFailed(&port.StoreError{Call: "Get", Kind: port.StoreTimeout, Cause: &port.TransferError{Bytes: 1000}})
-		pauses = append(pauses, f.pause())
+		f.recordFailure(&port.StoreError{Call: "Get", Kind: port.StoreTimeout, Cause: &port.TransferError{Bytes: 1000}})
+		pauses = append(pauses, f.retryDelay())
 	}
 	for i, want := range []time.Duration{100, 200, 400, 800, 800, 800} {
 		if pauses[i] != want*time.Millisecond {
 			t.Errorf("after %d failures %s", i+1, pauses[i])
 		}
 	}
-	f.readWell()
-	if f.failures.bytes != 0 || f.pause() != configPause {
+	f.clearFailures()
+	if f.failures.bytes != 0 || f.retryDelay() != configRetryDelay {
 		t.Errorf("after a good read: %+v", f.failures)
 	}
 }
 
 // Guards against a daemon whose own way to the store is back, and that waits for an
 // answer of another daemon meanwhile, which has gone without a word.
-func TestReadsThroughPeersDontHoldUpTheOwnWay(t *testing.T) {
-	source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){failing(port.StoreTimeout), version(4)}}
+func TestPeerReadsDoNotDelayDirectReads(t *testing.T) {
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){failing(port.StoreTimeout), version(4)}}
 	f := newFeed(BootClock{}, source, func(ctx context.Context, _ string) (port.KeyValue, error) {
 		<-ctx.Done()
 		return port.KeyValue{}, ctx.Err()
@@ -244,20 +244,20 @@
 
 // Guards against a daemon that fills its link with a large configuration which it
 // reads through another daemon again and again.
-func TestReadsThroughPeersLeaveRoom(t *testing.T) {
-	clock := &handClock{now: time.Unix(1000, 0)}
+func TestPeerReadsLeaveBandwidth(t *testing.T) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	reads := 0
 	f := newFeed(clock, nil, func(context.Context, string) (port.KeyValue, error) {
 		reads++
-		clock.pass(time.Second)
+		clock.advance(time.Second)
 		return port.KeyValue{Key: "config", Value: []byte("5"), ModRevision: 5}, nil
 	})
 	const looks = 200
 	for range looks {
-		if f.peerDue() {
+		if f.beginPeerRead() {
 			f.readThroughPeer(context.Background())
 		}
-		clock.pass(100 * time.Millisecond)
+		clock.advance(100 * time.Millisecond)
 	}
 	if most := looks/50 + 1; reads > most || f.Current().Version != 5 {
 		t.Errorf("%d reads of a second each in some %d s, want %d at most", reads, looks/10+reads, most)
--- a/jobservice/configpeer.go
+++ b/jobservice/configpeer.go
@@ -13,26 +13,26 @@
 	configPeerShare    = 0.2
 )
 
-// peerDue reports whether the configuration is to be read through another daemon, and
+// beginPeerRead reports whether the configuration is to be read through another daemon, and
 // notes that it is.
-func (f *ConfigFeed) peerDue() bool {
+func (f *ConfigFeed) beginPeerRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.o.Peers == nil || f.peerAsked || f.o.Clock.Now().Before(f.peersFrom) {
+	if f.o.Peers == nil || f.peerReading || f.o.Clock.Now().Before(f.nextPeerRead) {
 		return false
 	}
-	f.peerAsked = true
+	f.peerReading = true
 	return true
 }
 
-// peerAnswered notes that a read through another daemon, begun at a time, is over.
-func (f *ConfigFeed) peerAnswered(sentAt time.Time) {
+// endPeerRead notes that a read through another daemon, begun at a time, is over.
+func (f *ConfigFeed) endPeerRead(sentAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	now := f.o.Clock.Now()
 	pause := time.Duration(float64(now.Sub(sentAt)) * (1/configPeerShare - 1))
-	f.peersFrom = now.Add(max(configPeerInterval, pause))
-	f.peerAsked = false
+	f.nextPeerRead = now.Add(max(configPeerInterval, pause))
+	f.peerReading = false
 }
 
 // readThroughPeer reads the configuration by way of another daemon, which the store
@@ -40,11 +40,11 @@
 func (f *ConfigFeed) readThroughPeer(ctx context.Context) {
 	sentAt := f.o.Clock.Now()
 	kv, err := f.o.Peers(ctx, f.o.Key)
-	f.peerAnswered(sentAt)
+	f.endPeerRead(sentAt)
 	if err != nil {
 		f.log.WithError(err).Debug("configuration not read through another daemon")
 		return
 	}
-	f.take(kv)
+	f.apply(kv)
 	f.confirm(sentAt)
 }
--- a/jobservice/damage_test.go
+++ b/jobservice/damage_test.go
@@ -22,11 +22,11 @@
 // complete whatever is.
 const (
 	damagedJob = job.ID("00000000000000aa")
-	soundJob   = job.ID("00000000000000bb")
+	intactJob  = job.ID("00000000000000bb")
 )
 
-// damages are values that are no record of any kind, by what is wrong.
-var damages = map[string]string{
+// damagedValues are values that are no record of any kind, by what is wrong.
+var damagedValues = map[string]string{
 	"empty":      "",
 	"no text":    "\xff\xfe\x00",
 	"cut off":    `{"daemon":"a","spec":{"steps":[{"cou`,
@@ -36,14 +36,14 @@
 	"other type": `{"daemon":7,"incarnation":7,"spec":7,"state":7,"address":7}`,
 }
 
-// quickWorker runs tasks in no time.
-type quickWorker struct {
+// instantWorker runs tasks in no time.
+type instantWorker struct {
 	mu     sync.Mutex
 	ended  []jobsched.EndedAttempt
 	starts map[job.ID]int
 }
 
-func (w *quickWorker) Renew(_ context.Context, r jobsched.Renew) (jobsched.Verdict, jobsched.Report) {
+func (w *instantWorker) Renew(_ context.Context, r jobsched.Renew) (jobsched.Verdict, jobsched.Report) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	report := jobsched.Report{ClockMs: time.Now().UnixMilli()}
@@ -55,7 +55,7 @@
 	return jobsched.VerdictDone, report
 }
 
-func (w *quickWorker) Start(_ context.Context, s jobsched.Start) (jobsched.Verdict, int64) {
+func (w *instantWorker) Start(_ context.Context, s jobsched.Start) (jobsched.Verdict, int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts[s.Key.Job]++
@@ -65,22 +65,22 @@
 	return jobsched.VerdictDone, time.Now().UnixMilli()
 }
 
-func (w *quickWorker) Stop(context.Context, jobsched.Stop) jobsched.Verdict {
+func (w *instantWorker) Stop(context.Context, jobsched.Stop) jobsched.Verdict {
 	return jobsched.VerdictDone
 }
 
-func (w *quickWorker) Throttle(context.Context, jobsched.Throttle) jobsched.Verdict {
+func (w *instantWorker) Throttle(context.Context, jobsched.Throttle) jobsched.Verdict {
 	return jobsched.VerdictDone
 }
 
-func (w *quickWorker) startsOf(id job.ID) int {
+func (w *instantWorker) startsOf(id job.ID) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.starts[id]
 }
 
 // List implements port.WorkerList.
-func (w *quickWorker) List(context.Context) (jobsched.WorkersListed, error) {
+func (w *instantWorker) List(context.Context) (jobsched.WorkersListed, error) {
 	return jobsched.WorkersListed{Workers: []jobsched.WorkerEntry{{
 		Incarnation: model.Incarnation{ID: "w"}, Service: "pool", Address: "w", Capacity: model.Resources{MilliCPU: 16000, MemoryMB: 64000},
 	}}}, nil
@@ -96,7 +96,7 @@
 type deployment struct {
 	t        *testing.T
 	store    *memStore
-	worker   *quickWorker
+	worker   *instantWorker
 	intake   *Intake
 	registry *prometheus.Registry
 	log      *lockedBuffer
@@ -134,11 +134,11 @@
 
 func newDeployment(t *testing.T) *deployment {
 	d := &deployment{
-		t: t, store: newMemStore(), worker: &quickWorker{starts: make(map[job.ID]int)},
+		t: t, store: newMemStore(), worker: &instantWorker{starts: make(map[job.ID]int)},
 		registry: prometheus.NewRegistry(), log: &lockedBuffer{},
 	}
 	d.intake = NewIntake(d.store, BootClock{}, logrus.New(), NewMetrics(prometheus.NewRegistry()))
-	d.submit(soundJob)
+	d.submit(intactJob)
 	return d
 }
 
@@ -161,7 +161,7 @@
 		Config: fixedConfig{&job.Config{
 			Version: 1, Queues: map[string]*job.Queue{"q": &q}, Services: map[string]*job.Service{"pool": {Name: "pool"}},
 		}},
-		Relays: deafCarriers{}, Clock: BootClock{}, Log: log, Metrics: NewMetrics(d.registry), LeaderTTL: time.Second,
+		Relays: noRelays{}, Clock: BootClock{}, Log: log, Metrics: NewMetrics(d.registry), LeaderTTL: time.Second,
 		Machine: jobsched.Options{
 			Lease: 300 * time.Millisecond, LeaderTTL: 200 * time.Millisecond, StopTime: 100 * time.Millisecond,
 			KeepFinal: time.Minute, ThrottleDelay: 100 * time.Millisecond,
@@ -180,9 +180,9 @@
 	})
 }
 
-type deafCarriers struct{}
+type noRelays struct{}
 
-func (deafCarriers) SetRelays([]Relay) {}
+func (noRelays) SetRelays([]Relay) {}
 
 // eventually waits for a condition; the limit is far beyond what it takes.
 func (d *deployment) eventually(what string, ok func() bool) {
@@ -226,7 +226,7 @@
 // TestDamagedRecords damages what is stored, as another writer may.
 func TestDamagedRecords(t *testing.T) {
 	t.Run("every entry", everyEntryDamaged)
-	t.Run("job", damagedJobIsNotKnown)
+	t.Run("job", damagedJobIsUncertain)
 	t.Run("progress of a canceled job", damagedProgressOfACanceledJob)
 	t.Run("new job", damagedNewJob)
 	t.Run("progress of another shape", progressOfAnotherShape)
@@ -246,7 +246,7 @@
 		{leaderKey, "leader"},
 		{ledgerKey, "ledger"},
 		{rosterKey, "roster"},
-		{learnedKey, "interference"},
+		{interferenceKey, "interference"},
 		{acceptedKey(damagedJob), "job"},
 		{progressKey(damagedJob), "progress"},
 		{acceptedPrefix + "no-id", "job"},
@@ -254,16 +254,16 @@
 		{membersPrefix + "b", "member"},
 	}
 	for _, entry := range entries {
-		for damage, value := range damages {
+		for damage, value := range damagedValues {
 			t.Run(entry.key+" "+damage, func(t *testing.T) {
 				t.Parallel()
 				d := newDeployment(t)
 				d.store.write(port.Op{Key: entry.key, Value: []byte(value)})
 				d.lead()
-				d.awaitCompleted(soundJob)
+				d.awaitCompleted(intactJob)
 				d.eventually("count", func() bool { return d.unreadable(entry.kind) == 1 })
 				// The records are looked at again meanwhile.
-				time.Sleep(2 * asideInterval)
+				time.Sleep(2 * recheckInterval)
 				if n := d.unreadable(entry.kind); n != 1 {
 					t.Errorf("counted %d times", n)
 				}
@@ -275,16 +275,16 @@
 	}
 }
 
-// damagedJobIsNotKnown
+// damagedJobIsUncertain
 //
 // Symptom: a caller is told that a job is accepted, canceled or unknown, and it
 // is never run, or is started twice. Events: another writer damages one of the
 // two records of a job; callers ask for it, a leader takes over, and the record
 // is repaired. Cause: a record that cannot be read was taken for one that is not
 // there, or for a sound one.
-func damagedJobIsNotKnown(t *testing.T) {
+func damagedJobIsUncertain(t *testing.T) {
 	for _, key := range []string{acceptedKey(damagedJob), progressKey(damagedJob)} {
-		for damage, value := range damages {
+		for damage, value := range damagedValues {
 			t.Run(key+" "+damage, func(t *testing.T) {
 				t.Parallel()
 				d := newDeployment(t)
@@ -295,8 +295,8 @@
 				}
 				d.store.write(port.Op{Key: key, Value: []byte(value)})
 				d.lead()
-				d.awaitCompleted(soundJob)
-				d.checkNotKnown(key)
+				d.awaitCompleted(intactJob)
+				d.checkUncertain(key)
 				if n := d.worker.startsOf(damagedJob); n != 0 {
 					t.Errorf("%d tasks were started", n)
 				}
@@ -310,8 +310,8 @@
 	}
 }
 
-// checkNotKnown checks that callers are promised nothing of the damaged job.
-func (d *deployment) checkNotKnown(key string) {
+// checkUncertain checks that callers are promised nothing of the damaged job.
+func (d *deployment) checkUncertain(key string) {
 	d.t.Helper()
 	ctx, q := d.t.Context(), testQueue()
 	_, state := d.intake.State(ctx, damagedJob)
@@ -334,7 +334,7 @@
 	d.submit(damagedJob)
 	d.store.write(port.Op{Key: progressKey(damagedJob), Value: []byte("7")})
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	if err := d.intake.Cancel(t.Context(), damagedJob); err != nil {
 		t.Fatal(err)
 	}
@@ -352,7 +352,7 @@
 func damagedNewJob(t *testing.T) {
 	d := newDeployment(t)
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	q := testQueue()
 	record := job.Accepted{Spec: *testSpec(), Queue: q, ConfigVersion: 1, AtMs: time.Now().UnixMilli()}
 	d.store.write(port.Op{Key: acceptedKey(damagedJob), Value: []byte("7")})
@@ -368,7 +368,7 @@
 	d.store.write(port.Op{Key: progressKey(damagedJob), Value: []byte(
 		`{"state":"running","occurrences":{"0":{"steps":[{"done":"11111"}]}}}`)})
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	d.eventually("count", func() bool { return d.unreadable("progress") == 1 })
 	if n := d.worker.startsOf(damagedJob); n != 0 {
 		t.Errorf("%d tasks were started", n)
@@ -387,13 +387,13 @@
 	d.store.write(port.Op{Key: leaderKey, Value: []byte(`{"daemon":"a","incarnation":7}`), Lease: lease})
 	d.lead()
 	time.Sleep(3 * leaseCallTimeout / 2)
-	if n := d.worker.startsOf(soundJob); n != 0 {
+	if n := d.worker.startsOf(intactJob); n != 0 {
 		t.Errorf("%d tasks were started beside another leader", n)
 	}
 	if err := d.store.RevokeLease(t.Context(), lease); err != nil {
 		t.Fatal(err)
 	}
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 }
 
 // ledgerDamagedInATerm: another writer overwrites the ledger while a leader
@@ -402,7 +402,7 @@
 func ledgerDamagedInATerm(t *testing.T) {
 	d := newDeployment(t)
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	d.store.write(port.Op{Key: ledgerKey, Value: []byte("7")})
 	if _, err := d.intake.WaitingJobs(t.Context(), "q"); err == nil {
 		// The next commit may have mended it by now.
@@ -418,7 +418,7 @@
 // countsOfADamagedLedger: a ledger that cannot be read says
 // nothing of the jobs that wait, and not that none do.
 func countsOfADamagedLedger(t *testing.T) {
-	for damage, value := range damages {
+	for damage, value := range damagedValues {
 		d := newDeployment(t)
 		d.store.write(port.Op{Key: ledgerKey, Value: []byte(value)})
 		_, err := d.intake.WaitingJobs(t.Context(), "q")
--- a/jobservice/entries.go
+++ b/jobservice/entries.go
@@ -6,13 +6,13 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// countEntries tells the metrics how the workers' entries fare. A leader that is
+// exportEntryCounts tells the metrics how the workers' entries fare. A leader that is
 // too busy to say is asked again with the next list.
-func (t *term) countEntries(ctx context.Context) {
+func (t *term) exportEntryCounts(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listInterval)
 	defer cancel()
 	var counts jobsched.EntryCounts
-	if err := t.leader.ask(ctx, func(m *jobsched.Machine) { counts = m.TakeEntryCounts() }); err != nil {
+	if err := t.leader.query(ctx, func(m *jobsched.Machine) { counts = m.TakeEntryCounts() }); err != nil {
 		t.leader.log.WithError(err).Debug("entries not counted; tried again")
 		return
 	}
--- a/jobservice/fleet.go
+++ b/jobservice/fleet.go
@@ -22,9 +22,9 @@
 	return f
 }
 
-// fleetAge is how old the fleet may be by which a job is turned away: workers
+// maxFleetAge is how old the fleet may be by which a job is turned away: workers
 // with more room, or another label, may have come since.
-const fleetAge = 500 * time.Millisecond
+const maxFleetAge = 500 * time.Millisecond
 
 // fleetView is a daemon's view of the fleet, which a leader writes down with its
 // roster. It is read when a job does not fit what is known of it, so that jobs
@@ -32,10 +32,10 @@
 type fleetView struct {
 	log     *logrus.Entry
 	metrics *Metrics
-	read    atomic.Pointer[readFleet]
+	read    atomic.Pointer[fleetSnapshot]
 }
 
-type readFleet struct {
+type fleetSnapshot struct {
 	fleet job.Fleet
 	at    time.Time
 }
@@ -47,7 +47,7 @@
 	if known := v.read.Load(); known != nil {
 		err := known.fleet.Check(service, spec)
 		fits := err == nil && known.fleet.Knows(service)
-		if fits || now.Sub(known.at) < fleetAge {
+		if fits || now.Sub(known.at) < maxFleetAge {
 			return err
 		}
 	}
@@ -56,7 +56,7 @@
 		v.log.WithError(err).Debug("fleet not read; the job is taken in unchecked")
 		return nil
 	}
-	fresh := &readFleet{at: now}
+	fresh := &fleetSnapshot{at: now}
 	if kv.ModRevision != 0 {
 		if err := job.DecodeRecord(kindFleet, kv.Value, &fresh.fleet); err != nil {
 			v.metrics.ReportUnreadable(v.log, kindFleet, kv, err, "jobs are taken in that no worker could run")
--- a/jobservice/fleet_test.go
+++ b/jobservice/fleet_test.go
@@ -35,17 +35,17 @@
 	}
 }
 
-// TestFleetThatCannotBeReadTurnsNothingAway: another writer damages what is
+// TestUnreadableFleetRejectsNoJob: another writer damages what is
 // written of the fleet. Symptom if broken: jobs are turned away that workers have
 // room for, or every hand-in fails.
-func TestFleetThatCannotBeReadTurnsNothingAway(t *testing.T) {
+func TestUnreadableFleetRejectsNoJob(t *testing.T) {
 	store := newMemStore()
 	view := fleetView{log: logrus.NewEntry(logrus.New()), metrics: NewMetrics(prometheus.NewRegistry())}
 	view.log.Logger.SetOutput(&lockedBuffer{})
 	spec := testSpec()
 	now := time.Now()
 	check := func() error {
-		now = now.Add(2 * fleetAge)
+		now = now.Add(2 * maxFleetAge)
 		return view.check(context.Background(), store, now, "pool", spec)
 	}
 	var unservable *job.UnservableError
--- a/jobservice/follow.go
+++ b/jobservice/follow.go
@@ -13,23 +13,23 @@
 // breaks, or that the store's history no longer covers, is begun anew after
 // reading all jobs.
 func (t *term) followJobs(ctx context.Context) {
-	from := t.jobsFrom
+	from := t.jobsRevision
 	for ctx.Err() == nil {
 		from = t.watchJobs(ctx, from)
 		if ctx.Err() != nil || !Pause(ctx, campaignPause) {
 			return
 		}
-		read, revision, err := readAll(ctx, t.leader.o.Store, acceptedPrefix, job.DecodeAccepted)
+		read, revision, err := readRecords(ctx, t.leader.o.Store, acceptedPrefix, job.DecodeAccepted)
 		if err != nil {
 			t.leader.log.WithError(err).Debug("jobs not read; tried again")
 			continue
 		}
 		from = revision
 		for _, d := range read.damaged {
-			t.setAside(ctx, d.kv, d.cause)
+			t.reportUnreadableJob(ctx, d.kv, d.cause)
 		}
 		for id, record := range read.byID {
-			if !t.aside.has(id) {
+			if !t.unreadableJobs.has(id) {
 				t.postStored(ctx, jobsched.JobAccepted{ID: id, Record: record})
 			}
 		}
@@ -50,54 +50,54 @@
 		}
 		from = ev.Revision
 		if !ev.Deleted {
-			t.takeIn(ctx, ev.KeyValue)
+			t.handleJobRecord(ctx, ev.KeyValue)
 		}
 	}
 	return from
 }
 
-func (t *term) takeIn(ctx context.Context, kv port.KeyValue) {
+func (t *term) handleJobRecord(ctx context.Context, kv port.KeyValue) {
 	record, err := job.DecodeAccepted(kv.Value)
 	if err != nil {
-		t.setAside(ctx, kv, err)
+		t.reportUnreadableJob(ctx, kv, err)
 		return
 	}
-	id, err := jobOf(kv.Key, acceptedPrefix)
+	id, err := jobIDFromKey(kv.Key, acceptedPrefix)
 	switch {
 	case err != nil:
-		t.setAside(ctx, kv, err)
-	case !t.aside.has(id):
+		t.reportUnreadableJob(ctx, kv, err)
+	case !t.unreadableJobs.has(id):
 		t.postStored(ctx, jobsched.JobAccepted{ID: id, Record: record})
 	}
 }
 
-// setAside sets a job aside whose accepted record cannot be read, and passes over
+// reportUnreadableJob sets a job aside whose accepted record cannot be read, and passes over
 // a key that names no job. A job that the machine knows goes on.
-func (t *term) setAside(ctx context.Context, kv port.KeyValue, cause error) {
-	id, err := jobOf(kv.Key, acceptedPrefix)
+func (t *term) reportUnreadableJob(ctx context.Context, kv port.KeyValue, cause error) {
+	id, err := jobIDFromKey(kv.Key, acceptedPrefix)
 	if err != nil {
-		t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindAccepted, kv, err, strayConsequence)
+		t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindAccepted, kv, err, invalidKeyConsequence)
 		return
 	}
-	t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindAccepted, kv, cause, asideConsequence)
-	t.aside.add(id)
+	t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindAccepted, kv, cause, unreadableJobConsequence)
+	t.unreadableJobs.add(id)
 	t.postStored(ctx, jobsched.JobUnreadable{ID: id})
 }
 
-// strayConsequence is what the log says of a key that names no job.
-const strayConsequence = "its key names no job, and it is passed over"
+// invalidKeyConsequence is what the log says of a key that names no job.
+const invalidKeyConsequence = "its key names no job, and it is passed over"
 
-// followWorkers reads the platform's list of workers again and again.
-func (t *term) followWorkers(ctx context.Context) {
+// pollWorkers reads the platform's list of workers again and again.
+func (t *term) pollWorkers(ctx context.Context) {
 	defer t.leader.o.Metrics.setEntries(jobsched.EntryCounts{})
 	interval := max(listInterval, t.leader.o.DrainTime/listsPerDrain)
 	for ctx.Err() == nil {
 		began := time.Now()
 		listed, err := t.leader.o.List.List(ctx)
 		if err == nil {
-			t.listed.Store(int64(len(listed.Workers)))
+			t.workerCount.Store(int64(len(listed.Workers)))
 			t.postStored(ctx, listed)
-			t.countEntries(ctx)
+			t.exportEntryCounts(ctx)
 		} else {
 			t.leader.log.WithError(err).Debug("workers not read; tried again")
 		}
--- a/jobservice/handover_test.go
+++ b/jobservice/handover_test.go
@@ -16,7 +16,7 @@
 func TestASmallLeaderHandsTheLeadOver(t *testing.T) {
 	d := newDeployment(t)
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	d.store.write(port.Op{Key: membersPrefix + "a", Value: encodeRecord(Relay{Address: "a", Weight: 1})})
 	d.store.write(port.Op{Key: membersPrefix + "like", Value: encodeRecord(Relay{Address: "like", Weight: 1.5})})
 	key, err := d.store.Get(t.Context(), leaderKey)
@@ -28,7 +28,7 @@
 		now, err := d.store.Get(t.Context(), leaderKey)
 		return err == nil && now.ModRevision != key.ModRevision
 	})
-	d.eventually("the line that says why", func() bool { return d.log.says(joblog.MessageHandsOver) })
+	d.eventually("the line that says why", func() bool { return d.log.contains(joblog.MessageHandsOver) })
 
 	// Nobody else takes it, so that the daemon leads again, and does not give it
 	// up over and over.
@@ -36,8 +36,8 @@
 	d.awaitCompleted("00000000000000b1")
 }
 
-// says reports whether a line has the message.
-func (b *lockedBuffer) says(message string) bool {
+// contains reports whether a line has the message.
+func (b *lockedBuffer) contains(message string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Contains(b.text.String(), message)
--- a/jobservice/inspect.go
+++ b/jobservice/inspect.go
@@ -20,7 +20,7 @@
 func (l *Leader) Inspect(ctx context.Context, id job.ID) (jobsched.JobView, error) {
 	var view jobsched.JobView
 	var known bool
-	err := l.ask(ctx, func(m *jobsched.Machine) { view, known = m.Inspect(id) })
+	err := l.query(ctx, func(m *jobsched.Machine) { view, known = m.Inspect(id) })
 	if err == nil && !known {
 		err = &UnknownJobError{ID: id}
 	}
@@ -31,22 +31,22 @@
 // most limit of them. An error is a *NotLeadingError.
 func (l *Leader) List(ctx context.Context, limit int) ([]jobsched.JobView, error) {
 	var views []jobsched.JobView
-	err := l.ask(ctx, func(m *jobsched.Machine) { views = m.List(limit) })
+	err := l.query(ctx, func(m *jobsched.Machine) { views = m.List(limit) })
 	return views, err
 }
 
-// ask puts a question to the machine between two of its steps.
-func (l *Leader) ask(ctx context.Context, question func(*jobsched.Machine)) error {
+// query puts a question to the machine between two of its steps.
+func (l *Leader) query(ctx context.Context, question func(*jobsched.Machine)) error {
 	if !l.Leads() {
 		return &NotLeadingError{Daemon: l.o.Daemon}
 	}
 	answered := make(chan struct{})
-	ask := func(m *jobsched.Machine) {
+	run := func(m *jobsched.Machine) {
 		question(m)
 		close(answered)
 	}
 	select {
-	case l.questions <- ask:
+	case l.queries <- run:
 		<-answered
 		return nil
 	case <-ctx.Done():
--- a/jobservice/intake.go
+++ b/jobservice/intake.go
@@ -67,9 +67,9 @@
 	storeTimeout = 800 * time.Millisecond
 	// retryPause is the time between two tries of a call for a caller.
 	retryPause = 40 * time.Millisecond
-	// summaryMaxAge is how old the counts of a queue may be: the 2 s that they
+	// maxSummaryAge is how old the counts of a queue may be: the 2 s that they
 	// are allowed, and a little for the difference of two clocks.
-	summaryMaxAge = 2500 * time.Millisecond
+	maxSummaryAge = 2500 * time.Millisecond
 )
 
 // Submit checks a job and stores it for a queue, as it is in a version of the
@@ -219,7 +219,7 @@
 		return 0, &UncertainError{Cause: err}
 	}
 	age := in.clock.Wall().Sub(time.UnixMilli(ledger.Summary.WrittenMs))
-	if age > summaryMaxAge {
+	if age > maxSummaryAge {
 		return 0, &StaleSummaryError{Age: age}
 	}
 	return ledger.Summary.Waiting[queue], nil
@@ -280,10 +280,10 @@
 	Incarnation string           `json:"incarnation"`
 	Number      uint64           `json:"number"`
 	Summary     jobsched.Summary `json:"summary"`
-	// RosterStands and RosterAge are those of the commit. A leader that does not
+	// RosterValid and RosterAge are those of the commit. A leader that does not
 	// know of them leaves them out of its first commit.
-	RosterStands bool          `json:"rosterStands,omitempty"`
-	RosterAge    time.Duration `json:"rosterAge,omitempty"`
+	RosterValid bool          `json:"rosterStands,omitempty"`
+	RosterAge   time.Duration `json:"rosterAge,omitempty"`
 	// RosterLostLeft and UnseenCrash are those of the commit too.
 	RosterLostLeft time.Duration `json:"rosterLostLeft,omitempty"`
 	UnseenCrash    bool          `json:"unseenCrash,omitempty"`
--- a/jobservice/keys.go
+++ b/jobservice/keys.go
@@ -19,8 +19,8 @@
 	// fleetKey holds what the workers of the roster have, for the daemons that take
 	// jobs in.
 	fleetKey = "guavarill/fleet"
-	// learnedKey holds what is known of interference between images.
-	learnedKey = "guavarill/interference"
+	// interferenceKey holds what is known of interference between images.
+	interferenceKey = "guavarill/interference"
 	// acceptedPrefix precedes the id of each accepted job that is not over.
 	acceptedPrefix = "guavarill/jobs/"
 	// progressPrefix precedes the id of each job that has begun.
@@ -31,7 +31,7 @@
 
 func progressKey(id job.ID) string { return progressPrefix + string(id) }
 
-// jobOf returns the id of the job that a key with the prefix belongs to.
-func jobOf(key, prefix string) (job.ID, error) {
+// jobIDFromKey returns the id of the job that a key with the prefix belongs to.
+func jobIDFromKey(key, prefix string) (job.ID, error) {
 	return job.ParseID(strings.TrimPrefix(key, prefix))
 }
--- a/jobservice/leader.go
+++ b/jobservice/leader.go
@@ -21,35 +21,35 @@
 	// deadline is until when the daemon may act as leader, in nanoseconds of
 	// the clock; 0 when it does not lead.
 	deadline atomic.Int64
-	// kept is the state of a term that ended only because the store was out of
+	// suspended is the state of a term that ended only because the store was out of
 	// reach. It is good for the next term if nobody has led between.
-	kept *term
-	// routine bounds the lines of routine decisions, leftOut counts those that
+	suspended *term
+	// routineLimiter bounds the lines of routineLimiter decisions, leftOut counts those that
 	// were left out since the last line. Both belong to the control goroutine.
-	routine *rate.Limiter
-	leftOut int
+	routineLimiter *rate.Limiter
+	suppressed     int
 	// handedOverAt is when the daemon gave the lead up to a larger one last, in
 	// nanoseconds of the clock; 0 if it never did.
 	handedOverAt atomic.Int64
-	// questions are put to the machine by its control goroutine.
-	questions chan func(*jobsched.Machine)
+	// queries are put to the machine by its control goroutine.
+	queries chan func(*jobsched.Machine)
 }
 
 // NewLeader makes a Leader; Run starts it.
 func NewLeader(o Options) *Leader {
 	if o.FailureDetector == nil {
-		o.FailureDetector = deaf{}
+		o.FailureDetector = noFailureDetector{}
 	}
 	if o.Machine.RoundLooks == 0 && o.Processors > 0 {
 		// A round takes as long on a part of a core as on a whole one.
-		o.Machine.RoundLooks = max(int(jobsched.DefaultRoundLooks*min(o.Processors, 1)), leastRoundLooks)
+		o.Machine.RoundLooks = max(int(jobsched.DefaultRoundLooks*min(o.Processors, 1)), minRoundBudget)
 	}
 	if o.Machine.StartsInFlight == 0 && o.Processors > 0 {
-		o.Machine.StartsInFlight = max(int(jobsched.DefaultStartsInFlight*min(o.Processors, 1)), leastStartsInFlight)
+		o.Machine.StartsInFlight = max(int(jobsched.DefaultStartsInFlight*min(o.Processors, 1)), minStartsInFlight)
 	}
 	return &Leader{
-		o: o, log: o.Log.WithField("component", "leader"), routine: newRoutineLimiter(o.Processors),
-		questions: make(chan func(*jobsched.Machine)),
+		o: o, log: o.Log.WithField("component", "leader"), routineLimiter: newRoutineLimiter(o.Processors),
+		queries: make(chan func(*jobsched.Machine)),
 	}
 }
 
@@ -58,7 +58,7 @@
 func newRoutineLimiter(processors float64) *rate.Limiter {
 	lines := routineLines
 	if processors > 0 {
-		lines = max(int(routineLines*min(processors/routineLinesCores, 1)), leastRoutineLines)
+		lines = max(int(routineLines*min(processors/routineLinesCores, 1)), minRoutineLines)
 	}
 	return rate.NewLimiter(rate.Limit(lines), 2*lines)
 }
@@ -88,18 +88,18 @@
 	// epoch is the revision at which the daemon took the lead.
 	epoch   model.Epoch
 	machine *jobsched.Machine
-	// events are answers to the leader's orders and commits, stored is what was
+	// events are answers to the leader's orders and commits, storeEvents is what was
 	// read from the store.
-	events, stored chan jobsched.Event
+	events, storeEvents chan jobsched.Event
 	// ledger is the revision of ledgerKey after the last commit of the term.
 	ledger  int64
 	pending *jobsched.Commit
-	// aside holds the jobs whose records cannot be read.
-	aside *asideSet
-	// jobsFrom is the store's revision up to which the machine knows the jobs.
-	jobsFrom int64
-	// listed is how many workers the platform's list had last.
-	listed atomic.Int64
+	// unreadableJobs holds the jobs whose records cannot be read.
+	unreadableJobs *unreadableJobs
+	// jobsRevision is the store's revision up to which the machine knows the jobs.
+	jobsRevision int64
+	// workerCount is how many workers the platform's list had last.
+	workerCount atomic.Int64
 	// end ends the term; handedOver is set when that is for another daemon.
 	end        context.CancelFunc
 	handedOver atomic.Bool
@@ -112,10 +112,10 @@
 	t.end = cancel
 	go l.renewLease(run, t.lease, cancel)
 	go t.followJobs(run)
-	go t.followAside(run)
-	go t.followWorkers(run)
+	go t.recheckUnreadableJobs(run)
+	go t.pollWorkers(run)
 	go t.followConfig(run)
-	go t.followMembers(run)
+	go t.pollMembers(run)
 	l.o.Metrics.leading.Set(1)
 	deposed := t.loop(run)
 	cancel()
@@ -123,23 +123,23 @@
 	l.o.Metrics.leading.Set(0)
 	switch {
 	case ctx.Err() != nil:
-		l.giveUp(t, "stopped")
+		l.resign(t, "stopped")
 	case t.handedOver.Load():
-		l.giveUp(t, "handed over")
+		l.resign(t, "handed over")
 	case deposed:
 		l.o.Metrics.terms.WithLabelValues("deposed").Inc()
 		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageDeposed)
 	default:
-		l.kept = t
+		l.suspended = t
 		l.o.Metrics.terms.WithLabelValues("lease lost").Inc()
 		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageLeadLostStore)
 	}
 }
 
-// giveUp gives the lead up after a last commit, so that it is free at once. No
+// resign gives the lead up after a last commit, so that it is free at once. No
 // order leaves the daemon from here on: its right to act has ended.
-func (l *Leader) giveUp(t *term, end string) {
-	complete := t.finish()
+func (l *Leader) resign(t *term, end string) {
+	complete := t.storeFinalCommit()
 	l.revoke(t.lease)
 	l.o.Metrics.terms.WithLabelValues(end).Inc()
 	l.log.WithField("complete", complete).Info(joblog.MessageGaveUp)
@@ -148,9 +148,9 @@
 // mayAct reports whether the daemon's right to lead is certainly valid.
 func (l *Leader) mayAct() bool { return l.o.Clock.Now().UnixNano() < l.deadline.Load() }
 
-// extend moves the end of the right after the store has taken a call, sent at
+// extendDeadline moves the end of the right after the store has taken a call, sent at
 // sentAt, that set the lease.
-func (l *Leader) extend(sentAt time.Time) {
+func (l *Leader) extendDeadline(sentAt time.Time) {
 	until := sentAt.Add(l.o.LeaderTTL - leaseMargin).UnixNano()
 	for {
 		old := l.deadline.Load()
@@ -185,7 +185,7 @@
 	_, err := l.o.Store.KeepAlive(call, lease)
 	switch {
 	case err == nil && ctx.Err() == nil:
-		l.extend(sentAt)
+		l.extendDeadline(sentAt)
 	case isKind(err, port.StoreLeaseGone):
 		l.log.WithField("lease", lease).Warn("the store has ended the lease")
 		lost()
--- a/jobservice/memstore_test.go
+++ b/jobservice/memstore_test.go
@@ -21,10 +21,10 @@
 	changed  chan struct{}
 	// failing counts, by key, the reads that still fail.
 	failing map[string]int
-	// forgotten is the revision up to which the history is gone. compacted counts
+	// compactedRevision is the revision up to which the history is gone. compacted counts
 	// the watches that were refused for it.
-	forgotten int64
-	compacted int
+	compactedRevision int64
+	refusedWatches    int
 	// watched gets a value with the first watch.
 	watched chan struct{}
 }
@@ -43,11 +43,11 @@
 	s.apply([]port.Op{op})
 }
 
-// forget drops the history so far, as the platform's store does after some seconds.
-func (s *memStore) forget() {
+// compact drops the history so far, as the platform's store does after some seconds.
+func (s *memStore) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.revision
+	s.compactedRevision = s.revision
 	s.history = nil
 }
 
@@ -55,17 +55,17 @@
 func (s *memStore) compactedWatches() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.compacted
+	return s.refusedWatches
 }
 
-// refuseForgotten reports whether a watch after the revision lacks its history.
-func (s *memStore) refuseForgotten(after int64) bool {
+// refuseCompacted reports whether a watch after the revision lacks its history.
+func (s *memStore) refuseCompacted(after int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after >= s.forgotten {
+	if after >= s.compactedRevision {
 		return false
 	}
-	s.compacted++
+	s.refusedWatches++
 	return true
 }
 
@@ -158,7 +158,7 @@
 	}
 	go func() {
 		defer close(events)
-		if s.refuseForgotten(after) {
+		if s.refuseCompacted(after) {
 			deliverTo(ctx, events, port.WatchEvent{Err: &port.StoreError{Call: "Watch", Kind: port.StoreCompacted}})
 			return
 		}
--- a/jobservice/metrics.go
+++ b/jobservice/metrics.go
@@ -21,25 +21,25 @@
 	leading     prometheus.Gauge
 	jobs        prometheus.Gauge
 	attempts    prometheus.Gauge
-	// unheard is how many workers hold starts back after a take-over.
-	unheard   prometheus.Gauge
-	storeAway prometheus.Counter
+	// unansweredWorkers is how many workers hold starts back after a take-over.
+	unansweredWorkers prometheus.Gauge
+	storeLost         prometheus.Counter
 	// stepTime and eventsWaiting are those of the control goroutine, lag is the
 	// time from what callers have stored to the decision that follows from it.
 	stepTime      prometheus.Histogram
 	eventsWaiting prometheus.Gauge
 	lag           *prometheus.HistogramVec
 	// unreadable belongs to all parts of the daemon that read records.
-	unreadable *unreadable
+	unreadable *unreadableRecords
 	// entriesUnusable and entryTurns tell of the platform's list of workers.
 	entriesUnusable *prometheus.GaugeVec
 	entryTurns      *prometheus.CounterVec
 	// configVersion, configConfirmed and configFailures tell of the configuration
 	// in force.
-	configVersion  prometheus.Gauge
-	configAge      atomic.Pointer[func() time.Duration]
-	configFailures *prometheus.CounterVec
-	configWasted   prometheus.Counter
+	configVersion     prometheus.Gauge
+	configAge         atomic.Pointer[func() time.Duration]
+	configFailures    *prometheus.CounterVec
+	configWastedBytes prometheus.Counter
 }
 
 const namespace = "guavarill"
@@ -70,11 +70,11 @@
 			Namespace: namespace, Name: "commit_seconds", Help: "Time to store a commit, all tries together.",
 			Buckets: latencyBuckets,
 		}),
-		terms:    counter("leader_terms_total", "Terms as leader that ended, by the way they did.", "end"),
-		leading:  gauge("leading", "1 while the daemon leads."),
-		jobs:     gauge("jobs", "Jobs that are not over, at the leader."),
-		attempts: gauge("attempts", "Attempts that may run, at the leader."),
-		unheard:  gauge("workers_unheard", "Workers that hold starts back, because they have not answered the new leader."),
+		terms:             counter("leader_terms_total", "Terms as leader that ended, by the way they did.", "end"),
+		leading:           gauge("leading", "1 while the daemon leads."),
+		jobs:              gauge("jobs", "Jobs that are not over, at the leader."),
+		attempts:          gauge("attempts", "Attempts that may run, at the leader."),
+		unansweredWorkers: gauge("workers_unheard", "Workers that hold starts back, because they have not answered the new leader."),
 		stepTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "leader_step_seconds", Help: "Time of a step of the leader's control goroutine.",
 			Buckets: latencyBuckets,
@@ -85,13 +85,13 @@
 			Namespace: namespace, Name: "worker_entries_unusable", Help: "Entries that name no worker to use, at the leader, by reason.",
 		}, []string{"reason"}),
 		entryTurns: counter("worker_entry_turns_total", "Workers' entries that turned unusable, and that are good again or gone.", "turn"),
-		storeAway: prometheus.NewCounter(prometheus.CounterOpts{
+		storeLost: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "store_lost_total", Help: "Times that callers' requests lost the store.",
 		}),
 	}
 	m.configVersion = gauge("configuration_version", "Version of the configuration in force, 0 before the first.")
 	m.configFailures = counter("configuration_read_failures_total", "Reads of the configuration that failed, by whether a part of the answer had come.", "part")
-	m.configWasted = prometheus.NewCounter(prometheus.CounterOpts{
+	m.configWastedBytes = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Name: "configuration_wasted_bytes_total",
 		Help: "Bytes of answers with the configuration that broke off.",
 	})
@@ -104,10 +104,10 @@
 		}
 		return 0
 	})
-	m.unreadable = newUnreadable(counter("unreadable_records_total", "Changes of stored records that left them unreadable, by kind.", "kind"))
+	m.unreadable = newUnreadableRecords(counter("unreadable_records_total", "Changes of stored records that left them unreadable, by kind.", "kind"))
 	r.MustRegister(m.requests, m.requestTime, m.orders, m.orderTime, m.decisions, m.commitTime, m.terms,
-		m.leading, m.jobs, m.attempts, m.unheard, m.storeAway, m.stepTime, m.eventsWaiting, m.lag, m.unreadable.count,
-		m.entriesUnusable, m.entryTurns, m.configVersion, m.configFailures, m.configWasted, configAge)
+		m.leading, m.jobs, m.attempts, m.unansweredWorkers, m.storeLost, m.stepTime, m.eventsWaiting, m.lag, m.unreadable.count,
+		m.entriesUnusable, m.entryTurns, m.configVersion, m.configFailures, m.configWastedBytes, configAge)
 	m.setEntries(jobsched.EntryCounts{})
 	return m
 }
@@ -118,8 +118,8 @@
 	m.requestTime.WithLabelValues(operation).Observe(took.Seconds())
 }
 
-// followConfigAge has the age of the configuration told by a function.
-func (m *Metrics) followConfigAge(age func() time.Duration) { m.configAge.Store(&age) }
+// setConfigAgeSource has the age of the configuration told by a function.
+func (m *Metrics) setConfigAgeSource(age func() time.Duration) { m.configAge.Store(&age) }
 
 // configReadFailed counts a read of the configuration that failed after a number
 // of bytes.
@@ -129,5 +129,5 @@
 		part = "some"
 	}
 	m.configFailures.WithLabelValues(part).Inc()
-	m.configWasted.Add(float64(bytes))
+	m.configWastedBytes.Add(float64(bytes))
 }
--- a/jobservice/note_test.go
+++ b/jobservice/note_test.go
@@ -28,7 +28,7 @@
 	}
 	started.note(jobsched.Note{Decision: "worker silent", Worker: model.Incarnation{ID: "w"}})
 
-	written, leftOut, beliefs := 0, 0, 0
+	written, leftOut, silences := 0, 0, 0
 	for line := range bytes.Lines(out.Bytes()) {
 		var said struct {
 			Decision string `json:"decision"`
@@ -39,7 +39,7 @@
 		}
 		leftOut += said.LeftOut
 		if said.Decision == "worker silent" {
-			beliefs++
+			silences++
 		} else {
 			written++
 		}
@@ -52,7 +52,7 @@
 	if written+leftOut != decisions {
 		t.Errorf("%d lines written and %d told as left out of %d", written, leftOut, decisions)
 	}
-	if beliefs != 1 {
-		t.Errorf("the change of belief was written %d times", beliefs)
+	if silences != 1 {
+		t.Errorf("the change of belief was written %d times", silences)
 	}
 }
--- a/jobservice/options.go
+++ b/jobservice/options.go
@@ -64,22 +64,22 @@
 	// campaignDelay is how long a daemon with one core waits before it takes a
 	// lead that is free; with less it waits longer, up to campaignDelayMost. A
 	// leader of 350 workers needs half a core at its peak.
-	campaignDelay     = 8 * time.Millisecond
-	campaignDelayMost = 100 * time.Millisecond
+	campaignDelay    = 8 * time.Millisecond
+	maxCampaignDelay = 100 * time.Millisecond
 	// commitPause is the time between two tries of a commit.
 	commitPause = 30 * time.Millisecond
 	// gatherTime is how long the control goroutine lets events gather.
 	gatherTime = 12 * time.Millisecond
-	// leastRoundLooks keeps a round of placement worth its while: 14 tasks, with
+	// minRoundBudget keeps a round of placement worth its while: 14 tasks, with
 	// 350 workers.
-	leastRoundLooks = 5000
+	minRoundBudget = 5000
 	// eventBuffer is how many events may wait for the control goroutine, and
 	// eventBatch how many it takes in before it acts.
 	eventBuffer = 1024
 	eventBatch  = 1024
-	// leastStartsInFlight keeps some 1,000 starts a second possible for the
+	// minStartsInFlight keeps some 1,000 starts a second possible for the
 	// smallest daemon.
-	leastStartsInFlight = 40
+	minStartsInFlight = 40
 	// routineLines is how many lines of routine decisions are written a second by
 	// a leader with half a core or more, with twice as many at once for a
 	// take-over. A busy leader of today's sites makes about 500 such decisions a
@@ -88,11 +88,11 @@
 	// eighth of a core at the full rate.
 	routineLines      = 600
 	routineLinesCores = 0.5
-	leastRoutineLines = 100
+	minRoutineLines   = 100
 	// listsPerDrain is how often the list is read within DrainTime: a read may
 	// fail, and an order take a second.
 	listsPerDrain = 4
-	// asideInterval is the time between two looks at the records of jobs that are
+	// recheckInterval is the time between two looks at the records of jobs that are
 	// set aside: with asideReads they cost at most 12 reads a second.
-	asideInterval = 500 * time.Millisecond
+	recheckInterval = 500 * time.Millisecond
 )
--- a/jobservice/orders.go
+++ b/jobservice/orders.go
@@ -22,9 +22,9 @@
 	adviceTimeout = 4 * time.Second
 )
 
-// order sends an order in the background and posts its answer. The answer is
+// dispatch sends an dispatch in the background and posts its answer. The answer is
 // posted also when the term has ended, for the term may go on.
-func (t *term) order(ctx context.Context, e jobsched.Effect) {
+func (t *term) dispatch(ctx context.Context, e jobsched.Effect) {
 	go func() {
 		ev := t.send(context.WithoutCancel(ctx), e)
 		t.events <- ev
@@ -39,14 +39,14 @@
 	case jobsched.Renew:
 		return t.renew(ctx, e, leads)
 	case jobsched.Start:
-		ev := jobsched.Started{AttemptName: name(e.Order, e.Key, e.Attempt), Verdict: jobsched.VerdictNotSent}
+		ev := jobsched.Started{AttemptName: attemptName(e.Order, e.Key, e.Attempt), Verdict: jobsched.VerdictNotSent}
 		if leads {
 			defer t.measure("start", time.Now(), &ev.Verdict)
 			ev.Verdict, ev.ClockMs = t.leader.o.Workers.Start(ctx, e)
 		}
 		return ev
 	case jobsched.Stop:
-		ev := jobsched.Stopped{AttemptName: name(e.Order, e.Key, e.Attempt), Verdict: jobsched.VerdictNotSent}
+		ev := jobsched.Stopped{AttemptName: attemptName(e.Order, e.Key, e.Attempt), Verdict: jobsched.VerdictNotSent}
 		if leads {
 			defer t.measure("stop", time.Now(), &ev.Verdict)
 			ev.Verdict = t.leader.o.Workers.Stop(ctx, e)
@@ -54,7 +54,7 @@
 		return ev
 	case jobsched.Throttle:
 		ev := jobsched.Throttled{
-			AttemptName: name(e.Order, e.Key, e.Attempt), Percent: e.Percent, Verdict: jobsched.VerdictNotSent,
+			AttemptName: attemptName(e.Order, e.Key, e.Attempt), Percent: e.Percent, Verdict: jobsched.VerdictNotSent,
 		}
 		if leads {
 			defer t.measure("throttle", time.Now(), &ev.Verdict)
@@ -85,6 +85,6 @@
 	return ev
 }
 
-func name(o jobsched.Order, key job.TaskKey, attempt int) jobsched.AttemptName {
+func attemptName(o jobsched.Order, key job.TaskKey, attempt int) jobsched.AttemptName {
 	return jobsched.AttemptName{Worker: o.Worker, Key: key, Attempt: attempt}
 }
--- a/jobservice/pace_test.go
+++ b/jobservice/pace_test.go
@@ -12,15 +12,15 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// TestALeaderThatIsBehindSaysSo: steps of the control goroutine took 200 ms and
+// TestSlowStepsAreLogged: steps of the control goroutine took 200 ms and
 // more, events waited for it for seconds, and no line and no metric told of it.
 // A stretch of long steps is told once at its beginning and once at its end.
-func TestALeaderThatIsBehindSaysSo(t *testing.T) {
+func TestSlowStepsAreLogged(t *testing.T) {
 	var out bytes.Buffer
-	p := pace{log: logsink.NewLogger(&out).WithField("epoch", 7), metrics: NewMetrics(prometheus.NewRegistry())}
+	p := stepMonitor{log: logsink.NewLogger(&out).WithField("epoch", 7), metrics: NewMetrics(prometheus.NewRegistry())}
 	now := time.Unix(1000, 0)
 	step := func(took time.Duration, waiting int) {
-		p.step(now, now.Add(took), waiting)
+		p.record(now, now.Add(took), waiting)
 		now = now.Add(took + 10*time.Millisecond)
 	}
 	for range 10 {
@@ -29,11 +29,11 @@
 	if out.Len() > 0 {
 		t.Errorf("short steps are told: %s", out.String())
 	}
-	step(behindStep, 40)
+	step(slowStep, 40)
 	step(time.Second, 1024)
 	step(5*time.Millisecond, 1)
-	step(behindStep, 900)
-	for now.Before(p.slowAt.Add(caughtUpTime)) {
+	step(slowStep, 900)
+	for now.Before(p.lastSlowAt.Add(caughtUpAfter)) {
 		step(5*time.Millisecond, 1)
 	}
 	step(5*time.Millisecond, 1)
--- a/jobservice/records.go
+++ b/jobservice/records.go
@@ -31,14 +31,14 @@
 // another daemon. The store may serve some machines and not others for seconds,
 // in which callers would be refused that another daemon could serve.
 type FailoverStore struct {
-	own   port.Store
-	peers PeerStores
-	self  string
-	log   *logrus.Entry
+	direct port.Store
+	peers  PeerStores
+	self   string
+	log    *logrus.Entry
 	// metrics counts the times that the own way was lost.
 	metrics *Metrics
-	// away is set while the own way fails.
-	away atomic.Bool
+	// directFailed is set while the own way fails.
+	directFailed atomic.Bool
 	// members holds the other daemons that were there last.
 	members atomic.Pointer[[]Relay]
 }
@@ -46,15 +46,15 @@
 // NewFailoverStore makes a SharedRecords; Run keeps it informed. self is the
 // name of this daemon among the members.
 func NewFailoverStore(own port.Store, peers PeerStores, self string, log *logrus.Logger, m *Metrics) *FailoverStore {
-	s := &FailoverStore{own: own, peers: peers, self: self, log: log.WithField("component", "records"), metrics: m}
+	s := &FailoverStore{direct: own, peers: peers, self: self, log: log.WithField("component", "records"), metrics: m}
 	s.members.Store(new([]Relay))
 	return s
 }
 
 const (
-	// ownTimeout bounds a call on the own way: beyond the answers of a slow
+	// directTimeout bounds a call on the own way: beyond the answers of a slow
 	// store, and short enough to try another way while the caller waits.
-	ownTimeout = 550 * time.Millisecond
+	directTimeout = 550 * time.Millisecond
 	// peerTimeout bounds a call through another daemon.
 	peerTimeout = 600 * time.Millisecond
 	// peerTransferTimeout bounds a read of a large value through another daemon: the
@@ -66,12 +66,12 @@
 	// and probeTimeout bounds one.
 	probeInterval = 150 * time.Millisecond
 	probeTimeout  = 400 * time.Millisecond
-	// membersAge is how old the known members may be.
-	membersAge = 3 * time.Second
+	// maxMembersAge is how old the known members may be.
+	maxMembersAge = 3 * time.Second
 )
 
 // Available reports whether the own way to the store works.
-func (s *FailoverStore) Available() bool { return !s.away.Load() }
+func (s *FailoverStore) Available() bool { return !s.directFailed.Load() }
 
 // PeerCount returns how many other daemons are known.
 func (s *FailoverStore) PeerCount() int { return len(*s.members.Load()) }
@@ -110,59 +110,59 @@
 
 // try makes a call on the own way and then through others until one answers.
 func (s *FailoverStore) try(ctx context.Context, call func(context.Context, RecordStore) error) error {
-	var last error
+	var lastErr error
 	if s.Available() {
-		err := s.bounded(ctx, ownTimeout, s.own, call)
+		err := s.callWithTimeout(ctx, directTimeout, s.direct, call)
 		if err == nil {
 			return nil
 		}
-		s.lost(ctx, err)
-		last = err
+		s.markDirectFailed(ctx, err)
+		lastErr = err
 	}
-	return s.tryPeers(ctx, peerTimeout, last, call)
+	return s.tryPeers(ctx, peerTimeout, lastErr, call)
 }
 
 // tryPeers makes a call through other daemons until one answers, each for a time.
 // last is the error of the tries before, nil if there were none.
-func (s *FailoverStore) tryPeers(ctx context.Context, limit time.Duration, last error, call func(context.Context, RecordStore) error) error {
+func (s *FailoverStore) tryPeers(ctx context.Context, limit time.Duration, lastErr error, call func(context.Context, RecordStore) error) error {
 	members := *s.members.Load()
 	for _, i := range rand.Perm(len(members))[:min(peerTries, len(members))] {
 		if ctx.Err() != nil {
 			break
 		}
-		err := s.bounded(ctx, limit, s.peers.At(members[i].Address), call)
+		err := s.callWithTimeout(ctx, limit, s.peers.At(members[i].Address), call)
 		if err == nil {
 			return nil
 		}
-		last = worse(last, err)
+		lastErr = moreUncertain(lastErr, err)
 	}
-	if last == nil {
-		last = &port.StoreError{Call: "try", Kind: port.StoreUnavailable, Outcome: port.OutcomeNotDone}
+	if lastErr == nil {
+		lastErr = &port.StoreError{Call: "try", Kind: port.StoreUnavailable, Outcome: port.OutcomeNotDone}
 	}
-	return last
+	return lastErr
 }
 
-func (s *FailoverStore) bounded(ctx context.Context, limit time.Duration, r RecordStore, call func(context.Context, RecordStore) error) error {
+func (s *FailoverStore) callWithTimeout(ctx context.Context, limit time.Duration, r RecordStore, call func(context.Context, RecordStore) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return call(ctx, r)
 }
 
-// worse returns the error that says less about a change.
-func worse(a, b error) error {
+// moreUncertain returns the error that says less about a change.
+func moreUncertain(a, b error) error {
 	if a != nil && !IsNotDone(a) {
 		return a
 	}
 	return b
 }
 
-// lost notes that the own way has failed; a caller that has gone says nothing.
-func (s *FailoverStore) lost(ctx context.Context, err error) {
+// markDirectFailed notes that the own way has failed; a caller that has gone says nothing.
+func (s *FailoverStore) markDirectFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil && errors.Is(err, context.Canceled) {
 		return
 	}
-	if !s.away.Swap(true) {
-		s.metrics.storeAway.Inc()
+	if !s.directFailed.Swap(true) {
+		s.metrics.storeLost.Inc()
 		s.log.WithError(err).Warn(joblog.MessageStoreLost)
 	}
 }
@@ -171,11 +171,11 @@
 func (s *FailoverStore) Run(ctx context.Context) {
 	var readAt time.Time
 	for Pause(ctx, probeInterval) {
-		if s.away.Load() {
+		if s.directFailed.Load() {
 			s.probe(ctx)
 			continue
 		}
-		if time.Since(readAt) > membersAge {
+		if time.Since(readAt) > maxMembersAge {
 			s.readMembers(ctx)
 			readAt = time.Now()
 		}
@@ -185,21 +185,21 @@
 func (s *FailoverStore) probe(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if _, err := s.own.Get(ctx, leaderKey); err != nil {
+	if _, err := s.direct.Get(ctx, leaderKey); err != nil {
 		return
 	}
-	s.away.Store(false)
+	s.directFailed.Store(false)
 	s.log.Info(joblog.MessageStoreRegained)
 }
 
 func (s *FailoverStore) readMembers(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, ownTimeout)
+	ctx, cancel := context.WithTimeout(ctx, directTimeout)
 	defer cancel()
-	entries, _, err := s.own.List(ctx, membersPrefix)
+	entries, _, err := s.direct.List(ctx, membersPrefix)
 	if err != nil {
 		s.log.WithError(err).Debug("members not read; those known stay")
 		return
 	}
-	members := others(entries, s.self, s.log, s.metrics)
+	members := otherMembers(entries, s.self, s.log, s.metrics)
 	s.members.Store(&members)
 }
--- a/jobservice/recover.go
+++ b/jobservice/recover.go
@@ -18,7 +18,7 @@
 	l := t.leader
 	began := l.o.Clock.Now()
 	r := jobsched.Recovered{
-		Wall: l.o.Clock.Wall(), Config: l.o.Config.Current(), RosterStands: ledger.RosterStands, RosterAge: ledger.RosterAge,
+		Wall: l.o.Clock.Wall(), Config: l.o.Config.Current(), RosterStands: ledger.RosterValid, RosterAge: ledger.RosterAge,
 		UnseenCrash: ledger.UnseenCrash, RosterLostLeft: ledger.RosterLostLeft,
 	}
 	if err := l.recoverCluster(ctx, &r); err != nil {
@@ -46,10 +46,10 @@
 		l.o.Metrics.ReportUnreadable(l.log, kindRoster, kv, err, "nothing is started until all leases of an earlier leader have ended")
 		r.RosterLost = true
 	}
-	if kv, err = l.o.Store.Get(ctx, learnedKey); err != nil {
+	if kv, err = l.o.Store.Get(ctx, interferenceKey); err != nil {
 		return err
 	}
-	if r.Learned, err = decodeLearned(kv); err != nil {
+	if r.Learned, err = decodeInterference(kv); err != nil {
 		l.o.Metrics.ReportUnreadable(l.log, kindInterference, kv, err, "which images disturb which is learned anew")
 	}
 	return nil
@@ -75,10 +75,10 @@
 	return roster, nil
 }
 
-// decodeLearned reads what was learned of interference, which is nothing if it is
+// decodeInterference reads what was learned of interference, which is nothing if it is
 // not there. An error is a *job.RecordError: also for an effect without a spread,
 // which would be taken for certain.
-func decodeLearned(kv port.KeyValue) ([]interference.Effect, error) {
+func decodeInterference(kv port.KeyValue) ([]interference.Effect, error) {
 	if kv.ModRevision == 0 {
 		return nil, nil
 	}
@@ -102,27 +102,27 @@
 	l := t.leader
 	// Accepted jobs first: one that ends between the two reads is in both, and
 	// its progress says that it is over.
-	accepted, revision, err := readAll(ctx, l.o.Store, acceptedPrefix, job.DecodeAccepted)
+	accepted, revision, err := readRecords(ctx, l.o.Store, acceptedPrefix, job.DecodeAccepted)
 	if err != nil {
 		return err
 	}
-	progress, _, err := readAll(ctx, l.o.Store, progressPrefix, job.DecodeProgress)
+	progress, _, err := readRecords(ctx, l.o.Store, progressPrefix, job.DecodeProgress)
 	if err != nil {
 		return err
 	}
-	t.jobsFrom, r.Accepted, r.Progress, r.SetAside = revision, accepted.byID, progress.byID, make(map[job.ID]*job.Accepted)
-	acceptedErrs, progressErrs := l.tellDamaged(kindAccepted, accepted), l.tellDamaged(kindProgress, progress)
+	t.jobsRevision, r.Accepted, r.Progress, r.SetAside = revision, accepted.byID, progress.byID, make(map[job.ID]*job.Accepted)
+	acceptedErrs, progressErrs := l.reportDamaged(kindAccepted, accepted), l.reportDamaged(kindProgress, progress)
 	for _, ids := range []iter.Seq[job.ID]{maps.Keys(acceptedErrs), maps.Keys(progressErrs), maps.Keys(r.Accepted)} {
 		for id := range ids {
-			err := settleRecords(r.Accepted[id], r.Progress[id], acceptedErrs[id], progressErrs[id])
+			err := checkJobRecords(r.Accepted[id], r.Progress[id], acceptedErrs[id], progressErrs[id])
 			if err == nil {
 				continue
 			}
 			if acceptedErrs[id] == nil && progressErrs[id] == nil {
 				// Each can be read, and they are not of one job.
-				l.o.Metrics.ReportUnreadable(l.log, kindProgress, progress.items[id], err, asideConsequence)
+				l.o.Metrics.ReportUnreadable(l.log, kindProgress, progress.items[id], err, unreadableJobConsequence)
 			}
-			t.aside.add(id)
+			t.unreadableJobs.add(id)
 			r.SetAside[id] = r.Accepted[id]
 		}
 	}
@@ -133,19 +133,19 @@
 	return nil
 }
 
-// tellDamaged tells of the damaged records that were read, and returns what is
+// reportDamaged tells of the damaged records that were read, and returns what is
 // wrong with those of jobs.
-func (l *Leader) tellDamaged(kind string, read damagedRecords) map[job.ID]error {
+func (l *Leader) reportDamaged(kind string, read damagedRecords) map[job.ID]error {
 	causes := make(map[job.ID]error)
-	prefix, damaged := read.damagedBelow()
-	l.o.Metrics.unreadable.forgetRead(prefix, damaged)
+	prefix, damaged := read.damagedWithPrefix()
+	l.o.Metrics.unreadable.clearReadable(prefix, damaged)
 	for _, d := range damaged {
-		id, err := jobOf(d.kv.Key, prefix)
+		id, err := jobIDFromKey(d.kv.Key, prefix)
 		if err != nil {
-			l.o.Metrics.ReportUnreadable(l.log, kind, d.kv, err, strayConsequence)
+			l.o.Metrics.ReportUnreadable(l.log, kind, d.kv, err, invalidKeyConsequence)
 			continue
 		}
-		l.o.Metrics.ReportUnreadable(l.log, kind, d.kv, d.cause, asideConsequence)
+		l.o.Metrics.ReportUnreadable(l.log, kind, d.kv, d.cause, unreadableJobConsequence)
 		causes[id] = d.cause
 	}
 	return causes
@@ -162,14 +162,14 @@
 
 // damagedRecords is what jobRecords of any type has.
 type damagedRecords interface {
-	damagedBelow() (prefix string, damaged []damagedRecord)
+	damagedWithPrefix() (prefix string, damaged []damagedRecord)
 }
 
-func (r *jobRecords[T]) damagedBelow() (string, []damagedRecord) { return r.prefix, r.damaged }
+func (r *jobRecords[T]) damagedWithPrefix() (string, []damagedRecord) { return r.prefix, r.damaged }
 
-// readAll reads the records below a prefix. One that cannot be read does not keep
+// readRecords reads the records below a prefix. One that cannot be read does not keep
 // the others from being used.
-func readAll[T any](ctx context.Context, store port.Store, prefix string, decode func([]byte) (*T, error)) (*jobRecords[T], int64, error) {
+func readRecords[T any](ctx context.Context, store port.Store, prefix string, decode func([]byte) (*T, error)) (*jobRecords[T], int64, error) {
 	items, revision, err := store.List(ctx, prefix)
 	if err != nil {
 		return nil, 0, err
@@ -178,7 +178,7 @@
 		prefix: prefix, byID: make(map[job.ID]*T, len(items)), items: make(map[job.ID]port.KeyValue, len(items)),
 	}
 	for _, kv := range items {
-		id, err := jobOf(kv.Key, prefix)
+		id, err := jobIDFromKey(kv.Key, prefix)
 		if err != nil {
 			records.damaged = append(records.damaged, damagedRecord{kv, err})
 			continue
--- a/jobservice/recover_test.go
+++ b/jobservice/recover_test.go
@@ -30,7 +30,7 @@
 // daemon and at every other, and nobody led.
 func TestTakeOverReadsManyPagesFromASlowStore(t *testing.T) {
 	store := &pagedStore{pages: 24, pageTime: 100 * time.Millisecond}
-	if _, _, err := readAll(t.Context(), store, progressPrefix, job.DecodeProgress); err != nil {
+	if _, _, err := readRecords(t.Context(), store, progressPrefix, job.DecodeProgress); err != nil {
 		t.Errorf("the records were not read: %v", err)
 	}
 }
--- a/jobservice/roster_test.go
+++ b/jobservice/roster_test.go
@@ -13,10 +13,10 @@
 // next one held every older job back until all workers had answered it or their
 // leases had certainly ended. Here one gives the lead up to a daemon with more
 // processors, and the next leader finds its last commit.
-func TestLeaderThatGivesUpLeavesWordOfItsWorkers(t *testing.T) {
+func TestResigningLeaderStoresItsRoster(t *testing.T) {
 	d := newDeployment(t)
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	key, err := d.store.Get(t.Context(), leaderKey)
 	if err != nil {
 		t.Fatal(err)
@@ -27,9 +27,9 @@
 		return err == nil && now.ModRevision > key.ModRevision
 	})
 	d.eventually("a lead given up with its last commit stored", func() bool {
-		return d.log.says("complete=true") && d.log.says(joblog.MessageGaveUp)
+		return d.log.contains("complete=true") && d.log.contains(joblog.MessageGaveUp)
 	})
-	d.eventually("the state read as the leader left it", func() bool { return d.log.says("rosterStands=true") })
+	d.eventually("the state read as the leader left it", func() bool { return d.log.contains("rosterStands=true") })
 }
 
 // A daemon took the lead, one read of the store failed before it had given a single
@@ -37,12 +37,12 @@
 // the roster of the leader before said, and everything waited for all workers.
 func TestWordOfALeaderOutlastsAFailedTakeOver(t *testing.T) {
 	d := newDeployment(t)
-	d.store.write(port.Op{Key: ledgerKey, Value: encodeRecord(ledgerRecord{Incarnation: "0", Number: 7, RosterStands: true})})
+	d.store.write(port.Op{Key: ledgerKey, Value: encodeRecord(ledgerRecord{Incarnation: "0", Number: 7, RosterValid: true})})
 	d.store.write(port.Op{Key: rosterKey, Value: []byte(`[]`)})
 	d.store.failing = map[string]int{rosterKey: 1}
 	d.lead()
-	d.eventually("the state read", func() bool { return d.log.says("rosterStands=") })
-	if !d.log.says("rosterStands=true") {
+	d.eventually("the state read", func() bool { return d.log.contains("rosterStands=") })
+	if !d.log.contains("rosterStands=true") {
 		t.Error("what the roster of the leader before said is lost, though nobody has given an order since")
 	}
 }
--- a/jobservice/term.go
+++ b/jobservice/term.go
@@ -21,16 +21,16 @@
 		t.sendCommit(ctx, *t.pending)
 	}
 	clock := t.leader.o.Clock
-	pace := pace{log: t.leader.log.WithField("epoch", t.epoch), metrics: t.leader.o.Metrics}
+	monitor := stepMonitor{log: t.leader.log.WithField("epoch", t.epoch), metrics: t.leader.o.Metrics}
 	for {
 		var ev jobsched.Event
 		select {
 		case <-ctx.Done():
 			return false
 		case <-timer.C:
-		case ask := <-t.leader.questions:
-			ask(t.machine)
-		case ev = <-t.stored:
+		case query := <-t.leader.queries:
+			query(t.machine)
+		case ev = <-t.storeEvents:
 		case ev = <-t.events:
 		}
 		if ev != nil {
@@ -41,9 +41,9 @@
 			// more than to take an event in.
 			time.Sleep(gatherTime)
 		}
-		began, waiting := clock.Now(), len(t.events)+len(t.stored)
-		over, deposed := t.step(ctx)
-		pace.step(began, clock.Now(), waiting)
+		began, waiting := clock.Now(), len(t.events)+len(t.storeEvents)
+		over, deposed := t.runStep(ctx)
+		monitor.record(began, clock.Now(), waiting)
 		if over {
 			return deposed
 		}
@@ -51,9 +51,9 @@
 	}
 }
 
-// step takes in the events that wait and acts on them. It returns whether the
+// runStep takes in the events that wait and acts on them. It returns whether the
 // term is over, and whether because a later leader has been seen.
-func (t *term) step(ctx context.Context) (over, deposed bool) {
+func (t *term) runStep(ctx context.Context) (over, deposed bool) {
 	if t.drain() {
 		return true, true
 	}
@@ -61,13 +61,13 @@
 	if !l.mayAct() {
 		return true, false
 	}
-	if t.carryOut(ctx, t.machine.Advance(l.o.Clock.Now(), l.o.Clock.Wall())) {
+	if t.execute(ctx, t.machine.Advance(l.o.Clock.Now(), l.o.Clock.Wall())) {
 		return true, true
 	}
 	jobs, attempts := t.machine.Jobs()
 	l.o.Metrics.jobs.Set(float64(jobs))
 	l.o.Metrics.attempts.Set(float64(attempts))
-	l.o.Metrics.unheard.Set(float64(t.machine.Unheard()))
+	l.o.Metrics.unansweredWorkers.Set(float64(t.machine.Unheard()))
 	return false, false
 }
 
@@ -75,7 +75,7 @@
 // returns whether the term is over. Cancels must not wait among the answers of
 // hundreds of workers.
 func (t *term) drain() bool {
-	return t.drainFrom(t.stored) || t.drainFrom(t.events)
+	return t.drainFrom(t.storeEvents) || t.drainFrom(t.events)
 }
 
 func (t *term) drainFrom(events <-chan jobsched.Event) bool {
@@ -92,12 +92,12 @@
 	return false
 }
 
-// commitFailed says that another leader has written the ledger.
-type commitFailed struct{ jobsched.Committed }
+// commitSuperseded says that another leader has written the ledger.
+type commitSuperseded struct{ jobsched.Committed }
 
 func (t *term) handle(ev jobsched.Event) (over bool) {
 	switch ev := ev.(type) {
-	case commitFailed:
+	case commitSuperseded:
 		return true
 	case committedAt:
 		t.ledger = ev.revision
@@ -109,8 +109,8 @@
 	return false
 }
 
-// carryOut carries out effects, and returns whether the machine is deposed.
-func (t *term) carryOut(ctx context.Context, effects []jobsched.Effect) (deposed bool) {
+// execute carries out effects, and returns whether the machine is deposed.
+func (t *term) execute(ctx context.Context, effects []jobsched.Effect) (deposed bool) {
 	for _, e := range effects {
 		switch e := e.(type) {
 		case jobsched.Note:
@@ -121,7 +121,7 @@
 			t.pending = &e
 			t.sendCommit(ctx, e)
 		default:
-			t.order(ctx, e)
+			t.dispatch(ctx, e)
 		}
 	}
 	return deposed
@@ -135,14 +135,14 @@
 	if n.Lag > 0 {
 		l.o.Metrics.lag.WithLabelValues(n.Decision).Observe(n.Lag.Seconds())
 	}
-	if n.Routine && !l.routine.Allow() {
-		l.leftOut++
+	if n.Routine && !l.routineLimiter.Allow() {
+		l.suppressed++
 		return
 	}
 	fields := logrus.Fields{"decision": n.Decision, "reason": n.Reason, "epoch": t.epoch}
-	if l.leftOut > 0 {
-		fields["leftOut"] = l.leftOut
-		l.leftOut = 0
+	if l.suppressed > 0 {
+		fields["leftOut"] = l.suppressed
+		l.suppressed = 0
 	}
 	if n.Job != "" {
 		fields["job"] = n.Job
@@ -174,14 +174,14 @@
 
 // commit stores a commit and posts its outcome.
 func (t *term) commit(ctx context.Context, c jobsched.Commit, ledger int64) {
-	if ev := t.store(ctx, c, ledger); ev != nil {
+	if ev := t.storeCommit(ctx, c, ledger); ev != nil {
 		t.post(ctx, ev)
 	}
 }
 
-// store tries until the commit is certainly made, another leader has come, or ctx
+// storeCommit tries until the commit is certainly made, another leader has come, or ctx
 // ends. It returns the event that tells which, nil for the last.
-func (t *term) store(ctx context.Context, c jobsched.Commit, ledger int64) jobsched.Event {
+func (t *term) storeCommit(ctx context.Context, c jobsched.Commit, ledger int64) jobsched.Event {
 	began := time.Now()
 	defer func() { t.leader.o.Metrics.commitTime.Observe(time.Since(began).Seconds()) }()
 	changes := t.changes(c)
@@ -195,7 +195,7 @@
 		case result.Succeeded:
 			return committedAt{jobsched.Committed{Number: c.Number}, result.Revision}
 		default:
-			if ev := t.settleCommit(ctx, c); ev != nil {
+			if ev := t.resolveCommit(ctx, c); ev != nil {
 				return ev
 			}
 		}
@@ -203,10 +203,10 @@
 	return nil
 }
 
-// settleCommit finds out whether a commit whose condition no longer holds was
+// resolveCommit finds out whether a commit whose condition no longer holds was
 // made by an earlier try, or another leader has come. It returns nil when the
 // store could not be asked.
-func (t *term) settleCommit(ctx context.Context, c jobsched.Commit) jobsched.Event {
+func (t *term) resolveCommit(ctx context.Context, c jobsched.Commit) jobsched.Event {
 	kv, err := t.leader.get(ctx, ledgerKey)
 	if err != nil {
 		Pause(ctx, commitPause)
@@ -222,14 +222,14 @@
 	if err == nil && record.Incarnation == t.leader.o.Incarnation && record.Number == c.Number {
 		return committedAt{jobsched.Committed{Number: c.Number}, kv.ModRevision}
 	}
-	return commitFailed{}
+	return commitSuperseded{}
 }
 
 // changes returns the writes of a commit.
 func (t *term) changes(c jobsched.Commit) []port.Op {
 	record := ledgerRecord{
 		Incarnation: t.leader.o.Incarnation, Number: c.Number, Summary: c.Summary,
-		RosterStands: c.RosterStands, RosterAge: c.RosterAge, UnseenCrash: c.UnseenCrash,
+		RosterValid: c.RosterStands, RosterAge: c.RosterAge, UnseenCrash: c.UnseenCrash,
 		RosterLostLeft: c.RosterLostLeft,
 	}
 	changes := []port.Op{{Key: ledgerKey, Value: encodeRecord(record)}}
@@ -237,7 +237,7 @@
 		changes = append(changes, port.Op{Key: rosterKey, Value: encodeRecord(c.Roster)}, fleetChange(c.Roster))
 	}
 	if c.Learned != nil {
-		changes = append(changes, port.Op{Key: learnedKey, Value: encodeRecord(c.Learned)})
+		changes = append(changes, port.Op{Key: interferenceKey, Value: encodeRecord(c.Learned)})
 	}
 	for _, p := range c.Puts {
 		changes = append(changes, port.Op{Key: progressKey(p.ID), Value: p.Progress.Encode()})
@@ -251,14 +251,14 @@
 	return changes
 }
 
-// finish stores what the leader knows, after the commit in flight, so that the
+// storeFinalCommit stores what the leader knows, after the commit in flight, so that the
 // next one finds it: above all what may run on which worker. It returns whether
 // that is certainly stored. It is given as long as the lead's lease lasts, since
 // two commits in turn take long while the store is slow.
-func (t *term) finish() bool {
+func (t *term) storeFinalCommit() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), t.leader.o.LeaderTTL)
 	defer cancel()
-	if t.drain() || !t.settlePending(ctx) {
+	if t.drain() || !t.resolvePending(ctx) {
 		return false
 	}
 	clock := t.leader.o.Clock
@@ -266,27 +266,27 @@
 	for _, n := range notes {
 		t.note(n)
 	}
-	_, stored := t.store(ctx, last, t.ledger).(committedAt)
+	_, stored := t.storeCommit(ctx, last, t.ledger).(committedAt)
 	return stored
 }
 
-// settlePending waits for the commit in flight, and returns whether there is none
+// resolvePending waits for the commit in flight, and returns whether there is none
 // any more and the term goes on.
-func (t *term) settlePending(ctx context.Context) bool {
+func (t *term) resolvePending(ctx context.Context) bool {
 	if t.pending == nil {
 		return true
 	}
-	ev := t.store(ctx, *t.pending, t.ledger)
+	ev := t.storeCommit(ctx, *t.pending, t.ledger)
 	return ev != nil && !t.handle(ev)
 }
 
 // post hands the outcome of a commit to the control goroutine.
-func (t *term) post(ctx context.Context, ev jobsched.Event) { hand(ctx, t.events, ev) }
+func (t *term) post(ctx context.Context, ev jobsched.Event) { deliver(ctx, t.events, ev) }
 
 // postStored hands it what was read from the store.
-func (t *term) postStored(ctx context.Context, ev jobsched.Event) { hand(ctx, t.stored, ev) }
+func (t *term) postStored(ctx context.Context, ev jobsched.Event) { deliver(ctx, t.storeEvents, ev) }
 
-func hand(ctx context.Context, events chan<- jobsched.Event, ev jobsched.Event) {
+func deliver(ctx context.Context, events chan<- jobsched.Event, ev jobsched.Event) {
 	select {
 	case events <- ev:
 	case <-ctx.Done():
--- a/jobservice/transfers_test.go
+++ b/jobservice/transfers_test.go
@@ -61,20 +61,20 @@
 // is broken off and begun anew each time.
 func TestTransfersThatTakeLong(t *testing.T) {
 	for name, large := range map[string]string{
-		"roster": rosterKey, "interference": learnedKey, "progress in a commit": progressKey(soundJob),
+		"roster": rosterKey, "interference": interferenceKey, "progress in a commit": progressKey(intactJob),
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := newDeployment(t)
 			d.lead(func(o *Options) { o.Store = &slowStore{memStore: d.store, large: large} })
-			d.awaitCompleted(soundJob)
+			d.awaitCompleted(intactJob)
 		})
 	}
 	t.Run("list of workers", func(t *testing.T) {
 		t.Parallel()
 		d := newDeployment(t)
 		d.lead(func(o *Options) { o.List = slowList{o.List} })
-		d.awaitCompleted(soundJob)
+		d.awaitCompleted(intactJob)
 	})
 }
 
--- a/jobservice/unreadable.go
+++ b/jobservice/unreadable.go
@@ -23,22 +23,22 @@
 	KindConfiguration = "configuration"
 )
 
-// unreadableMost bounds the records that are remembered as unreadable. Those
+// maxUnreadableRecords bounds the records that are remembered as unreadable. Those
 // beyond it are neither told nor counted.
-const unreadableMost = 4096
+const maxUnreadableRecords = 4096
 
-// unreadable tells of records that cannot be read. They are looked at again and
+// unreadableRecords tells of records that cannot be read. They are looked at again and
 // again, some every half second: each change of one is told once.
-type unreadable struct {
+type unreadableRecords struct {
 	count *prometheus.CounterVec
 
 	mu sync.Mutex
-	// told holds the revisions that were told, by key.
-	told map[string]int64
+	// reported holds the revisions that were reported, by key.
+	reported map[string]int64
 }
 
-func newUnreadable(count *prometheus.CounterVec) *unreadable {
-	return &unreadable{count: count, told: make(map[string]int64)}
+func newUnreadableRecords(count *prometheus.CounterVec) *unreadableRecords {
+	return &unreadableRecords{count: count, reported: make(map[string]int64)}
 }
 
 // ReportUnreadable writes a line about a record that cannot be read, and counts it,
@@ -46,10 +46,10 @@
 func (m *Metrics) ReportUnreadable(log *logrus.Entry, kind string, kv port.KeyValue, cause error, consequence string) {
 	u := m.unreadable
 	u.mu.Lock()
-	revision, known := u.told[kv.Key]
-	news := revision != kv.ModRevision && (known || len(u.told) < unreadableMost)
+	revision, known := u.reported[kv.Key]
+	news := revision != kv.ModRevision && (known || len(u.reported) < maxUnreadableRecords)
 	if news {
-		u.told[kv.Key] = kv.ModRevision
+		u.reported[kv.Key] = kv.ModRevision
 	}
 	u.mu.Unlock()
 	if !news {
@@ -60,18 +60,18 @@
 		Error("record cannot be read; " + consequence)
 }
 
-// forgetRead forgets what was told of the keys with a prefix, but for those that
+// clearReadable forgets what was told of the keys with a prefix, but for those that
 // cannot be read now.
-func (u *unreadable) forgetRead(prefix string, damaged []damagedRecord) {
+func (u *unreadableRecords) clearReadable(prefix string, damaged []damagedRecord) {
 	still := make(map[string]bool, len(damaged))
 	for _, d := range damaged {
 		still[d.kv.Key] = true
 	}
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for key := range u.told {
+	for key := range u.reported {
 		if strings.HasPrefix(key, prefix) && !still[key] {
-			delete(u.told, key)
+			delete(u.reported, key)
 		}
 	}
 }
--- a/jobservice/vigil.go
+++ b/jobservice/vigil.go
@@ -19,11 +19,11 @@
 	IsGone(ctx context.Context, address string) bool
 }
 
-// deaf is a Vigil that notices nothing.
-type deaf struct{}
+// noFailureDetector is a Vigil that notices nothing.
+type noFailureDetector struct{}
 
-func (deaf) ConnectionLost() <-chan struct{}     { return nil }
-func (deaf) IsGone(context.Context, string) bool { return false }
+func (noFailureDetector) ConnectionLost() <-chan struct{}     { return nil }
+func (noFailureDetector) IsGone(context.Context, string) bool { return false }
 
 // endLeaseIfGone ends the lease of a leader whose process has gone, so that the
 // lead is free at once. It reports whether it did.
