--- a/adapter/jobapi/server.go
+++ b/adapter/jobapi/server.go
@@ -38,9 +38,9 @@
 	Config    *jobservice.ConfigFeed
 	Inspector Inspector
 	Status    func() Status
-	// Recent returns the daemon's latest log lines.
-	Recent func() []byte
-	Log    *logrus.Logger
+	// RecentLog returns the daemon's latest log lines.
+	RecentLog func() []byte
+	Log       *logrus.Logger
 }
 
 // Server serves the interface.
@@ -93,7 +93,7 @@
 	if err := s.o.Intake.Submit(c.Request().Context(), id, spec, queue, config.Version); err != nil {
 		return err
 	}
-	s.log.WithFields(jobservice.AcceptedFields(id, spec, queue, config.Version)).Info(joblog.MessageAccepted)
+	s.log.WithFields(jobservice.AcceptedFields(id, spec, queue, config.Version)).Info(joblog.MessageJobAccepted)
 	return c.JSON(http.StatusOK, JobState{ID: id, State: job.Queued})
 }
 
@@ -157,7 +157,7 @@
 	if err := s.o.Intake.Cancel(c.Request().Context(), id); err != nil {
 		return err
 	}
-	s.log.WithField("job", id).Info(joblog.MessageCancelAsked)
+	s.log.WithField("job", id).Info(joblog.MessageCancelRequested)
 	return c.JSON(http.StatusOK, JobState{ID: id, State: job.Canceled})
 }
 
@@ -184,7 +184,7 @@
 func (s *Server) status(c echo.Context) error { return c.JSON(http.StatusOK, s.o.Status()) }
 
 func (s *Server) recent(c echo.Context) error {
-	return c.Blob(http.StatusOK, "application/x-ndjson", s.o.Recent())
+	return c.Blob(http.StatusOK, "application/x-ndjson", s.o.RecentLog())
 }
 
 // answerError answers a call that failed.
@@ -194,12 +194,12 @@
 	}
 	status, kind := ProblemOf(err)
 	if status == http.StatusServiceUnavailable {
-		c.Response().Header().Set("Retry-After", RetryAfterS(err))
+		c.Response().Header().Set("Retry-After", RetryAfterSeconds(err))
 	}
 	if kind != ProblemNotLeading {
 		s.log.WithError(err).WithFields(logrus.Fields{
 			"status": status, "method": c.Request().Method, "job": c.Param("id"), "queue": c.Param("queue"),
-		}).Info(joblog.MessageRefused)
+		}).Info(joblog.MessageRequestRefused)
 	}
 	if sent := c.JSON(status, Problem{Kind: kind, Detail: err.Error()}); sent != nil {
 		s.log.WithError(sent).Debug("answer not sent; the caller has gone")
--- a/core/eviction/policy_compare_test.go
+++ b/core/eviction/policy_compare_test.go
@@ -124,10 +124,10 @@
 func (s *sim) viewOf(t *simTask) eviction.Task {
 	v := eviction.Task{
 		Key: t.key, Class: t.workload.class.name, Size: t.held, LongRunning: t.long, Percent: t.percent,
-		ThrottledAt: t.throttledAt, SavedAt: t.savedAt, Checkpoints: true, Evictions: t.evictions,
+		ThrottledAt: t.throttledAt, SavedAt: t.savedAt, CanCheckpoint: true, Evictions: t.evictions,
 	}
 	if s.policy.shrink {
-		v.Full = t.full
+		v.FullSize = t.full
 	}
 	return v
 }
@@ -139,15 +139,15 @@
 // grow raises a task's hold to what it was seen to need, as far as there is
 // room.
 func (s *sim) grow(t *simTask, view *eviction.WorkerView) {
-	want := s.sizes.Want(t.key, t.workload.declared, t.full)
+	want := s.sizes.RunningSize(t.key, t.workload.declared, t.full)
 	if want == t.full {
 		return
 	}
 	target := want
 	if s.policy.shrink {
-		target = eviction.ThrottledHold(want, t.percent)
+		target = eviction.ThrottledSize(want, t.percent)
 	}
-	granted, missing := interference.Grow(t.held, target, t.worker.room.Free)
+	granted, missing := interference.SplitGrowth(t.held, target, t.worker.room.Free)
 	s.resize(t, granted)
 	if missing == (model.Resources{}) {
 		t.full = want
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -83,7 +83,7 @@
 	s.noteAt = m.now.Add(waitNotedAgain)
 	h := m.holdOnJob(s.job())
 	m.emit(Note{
-		Decision: joblog.MessageHeldBack, Job: s.job().id, Task: s.name(), Worker: h.worker,
+		Decision: joblog.MessageStartHeldBack, Job: s.job().id, Task: s.name(), Worker: h.worker,
 		Reason: h.describe(m.now), Routine: !s.spec.LongRunning,
 	})
 }
@@ -97,14 +97,14 @@
 	}
 	j.resumed = true
 	m.emit(Note{
-		Decision: joblog.MessageResumed, Job: j.id, Lag: m.now.Sub(m.recoveredAt), Routine: true,
+		Decision: joblog.MessageJobResumed, Job: j.id, Lag: m.now.Sub(m.recoveredAt), Routine: true,
 		Reason: fmt.Sprintf("%s after the take-over", m.now.Sub(m.recoveredAt).Round(time.Millisecond)),
 	})
 }
 
-// Unheard returns how many workers hold starts back, because an earlier leader
+// UnansweredWorkers returns how many workers hold starts back, because an earlier leader
 // may have started tasks there and they have not answered this one.
-func (m *Machine) Unheard() int {
+func (m *Machine) UnansweredWorkers() int {
 	unheard := 0
 	for _, w := range m.workers.All() {
 		if !w.answered && (m.unresolved.Has(w.id) || w.attempts.Len() > 0) {
@@ -130,7 +130,7 @@
 		}
 		a.noteAt = m.now.Add(waitNotedAgain)
 		m.emit(Note{
-			Decision: joblog.MessageHeldBack, Job: a.key.task.Job, Task: a.key.task.String(), Attempt: a.key.attempt,
+			Decision: joblog.MessageStartHeldBack, Job: a.key.task.Job, Task: a.key.task.String(), Attempt: a.key.attempt,
 			Worker: w.id, Reason: m.holdByAttempt(a).describe(m.now), Routine: !a.longRunning,
 		})
 	}
--- a/core/scheduler/observe.go
+++ b/core/scheduler/observe.go
@@ -13,19 +13,19 @@
 // ObservationKind is what became of an attempt.
 type ObservationKind uint8
 
-// The kinds of observation. All but SawRunning say that the attempt is
+// The kinds of observation. All but ObservedRunning say that the attempt is
 // certainly over.
 const (
-	SawRunning ObservationKind = iota + 1
-	SawSucceeded
-	SawFailed
-	// SawStopped: stopped by command, or by the agent when its lease ran out.
-	SawStopped
-	// SawRefused: the worker had no room or no valid grant; nothing started.
-	SawRefused
-	// SawLost: over without a report, by the bound on its lease or because
+	ObservedRunning ObservationKind = iota + 1
+	ObservedSucceeded
+	ObservedFailed
+	// ObservedStopped: stopped by command, or by the agent when its lease ran out.
+	ObservedStopped
+	// ObservedRefused: the worker had no room or no valid grant; nothing started.
+	ObservedRefused
+	// ObservedLost: over without a report, by the bound on its lease or because
 	// the worker restarted.
-	SawLost
+	ObservedLost
 )
 
 // Observation is news of one attempt from its worker's session.
@@ -45,8 +45,8 @@
 
 // Observer turns observations into changes of one shard's ledger.
 type Observer struct {
-	Ledger Ledger
-	Judge  *quarantine.Judge
+	Ledger    Ledger
+	Evaluator *quarantine.Evaluator
 	// MaxAttempts returns a workload's bound on counted failures; 0 is the
 	// judge's own.
 	MaxAttempts func(workload string) int
@@ -60,13 +60,13 @@
 		return nil
 	}
 	switch o.Kind {
-	case SawRunning:
+	case ObservedRunning:
 		return observeRunning(t, o)
-	case SawSucceeded:
+	case ObservedSucceeded:
 		return ob.observeSucceeded(now, t, o)
-	case SawFailed:
+	case ObservedFailed:
 		return ob.observeFailed(now, t, o)
-	case SawRefused:
+	case ObservedRefused:
 		t.NotBefore = now.Add(RefusedRetry)
 		return over(t, o)
 	default:
@@ -75,14 +75,14 @@
 	}
 }
 
-// Healthy returns what follows from an attempt that has run long enough to
+// ObserveHealthy returns what follows from an attempt that has run long enough to
 // speak for its worker. It changes quarantines only.
-func (ob *Observer) Healthy(now time.Time, attempt model.AttemptKey) []ledger.Change {
+func (ob *Observer) ObserveHealthy(now time.Time, attempt model.AttemptKey) []ledger.Change {
 	t, known := ob.Ledger.Task(attempt.Task)
 	if !known || t.State != ledger.Running || t.Attempt != attempt.Attempt {
 		return nil
 	}
-	return workerChanges(ob.Judge.Observe(now, ob.outcome(t, quarantine.Healthy)))
+	return workerChanges(ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Healthy)))
 }
 
 func observeRunning(t ledger.Task, o Observation) []ledger.Change {
@@ -102,7 +102,7 @@
 		o.Detail = "service ended by itself"
 		return ob.observeFailed(now, t, o)
 	}
-	verdict := ob.Judge.Observe(now, ob.outcome(t, quarantine.Succeeded))
+	verdict := ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Succeeded))
 	t.State = ledger.Succeeded
 	t.Reason = ""
 	t.Address = ""
@@ -115,7 +115,7 @@
 	if t.State == ledger.Stopping && !t.Resume {
 		return over(t, o)
 	}
-	verdict := ob.Judge.Observe(now, ob.outcome(t, quarantine.Failed))
+	verdict := ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Failed))
 	if verdict.Task.Blame.Counts() {
 		t.Failures++
 		t.FailedWorkers = withWorker(t.FailedWorkers, t.Worker)
@@ -221,9 +221,9 @@
 	return !named || w.Generation != t.Key.Generation || w.Cancelled && t.State == ledger.Pending
 }
 
-// Urgent reports whether urgent work waits for one of the changes: they are of
+// HasUrgent reports whether urgent work waits for one of the changes: they are of
 // an urgent task, or of one that makes room for one.
-func Urgent(changes []ledger.Change) bool {
+func HasUrgent(changes []ledger.Change) bool {
 	return slices.ContainsFunc(changes, func(c ledger.Change) bool {
 		return c.Put != nil && (c.Put.Priority == model.PriorityUrgent || c.Put.Reason == ReasonPreempted)
 	})
--- a/daemon/shard.go
+++ b/daemon/shard.go
@@ -30,7 +30,7 @@
 
 	ledger  *ledger.Ledger
 	workers map[model.WorkerID]*worker
-	judge   *quarantine.Judge
+	judge   *quarantine.Evaluator
 	placer  *placement.Placer
 	evictor *eviction.Controller
 
@@ -52,7 +52,7 @@
 		acquiredAt: at,
 		ledger:     ledger.New(id, writer, c.ledgerOptions()),
 		workers:    make(map[model.WorkerID]*worker),
-		judge:      quarantine.New(quarantine.DefaultOptions()),
+		judge:      quarantine.NewEvaluator(quarantine.DefaultOptions()),
 		placer:     placement.Default(placement.Options{Random: rand.NewPCG(c.random.Uint64(), 0)}),
 		evictor:    eviction.NewController(eviction.DefaultOptions(), c.slowdowns),
 	}
@@ -73,7 +73,7 @@
 // without waiting for the next group commit.
 func (s *shard) propose(changes []ledger.Change) {
 	if len(changes) > 0 {
-		s.stepLedger(ledger.Propose{Changes: changes, Urgent: scheduler.Urgent(changes)})
+		s.stepLedger(ledger.Propose{Changes: changes, Urgent: scheduler.HasUrgent(changes)})
 	}
 }
 
@@ -103,7 +103,7 @@
 			return ledgerEvent{s, ledger.InboxListed{KVs: kvs, Err: err}}
 		})
 	case ledger.ReadBack:
-		s.record(timeline.Event{Kind: timeline.LedgerUnknown})
+		s.record(timeline.Event{Kind: timeline.LedgerCommitUnknown})
 		s.c.list(storebudget.ClassReadBack, cmd.Prefix, func(kvs []port.KeyValue, _ int64, err error) event {
 			return ledgerEvent{s, ledger.ReadAnswered{ID: cmd.ID, KVs: kvs, Err: err}}
 		})
@@ -146,7 +146,7 @@
 	}
 	for t := range s.ledger.Contents().Tasks() {
 		if t.State == ledger.Running {
-			s.c.slowdowns.Started(s.c.clock.Now(), t.Worker, t.Key, t.Class)
+			s.c.slowdowns.TaskStarted(s.c.clock.Now(), t.Worker, t.Key, t.Class)
 		}
 	}
 	s.refreshWorkers()
@@ -186,7 +186,7 @@
 
 // record adds an event about this shard to the time line.
 func (s *shard) record(e timeline.Event) {
-	e.Shard = timeline.InShard(s.id)
+	e.Shard = timeline.ShardPtr(s.id)
 	s.c.record(e)
 }
 
--- a/jobservice/fleet.go
+++ b/jobservice/fleet.go
@@ -46,7 +46,7 @@
 func (v *fleetView) check(ctx context.Context, store RecordStore, now time.Time, service string, spec *job.Spec) error {
 	if known := v.read.Load(); known != nil {
 		err := known.fleet.Check(service, spec)
-		fits := err == nil && known.fleet.Knows(service)
+		fits := err == nil && known.fleet.HasService(service)
 		if fits || now.Sub(known.at) < maxFleetAge {
 			return err
 		}
--- a/jobservice/handover.go
+++ b/jobservice/handover.go
@@ -62,7 +62,7 @@
 // handOverLead ends the term in favor of another daemon, which is faster to
 // take a lead that is free, see giveWay.
 func (t *term) handOverLead() {
-	t.leader.log.WithFields(logrus.Fields{"epoch": t.epoch, "processors": t.leader.o.Processors}).Info(joblog.MessageHandsOver)
+	t.leader.log.WithFields(logrus.Fields{"epoch": t.epoch, "processors": t.leader.o.Processors}).Info(joblog.MessageLeadershipHandedOver)
 	t.handedOver.Store(true)
 	t.end()
 }
--- a/jobservice/leader.go
+++ b/jobservice/leader.go
@@ -40,9 +40,9 @@
 	if o.FailureDetector == nil {
 		o.FailureDetector = noFailureDetector{}
 	}
-	if o.Machine.RoundLooks == 0 && o.Processors > 0 {
+	if o.Machine.RoundBudget == 0 && o.Processors > 0 {
 		// A round takes as long on a part of a core as on a whole one.
-		o.Machine.RoundLooks = max(int(jobsched.DefaultRoundLooks*min(o.Processors, 1)), minRoundBudget)
+		o.Machine.RoundBudget = max(int(jobsched.DefaultRoundBudget*min(o.Processors, 1)), minRoundBudget)
 	}
 	if o.Machine.StartsInFlight == 0 && o.Processors > 0 {
 		o.Machine.StartsInFlight = max(int(jobsched.DefaultStartsInFlight*min(o.Processors, 1)), minStartsInFlight)
@@ -132,7 +132,7 @@
 	default:
 		l.suspended = t
 		l.o.Metrics.terms.WithLabelValues("lease lost").Inc()
-		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageLeadLostStore)
+		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageLeaseNotRenewed)
 	}
 }
 
@@ -142,7 +142,7 @@
 	complete := t.storeFinalCommit()
 	l.revoke(t.lease)
 	l.o.Metrics.terms.WithLabelValues(end).Inc()
-	l.log.WithField("complete", complete).Info(joblog.MessageGaveUp)
+	l.log.WithField("complete", complete).Info(joblog.MessageLeadershipReleased)
 }
 
 // mayAct reports whether the daemon's right to lead is certainly valid.
--- a/jobservice/roster_test.go
+++ b/jobservice/roster_test.go
@@ -27,7 +27,7 @@
 		return err == nil && now.ModRevision > key.ModRevision
 	})
 	d.eventually("a lead given up with its last commit stored", func() bool {
-		return d.log.contains("complete=true") && d.log.contains(joblog.MessageGaveUp)
+		return d.log.contains("complete=true") && d.log.contains(joblog.MessageLeadershipReleased)
 	})
 	d.eventually("the state read as the leader left it", func() bool { return d.log.contains("rosterStands=true") })
 }
