--- a/jobservice/entrycounts.go
+++ b/jobservice/entrycounts.go
@@ -24,7 +24,7 @@
 	for _, fault := range jobsched.EntryFaults() {
 		m.entriesUnusable.WithLabelValues(fault.String()).Set(float64(counts.Unusable[fault]))
 	}
-	for turn, count := range counts.Changes {
-		m.entryTurns.WithLabelValues(turn.String()).Add(float64(count))
+	for change, count := range counts.Changes {
+		m.entryChanges.WithLabelValues(change.String()).Add(float64(count))
 	}
 }
--- a/jobservice/fleet_test.go
+++ b/jobservice/fleet_test.go
@@ -48,12 +48,12 @@
 		now = now.Add(2 * maxFleetAge)
 		return view.check(context.Background(), store, now, "pool", spec)
 	}
-	var unservable *job.InfeasibleError
+	var infeasible *job.InfeasibleError
 	if err := check(); err != nil {
 		t.Errorf("nothing written: %v", err)
 	}
 	store.write(fleetChange(rosterOf(500)))
-	if err := check(); !errors.As(err, &unservable) {
+	if err := check(); !errors.As(err, &infeasible) {
 		t.Errorf("workers too small: %v, want it turned away", err)
 	}
 	store.write(port.Op{Key: fleetKey, Value: []byte("{")})
--- a/jobservice/intake.go
+++ b/jobservice/intake.go
@@ -90,8 +90,8 @@
 // checkFleet turns a job away that no worker could ever run, unless it was taken
 // in before: then the caller has to be told so.
 func (in *Intake) checkFleet(ctx context.Context, id job.ID, spec *job.Spec, q *job.Queue) error {
-	unservable := in.fleet.check(ctx, in.store, in.clock.Now(), q.Service, spec)
-	if unservable == nil {
+	infeasible := in.fleet.check(ctx, in.store, in.clock.Now(), q.Service, spec)
+	if infeasible == nil {
 		return nil
 	}
 	known, _, err := in.accepted(ctx, id)
@@ -102,7 +102,7 @@
 	if err != nil || progress != nil {
 		return err
 	}
-	return unservable
+	return infeasible
 }
 
 // AcceptedFields returns the fields of the log line of a job that was accepted.
--- a/jobservice/metrics.go
+++ b/jobservice/metrics.go
@@ -33,7 +33,7 @@
 	unreadable *unreadableRecords
 	// entriesUnusable and entryTurns tell of the platform's list of workers.
 	entriesUnusable *prometheus.GaugeVec
-	entryTurns      *prometheus.CounterVec
+	entryChanges    *prometheus.CounterVec
 	// configVersion, configConfirmed and configFailures tell of the configuration
 	// in force.
 	configVersion     prometheus.Gauge
@@ -84,7 +84,7 @@
 		entriesUnusable: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "worker_entries_unusable", Help: "Entries that name no worker to use, at the leader, by reason.",
 		}, []string{"reason"}),
-		entryTurns: counter("worker_entry_turns_total", "Workers' entries that turned unusable, and that are good again or gone.", "turn"),
+		entryChanges: counter("worker_entry_turns_total", "Workers' entries that turned unusable, and that are good again or gone.", "turn"),
 		storeLost: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "store_lost_total", Help: "Times that callers' requests lost the store.",
 		}),
@@ -107,7 +107,7 @@
 	m.unreadable = newUnreadableRecords(counter("unreadable_records_total", "Changes of stored records that left them unreadable, by kind.", "kind"))
 	r.MustRegister(m.requests, m.requestTime, m.orders, m.orderTime, m.decisions, m.commitTime, m.terms,
 		m.leading, m.jobs, m.attempts, m.unansweredWorkers, m.storeLost, m.stepTime, m.eventsWaiting, m.lag, m.unreadable.count,
-		m.entriesUnusable, m.entryTurns, m.configVersion, m.configFailures, m.configWastedBytes, configAge)
+		m.entriesUnusable, m.entryChanges, m.configVersion, m.configFailures, m.configWastedBytes, configAge)
 	m.setEntries(jobsched.EntryCounts{})
 	return m
 }
