--- a/jobservice/campaign.go
+++ b/jobservice/campaign.go
@@ -24,8 +24,8 @@
 	Address string `json:"address,omitempty"`
 }
 
-// campaign waits until nobody leads and tries to. It returns nil when another
-// daemon was faster.
+// campaign waits until no daemon leads, tries to become leader and starts the term.
+// It returns nil if another daemon was faster.
 func (l *Leader) campaign(ctx context.Context) (*term, error) {
 	held, err := l.awaitVacancy(ctx)
 	if err != nil {
@@ -45,19 +45,21 @@
 	return l.startTerm(ctx, lease, won, earlier)
 }
 
-// awaitVacancy returns when the leader's key is free, or belongs to no living
-// leader: then its revision, under which it may be replaced. That is a key
+// awaitVacancy waits until the leader's key is absent and returns 0, or until the key
+// belongs to no live leader and returns its revision, under which it may be replaced.
+// A key belongs to no live leader if
 //
-//   - of an earlier process of this daemon, which is gone for certain;
-//   - that hangs on no lease. A leader writes it under its lease alone, so it was
-//     not written by one. It would never go by itself, and nobody would lead. One
-//     notices by a leader's key whose lease is 0. Should another writer have put
-//     it over the key of a leader that is at work, that leader is deposed as in
-//     any take-over: the ledger's key is written with the leader's, and workers
-//     refuse its epoch.
+//   - it was written by an earlier process of this daemon, which has certainly
+//     exited;
+//   - it is not attached to a lease. A leader writes the key only under its lease,
+//     so no leader wrote this value. The key would never expire, and no daemon would
+//     ever lead. The symptom is a leader's key with lease 0. If another writer has
+//     overwritten the key of an active leader, that leader is deposed as in any
+//     takeover: the ledger's key is written together with the leader's key, and
+//     workers refuse the old epoch.
 //
-// A key that cannot be read and hangs on a lease may be a living leader's: it is
-// waited for until the lease ends.
+// A key that cannot be decoded but is attached to a lease may belong to a live
+// leader, so awaitVacancy waits until that lease ends.
 func (l *Leader) awaitVacancy(ctx context.Context) (int64, error) {
 	for {
 		kv, revision, err := l.readLeader(ctx)
@@ -72,10 +74,10 @@
 		switch {
 		case kv.Lease == 0:
 			l.o.Metrics.ReportUnreadable(l.log, kindLeader, kv, cmp.Or(err, error(&NoLeaseError{Holder: holder.Daemon})),
-				"it hangs on no lease, belongs to no leader and is replaced")
+				"it has no lease, belongs to no leader and is replaced")
 			return kv.ModRevision, nil
 		case err != nil:
-			l.o.Metrics.ReportUnreadable(l.log, kindLeader, kv, err, "its lease is waited for")
+			l.o.Metrics.ReportUnreadable(l.log, kindLeader, kv, err, "waiting for its lease to end")
 		case holder.Daemon == l.o.Daemon:
 			return kv.ModRevision, nil
 		}
@@ -86,7 +88,8 @@
 	}
 }
 
-// readLeader reads the leader's key, and the store's revision at that time.
+// readLeader reads the leader's key, and the store's revision at that time. An absent
+// key has ModRevision 0.
 func (l *Leader) readLeader(ctx context.Context) (port.KeyValue, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
@@ -102,16 +105,16 @@
 	return port.KeyValue{Key: leaderKey}, revision, nil
 }
 
-// NoLeaseError is a leader's key that hangs on no lease.
+// NoLeaseError reports a leader's key that is not attached to a lease.
 type NoLeaseError struct{ Holder string }
 
 // Error implements error.
 func (e *NoLeaseError) Error() string {
-	return fmt.Sprintf("the leader's key names %s and hangs on no lease", e.Holder)
+	return fmt.Sprintf("the leader's key names %s and has no lease", e.Holder)
 }
 
-// decodeLeader reads the value of leaderKey. An error is a *job.RecordError; the
-// record is empty then, whatever part of it could be read.
+// decodeLeader decodes the value of leaderKey. An error is a *job.RecordError, and
+// the record is then empty even if a part of it could be decoded.
 func decodeLeader(data []byte) (leaderRecord, error) {
 	var r leaderRecord
 	if err := job.DecodeRecord(kindLeader, data, &r); err != nil {
@@ -123,18 +126,19 @@
 	return r, nil
 }
 
-// delayCampaign waits a moment, so that a daemon with more processors takes the lead
-// first, and not all at once ask for it.
+// delayCampaign waits before an attempt to become leader, for a time that decreases
+// with the daemon's processors and has a random part. Daemons with more processors
+// then become leader first, and not all daemons try at once.
 func (l *Leader) delayCampaign(ctx context.Context) {
 	delay := min(time.Duration(float64(campaignDelay)/max(l.o.Processors, 0.01)), maxCampaignDelay)
 	Pause(ctx, delay+time.Duration(rand.Int64N(int64(campaignDelay))))
 }
 
-// awaitChange returns when the leader's key has changed, or is to be read again.
-// It was read at the store's revision given. The watch goes on from there and not
-// from the revision of the key: once a leader has led for longer than the store
-// keeps its history, a watch from its beginning is refused, and each follower would
-// read the key ten times a second for the rest of the term.
+// awaitChange waits until the leader's key has changed or has to be read again.
+// revision is the store's revision when the key was read. The watch starts from there
+// and not from the revision of the key: once a leader has led for longer than the
+// store keeps its history, a watch from the key's revision is refused, and each
+// follower would read the key ten times a second for the rest of the term.
 func (l *Leader) awaitChange(ctx context.Context, key port.KeyValue, revision int64, holder leaderRecord) {
 	ctx, cancel := context.WithTimeout(ctx, leaderPoll)
 	defer cancel()
@@ -160,6 +164,7 @@
 	}
 }
 
+// grant obtains a lease, and returns it with the time at which the call was sent.
 func (l *Leader) grant(ctx context.Context) (port.LeaseID, time.Time, error) {
 	ctx, cancel := context.WithTimeout(ctx, leaseCallTimeout)
 	defer cancel()
@@ -168,12 +173,14 @@
 	return lease, at, err
 }
 
-// acquire takes the lead and returns the revision at which it did, or 0 when
-// another daemon has it, and the ledger as the leader before left it. held is the
-// revision of a key that it may replace. The ledger's key is written with it, so
-// that no commit of an earlier leader can be carried out any more. What it says
-// stays as it was until the first commit of this leader, which comes before its
-// first start: should it be lost before, the roster's statements still stand.
+// acquire makes this daemon the leader. It returns the store revision at which it
+// became leader, or 0 if another daemon leads, and the ledger that the previous
+// leader left. held is the revision of the leader's key that may be replaced.
+//
+// The ledger's key is written in the same transaction, so that no commit of an
+// earlier leader can succeed afterwards. Its content stays unchanged until the first
+// commit of this leader, which precedes its first start: if this leader is lost
+// before that commit, the statements of the stored roster remain valid.
 func (l *Leader) acquire(ctx context.Context, lease port.LeaseID, held int64) (int64, ledgerRecord, error) {
 	record := encodeRecord(leaderRecord{Daemon: l.o.Daemon, Incarnation: l.o.Incarnation, Address: l.o.Address})
 	conditions := []port.Condition{{Key: leaderKey, Kind: port.CompareModRevision, Revision: held}}
@@ -187,7 +194,7 @@
 	value := ledger.Value
 	earlier, err := decodeLedger(ledger)
 	if err != nil {
-		l.o.Metrics.ReportUnreadable(l.log, kindLedger, ledger, err, "it is written anew, and counts are not known until then")
+		l.o.Metrics.ReportUnreadable(l.log, kindLedger, ledger, err, "it is written anew, and counts are unknown until then")
 		value = nil
 	}
 	if len(value) == 0 {
@@ -198,7 +205,7 @@
 		{Key: ledgerKey, Value: value},
 	}
 	if l.suspended != nil && l.suspended.ledger != ledger.ModRevision {
-		l.log.Info("another daemon has led meanwhile; state is read anew")
+		l.log.Info("another daemon has led in the meantime; reading the state again")
 		l.suspended = nil
 	}
 	call, cancel := context.WithTimeout(ctx, leaseCallTimeout)
@@ -214,7 +221,8 @@
 	return revision, earlier, err
 }
 
-// wasAcquired finds out whether an acquisition without an answer was made.
+// wasAcquired determines whether an acquisition without a response was made. It
+// returns the revision at which it was, or cause if it was not.
 func (l *Leader) wasAcquired(ctx context.Context, lease port.LeaseID, cause error) (int64, error) {
 	if IsNotDone(cause) {
 		return 0, cause
@@ -229,8 +237,8 @@
 	return 0, cause
 }
 
-// startTerm makes the term, of the kept state where that is still good.
-// earlier is the ledger that the leader before left.
+// startTerm creates the term, from the suspended state if that is still valid.
+// earlier is the ledger that the previous leader left.
 func (l *Leader) startTerm(ctx context.Context, lease port.LeaseID, revision int64, earlier ledgerRecord) (*term, error) {
 	if t := l.suspended; t != nil {
 		l.suspended = nil
--- a/jobservice/campaign_test.go
+++ b/jobservice/campaign_test.go
@@ -10,12 +10,12 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Half of all calls to the store came from daemons that did not lead. A daemon that
-// follows watches the leader's key. It asked for the changes since the key was
-// written, and once that was longer ago than the store keeps its history, each watch
-// was refused at once: the daemon read the key again, paused for 100 ms and asked
-// the same, for as long as the leader led. The watch has to go on from the store's
-// revision at the time of the read.
+// Guards against followers whose watches are refused. A follower watches the leader's
+// key. It asked for the changes since the key was written, and once that was longer
+// ago than the store keeps its history, each watch was refused at once: the daemon
+// read the key again, paused for 100 ms and asked the same, for as long as the leader
+// led. Half of all calls to the store came from daemons that did not lead. The watch
+// has to start from the store's revision at the time of the read.
 func TestFollowerWatchesFromTheRevisionRead(t *testing.T) {
 	store := newMemStore()
 	lease, err := store.GrantLease(t.Context(), 0)
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	if err := <-vacant; err != nil {
-		t.Fatalf("the lead is not free: %v", err)
+		t.Fatalf("the leader's key is not vacant: %v", err)
 	}
 	if n := store.compactedWatches(); n > 0 {
 		t.Errorf("%d watches asked for history that the store no longer has", n)
--- a/jobservice/clock.go
+++ b/jobservice/clock.go
@@ -8,18 +8,18 @@
 
 // Clock gives the time for leases and the time of day.
 type Clock interface {
-	// Now is a steady time that goes on while the machine is suspended. The
-	// usual monotonic clock stands still then, and a leader that wakes after
-	// seconds would take its lapsed lease for valid.
+	// Now is a monotonic time that advances while the VM is suspended. The usual
+	// monotonic clock stops then, and a leader that resumes after seconds would treat
+	// its lapsed lease as valid.
 	Now() time.Time
 	// Wall is the time of day.
 	Wall() time.Time
 }
 
-// BootClock is the machine's clock.
+// BootClock is the clock of the VM.
 type BootClock struct{}
 
-// Now returns the time since boot, as a time without a meaning of its own.
+// Now returns the time since boot, as a time whose absolute value has no meaning.
 func (BootClock) Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
--- a/jobservice/configage.go
+++ b/jobservice/configage.go
@@ -7,17 +7,18 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// What a daemon may say by a configuration depends on how certainly it is the newest.
+// What a daemon may answer from a configuration depends on how certainly that is the
+// newest.
 
-// NoConfigurationError says that the daemon has not read a configuration yet, so
-// that it knows no queues.
+// NoConfigurationError reports that the daemon has not read a configuration yet, and
+// therefore knows no queues.
 type NoConfigurationError struct{}
 
 // Error implements error.
 func (*NoConfigurationError) Error() string { return "no configuration has been read yet" }
 
-// StaleConfigurationError says that the configuration in force may have been replaced
-// longer ago than it may stay in force.
+// StaleConfigurationError reports that the configuration in force may have been
+// replaced longer ago than a replaced one may stay in force.
 type StaleConfigurationError struct {
 	Version uint64
 	Age     time.Duration
@@ -28,16 +29,16 @@
 	return fmt.Sprintf("version %d of the configuration may be old: it was the newest %.1f s ago", e.Version, e.Age.Seconds())
 }
 
-// UnknownQueueError says that the configuration has no such queue.
+// UnknownQueueError reports that the configuration has no such queue.
 type UnknownQueueError struct{}
 
 // Error implements error.
 func (*UnknownQueueError) Error() string { return "no such queue" }
 
-// FindQueue returns the queue that choose finds in the configuration in force, and the
-// configuration. The error is an *UnknownQueueError, or an *UnavailableError when it
-// is not known whether there is such a queue: a caller who hears that there is none
-// does not come back.
+// FindQueue returns the configuration in force and the queue that choose selects from
+// it. The error is an *UnknownQueueError, or an *UnavailableError if it is not known
+// whether there is such a queue, because a caller who is told that there is none does
+// not retry.
 func (f *ConfigFeed) FindQueue(choose func(*job.Config) *job.Queue) (*job.Config, *job.Queue, error) {
 	config, age := f.Current(), f.Age()
 	if config == nil {
@@ -53,7 +54,8 @@
 }
 
 // CheckAge returns an *UnavailableError if the configuration in force may be too old
-// to take in jobs by it: a queue may have been taken away, or go to another service.
+// to accept jobs under it: a queue may have been removed, or assigned to another
+// service.
 func (f *ConfigFeed) CheckAge() error {
 	config, age := f.Current(), f.Age()
 	switch {
--- a/jobservice/configfeed.go
+++ b/jobservice/configfeed.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// configRetryDelay is the time before a failed read of the configuration is tried
-	// again; it doubles with each failure in a row, up to configPauseMost.
+	// configRetryDelay is the delay before a failed read of the configuration is
+	// retried; it doubles with each consecutive failure, up to maxConfigRetryDelay.
 	configRetryDelay    = 100 * time.Millisecond
 	maxConfigRetryDelay = 800 * time.Millisecond
-	// configFailureLogInterval is the least time between two lines about failed reads.
+	// configFailureLogInterval is the minimum time between two log lines about failed
+	// reads.
 	configFailureLogInterval = 5 * time.Second
 )
 
-// ConfigFeedOptions are what a ConfigFeed works with.
+// ConfigFeedOptions configures a ConfigFeed.
 type ConfigFeedOptions struct {
-	// Source holds the configuration under Key, as Decode reads it. The error of
-	// Decode is a *job.RecordError.
+	// Source holds the configuration under Key, in the form that Decode accepts. The
+	// error of Decode is a *job.RecordError.
 	Source port.KeyReader
 	Key    string
 	Decode func([]byte) (*job.Config, error)
-	// Peers reads the key by way of another daemon. It may be nil.
+	// Peers reads the key through another daemon. It may be nil.
 	Peers func(ctx context.Context, key string) (port.KeyValue, error)
-	// ApplyWithin is how soon a change must be in force, Stretch how much later it may
-	// be while the store is unstable. With 0 no age is too old.
+	// ApplyWithin is how soon a change must be in force, Stretch how much later it
+	// may be while the store is unstable. If ApplyWithin is 0, no age is too old.
 	ApplyWithin, Stretch time.Duration
 	Clock                Clock
 	Log                  *logrus.Logger
 	Metrics              *Metrics
 }
 
-// ConfigFeed follows the operator's configuration. It is a port.ConfigFeed. A
-// version once read is never replaced by an older one.
+// ConfigFeed follows the operator's configuration. It is a port.ConfigFeed. A version
+// that has been read is never replaced by an older one.
 type ConfigFeed struct {
 	o   ConfigFeedOptions
 	log *logrus.Entry
@@ -47,27 +48,27 @@
 	mu      sync.Mutex
 	current *job.Config
 	changed chan struct{}
-	// confirmedAt is when the configuration in force was certainly the newest.
+	// confirmedAt is when the configuration in force was last known to be the newest.
 	confirmedAt time.Time
 	failures    configFailures
-	// peerReading is set while it is read through another daemon, peersFrom is when it may
-	// be again.
+	// peerReading is set while the configuration is read through another daemon;
+	// nextPeerRead is when it may be again.
 	peerReading  bool
 	nextPeerRead time.Time
 }
 
-// configFailures are the failed reads since the last good one.
+// configFailures counts the failed reads since the last successful one.
 type configFailures struct {
 	count int
-	// bytes is how much had come of their answers.
+	// bytes is how much of their responses was received.
 	bytes int
-	// loggedAt is when they were told last.
+	// loggedAt is when they were last logged.
 	loggedAt time.Time
 }
 
 var _ port.ConfigFeed = (*ConfigFeed)(nil)
 
-// NewConfigFeed makes a feed; Run starts it.
+// NewConfigFeed returns a feed; Run starts it.
 func NewConfigFeed(o ConfigFeedOptions) *ConfigFeed {
 	f := &ConfigFeed{
 		o: o, log: o.Log.WithField("component", "configuration"), changed: make(chan struct{}), confirmedAt: o.Clock.Now(),
@@ -83,15 +84,15 @@
 	return f.current
 }
 
-// Changed returns a channel that is closed with the next change.
+// Changed returns a channel that is closed on the next change.
 func (f *ConfigFeed) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// Age returns how long ago the configuration in force was certainly the newest; the
-// time since the start before the first one.
+// Age returns the time since the configuration in force was last known to be the
+// newest; before the first one, the time since the feed was created.
 func (f *ConfigFeed) Age() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,8 +117,9 @@
 	}
 }
 
-// follow reads the configuration and awaits one change after the other, until a call
-// fails. The error is that of the call, nil if the configuration is to be read anew.
+// follow reads the configuration and waits for one change after another until a call
+// fails. It returns the error of that call, or nil if the configuration has to be
+// read again.
 func (f *ConfigFeed) follow(ctx context.Context) error {
 	sentAt := f.o.Clock.Now()
 	kv, err := f.o.Source.Get(ctx, f.o.Key)
@@ -132,8 +134,8 @@
 		news, err := f.o.Source.Await(ctx, f.o.Key, revision)
 		switch {
 		case isKind(err, port.StoreTooLarge):
-			// Several large versions have come at once: only the newest is read.
-			f.log.WithError(err).Debug("configuration is read anew")
+			// Several large versions have arrived at once: only the newest is read.
+			f.log.WithError(err).Debug("reading the configuration again")
 			return nil
 		case err != nil:
 			return err
@@ -146,7 +148,8 @@
 	}
 }
 
-// retryDelay returns how long to wait before the next read after those that failed.
+// retryDelay returns the delay before the next read, according to the number of
+// consecutive failures.
 func (f *ConfigFeed) retryDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -157,8 +160,8 @@
 	return pause
 }
 
-// recordFailure counts a read that failed, and tells of it and of those before it that
-// were not told.
+// recordFailure counts a failed read, and logs it together with the earlier ones that
+// were not logged.
 func (f *ConfigFeed) recordFailure(err error) {
 	bytes := 0
 	var transfer *port.TransferError
@@ -171,8 +174,8 @@
 	}
 }
 
-// countFailure counts a failed read and returns the fields of a line about it, nil
-// if one was written a moment ago.
+// countFailure counts a failed read and returns the fields of a log line about it, or
+// nil if one was written less than configFailureLogInterval ago.
 func (f *ConfigFeed) countFailure(bytes int) logrus.Fields {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -192,14 +195,14 @@
 	return fields
 }
 
-// clearFailures notes that a read has not failed.
+// clearFailures resets the failures after a successful read.
 func (f *ConfigFeed) clearFailures() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.failures.count, f.failures.bytes = 0, 0
 }
 
-// confirm notes that no newer configuration was there at a time.
+// confirm records that no newer configuration was stored at a time.
 func (f *ConfigFeed) confirm(at time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -208,7 +211,7 @@
 	}
 }
 
-// apply puts a configuration in force unless it is older than the one that is.
+// apply puts a configuration in force if it is newer than the current one.
 func (f *ConfigFeed) apply(kv port.KeyValue) {
 	if kv.ModRevision == 0 {
 		return
--- a/jobservice/configfeed_test.go
+++ b/jobservice/configfeed_test.go
@@ -16,7 +16,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// manualClock is a clock that is set by hand.
+// manualClock is a clock that advances only when a test does so.
 type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -36,12 +36,13 @@
 	c.now = c.now.Add(d)
 }
 
-// scriptedReader is a source of versions: each call is answered by the next function of the
-// script, and one beyond it when the context ends.
+// scriptedReader is a port.KeyReader whose calls are answered by the functions of the
+// script in turn. A call beyond the script closes done and returns when its context
+// ends.
 type scriptedReader struct {
 	mu     sync.Mutex
 	script []func() (port.Awaited, error)
-	// calls names those that were made, in order.
+	// calls names the calls that were made, in order.
 	calls []string
 	done  chan struct{}
 }
@@ -70,7 +71,7 @@
 	return s.answer(ctx, "await")
 }
 
-// version answers with a version of the configuration.
+// version responds with a version of the configuration.
 func version(n int) func() (port.Awaited, error) {
 	return func() (port.Awaited, error) {
 		kv := port.KeyValue{Key: "config", Value: []byte(strconv.Itoa(n)), ModRevision: int64(n)}
@@ -78,12 +79,13 @@
 	}
 }
 
-// failing fails with an error of the store.
+// failing responds with an error of the store.
 func failing(kind port.StoreErrorKind) func() (port.Awaited, error) {
 	return func() (port.Awaited, error) { return port.Awaited{}, &port.StoreError{Call: "Get", Kind: kind} }
 }
 
-// decodeNumber reads a configuration that is its version, with a queue "q".
+// decodeNumber decodes a configuration that consists of its version, with a queue
+// "q".
 func decodeNumber(data []byte) (*job.Config, error) {
 	n, err := strconv.ParseUint(string(data), 10, 64)
 	if err != nil {
@@ -92,7 +94,8 @@
 	return &job.Config{Version: n, Queues: map[string]*job.Queue{"q": {Name: "q"}}}, nil
 }
 
-// newFeed makes a feed with an age at which it is old of 2 s, and of 7 s.
+// newFeed returns a feed whose configuration must apply within 2 s, or 7 s while the
+// store is unstable.
 func newFeed(clock Clock, source port.KeyReader, peers func(context.Context, string) (port.KeyValue, error)) *ConfigFeed {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -102,7 +105,7 @@
 	})
 }
 
-// play has a feed follow a script to its end.
+// play runs a feed until the script of its source has been used up.
 func play(t *testing.T, f *ConfigFeed, source *scriptedReader) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -111,7 +114,7 @@
 	select {
 	case <-source.done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the script was not played")
+		t.Fatal("the feed did not make all calls of the script")
 	}
 }
 
@@ -119,14 +122,15 @@
 	return func(c *job.Config) *job.Queue { return c.Queues[name] }
 }
 
-// Guards against answers by a configuration that may have been replaced longer ago
-// than it may stay in force: that there is no such queue, and jobs taken in.
+// Guards against answers from a configuration that may have been replaced longer ago
+// than a replaced one may stay in force: that there is no such queue, and jobs
+// accepted.
 func TestAgeOfTheConfiguration(t *testing.T) {
 	clock := &manualClock{now: time.Unix(1000, 0)}
 	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3)}}
 	f := newFeed(clock, source, nil)
 	if err := f.CheckAge(); err == nil {
-		t.Error("no configuration is new enough")
+		t.Error("CheckAge accepts a missing configuration")
 	}
 	play(t, f, source)
 	var old *StaleConfigurationError
@@ -149,8 +153,9 @@
 	}
 }
 
-// Guards against a configuration that grows old although the store says all the time
-// that it has not changed, or that what is newer cannot be read.
+// Guards against an age that does not follow what the store says: a configuration
+// must not grow old while the store confirms that it is unchanged, nor because a
+// newer one cannot be decoded.
 func TestConfirmedConfigurationStaysFresh(t *testing.T) {
 	clock := &manualClock{now: time.Unix(1000, 0)}
 	wait := func(a port.Awaited) func() (port.Awaited, error) {
@@ -180,8 +185,8 @@
 	}
 }
 
-// Guards against large versions that are all transferred one after the other, when
-// only the newest matters.
+// Guards against transferring several large versions one after the other when only
+// the newest matters.
 func TestSeveralLargeVersionsAtOnce(t *testing.T) {
 	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){
 		version(3), failing(port.StoreTooLarge), version(9),
@@ -196,8 +201,8 @@
 	}
 }
 
-// Guards against reads of a configuration that is too large to be read, one after the
-// other without a pause, of which nobody hears.
+// Guards against reads of a configuration that is too large, one after the other
+// without a delay and without being counted as failures.
 func TestConfigurationTooLargeToBeRead(t *testing.T) {
 	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){
 		failing(port.StoreTooLarge), failing(port.StoreTooLarge),
@@ -209,7 +214,7 @@
 	}
 }
 
-// Guards against a load of reads that fail one after the other without a pause.
+// Guards against load from failing reads that are repeated without a delay.
 func TestFailedReadsBackOff(t *testing.T) {
 	f := newFeed(BootClock{}, nil, nil)
 	var pauses []time.Duration
@@ -228,8 +233,9 @@
 	}
 }
 
-// Guards against a daemon whose own way to the store is back, and that waits for an
-// answer of another daemon meanwhile, which has gone without a word.
+// Guards against a daemon whose direct access to the store works again and that still
+// waits for the response of another daemon, which has exited without closing its
+// connection.
 func TestPeerReadsDoNotDelayDirectReads(t *testing.T) {
 	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){failing(port.StoreTimeout), version(4)}}
 	f := newFeed(BootClock{}, source, func(ctx context.Context, _ string) (port.KeyValue, error) {
@@ -242,8 +248,8 @@
 	}
 }
 
-// Guards against a daemon that fills its link with a large configuration which it
-// reads through another daemon again and again.
+// Guards against a daemon that fills its link with repeated reads of a large
+// configuration through another daemon.
 func TestPeerReadsLeaveBandwidth(t *testing.T) {
 	clock := &manualClock{now: time.Unix(1000, 0)}
 	reads := 0
--- a/jobservice/configpeer.go
+++ b/jobservice/configpeer.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// configPeerInterval is the least time between two reads through another daemon,
-	// and configPeerShare bounds the part of the time that they take: on a slow link
-	// a large configuration would leave no room for callers.
+	// configPeerInterval is the minimum time between two reads through another
+	// daemon, and configPeerShare bounds the share of the time that they take: on a
+	// slow link, a large configuration would leave no bandwidth for callers.
 	configPeerInterval = time.Second
 	configPeerShare    = 0.2
 )
 
-// beginPeerRead reports whether the configuration is to be read through another daemon, and
-// notes that it is.
+// beginPeerRead reports whether the configuration is to be read through another
+// daemon now. If so, it marks the read as running.
 func (f *ConfigFeed) beginPeerRead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -25,7 +25,8 @@
 	return true
 }
 
-// endPeerRead notes that a read through another daemon, begun at a time, is over.
+// endPeerRead marks a read through another daemon, sent at sentAt, as finished, and
+// sets the time of the next.
 func (f *ConfigFeed) endPeerRead(sentAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -35,8 +36,8 @@
 	f.peerReading = false
 }
 
-// readThroughPeer reads the configuration by way of another daemon, which the store
-// may serve while it turns this one away. It may take seconds, if that one has gone.
+// readThroughPeer reads the configuration through another daemon, which the store may
+// serve while it refuses this one. It may take seconds if that daemon has exited.
 func (f *ConfigFeed) readThroughPeer(ctx context.Context) {
 	sentAt := f.o.Clock.Now()
 	kv, err := f.o.Peers(ctx, f.o.Key)
--- a/jobservice/damage_test.go
+++ b/jobservice/damage_test.go
@@ -18,14 +18,14 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// The jobs of these tests: the records of one are damaged, and the other is to
-// complete whatever is.
+// The jobs of these tests: the records of damagedJob are damaged, and intactJob must
+// complete nevertheless.
 const (
 	damagedJob = job.ID("00000000000000aa")
 	intactJob  = job.ID("00000000000000bb")
 )
 
-// damagedValues are values that are no record of any kind, by what is wrong.
+// damagedValues holds values that are not a record of any kind, by their defect.
 var damagedValues = map[string]string{
 	"empty":      "",
 	"no text":    "\xff\xfe\x00",
@@ -36,7 +36,7 @@
 	"other type": `{"daemon":7,"incarnation":7,"spec":7,"state":7,"address":7}`,
 }
 
-// instantWorker runs tasks in no time.
+// instantWorker completes each task as soon as it is started.
 type instantWorker struct {
 	mu     sync.Mutex
 	ended  []jobsched.EndedAttempt
@@ -92,7 +92,7 @@
 func (f fixedConfig) Current() *job.Config     { return f.config }
 func (f fixedConfig) Changed() <-chan struct{} { return nil }
 
-// deployment is a leader, or one that would be, with a worker and a store.
+// deployment is a daemon that campaigns for leadership, with a worker and a store.
 type deployment struct {
 	t        *testing.T
 	store    *memStore
@@ -113,7 +113,7 @@
 	return b.text.Write(p)
 }
 
-// lines returns how many lines of a level name a key.
+// lines returns how many lines of a log level name a key.
 func (b *lockedBuffer) lines(level, key string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,7 +150,8 @@
 	}
 }
 
-// lead starts a daemon that stands for the lead, with some of its options changed.
+// lead starts a daemon that campaigns for leadership, with some of its options
+// changed.
 func (d *deployment) lead(change ...func(*Options)) {
 	q := testQueue()
 	log := logrus.New()
@@ -184,7 +185,8 @@
 
 func (noRelays) SetRelays([]Relay) {}
 
-// eventually waits for a condition; the limit is far beyond what it takes.
+// eventually waits for a condition. The limit is far beyond the time that any
+// condition takes.
 func (d *deployment) eventually(what string, ok func() bool) {
 	d.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); {
@@ -204,7 +206,7 @@
 	})
 }
 
-// unreadable returns the count of records of a kind that could not be read.
+// unreadable returns how many records of a kind were counted as unreadable.
 func (d *deployment) unreadable(kind string) int {
 	families, err := d.registry.Gather()
 	if err != nil {
@@ -223,7 +225,7 @@
 	return 0
 }
 
-// TestDamagedRecords damages what is stored, as another writer may.
+// TestDamagedRecords damages stored records, as another writer of the store may.
 func TestDamagedRecords(t *testing.T) {
 	t.Run("every entry", everyEntryDamaged)
 	t.Run("job", damagedJobIsUncertain)
@@ -235,12 +237,11 @@
 	t.Run("counts", countsOfADamagedLedger)
 }
 
-// everyEntryDamaged
-//
-// Symptom: jobs wait and no daemon leads, for as long as one record is damaged.
-// Events: another writer puts a value into one of guavarill's keys that is no
-// such record; the leader is lost. Cause: a take-over failed with whatever it
-// could not read, and was begun anew, or waited for a lease that there is not.
+// everyEntryDamaged guards against a takeover that fails, and is restarted forever,
+// because of a record that cannot be decoded, or that waits for a lease which does
+// not exist. It happens when another writer puts a value into one of guavarill's keys
+// that is not such a record and the leader is then lost. The symptom is that jobs
+// wait and no daemon leads for as long as one record is damaged.
 func everyEntryDamaged(t *testing.T) {
 	entries := []struct{ key, kind string }{
 		{leaderKey, "leader"},
@@ -262,26 +263,24 @@
 				d.lead()
 				d.awaitCompleted(intactJob)
 				d.eventually("count", func() bool { return d.unreadable(entry.kind) == 1 })
-				// The records are looked at again meanwhile.
+				// The records are read again in the meantime.
 				time.Sleep(2 * recheckInterval)
 				if n := d.unreadable(entry.kind); n != 1 {
 					t.Errorf("counted %d times", n)
 				}
 				if n := d.log.lines("error", entry.key); n != 1 {
-					t.Errorf("%d lines of log name the key", n)
+					t.Errorf("%d log lines name the key, want 1", n)
 				}
 			})
 		}
 	}
 }
 
-// damagedJobIsUncertain
-//
-// Symptom: a caller is told that a job is accepted, canceled or unknown, and it
-// is never run, or is started twice. Events: another writer damages one of the
-// two records of a job; callers ask for it, a leader takes over, and the record
-// is repaired. Cause: a record that cannot be read was taken for one that is not
-// there, or for a sound one.
+// damagedJobIsUncertain guards against a record that cannot be decoded being treated
+// as absent, or as intact. Another writer damages one of the two records of a job;
+// callers ask for the job, a leader takes over, and the record is repaired. The
+// symptom is that a caller is told that the job is accepted, canceled or unknown, and
+// it never runs, or is started twice.
 func damagedJobIsUncertain(t *testing.T) {
 	for _, key := range []string{acceptedKey(damagedJob), progressKey(damagedJob)} {
 		for damage, value := range damagedValues {
@@ -310,7 +309,7 @@
 	}
 }
 
-// checkUncertain checks that callers are promised nothing of the damaged job.
+// checkUncertain checks that callers get no definite answer about the damaged job.
 func (d *deployment) checkUncertain(key string) {
 	d.t.Helper()
 	ctx, q := d.t.Context(), testQueue()
@@ -322,13 +321,14 @@
 	for call, err := range answers {
 		var uncertain *UncertainError
 		if !errors.As(err, &uncertain) {
-			d.t.Errorf("%s: %v, want that it is not known", call, err)
+			d.t.Errorf("%s: %v, want an UncertainError", call, err)
 		}
 	}
 }
 
-// damagedProgressOfACanceledJob: a cancel is stored in the job's accepted record; when that can be read, the job
-// ends as canceled whatever became of its progress.
+// damagedProgressOfACanceledJob checks that a canceled job ends as canceled even if
+// its progress record is damaged: the cancellation is stored in the accepted record,
+// which can be read.
 func damagedProgressOfACanceledJob(t *testing.T) {
 	d := newDeployment(t)
 	d.submit(damagedJob)
@@ -347,8 +347,8 @@
 	}
 }
 
-// damagedNewJob: a job whose record is damaged before the leader has read it is taken in when
-// the record is repaired.
+// damagedNewJob checks that a job whose record is damaged before the leader has read
+// it is scheduled once the record is repaired.
 func damagedNewJob(t *testing.T) {
 	d := newDeployment(t)
 	d.lead()
@@ -361,7 +361,8 @@
 	d.awaitCompleted(damagedJob)
 }
 
-// progressOfAnotherShape: progress that belongs to another job's steps is none of this job's.
+// progressOfAnotherShape checks that progress of another job's steps is not used as
+// this job's.
 func progressOfAnotherShape(t *testing.T) {
 	d := newDeployment(t)
 	d.submit(damagedJob)
@@ -375,20 +376,20 @@
 	}
 }
 
-// leaderKeyOnALease: the daemon that wrote the key may still lead,
-// so it is waited for until its lease ends.
+// leaderKeyOnALease checks that a damaged leader's key with a lease is not replaced
+// before that lease ends, because the daemon that wrote the key may still lead.
 func leaderKeyOnALease(t *testing.T) {
 	d := newDeployment(t)
 	lease, err := d.store.GrantLease(t.Context(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The name of the daemon can be read, and is the one that asks.
+	// The daemon's name can be decoded, and is that of the campaigning daemon.
 	d.store.write(port.Op{Key: leaderKey, Value: []byte(`{"daemon":"a","incarnation":7}`), Lease: lease})
 	d.lead()
 	time.Sleep(3 * leaseCallTimeout / 2)
 	if n := d.worker.startsOf(intactJob); n != 0 {
-		t.Errorf("%d tasks were started beside another leader", n)
+		t.Errorf("%d tasks were started while another daemon may lead", n)
 	}
 	if err := d.store.RevokeLease(t.Context(), lease); err != nil {
 		t.Fatal(err)
@@ -396,16 +397,17 @@
 	d.awaitCompleted(intactJob)
 }
 
-// ledgerDamagedInATerm: another writer overwrites the ledger while a leader
-// is at work. Whether the commit in flight was made cannot be told any more; the
-// term ends, and the next one reads what is stored and goes on.
+// ledgerDamagedInATerm checks that scheduling continues after another writer has
+// overwritten the ledger during a term. It is then unknown whether the commit in
+// flight was made; the term ends, and the next one reads the stored state and
+// continues.
 func ledgerDamagedInATerm(t *testing.T) {
 	d := newDeployment(t)
 	d.lead()
 	d.awaitCompleted(intactJob)
 	d.store.write(port.Op{Key: ledgerKey, Value: []byte("7")})
 	if _, err := d.intake.WaitingJobs(t.Context(), "q"); err == nil {
-		// The next commit may have mended it by now.
+		// The next commit may have repaired the ledger by now.
 		t.Log("counts were answered")
 	}
 	d.submit(damagedJob)
@@ -415,8 +417,8 @@
 	}
 }
 
-// countsOfADamagedLedger: a ledger that cannot be read says
-// nothing of the jobs that wait, and not that none do.
+// countsOfADamagedLedger checks that a ledger that cannot be decoded yields an error
+// and not a count of no waiting jobs.
 func countsOfADamagedLedger(t *testing.T) {
 	for damage, value := range damagedValues {
 		d := newDeployment(t)
@@ -424,7 +426,7 @@
 		_, err := d.intake.WaitingJobs(t.Context(), "q")
 		var uncertain *UncertainError
 		if !errors.As(err, &uncertain) {
-			t.Errorf("%s: %v, want that it is not known", damage, err)
+			t.Errorf("%s: %v, want an UncertainError", damage, err)
 		}
 	}
 }
--- a/jobservice/entrycounts.go
+++ b/jobservice/entrycounts.go
@@ -6,20 +6,20 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// exportEntryCounts tells the metrics how the workers' entries fare. A leader that is
-// too busy to say is asked again with the next list.
+// exportEntryCounts updates the metrics of the workers' entries. If the leader is too
+// busy to answer, they are updated with the next list.
 func (t *term) exportEntryCounts(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listInterval)
 	defer cancel()
 	var counts jobsched.EntryCounts
 	if err := t.leader.query(ctx, func(m *jobsched.Machine) { counts = m.TakeEntryCounts() }); err != nil {
-		t.leader.log.WithError(err).Debug("entries not counted; tried again")
+		t.leader.log.WithError(err).Debug("entries not counted; retrying with the next list")
 		return
 	}
 	t.leader.o.Metrics.setEntries(counts)
 }
 
-// setEntries takes in the counts of a leader.
+// setEntries updates the metrics from a leader's counts.
 func (m *Metrics) setEntries(counts jobsched.EntryCounts) {
 	for _, fault := range jobsched.EntryFaults() {
 		m.entriesUnusable.WithLabelValues(fault.String()).Set(float64(counts.Unusable[fault]))
--- a/jobservice/failoverstore.go
+++ b/jobservice/failoverstore.go
@@ -13,38 +13,38 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// RecordStore reads and writes records in the store. It is the part of a
-// port.Store that callers' requests need.
+// RecordStore reads and writes records in the store. It is the part of a port.Store
+// that callers' requests need.
 type RecordStore interface {
 	Get(ctx context.Context, key string) (port.KeyValue, error)
 	Txn(ctx context.Context, conditions []port.Condition, changes []port.Op) (port.TxnResult, error)
 }
 
-// PeerStores reaches the store through another daemon. Errors are those of a
+// PeerStores gives access to the store through other daemons. Errors are those of a
 // port.Store.
 type PeerStores interface {
-	// At returns the way through the daemon at the address.
+	// At returns the access through the daemon at the address.
 	At(address string) RecordStore
 }
 
-// FailoverStore reaches the store, or when it turns this daemon away, through
-// another daemon. The store may serve some machines and not others for seconds,
-// in which callers would be refused that another daemon could serve.
+// FailoverStore accesses the store directly or, while the store refuses this daemon,
+// through another daemon. The store may serve some VMs and not others for several
+// seconds, and requests would then be refused that another daemon could serve.
 type FailoverStore struct {
 	direct port.Store
 	peers  PeerStores
 	self   string
 	log    *logrus.Entry
-	// metrics counts the times that the own way was lost.
+	// metrics counts the losses of direct access.
 	metrics *Metrics
-	// directFailed is set while the own way fails.
+	// directFailed is set while direct access fails.
 	directFailed atomic.Bool
-	// members holds the other daemons that were there last.
+	// members holds the other daemons as last read.
 	members atomic.Pointer[[]Relay]
 }
 
-// NewFailoverStore makes a SharedRecords; Run keeps it informed. self is the
-// name of this daemon among the members.
+// NewFailoverStore returns a FailoverStore; Run keeps its state up to date. self is
+// the name of this daemon among the members.
 func NewFailoverStore(own port.Store, peers PeerStores, self string, log *logrus.Logger, m *Metrics) *FailoverStore {
 	s := &FailoverStore{direct: own, peers: peers, self: self, log: log.WithField("component", "records"), metrics: m}
 	s.members.Store(new([]Relay))
@@ -52,25 +52,25 @@
 }
 
 const (
-	// directTimeout bounds a call on the own way: beyond the answers of a slow
-	// store, and short enough to try another way while the caller waits.
+	// directTimeout bounds a direct call. It exceeds the response time of a slow
+	// store, and is short enough to try another daemon while the caller waits.
 	directTimeout = 550 * time.Millisecond
 	// peerTimeout bounds a call through another daemon.
 	peerTimeout = 600 * time.Millisecond
 	// peerTransferTimeout bounds a read of a large value through another daemon: the
 	// largest takes 0.9 s over 10 Mbit/s.
 	peerTransferTimeout = 3 * time.Second
-	// peerTries is how many other daemons are asked.
+	// peerTries is through how many other daemons a call is tried.
 	peerTries = 2
-	// probeInterval is the time between two looks whether the own way is back,
-	// and probeTimeout bounds one.
+	// probeInterval is the time between two probes of failed direct access, and
+	// probeTimeout bounds one probe.
 	probeInterval = 150 * time.Millisecond
 	probeTimeout  = 400 * time.Millisecond
 	// maxMembersAge is how old the known members may be.
 	maxMembersAge = 3 * time.Second
 )
 
-// Available reports whether the own way to the store works.
+// Available reports whether direct access to the store works.
 func (s *FailoverStore) Available() bool { return !s.directFailed.Load() }
 
 // PeerCount returns how many other daemons are known.
@@ -86,7 +86,7 @@
 	return kv, err
 }
 
-// GetViaPeer reads a key by way of another daemon.
+// GetViaPeer reads a key through another daemon.
 func (s *FailoverStore) GetViaPeer(ctx context.Context, key string) (port.KeyValue, error) {
 	var kv port.KeyValue
 	err := s.tryPeers(ctx, peerTransferTimeout, nil, func(ctx context.Context, r RecordStore) (err error) {
@@ -96,9 +96,9 @@
 	return kv, err
 }
 
-// Txn makes changes under conditions. It may be made on several ways, so the
-// conditions must not hold any more once it is made. The outcome of its error
-// is OutcomeNotDone only if it was made on no way.
+// Txn makes changes under conditions. It may be attempted directly and through
+// several daemons, so the conditions must no longer hold once the changes are made.
+// The outcome of its error is OutcomeNotDone only if no attempt has made the changes.
 func (s *FailoverStore) Txn(ctx context.Context, conditions []port.Condition, changes []port.Op) (port.TxnResult, error) {
 	var result port.TxnResult
 	err := s.try(ctx, func(ctx context.Context, r RecordStore) (err error) {
@@ -108,7 +108,8 @@
 	return result, err
 }
 
-// try makes a call on the own way and then through others until one answers.
+// try makes a call directly and then through other daemons until one attempt
+// succeeds.
 func (s *FailoverStore) try(ctx context.Context, call func(context.Context, RecordStore) error) error {
 	var lastErr error
 	if s.Available() {
@@ -122,8 +123,9 @@
 	return s.tryPeers(ctx, peerTimeout, lastErr, call)
 }
 
-// tryPeers makes a call through other daemons until one answers, each for a time.
-// last is the error of the tries before, nil if there were none.
+// tryPeers makes a call through other daemons until one attempt succeeds, each
+// attempt bounded by limit. lastErr is the error of the previous attempt, nil if
+// there was none.
 func (s *FailoverStore) tryPeers(ctx context.Context, limit time.Duration, lastErr error, call func(context.Context, RecordStore) error) error {
 	members := *s.members.Load()
 	for _, i := range rand.Perm(len(members))[:min(peerTries, len(members))] {
@@ -142,13 +144,14 @@
 	return lastErr
 }
 
+// callWithTimeout makes a call with a time limit.
 func (s *FailoverStore) callWithTimeout(ctx context.Context, limit time.Duration, r RecordStore, call func(context.Context, RecordStore) error) error {
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	return call(ctx, r)
 }
 
-// moreUncertain returns the error that says less about a change.
+// moreUncertain returns b, or a if a leaves it unknown whether the change was made.
 func moreUncertain(a, b error) error {
 	if a != nil && !IsNotDone(a) {
 		return a
@@ -156,7 +159,8 @@
 	return b
 }
 
-// markDirectFailed notes that the own way has failed; a caller that has gone says nothing.
+// markDirectFailed records that direct access has failed. A call that its caller
+// canceled proves nothing and is ignored.
 func (s *FailoverStore) markDirectFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil && errors.Is(err, context.Canceled) {
 		return
@@ -167,7 +171,8 @@
 	}
 }
 
-// Run looks whether the own way is back while it fails, and keeps the members.
+// Run probes direct access while it fails, and otherwise refreshes the members, until
+// ctx ends.
 func (s *FailoverStore) Run(ctx context.Context) {
 	var readAt time.Time
 	for Pause(ctx, probeInterval) {
@@ -197,7 +202,7 @@
 	defer cancel()
 	entries, _, err := s.direct.List(ctx, membersPrefix)
 	if err != nil {
-		s.log.WithError(err).Debug("members not read; those known stay")
+		s.log.WithError(err).Debug("members not read; keeping those known")
 		return
 	}
 	members := otherMembers(entries, s.self, s.log, s.metrics)
--- a/jobservice/fleet_test.go
+++ b/jobservice/fleet_test.go
@@ -21,8 +21,9 @@
 	}}}
 }
 
-// All workers showed a quarter of their size for a while, and jobs that they have
-// room for at any other time were turned away for good.
+// Guards against the permanent rejection of jobs while workers report a reduced
+// capacity: all workers showed a quarter of their size for a while, and jobs that fit
+// at any other time were rejected.
 func TestShrunkWorkersTurnNothingAway(t *testing.T) {
 	store := newMemStore()
 	view := fleetView{log: logrus.NewEntry(logrus.New()), metrics: NewMetrics(prometheus.NewRegistry())}
@@ -31,13 +32,13 @@
 	roster[0].Full = model.Resources{MilliCPU: 2000, MemoryMB: 1000}
 	store.write(fleetChange(roster))
 	if err := view.check(context.Background(), store, time.Now(), "pool", testSpec()); err != nil {
-		t.Errorf("a job that fits when the worker has its size again: %v", err)
+		t.Errorf("a job that fits the worker at its full size: %v", err)
 	}
 }
 
-// TestUnreadableFleetRejectsNoJob: another writer damages what is
-// written of the fleet. Symptom if broken: jobs are turned away that workers have
-// room for, or every hand-in fails.
+// TestUnreadableFleetRejectsNoJob guards against a stored fleet that another writer
+// has damaged. The symptom is that jobs are rejected that workers have room for, or
+// that every submission fails.
 func TestUnreadableFleetRejectsNoJob(t *testing.T) {
 	store := newMemStore()
 	view := fleetView{log: logrus.NewEntry(logrus.New()), metrics: NewMetrics(prometheus.NewRegistry())}
@@ -50,15 +51,15 @@
 	}
 	var infeasible *job.InfeasibleError
 	if err := check(); err != nil {
-		t.Errorf("nothing written: %v", err)
+		t.Errorf("no fleet stored: %v", err)
 	}
 	store.write(fleetChange(rosterOf(500)))
 	if err := check(); !errors.As(err, &infeasible) {
-		t.Errorf("workers too small: %v, want it turned away", err)
+		t.Errorf("workers too small: %v, want the job rejected", err)
 	}
 	store.write(port.Op{Key: fleetKey, Value: []byte("{")})
 	if err := check(); err != nil {
-		t.Errorf("damaged: %v", err)
+		t.Errorf("damaged fleet: %v", err)
 	}
 	store.write(fleetChange(rosterOf(2000)))
 	if err := check(); err != nil {
--- a/jobservice/follow.go
+++ b/jobservice/follow.go
@@ -9,9 +9,9 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// followJobs hands each accepted or canceled job to the machine. A watch that
-// breaks, or that the store's history no longer covers, is begun anew after
-// reading all jobs.
+// followJobs passes each accepted or canceled job to the machine. When the watch
+// breaks, or the store's history no longer covers it, all jobs are read and a new
+// watch is started.
 func (t *term) followJobs(ctx context.Context) {
 	from := t.jobsRevision
 	for ctx.Err() == nil {
@@ -21,7 +21,7 @@
 		}
 		read, revision, err := readRecords(ctx, t.leader.o.Store, acceptedPrefix, job.DecodeAccepted)
 		if err != nil {
-			t.leader.log.WithError(err).Debug("jobs not read; tried again")
+			t.leader.log.WithError(err).Debug("jobs not read; retrying")
 			continue
 		}
 		from = revision
@@ -36,7 +36,7 @@
 	}
 }
 
-// watchJobs follows the jobs until the watch breaks, and returns the revision
+// watchJobs follows the jobs until the watch breaks, and returns the store revision
 // up to which it has seen them.
 func (t *term) watchJobs(ctx context.Context, from int64) int64 {
 	events, err := t.leader.o.Store.Watch(ctx, acceptedPrefix, from)
@@ -45,7 +45,7 @@
 	}
 	for ev := range events {
 		if ev.Err != nil {
-			t.leader.log.WithError(ev.Err).Debug("watch of jobs broke; it is begun anew")
+			t.leader.log.WithError(ev.Err).Debug("watch of jobs broke; restarting it")
 			continue
 		}
 		from = ev.Revision
@@ -56,6 +56,8 @@
 	return from
 }
 
+// handleJobRecord passes an accepted record to the machine, unless it cannot be
+// decoded or its job is already known to be unreadable.
 func (t *term) handleJobRecord(ctx context.Context, kv port.KeyValue) {
 	record, err := job.DecodeAccepted(kv.Value)
 	if err != nil {
@@ -71,8 +73,9 @@
 	}
 }
 
-// reportUnreadableJob sets a job aside whose accepted record cannot be read, and passes over
-// a key that names no job. A job that the machine knows goes on.
+// reportUnreadableJob stops a job whose accepted record cannot be decoded from being
+// scheduled, and ignores a key that names no job. A job that the machine already
+// knows continues.
 func (t *term) reportUnreadableJob(ctx context.Context, kv port.KeyValue, cause error) {
 	id, err := jobIDFromKey(kv.Key, acceptedPrefix)
 	if err != nil {
@@ -84,10 +87,11 @@
 	t.postStored(ctx, jobsched.JobUnreadable{ID: id})
 }
 
-// invalidKeyConsequence is what the log says of a key that names no job.
-const invalidKeyConsequence = "its key names no job, and it is passed over"
+// invalidKeyConsequence is the consequence that the log states for a key that names
+// no job.
+const invalidKeyConsequence = "its key names no job, and it is ignored"
 
-// pollWorkers reads the platform's list of workers again and again.
+// pollWorkers periodically reads the platform's list of workers.
 func (t *term) pollWorkers(ctx context.Context) {
 	defer t.leader.o.Metrics.setEntries(jobsched.EntryCounts{})
 	interval := max(listInterval, t.leader.o.DrainTime/listsPerDrain)
@@ -99,13 +103,13 @@
 			t.postStored(ctx, listed)
 			t.exportEntryCounts(ctx)
 		} else {
-			t.leader.log.WithError(err).Debug("workers not read; tried again")
+			t.leader.log.WithError(err).Debug("workers not read; retrying")
 		}
 		Pause(ctx, interval-min(time.Since(began), interval/2))
 	}
 }
 
-// followConfig hands each newer configuration to the machine.
+// followConfig passes each newer configuration to the machine.
 func (t *term) followConfig(ctx context.Context) {
 	feed := t.leader.o.Config
 	for {
--- a/jobservice/fuzz_test.go
+++ b/jobservice/fuzz_test.go
@@ -7,8 +7,9 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// FuzzDecodeLedger: whatever another writer has stored, reading it ends with a
-// record or an error; and a record that was read is stored again as the same.
+// FuzzDecodeLedger checks that decoding any stored value returns a record or an
+// error, and that a decoded record is the same after it has been encoded and decoded
+// again.
 func FuzzDecodeLedger(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		record, err := decodeLedger(port.KeyValue{Value: data, ModRevision: 1})
@@ -26,7 +27,7 @@
 	})
 }
 
-// FuzzDecodeRoster is FuzzDecodeLedger for the roster.
+// FuzzDecodeRoster checks the same as FuzzDecodeLedger for the roster.
 func FuzzDecodeRoster(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		roster, err := decodeRoster(port.KeyValue{Value: data, ModRevision: 1})
--- a/jobservice/handover.go
+++ b/jobservice/handover.go
@@ -11,32 +11,34 @@
 
 const (
 	// handoverRatio is how many times the leader's processors another daemon must
-	// have to be worth a take-over, which costs some 0.2 s of leading.
+	// have to justify a takeover, which costs some 0.2 s without a leader.
 	handoverRatio = 2.0
-	// handoverReads is how many reads of the members in a row must show it: one
-	// whose entry has just come may be gone again.
+	// handoverReads is how many consecutive reads of the members must show such a
+	// daemon: one whose entry has just appeared may be gone again.
 	handoverReads = 2
-	// handoverPause is the least time between two tries of a daemon: the others
+	// handoverPause is the minimum time between two handovers of a daemon: the others
 	// may be unable to lead for a reason that their entries do not show.
 	handoverPause = 30 * time.Second
 )
 
-// handoverDecider decides when a leader with few processors gives the lead up to a
-// daemon with more. It gets the lead while the larger ones are without the store,
-// and would keep it: with a fifth of a core and 350 workers it is behind for
-// seconds, and one notices by tasks that are not started again in time.
+// handoverDecider decides when a leader with few processors hands leadership over to
+// a daemon with more. Such a leader takes over while the larger daemons cannot reach
+// the store, and would otherwise remain the leader. With a fifth of a core and 350
+// workers it is behind for seconds; the symptom is tasks that are not restarted in
+// time.
 //
-// It belongs to the goroutine that follows the members.
+// It belongs to the goroutine that polls the members.
 type handoverDecider struct {
 	own float64
-	// triedAt is when the daemon gave the lead up last, in nanoseconds of the
+	// triedAt is when the daemon last handed leadership over, in nanoseconds of the
 	// clock. It outlives the term.
 	triedAt *atomic.Int64
-	reads   int
+	// reads counts the consecutive reads that showed a larger daemon.
+	reads int
 }
 
-// shouldHandOver takes in the daemons that are there, and reports whether the lead is to be
-// given up now.
+// shouldHandOver takes the other daemons as just read, and reports whether leadership
+// is to be handed over now.
 func (h *handoverDecider) shouldHandOver(now time.Time, others []Relay) bool {
 	tried := h.triedAt.Load()
 	if !h.hasLargerPeer(others) || tried != 0 && now.Sub(time.Unix(0, tried)) < handoverPause {
@@ -50,6 +52,8 @@
 	return true
 }
 
+// hasLargerPeer reports whether another daemon has enough processors to justify a
+// takeover.
 func (h *handoverDecider) hasLargerPeer(others []Relay) bool {
 	for _, c := range others {
 		if c.Weight >= handoverRatio*h.own {
@@ -59,8 +63,8 @@
 	return false
 }
 
-// handOverLead ends the term in favor of another daemon, which is faster to
-// take a lead that is free, see giveWay.
+// handOverLead ends the term in favor of a daemon with more processors, which takes
+// over a free leadership sooner; see delayCampaign.
 func (t *term) handOverLead() {
 	t.leader.log.WithFields(logrus.Fields{"epoch": t.epoch, "processors": t.leader.o.Processors}).Info(joblog.MessageLeadershipHandedOver)
 	t.handedOver.Store(true)
--- a/jobservice/inspect.go
+++ b/jobservice/inspect.go
@@ -8,15 +8,15 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// NotLeadingError says that a daemon cannot tell what only the leader knows.
+// NotLeadingError reports that a daemon cannot answer a request because only the
+// leader can.
 type NotLeadingError struct{ Daemon string }
 
 // Error implements error.
 func (e *NotLeadingError) Error() string { return fmt.Sprintf("daemon %s does not lead", e.Daemon) }
 
-// Inspect returns what the leader believes of a job. An error is a
-// *NotLeadingError, or an *UnknownJobError for a job that is over or was never
-// taken in.
+// Inspect returns the leader's view of a job. An error is a *NotLeadingError, or an
+// *UnknownJobError for a job that has ended or was never accepted.
 func (l *Leader) Inspect(ctx context.Context, id job.ID) (jobsched.JobView, error) {
 	var view jobsched.JobView
 	var known bool
@@ -27,15 +27,16 @@
 	return view, err
 }
 
-// List returns the jobs that are not over, the longest accepted first and at
-// most limit of them. An error is a *NotLeadingError.
+// List returns the jobs that have not ended, the earliest accepted first and at most
+// limit of them. An error is a *NotLeadingError.
 func (l *Leader) List(ctx context.Context, limit int) ([]jobsched.JobView, error) {
 	var views []jobsched.JobView
 	err := l.query(ctx, func(m *jobsched.Machine) { views = m.List(limit) })
 	return views, err
 }
 
-// query puts a question to the machine between two of its steps.
+// query runs a function on the machine between two of its steps. An error is a
+// *NotLeadingError.
 func (l *Leader) query(ctx context.Context, question func(*jobsched.Machine)) error {
 	if !l.Leads() {
 		return &NotLeadingError{Daemon: l.o.Daemon}
@@ -50,7 +51,7 @@
 		<-answered
 		return nil
 	case <-ctx.Done():
-		// The lead was lost meanwhile, or the leader is too busy to tell.
+		// Leadership was lost in the meantime, or the leader is too busy to answer.
 		return &NotLeadingError{Daemon: l.o.Daemon}
 	}
 }
--- a/jobservice/intake.go
+++ b/jobservice/intake.go
@@ -13,8 +13,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// UnavailableError says that a request was not carried out, and will not be,
-// because the store cannot be reached.
+// UnavailableError reports that a request was not carried out, and will not be,
+// because the store is unreachable or no current configuration is known.
 type UnavailableError struct{ Cause error }
 
 // Error implements error.
@@ -23,8 +23,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
-// UncertainError says that a request may or may not have been carried out, or
-// that its answer is not known.
+// UncertainError reports that a request may or may not have been carried out, or that
+// its answer is unknown.
 type UncertainError struct{ Cause error }
 
 // Error implements error.
@@ -33,48 +33,49 @@
 // Unwrap returns the cause.
 func (e *UncertainError) Unwrap() error { return e.Cause }
 
-// UnknownJobError says that no such job exists.
+// UnknownJobError reports that no such job exists.
 type UnknownJobError struct{ ID job.ID }
 
 // Error implements error.
 func (e *UnknownJobError) Error() string { return fmt.Sprintf("job %s does not exist", e.ID) }
 
-// StaleSummaryError says that the leader has written nothing for too long.
+// StaleSummaryError reports that the leader has stored no summary for too long.
 type StaleSummaryError struct{ Age time.Duration }
 
 // Error implements error.
 func (e *StaleSummaryError) Error() string { return fmt.Sprintf("the counts are %s old", e.Age) }
 
-// Intake serves callers at any daemon, by the store alone.
+// Intake serves callers' requests at any daemon, using only the store.
 type Intake struct {
 	store RecordStore
 	clock Clock
 	fleet *fleetView
 }
 
-// NewIntake makes an Intake.
+// NewIntake returns an Intake.
 func NewIntake(store RecordStore, clock Clock, log *logrus.Logger, metrics *Metrics) *Intake {
 	fleet := &fleetView{log: log.WithField("component", "intake"), metrics: metrics}
 	return &Intake{store: store, clock: clock, fleet: fleet}
 }
 
 const (
-	// acceptTimeout bounds a hand-in. The caller has some seconds for it; half
-	// of them are left for a try at another daemon.
+	// acceptTimeout bounds the submission of a job. The caller allows several seconds
+	// for it, and half of them remain for a retry at another daemon.
 	acceptTimeout = 1300 * time.Millisecond
-	// storeTimeout bounds one call to the store outside of callers' requests.
-	// The store answers in 4 ms when it is well, in some hundred when it is slow.
+	// storeTimeout bounds one call to the store outside of callers' requests. The
+	// store responds within 4 ms when it is healthy, and within some hundred
+	// milliseconds when it is slow.
 	storeTimeout = 800 * time.Millisecond
-	// retryPause is the time between two tries of a call for a caller.
+	// retryPause is the delay between two attempts of a store call for a caller.
 	retryPause = 40 * time.Millisecond
-	// maxSummaryAge is how old the counts of a queue may be: the 2 s that they
-	// are allowed, and a little for the difference of two clocks.
+	// maxSummaryAge is how old the counts of a queue may be: the 2 s that they are
+	// allowed, and a margin for the difference between two clocks.
 	maxSummaryAge = 2500 * time.Millisecond
 )
 
-// Submit checks a job and stores it for a queue, as it is in a version of the
-// configuration. The error is a *job.InvalidError, a *job.UnservableError for a
-// job that no worker could ever run, or one of Accept's.
+// Submit validates a job and stores it for a queue, as the queue is defined in a
+// version of the configuration. The error is a *job.InvalidError, a
+// *job.InfeasibleError for a job that no worker could ever run, or one of Accept's.
 func (in *Intake) Submit(ctx context.Context, id job.ID, spec *job.Spec, q *job.Queue, configVersion uint64) error {
 	if err := spec.Check(); err != nil {
 		return err
@@ -87,8 +88,8 @@
 	})
 }
 
-// checkFleet turns a job away that no worker could ever run, unless it was taken
-// in before: then the caller has to be told so.
+// checkFleet rejects a job that no worker could ever run, unless the job was accepted
+// before: then the caller has to learn that it was.
 func (in *Intake) checkFleet(ctx context.Context, id job.ID, spec *job.Spec, q *job.Queue) error {
 	infeasible := in.fleet.check(ctx, in.store, in.clock.Now(), q.Service, spec)
 	if infeasible == nil {
@@ -105,19 +106,19 @@
 	return infeasible
 }
 
-// AcceptedFields returns the fields of the log line of a job that was accepted.
+// AcceptedFields returns the fields of the log line about an accepted job.
 func AcceptedFields(id job.ID, spec *job.Spec, q *job.Queue, configVersion uint64) logrus.Fields {
 	return logrus.Fields{
 		"job": id, "queue": q.Name, "configuration": configVersion, "steps": len(spec.Steps), "chainMs": spec.CriticalPathMs(),
 	}
 }
 
-// Accept stores a job unless it is there already, under its id. The error is an
-// *UnavailableError when the job is not stored and will not be, and an
-// *UncertainError when it may be.
+// Accept stores a job under its id unless a job is already stored there. The error is
+// an *UnavailableError if the job is not stored and will not be, and an
+// *UncertainError if it may be.
 //
-// A try whose answer was lost may still be carried out, but not beside another
-// one: all of them want the id to be free.
+// An attempt whose response was lost may still take effect, but not in addition to
+// another one, because all of them require the id to be free.
 func (in *Intake) Accept(ctx context.Context, id job.ID, record *job.Accepted) error {
 	conditions := []port.Condition{
 		{Key: acceptedKey(id), Kind: port.CompareModRevision},
@@ -138,10 +139,10 @@
 	return &UncertainError{Cause: err}
 }
 
-// checkAccepted returns nil for a job whose id is taken: by this try, by another
-// one, or by a job that is over since. It returns an *UncertainError when a record
-// under the id cannot be read, because then it is not known whether the job will
-// run. A caller who is told that it was accepted would not hand it in again.
+// checkAccepted returns nil for a job whose id is taken, whether by this attempt, by
+// another one, or by a job that has ended since. It returns an *UncertainError if a
+// record under the id cannot be decoded, because it is then unknown whether the job
+// will run, and a caller who is told that it was accepted would not submit it again.
 func (in *Intake) checkAccepted(ctx context.Context, id job.ID) error {
 	progress, err := in.progress(ctx, id)
 	if err != nil || progress != nil && progress.State.Final() {
@@ -151,8 +152,8 @@
 	return err
 }
 
-// State returns what is to be told of a job. The error is an *UnknownJobError
-// or an *UncertainError.
+// State returns the state of a job. The error is an *UnknownJobError or an
+// *UncertainError.
 func (in *Intake) State(ctx context.Context, id job.ID) (job.State, error) {
 	progress, err := in.progress(ctx, id)
 	if err != nil || progress != nil {
@@ -167,7 +168,7 @@
 	case accepted != nil:
 		return job.Queued, nil
 	}
-	// It may have begun and ended between the two reads.
+	// The job may have started and ended between the two reads.
 	progress, err = in.progress(ctx, id)
 	if err != nil || progress != nil {
 		return stateOf(progress), err
@@ -182,8 +183,8 @@
 	return p.State
 }
 
-// Cancel marks a job as canceled. The error is an *UnknownJobError when there
-// is none that is not over, an *UnavailableError or an *UncertainError.
+// Cancel marks a job as canceled. The error is an *UnknownJobError if there is no
+// such job or it has ended, or an *UncertainError.
 func (in *Intake) Cancel(ctx context.Context, id job.ID) error {
 	for {
 		accepted, revision, err := in.accepted(ctx, id)
@@ -208,7 +209,7 @@
 }
 
 // WaitingJobs returns how many jobs of a queue wait for their first task to start.
-// The error is an *UncertainError or a *StaleError.
+// The error is an *UncertainError or a *StaleSummaryError.
 func (in *Intake) WaitingJobs(ctx context.Context, queue string) (int, error) {
 	kv, err := in.store.Get(ctx, ledgerKey)
 	if err != nil {
@@ -225,6 +226,8 @@
 	return ledger.Summary.Waiting[queue], nil
 }
 
+// progress returns the progress record of a job, nil if there is none. The error is
+// an *UncertainError.
 func (in *Intake) progress(ctx context.Context, id job.ID) (*job.Progress, error) {
 	kv, err := in.store.Get(ctx, progressKey(id))
 	if err != nil {
@@ -240,6 +243,8 @@
 	return p, nil
 }
 
+// accepted returns the accepted record of a job and its revision, nil if there is
+// none. The error is an *UncertainError.
 func (in *Intake) accepted(ctx context.Context, id job.ID) (*job.Accepted, int64, error) {
 	kv, err := in.store.Get(ctx, acceptedKey(id))
 	if err != nil {
@@ -255,13 +260,14 @@
 	return a, kv.ModRevision, nil
 }
 
-// IsNotDone reports whether the store has certainly not made a change.
+// IsNotDone reports whether the store has certainly not made the change that failed
+// with err.
 func IsNotDone(err error) bool {
 	var failure *port.StoreError
 	return errors.As(err, &failure) && failure.Outcome == port.OutcomeNotDone
 }
 
-// Pause waits, and returns false if ctx ended first.
+// Pause waits for d. It returns false if ctx ended first.
 func Pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -275,13 +281,13 @@
 
 // ledgerRecord is the value of ledgerKey.
 type ledgerRecord struct {
-	// Incarnation is the leader's process, Number that of its commit; together
-	// they tell a leader whether a commit without an answer was made.
+	// Incarnation identifies the leader's process, Number its commit. With both, a
+	// leader can determine whether a commit without a response was made.
 	Incarnation string           `json:"incarnation"`
 	Number      uint64           `json:"number"`
 	Summary     jobsched.Summary `json:"summary"`
-	// RosterValid and RosterAge are those of the commit. A leader that does not
-	// know of them leaves them out of its first commit.
+	// RosterValid and RosterAge are those of the commit. A leader of a version
+	// without them omits them from its first commit on.
 	RosterValid bool          `json:"rosterStands,omitempty"`
 	RosterAge   time.Duration `json:"rosterAge,omitempty"`
 	// RosterLostLeft and UnseenCrash are those of the commit too.
@@ -289,7 +295,7 @@
 	UnseenCrash    bool          `json:"unseenCrash,omitempty"`
 }
 
-// decodeLedger reads the ledger, which is empty if it is not there. An error is a
+// decodeLedger decodes the ledger, which is empty if it is not stored. An error is a
 // *job.RecordError.
 func decodeLedger(kv port.KeyValue) (ledgerRecord, error) {
 	var l ledgerRecord
--- a/jobservice/keys.go
+++ b/jobservice/keys.go
@@ -8,22 +8,22 @@
 
 // The keys in the platform's store.
 const (
-	// leaderKey names the daemon that leads. It hangs on that daemon's lease.
+	// leaderKey names the daemon that leads. It is attached to that daemon's lease.
 	leaderKey = "guavarill/leader"
-	// ledgerKey is written by every commit of a leader, each on condition that
-	// nobody has written it since. So a commit that is carried out late, or
-	// sent by a daemon that leads no longer, changes nothing.
+	// ledgerKey is written by every commit of a leader, each on condition that the
+	// key has not been written since the last one. A commit that takes effect late,
+	// or is sent by a daemon that no longer leads, therefore changes nothing.
 	ledgerKey = "guavarill/ledger"
 	// rosterKey holds the workers on which attempts may run.
 	rosterKey = "guavarill/roster"
-	// fleetKey holds what the workers of the roster have, for the daemons that take
-	// jobs in.
+	// fleetKey holds the resources of the roster's workers, for the daemons that
+	// accept jobs.
 	fleetKey = "guavarill/fleet"
-	// interferenceKey holds what is known of interference between images.
+	// interferenceKey holds the learned interference between images.
 	interferenceKey = "guavarill/interference"
-	// acceptedPrefix precedes the id of each accepted job that is not over.
+	// acceptedPrefix precedes the id of each accepted job that has not ended.
 	acceptedPrefix = "guavarill/jobs/"
-	// progressPrefix precedes the id of each job that has begun.
+	// progressPrefix precedes the id of each job that has started.
 	progressPrefix = "guavarill/progress/"
 )
 
--- a/jobservice/leader.go
+++ b/jobservice/leader.go
@@ -14,34 +14,36 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Leader stands for the lead and, while it has it, schedules.
+// Leader campaigns for leadership and schedules jobs while it leads.
 type Leader struct {
 	o   Options
 	log *logrus.Entry
-	// deadline is until when the daemon may act as leader, in nanoseconds of
-	// the clock; 0 when it does not lead.
+	// deadline is the time, in nanoseconds of the clock, until which the daemon may
+	// act as leader; 0 when it does not lead.
 	deadline atomic.Int64
-	// suspended is the state of a term that ended only because the store was out of
-	// reach. It is good for the next term if nobody has led between.
+	// suspended is the state of a term that ended only because the store was
+	// unreachable. The next term reuses it if no other daemon has led in between.
 	suspended *term
-	// routineLimiter bounds the lines of routineLimiter decisions, leftOut counts those that
-	// were left out since the last line. Both belong to the control goroutine.
+	// routineLimiter limits the log lines of routine decisions; suppressed counts the
+	// lines left out since the last one written. Both belong to the control
+	// goroutine.
 	routineLimiter *rate.Limiter
 	suppressed     int
-	// handedOverAt is when the daemon gave the lead up to a larger one last, in
+	// handedOverAt is when the daemon last handed leadership over to a larger one, in
 	// nanoseconds of the clock; 0 if it never did.
 	handedOverAt atomic.Int64
-	// queries are put to the machine by its control goroutine.
+	// queries are functions that the control goroutine runs on the machine.
 	queries chan func(*jobsched.Machine)
 }
 
-// NewLeader makes a Leader; Run starts it.
+// NewLeader returns a Leader; Run starts it.
 func NewLeader(o Options) *Leader {
 	if o.FailureDetector == nil {
 		o.FailureDetector = noFailureDetector{}
 	}
 	if o.Machine.RoundBudget == 0 && o.Processors > 0 {
-		// A round takes as long on a part of a core as on a whole one.
+		// Scales the budget so that a round takes the same time on a fraction of a
+		// core as on a whole core.
 		o.Machine.RoundBudget = max(int(jobsched.DefaultRoundBudget*min(o.Processors, 1)), minRoundBudget)
 	}
 	if o.Machine.StartsInFlight == 0 && o.Processors > 0 {
@@ -53,8 +55,8 @@
 	}
 }
 
-// newRoutineLimiter bounds the lines of routine decisions by the daemon's
-// processors.
+// newRoutineLimiter limits the log lines of routine decisions in proportion to the
+// daemon's processors.
 func newRoutineLimiter(processors float64) *rate.Limiter {
 	lines := routineLines
 	if processors > 0 {
@@ -63,10 +65,11 @@
 	return rate.NewLimiter(rate.Limit(lines), 2*lines)
 }
 
-// Leads reports whether the daemon leads now.
+// Leads reports whether the daemon currently leads.
 func (l *Leader) Leads() bool { return l.mayAct() }
 
-// Run stands for the lead until ctx ends, and gives it up then.
+// Run campaigns for leadership and leads until ctx ends, and then releases
+// leadership.
 func (l *Leader) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t, err := l.campaign(ctx)
@@ -81,31 +84,36 @@
 	}
 }
 
-// term is one stretch of leading, or several without another leader between.
+// term is a period of leadership. It continues under a new lease if the daemon lost
+// the lease and no other daemon led before it got another.
 type term struct {
 	leader *Leader
 	lease  port.LeaseID
-	// epoch is the revision at which the daemon took the lead.
+	// epoch is the store revision at which the daemon became leader.
 	epoch   model.Epoch
 	machine *jobsched.Machine
-	// events are answers to the leader's orders and commits, storeEvents is what was
-	// read from the store.
+	// events receives the responses to the leader's orders and commits, storeEvents
+	// the events read from the store.
 	events, storeEvents chan jobsched.Event
 	// ledger is the revision of ledgerKey after the last commit of the term.
-	ledger  int64
+	ledger int64
+	// pending is the commit in flight, or nil.
 	pending *jobsched.Commit
 	// unreadableJobs holds the jobs whose records cannot be read.
 	unreadableJobs *unreadableJobs
-	// jobsRevision is the store's revision up to which the machine knows the jobs.
+	// jobsRevision is the store revision up to which the machine knows the accepted
+	// jobs.
 	jobsRevision int64
-	// workerCount is how many workers the platform's list had last.
+	// workerCount is the number of workers in the platform's list when it was last
+	// read.
 	workerCount atomic.Int64
-	// end ends the term; handedOver is set when that is for another daemon.
+	// end ends the term. handedOver is set when the term ends to hand leadership over
+	// to another daemon.
 	end        context.CancelFunc
 	handedOver atomic.Bool
 }
 
-// lead runs a term until the right to lead is lost or ctx ends.
+// lead runs a term until the daemon loses leadership or ctx ends.
 func (l *Leader) lead(ctx context.Context, t *term) {
 	run, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -136,8 +144,9 @@
 	}
 }
 
-// resign gives the lead up after a last commit, so that it is free at once. No
-// order leaves the daemon from here on: its right to act has ended.
+// resign releases leadership after a last commit, so that another daemon can take
+// over at once. No order leaves the daemon from here on, because its right to act has
+// already ended.
 func (l *Leader) resign(t *term, end string) {
 	complete := t.storeFinalCommit()
 	l.revoke(t.lease)
@@ -145,11 +154,11 @@
 	l.log.WithField("complete", complete).Info(joblog.MessageLeadershipReleased)
 }
 
-// mayAct reports whether the daemon's right to lead is certainly valid.
+// mayAct reports whether the daemon's leadership is certainly still valid.
 func (l *Leader) mayAct() bool { return l.o.Clock.Now().UnixNano() < l.deadline.Load() }
 
-// extendDeadline moves the end of the right after the store has taken a call, sent at
-// sentAt, that set the lease.
+// extendDeadline extends the leadership after the store has confirmed a grant or a
+// renewal of the lease that was sent at sentAt.
 func (l *Leader) extendDeadline(sentAt time.Time) {
 	until := sentAt.Add(l.o.LeaderTTL - leaseMargin).UnixNano()
 	for {
@@ -160,9 +169,9 @@
 	}
 }
 
-// renewLease renews the lease until ctx ends, and calls lost when it is gone.
-// Each renewal has its own goroutine, so that one without an answer does not
-// hold up the next.
+// renewLease renews the lease until ctx ends, and calls lost when the lease is gone.
+// Each renewal runs in its own goroutine, so that one without a response does not
+// delay the next.
 func (l *Leader) renewLease(ctx context.Context, lease port.LeaseID, lost func()) {
 	ticker := time.NewTicker(l.o.LeaderTTL / renewalsPerLease)
 	defer ticker.Stop()
@@ -177,8 +186,9 @@
 }
 
 func (l *Leader) renewOnce(ctx context.Context, lease port.LeaseID, lost func()) {
-	// An answer is of use until the lease ends: with less time a leader that is
-	// short of processor time gives up answers that have come.
+	// A response is useful until the lease ends. With a shorter timeout, a leader
+	// that is short of processor time would discard responses that have already
+	// arrived.
 	call, cancel := context.WithTimeout(ctx, l.o.LeaderTTL)
 	defer cancel()
 	sentAt := l.o.Clock.Now()
@@ -192,12 +202,13 @@
 	}
 }
 
-// revoke ends a lease. A failure is of no consequence: the lease ends anyway.
+// revoke revokes a lease. A failure has no effect, because the lease then expires by
+// itself.
 func (l *Leader) revoke(lease port.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaseCallTimeout)
 	defer cancel()
 	if err := l.o.Store.RevokeLease(ctx, lease); err != nil {
-		l.log.WithError(err).Debug("lease was not revoked; it ends by itself")
+		l.log.WithError(err).Debug("lease not revoked; it will expire")
 	}
 }
 
--- a/jobservice/members.go
+++ b/jobservice/members.go
@@ -13,31 +13,30 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// membersPrefix precedes the name of each daemon that is there; the value is
-// its Carrier.
+// membersPrefix precedes the name of each live daemon; the value is its Relay.
 const membersPrefix = "guavarill/members/"
 
 const (
-	// memberTTL is how long the entry of a daemon that has gone stays. The
-	// leader notices much sooner that a carrier does not answer.
+	// memberTTL is how long the entry of a daemon that has exited remains. The leader
+	// notices much sooner that a relay does not respond.
 	memberTTL = 4 * time.Second
 	// memberRenewalInterval is the time between two renewals of the entry.
 	memberRenewalInterval = time.Second
-	// memberRetryDelay is the time before a failed entry is tried again.
+	// memberRetryDelay is the delay before a failed registration is retried.
 	memberRetryDelay = 500 * time.Millisecond
 	// membersInterval is the time between two reads of the entries.
 	membersInterval = 2 * time.Second
-	// workersPerRelay is how many workers a carrier has: about 100 calls a
-	// second, a fiftieth of a core.
+	// workersPerRelay is how many workers a relay serves: about 100 calls a second, a
+	// fiftieth of a core.
 	workersPerRelay = 24
-	// minRelays and mostCarriers bound the number of carriers: the loss of one
-	// leaves a fourth of the workers without their orders for half a second at
-	// most, and the leader sends each of them a message in each of its steps.
+	// minRelays and maxRelays bound the number of relays. The loss of one of four
+	// leaves a quarter of the workers without orders for at most half a second, and
+	// the leader sends each relay a message in each of its steps.
 	minRelays = 4
 	maxRelays = 16
 )
 
-// Member enters a daemon in the store.
+// Member keeps the entry of a daemon in the store.
 type Member struct {
 	store port.Store
 	name  string
@@ -45,26 +44,26 @@
 	log   *logrus.Entry
 }
 
-// Relay is a daemon that may carry a leader's orders.
+// Relay is a daemon that can relay a leader's orders to workers.
 type Relay struct {
-	// Address is where it takes them.
+	// Address is where the daemon receives the orders.
 	Address string `json:"address"`
-	// Weight is how many it can carry, in proportion to others: its share of a
-	// core.
+	// Weight is the daemon's capacity in proportion to other relays: its number of
+	// cores, which may be a fraction.
 	Weight float64 `json:"weight"`
 }
 
-// NewMember makes a Member; Run enters it.
+// NewMember returns a Member; Run registers it.
 func NewMember(store port.Store, name string, self Relay, log *logrus.Logger) *Member {
 	return &Member{store: store, name: name, self: self, log: log.WithField("component", "member")}
 }
 
-// Run keeps the entry until ctx ends, and removes it then.
+// Run keeps the daemon registered until ctx ends, and then removes its entry.
 func (m *Member) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		lease, err := m.register(ctx)
 		if err != nil {
-			m.log.WithError(err).Debug("not entered; tried again")
+			m.log.WithError(err).Debug("registration failed; retrying")
 			Pause(ctx, memberRetryDelay)
 			continue
 		}
@@ -75,6 +74,7 @@
 	}
 }
 
+// register stores the entry under a new lease.
 func (m *Member) register(ctx context.Context) (port.LeaseID, error) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -94,7 +94,7 @@
 		_, err := m.store.KeepAlive(call, lease)
 		cancel()
 		if isKind(err, port.StoreLeaseGone) {
-			m.log.Info("the entry has ended; the daemon enters again")
+			m.log.Info("the entry has expired; registering again")
 			return
 		}
 	}
@@ -104,18 +104,18 @@
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	if err := m.store.RevokeLease(ctx, lease); err != nil {
-		m.log.WithError(err).Debug("entry not removed; it ends by itself")
+		m.log.WithError(err).Debug("entry not removed; it will expire")
 	}
 }
 
-// RelaySetter is told which daemons may carry the leader's orders.
+// RelaySetter receives the set of daemons that relay the leader's orders.
 type RelaySetter interface {
 	SetRelays(relays []Relay)
 }
 
-// pollMembers hands the other daemons to the carriers until ctx ends, and the
-// lead over when one of them is much larger. While the store is away, those that
-// were there last go on.
+// pollMembers updates the relays from the other daemons until ctx ends, and hands
+// leadership over when one of them is much larger. While the store is unreachable,
+// the last known daemons remain in use.
 func (t *term) pollMembers(ctx context.Context) {
 	o := &t.leader.o
 	if o.Relays == nil {
@@ -128,7 +128,7 @@
 		entries, _, err := o.Store.List(call, membersPrefix)
 		cancel()
 		if err != nil {
-			t.leader.log.WithError(err).Debug("members not read; those known stay")
+			t.leader.log.WithError(err).Debug("members not read; keeping those known")
 			Pause(ctx, membersInterval)
 			continue
 		}
@@ -142,11 +142,11 @@
 	}
 }
 
-// chooseRelays returns the daemons that carry for so many workers: those with
-// the most processors. Each link costs the leader, however little it carries: a
-// message with every batch, a beat, and looks whether one came. With 22 links a
-// leader of 120 workers spent most of its processor time on messages of one or
-// two orders.
+// chooseRelays returns the relays for so many workers: the daemons with the most
+// processors. Each link has a cost for the leader, however little it transfers: a
+// message with every batch, a heartbeat, and checks for received heartbeats. With 22
+// links, a leader of 120 workers spent most of its processor time on messages of one
+// or two orders.
 func chooseRelays(relays []Relay, workers int) []Relay {
 	n := min(max(workers/workersPerRelay, minRelays), maxRelays)
 	if len(relays) <= n {
@@ -157,8 +157,9 @@
 	return chosen[:n]
 }
 
-// otherMembers returns the daemons but self. An entry that cannot be read is that of a
-// daemon which carries nothing; orders go by the otherMembers, or directly.
+// otherMembers returns the daemons except self. A daemon whose entry cannot be
+// decoded is not used as a relay; orders go through the others, or directly to the
+// worker.
 func otherMembers(entries []port.KeyValue, self string, log *logrus.Entry, metrics *Metrics) []Relay {
 	members := make([]Relay, 0, len(entries))
 	var damaged []damagedRecord
@@ -168,7 +169,7 @@
 		}
 		c, err := decodeRelay(kv.Value)
 		if err != nil {
-			metrics.ReportUnreadable(log, kindMember, kv, err, "the daemon carries no orders")
+			metrics.ReportUnreadable(log, kindMember, kv, err, "the daemon relays no orders")
 			damaged = append(damaged, damagedRecord{kv, err})
 			continue
 		}
@@ -178,7 +179,7 @@
 	return members
 }
 
-// decodeRelay reads a member's entry. An error is a *job.RecordError.
+// decodeRelay decodes a member's entry. An error is a *job.RecordError.
 func decodeRelay(data []byte) (Relay, error) {
 	var c Relay
 	if err := job.DecodeRecord(kindMember, data, &c); err != nil {
--- a/jobservice/memstore_test.go
+++ b/jobservice/memstore_test.go
@@ -11,7 +11,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// memStore is a port.Store in memory. Its leases end only when they are revoked.
+// memStore is an in-memory port.Store. Its leases end only when they are revoked.
 type memStore struct {
 	mu       sync.Mutex
 	revision int64
@@ -19,13 +19,13 @@
 	history  []port.WatchEvent
 	leases   map[port.LeaseID]bool
 	changed  chan struct{}
-	// failing counts, by key, the reads that still fail.
+	// failing holds how many reads of a key will still fail.
 	failing map[string]int
-	// compactedRevision is the revision up to which the history is gone. compacted counts
-	// the watches that were refused for it.
+	// compactedRevision is the revision up to which the history is gone.
+	// refusedWatches counts the watches that were refused because of it.
 	compactedRevision int64
 	refusedWatches    int
-	// watched gets a value with the first watch.
+	// watched receives a value with the first watch.
 	watched chan struct{}
 }
 
@@ -36,7 +36,7 @@
 	}
 }
 
-// write changes a key as any writer may.
+// write changes a key as any other writer may.
 func (s *memStore) write(op port.Op) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +58,8 @@
 	return s.refusedWatches
 }
 
-// refuseCompacted reports whether a watch after the revision lacks its history.
+// refuseCompacted reports whether the history after a revision is incomplete, and
+// counts the refused watch.
 func (s *memStore) refuseCompacted(after int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -187,7 +188,7 @@
 	return events, nil
 }
 
-// deliverTo hands an event to a watch, and returns false when the watch has ended.
+// deliverTo sends an event to a watch. It returns false if the watch has ended.
 func deliverTo(ctx context.Context, events chan<- port.WatchEvent, ev port.WatchEvent) bool {
 	select {
 	case events <- ev:
--- a/jobservice/metrics.go
+++ b/jobservice/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// Metrics are the counters of one daemon.
+// Metrics holds the metrics of one daemon.
 type Metrics struct {
 	requests    *prometheus.CounterVec
 	requestTime *prometheus.HistogramVec
@@ -21,21 +21,22 @@
 	leading     prometheus.Gauge
 	jobs        prometheus.Gauge
 	attempts    prometheus.Gauge
-	// unansweredWorkers is how many workers hold starts back after a take-over.
+	// unansweredWorkers is how many workers have not answered the new leader and
+	// therefore hold starts back.
 	unansweredWorkers prometheus.Gauge
 	storeLost         prometheus.Counter
-	// stepTime and eventsWaiting are those of the control goroutine, lag is the
-	// time from what callers have stored to the decision that follows from it.
+	// stepTime and eventsWaiting describe the control goroutine, lag is the time from
+	// when a caller's request was stored to the decision that follows from it.
 	stepTime      prometheus.Histogram
 	eventsWaiting prometheus.Gauge
 	lag           *prometheus.HistogramVec
-	// unreadable belongs to all parts of the daemon that read records.
+	// unreadable is shared by all parts of the daemon that read records.
 	unreadable *unreadableRecords
-	// entriesUnusable and entryTurns tell of the platform's list of workers.
+	// entriesUnusable and entryChanges describe the platform's list of workers.
 	entriesUnusable *prometheus.GaugeVec
 	entryChanges    *prometheus.CounterVec
-	// configVersion, configConfirmed and configFailures tell of the configuration
-	// in force.
+	// configVersion, configAge, configFailures and configWastedBytes describe the
+	// configuration in force and its reads.
 	configVersion     prometheus.Gauge
 	configAge         atomic.Pointer[func() time.Duration]
 	configFailures    *prometheus.CounterVec
@@ -44,10 +45,11 @@
 
 const namespace = "guavarill"
 
-// latencyBuckets reach from a call within a zone to a request's deadline.
+// latencyBuckets range from a call within an availability zone to a request's
+// deadline, in seconds.
 var latencyBuckets = []float64{.002, .005, .01, .025, .05, .1, .25, .5, 1, 2.5}
 
-// NewMetrics makes the metrics and registers them.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
@@ -112,17 +114,17 @@
 	return m
 }
 
-// ObserveRequest counts a caller's request.
+// ObserveRequest counts a caller's request and its duration.
 func (m *Metrics) ObserveRequest(operation, status string, took time.Duration) {
 	m.requests.WithLabelValues(operation, status).Inc()
 	m.requestTime.WithLabelValues(operation).Observe(took.Seconds())
 }
 
-// setConfigAgeSource has the age of the configuration told by a function.
+// setConfigAgeSource sets the function that returns the age of the configuration.
 func (m *Metrics) setConfigAgeSource(age func() time.Duration) { m.configAge.Store(&age) }
 
-// configReadFailed counts a read of the configuration that failed after a number
-// of bytes.
+// configReadFailed counts a failed read of the configuration, and the bytes that it
+// had received.
 func (m *Metrics) configReadFailed(bytes int) {
 	part := "none"
 	if bytes > 0 {
--- a/jobservice/note_test.go
+++ b/jobservice/note_test.go
@@ -12,9 +12,10 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// TestABurstOfDecisionsIsBounded: a take-over of a large cluster makes ten
-// thousand routine decisions at once. Those beyond the burst are counted and not
-// written; a change of belief is written in any case, with the count.
+// TestABurstOfDecisionsIsBounded checks the limit on log lines: a takeover of a large
+// cluster makes ten thousand routine decisions at once. Those beyond the burst are
+// counted and not logged; a decision that is not routine is always logged, with that
+// count.
 func TestABurstOfDecisionsIsBounded(t *testing.T) {
 	const decisions = 10000
 	var out bytes.Buffer
@@ -44,15 +45,15 @@
 			written++
 		}
 	}
-	// While the test runs, which takes far less than a second, some more are
-	// allowed than the burst.
+	// While the test runs, which takes far less than a second, the limit permits some
+	// more lines than the burst.
 	if written < 2*routineLines || written > 3*routineLines {
 		t.Errorf("%d routine lines, want about %d", written, 2*routineLines)
 	}
 	if written+leftOut != decisions {
-		t.Errorf("%d lines written and %d told as left out of %d", written, leftOut, decisions)
+		t.Errorf("%d lines written and %d counted as left out, want %d together", written, leftOut, decisions)
 	}
 	if silences != 1 {
-		t.Errorf("the change of belief was written %d times", silences)
+		t.Errorf("the decision that is not routine was written %d times", silences)
 	}
 }
--- a/jobservice/orders.go
+++ b/jobservice/orders.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// OrderTimeout bounds an order to a worker. Workers answer in milliseconds;
-	// an order that hangs is barred and the task goes elsewhere.
+	// OrderTimeout bounds an order to a worker. Workers respond within milliseconds;
+	// an order without a response is barred there, and the task is started elsewhere.
 	OrderTimeout = time.Second
-	// RenewSlack is what the answer to a renewal may take to begin beyond the wait that
-	// it allows, and ReportTransfer what the report may take from there: that of a worker
-	// with 500 ends to tell has 35 kB, and other workers' come beside it.
+	// RenewSlack is how long the response to a renewal may take to begin beyond the
+	// wait that the renewal permits, and ReportTransferTimeout how long the report
+	// may take from then on: that of a worker with 500 unacknowledged ends has 35 kB,
+	// and shares the link with the reports of other workers.
 	RenewSlack            = 700 * time.Millisecond
 	ReportTransferTimeout = 2 * time.Second
-	// adviceTimeout bounds a call for advice, which takes some hundred
-	// milliseconds and waits in turn behind others.
+	// adviceTimeout bounds a call for advice, which takes some hundred milliseconds
+	// and queues behind other calls.
 	adviceTimeout = 4 * time.Second
 )
 
-// dispatch sends an dispatch in the background and posts its answer. The answer is
-// posted also when the term has ended, for the term may go on.
+// dispatch sends an order in the background and posts its outcome. The outcome is
+// posted even if the term has ended, because the term may continue.
 func (t *term) dispatch(ctx context.Context, e jobsched.Effect) {
 	go func() {
 		ev := t.send(context.WithoutCancel(ctx), e)
@@ -31,8 +32,8 @@
 	}()
 }
 
-// send sends an order if the daemon still leads, and returns the event that
-// tells of it. Whoever calls the worker bounds the time, see Bounded.
+// send sends an order if the daemon still leads, and returns the event with its
+// outcome. The daemon that calls the worker bounds the time; see WithTimeouts.
 func (t *term) send(ctx context.Context, e jobsched.Effect) jobsched.Event {
 	leads := t.leader.mayAct()
 	switch e := e.(type) {
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// measure counts an order that was sent at began.
+// measure counts an order that was sent at began, and the time that it took.
 func (t *term) measure(kind string, began time.Time, verdict *jobsched.Verdict) {
 	m := t.leader.o.Metrics
 	m.orders.WithLabelValues(kind, verdict.String()).Inc()
--- a/jobservice/orders_test.go
+++ b/jobservice/orders_test.go
@@ -12,7 +12,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// deadlineWorkers notes whether an order comes with a deadline.
+// deadlineWorkers records whether an order comes with a deadline.
 type deadlineWorkers struct {
 	port.TaskWorkers
 	bounded bool
@@ -28,17 +28,18 @@
 	return jobsched.VerdictDone, jobsched.Report{}
 }
 
-// Tasks ran twice under a leader that had a fifth of a core for 350 workers.
-// Workers answered in milliseconds and the carriers had their answers at once;
-// but the leader's own time for an order, a second, ended while the outcome lay
-// unread in its socket. So 2,125 times a worker that was well counted as silent;
-// its lease was not renewed, and after 4.8 s what it had done, and reported, was
-// started elsewhere. The time of an order is that of the call to the worker, and
-// is taken by whoever makes it.
+// Guards against tasks that run twice because the leader bounds the time of orders.
+// With a fifth of a core for 350 workers, steps of the leader took up to 0.85 s.
+// Workers responded within milliseconds and the relays had their responses at once,
+// but the leader's own timeout for an order, 1 s, expired while the outcome lay
+// unread in its socket. 2,125 times a healthy worker counted as unreachable; its lease was
+// not renewed, and after 4.8 s work that it had completed and reported was started
+// elsewhere. The time of an order is that of the call to the worker, and is bounded
+// by the daemon that makes it.
 //
-// What settled it: the task done at 54.279; "worker silent" at 54.815, "attempt
-// lost ... its lease ran out without an answer" at 58.640, "worker answers again
-// after 8.081s" at 61.969; steps of the leader took up to 0.85 s.
+// In one such case the task was done at 54.279 s. The log had "worker silent" at
+// 54.815, "attempt lost ... its lease ran out without an answer" at 58.640 and
+// "worker answers again after 8.081s" at 61.969.
 func TestTheTimeOfAnOrderIsNotTakenByTheLeader(t *testing.T) {
 	workers := &deadlineWorkers{}
 	l := NewLeader(Options{
--- a/jobservice/recover.go
+++ b/jobservice/recover.go
@@ -13,7 +13,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// recover reads what an earlier leader left, with its ledger.
+// recover creates the machine from the state that the previous leader stored. ledger
+// is that leader's ledger.
 func (t *term) recover(ctx context.Context, ledger ledgerRecord) error {
 	l := t.leader
 	began := l.o.Clock.Now()
@@ -35,9 +36,10 @@
 	return nil
 }
 
-// recoverCluster reads the roster and what was learned of interference.
+// recoverCluster reads the roster and the learned interference.
 func (l *Leader) recoverCluster(ctx context.Context, r *jobsched.Recovered) error {
-	// Both may be as large as a value may be: only the store's silence bounds them.
+	// Both values may be as large as the store permits, so the reads have no deadline
+	// of their own: the store's adapter ends them when the store is silent.
 	kv, err := l.o.Store.Get(ctx, rosterKey)
 	if err != nil {
 		return err
@@ -50,13 +52,14 @@
 		return err
 	}
 	if r.Learned, err = decodeInterference(kv); err != nil {
-		l.o.Metrics.ReportUnreadable(l.log, kindInterference, kv, err, "which images disturb which is learned anew")
+		l.o.Metrics.ReportUnreadable(l.log, kindInterference, kv, err, "interference between images is learned anew")
 	}
 	return nil
 }
 
-// decodeRoster reads the roster, which is empty if it is not there. An error is a
-// *job.RecordError: also for a worker that could not be asked.
+// decodeRoster decodes the roster, which is empty if it is not stored. An error is a
+// *job.RecordError, also for a worker without an id or an address, because such a
+// worker could not be contacted.
 func decodeRoster(kv port.KeyValue) ([]jobsched.RosterEntry, error) {
 	if kv.ModRevision == 0 {
 		return nil, nil
@@ -75,9 +78,9 @@
 	return roster, nil
 }
 
-// decodeInterference reads what was learned of interference, which is nothing if it is
-// not there. An error is a *job.RecordError: also for an effect without a spread,
-// which would be taken for certain.
+// decodeInterference decodes the learned interference, which is empty if it is not
+// stored. An error is a *job.RecordError, also for an effect without a spread, which
+// would be taken as certain.
 func decodeInterference(kv port.KeyValue) ([]interference.Effect, error) {
 	if kv.ModRevision == 0 {
 		return nil, nil
@@ -96,12 +99,12 @@
 	return effects, nil
 }
 
-// recoverJobs reads the records of jobs, and sets those aside that cannot go on by
-// them.
+// recoverJobs reads the records of jobs, and separates the jobs that cannot continue
+// because of damaged records.
 func (t *term) recoverJobs(ctx context.Context, r *jobsched.Recovered) error {
 	l := t.leader
-	// Accepted jobs first: one that ends between the two reads is in both, and
-	// its progress says that it is over.
+	// Accepted jobs are read first: a job that ends between the two reads is in both
+	// results, and its progress record says that it has ended.
 	accepted, revision, err := readRecords(ctx, l.o.Store, acceptedPrefix, job.DecodeAccepted)
 	if err != nil {
 		return err
@@ -119,7 +122,7 @@
 				continue
 			}
 			if acceptedErrs[id] == nil && progressErrs[id] == nil {
-				// Each can be read, and they are not of one job.
+				// Each record can be read, but they do not belong to the same job.
 				l.o.Metrics.ReportUnreadable(l.log, kindProgress, progress.items[id], err, unreadableJobConsequence)
 			}
 			t.unreadableJobs.add(id)
@@ -133,8 +136,8 @@
 	return nil
 }
 
-// reportDamaged tells of the damaged records that were read, and returns what is
-// wrong with those of jobs.
+// reportDamaged reports the damaged records of a read, and returns the errors of
+// those that belong to jobs.
 func (l *Leader) reportDamaged(kind string, read damagedRecords) map[job.ID]error {
 	causes := make(map[job.ID]error)
 	prefix, damaged := read.damagedWithPrefix()
@@ -151,24 +154,24 @@
 	return causes
 }
 
-// jobRecords are the records below a prefix, by job.
+// jobRecords holds the records with a key prefix, by job.
 type jobRecords[T any] struct {
 	prefix string
 	byID   map[job.ID]*T
 	items  map[job.ID]port.KeyValue
-	// damaged lists those that cannot be read, or whose key names no job.
+	// damaged lists the records that cannot be decoded, or whose key names no job.
 	damaged []damagedRecord
 }
 
-// damagedRecords is what jobRecords of any type has.
+// damagedRecords is implemented by jobRecords of every record type.
 type damagedRecords interface {
 	damagedWithPrefix() (prefix string, damaged []damagedRecord)
 }
 
 func (r *jobRecords[T]) damagedWithPrefix() (string, []damagedRecord) { return r.prefix, r.damaged }
 
-// readRecords reads the records below a prefix. One that cannot be read does not keep
-// the others from being used.
+// readRecords reads the records with a key prefix, and the store's revision at that
+// time. A record that cannot be decoded does not prevent the others from being used.
 func readRecords[T any](ctx context.Context, store port.Store, prefix string, decode func([]byte) (*T, error)) (*jobRecords[T], int64, error) {
 	items, revision, err := store.List(ctx, prefix)
 	if err != nil {
--- a/jobservice/roster_test.go
+++ b/jobservice/roster_test.go
@@ -9,10 +9,10 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// A leader that was stopped as planned did not store what ran where, so that the
-// next one held every older job back until all workers had answered it or their
-// leases had certainly ended. Here one gives the lead up to a daemon with more
-// processors, and the next leader finds its last commit.
+// Guards against a leader that is stopped as planned without storing what runs where.
+// The next leader then held every older job back until all workers had responded to
+// it or their leases had certainly ended. Here a leader hands leadership over to a
+// daemon with more processors, and the next leader finds its last commit.
 func TestResigningLeaderStoresItsRoster(t *testing.T) {
 	d := newDeployment(t)
 	d.lead()
@@ -22,19 +22,20 @@
 		t.Fatal(err)
 	}
 	d.store.write(port.Op{Key: membersPrefix + "large", Value: encodeRecord(Relay{Address: "large", Weight: 4})})
-	d.eventually("the lead taken again", func() bool {
+	d.eventually("leadership taken again", func() bool {
 		now, err := d.store.Get(t.Context(), leaderKey)
 		return err == nil && now.ModRevision > key.ModRevision
 	})
-	d.eventually("a lead given up with its last commit stored", func() bool {
+	d.eventually("leadership released with the last commit stored", func() bool {
 		return d.log.contains("complete=true") && d.log.contains(joblog.MessageLeadershipReleased)
 	})
 	d.eventually("the state read as the leader left it", func() bool { return d.log.contains("rosterStands=true") })
 }
 
-// A daemon took the lead, one read of the store failed before it had given a single
-// order, and it took the lead again. By then the first acquisition had ended what
-// the roster of the leader before said, and everything waited for all workers.
+// Guards against a failed takeover that invalidates the stored roster. A daemon
+// became leader, one read of the store failed before it had sent an order, and it
+// became leader again. The first acquisition had already ended the validity of the
+// previous leader's roster, and everything waited for all workers.
 func TestWordOfALeaderOutlastsAFailedTakeOver(t *testing.T) {
 	d := newDeployment(t)
 	d.store.write(port.Op{Key: ledgerKey, Value: encodeRecord(ledgerRecord{Incarnation: "0", Number: 7, RosterValid: true})})
@@ -43,12 +44,13 @@
 	d.lead()
 	d.eventually("the state read", func() bool { return d.log.contains("rosterStands=") })
 	if !d.log.contains("rosterStands=true") {
-		t.Error("what the roster of the leader before said is lost, though nobody has given an order since")
+		t.Error("the previous leader's roster is no longer valid, although no order was sent since")
 	}
 }
 
-// A roster that was stored by a leader without statements on its workers says of
-// each that anything may run there, and one with statements can be read again.
+// A roster that was stored without statements on its workers is decoded so that
+// anything may run on each worker. A roster with statements is the same after it has
+// been encoded and decoded again.
 func TestRosterWithAndWithoutStatements(t *testing.T) {
 	read := func(data string) []jobsched.RosterEntry {
 		roster, err := decodeRoster(port.KeyValue{Value: []byte(data), ModRevision: 1})
@@ -73,6 +75,6 @@
 	}
 	damaged := `[{"ID":"w","Address":"a:1","Closed":true,"Attempts":[{"task":"nonsense","n":3}]}]`
 	if _, err := decodeRoster(port.KeyValue{Value: []byte(damaged), ModRevision: 1}); err == nil {
-		t.Error("an attempt of no task is read")
+		t.Error("an attempt with an invalid task key was decoded")
 	}
 }
--- a/jobservice/stepmonitor.go
+++ b/jobservice/stepmonitor.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// slowStep is a step of the control goroutine from which the leader counts
-	// as behind: a round of placement may take 16 ms, and cancels waited for
-	// seconds when steps took 200.
+	// slowStep is the duration of a step of the control goroutine from which the
+	// leader counts as behind: a round of placement may take 16 ms, and cancellations
+	// waited for seconds when steps took 200 ms.
 	slowStep = 100 * time.Millisecond
-	// caughtUpAfter is how long all steps must have been shorter before the
-	// leader counts as having caught up.
+	// caughtUpAfter is how long all steps must have been shorter before the leader
+	// counts as having caught up.
 	caughtUpAfter = time.Second
 )
 
-// stepMonitor notices that the control goroutine falls behind. Then events wait for it:
-// cancellations are taken in late and their tasks run on, ends are not followed
-// by starts, leases are not renewed. Nothing else shows that: the daemon serves
-// callers, the store and the workers answer.
+// stepMonitor detects that the control goroutine falls behind. Events then wait for
+// it: cancellations are handled late while their tasks run on, ends of attempts are
+// not followed by starts, and leases are not renewed. Nothing else shows it, because
+// the daemon still serves callers, and the store and the workers respond.
 //
 // It belongs to the control goroutine.
 type stepMonitor struct {
 	log     *logrus.Entry
 	metrics *Metrics
-	// behindSince is when the first long step began; zero while the leader keeps
-	// up. longest is the longest step since then, lastSlowAt the end of the last
-	// long one.
+	// behindSince is when the first slow step began; zero while the leader keeps up.
+	// longest is the duration of the longest step since then, lastSlowAt the end of
+	// the last slow one.
 	behindSince, lastSlowAt time.Time
 	longest                 time.Duration
 }
 
-// record takes in a record from began to ended, at whose beginning so many events
-// waited. It is a long one also when as many waited as can.
+// record takes a step from began to ended, at whose start so many events were
+// waiting. A step with a full event buffer counts as slow too.
 func (p *stepMonitor) record(began, ended time.Time, waiting int) {
 	took := ended.Sub(began)
 	p.metrics.stepTime.Observe(took.Seconds())
--- a/jobservice/stepmonitor_test.go
+++ b/jobservice/stepmonitor_test.go
@@ -12,9 +12,10 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// TestSlowStepsAreLogged: steps of the control goroutine took 200 ms and
-// more, events waited for it for seconds, and no line and no metric told of it.
-// A stretch of long steps is told once at its beginning and once at its end.
+// TestSlowStepsAreLogged guards against a leader that falls behind unnoticed. Steps
+// of the control goroutine took 200 ms and more and events waited for seconds, and no
+// log line and no metric showed it. A period of slow steps is logged once at its
+// start and once at its end.
 func TestSlowStepsAreLogged(t *testing.T) {
 	var out bytes.Buffer
 	p := stepMonitor{log: logsink.NewLogger(&out).WithField("epoch", 7), metrics: NewMetrics(prometheus.NewRegistry())}
@@ -27,7 +28,7 @@
 		step(5*time.Millisecond, 3)
 	}
 	if out.Len() > 0 {
-		t.Errorf("short steps are told: %s", out.String())
+		t.Errorf("short steps are logged: %s", out.String())
 	}
 	step(slowStep, 40)
 	step(time.Second, 1024)
--- a/jobservice/term.go
+++ b/jobservice/term.go
@@ -12,8 +12,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// loop is the control goroutine of a term. It returns whether a later leader
-// has been seen.
+// loop is the control goroutine of a term. It runs until ctx ends or the term is
+// over, and reports whether a later leader has deposed this one.
 func (t *term) loop(ctx context.Context) (deposed bool) {
 	timer := time.NewTimer(jobsched.TickInterval)
 	defer timer.Stop()
@@ -37,8 +37,8 @@
 			if t.handle(ev) {
 				return true
 			}
-			// What comes within a moment is handled together: to act costs far
-			// more than to take an event in.
+			// Events that arrive within gatherTime are handled in one step, because a
+			// step costs far more than handling an event.
 			time.Sleep(gatherTime)
 		}
 		began, waiting := clock.Now(), len(t.events)+len(t.storeEvents)
@@ -51,8 +51,9 @@
 	}
 }
 
-// runStep takes in the events that wait and acts on them. It returns whether the
-// term is over, and whether because a later leader has been seen.
+// runStep handles the pending events and executes the effects of the machine. over
+// reports whether the term has ended, deposed whether it ended because a later leader
+// was seen.
 func (t *term) runStep(ctx context.Context) (over, deposed bool) {
 	if t.drain() {
 		return true, true
@@ -71,9 +72,9 @@
 	return false, false
 }
 
-// drain handles the events that wait, first what was read from the store, and
-// returns whether the term is over. Cancels must not wait among the answers of
-// hundreds of workers.
+// drain handles the pending events and reports whether the term is over. Events read
+// from the store come first, so that cancellations do not queue behind the responses
+// of hundreds of workers.
 func (t *term) drain() bool {
 	return t.drainFrom(t.storeEvents) || t.drainFrom(t.events)
 }
@@ -92,7 +93,8 @@
 	return false
 }
 
-// commitSuperseded says that another leader has written the ledger.
+// commitSuperseded is the outcome of a commit that was not made because another
+// leader has written the ledger.
 type commitSuperseded struct{ jobsched.Committed }
 
 func (t *term) handle(ev jobsched.Event) (over bool) {
@@ -109,7 +111,7 @@
 	return false
 }
 
-// execute carries out effects, and returns whether the machine is deposed.
+// execute executes effects and reports whether the machine has been deposed.
 func (t *term) execute(ctx context.Context, effects []jobsched.Effect) (deposed bool) {
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -127,8 +129,9 @@
 	return deposed
 }
 
-// note writes a decision to the log. Routine ones are bounded: what is left out
-// is counted and told with the next that is not.
+// note counts a decision and logs it. The lines of routine decisions are
+// rate-limited: those left out are counted, and the next line that is written gives
+// their number in the field leftOut.
 func (t *term) note(n jobsched.Note) {
 	l := t.leader
 	l.o.Metrics.decisions.WithLabelValues(n.Decision).Inc()
@@ -160,7 +163,8 @@
 	l.log.WithFields(fields).Info(n.Decision)
 }
 
-// committedAt is a Committed with the revision that it left.
+// committedAt is a Committed event together with the ledger's revision after the
+// commit.
 type committedAt struct {
 	jobsched.Committed
 	revision int64
@@ -172,15 +176,16 @@
 	go t.commit(ctx, c, ledger)
 }
 
-// commit stores a commit and posts its outcome.
+// commit stores a commit and posts its outcome to the control goroutine.
 func (t *term) commit(ctx context.Context, c jobsched.Commit, ledger int64) {
 	if ev := t.storeCommit(ctx, c, ledger); ev != nil {
 		t.post(ctx, ev)
 	}
 }
 
-// storeCommit tries until the commit is certainly made, another leader has come, or ctx
-// ends. It returns the event that tells which, nil for the last.
+// storeCommit retries a commit until it is certainly stored, another leader has
+// written the ledger, or ctx ends. It returns the event of the outcome, nil if ctx
+// ended.
 func (t *term) storeCommit(ctx context.Context, c jobsched.Commit, ledger int64) jobsched.Event {
 	began := time.Now()
 	defer func() { t.leader.o.Metrics.commitTime.Observe(time.Since(began).Seconds()) }()
@@ -190,7 +195,7 @@
 		result, err := t.leader.o.Store.Txn(ctx, condition, changes)
 		switch {
 		case err != nil:
-			t.leader.log.WithError(err).WithField("commit", c.Number).Debug("commit is tried again")
+			t.leader.log.WithError(err).WithField("commit", c.Number).Debug("commit failed; retrying")
 			Pause(ctx, commitPause)
 		case result.Succeeded:
 			return committedAt{jobsched.Committed{Number: c.Number}, result.Revision}
@@ -203,9 +208,9 @@
 	return nil
 }
 
-// resolveCommit finds out whether a commit whose condition no longer holds was
-// made by an earlier try, or another leader has come. It returns nil when the
-// store could not be asked.
+// resolveCommit determines, for a commit whose condition no longer holds, whether an
+// earlier attempt has made it or another leader has written the ledger. It returns
+// nil if the store could not be read.
 func (t *term) resolveCommit(ctx context.Context, c jobsched.Commit) jobsched.Event {
 	kv, err := t.leader.get(ctx, ledgerKey)
 	if err != nil {
@@ -214,10 +219,10 @@
 	}
 	record, err := decodeLedger(kv)
 	if err != nil {
-		// No leader writes such a value: another writer has put it over the ledger,
-		// and with it what told whether the commit was made. The term ends, and the
-		// next leader writes the ledger anew and reads what was stored.
-		t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindLedger, kv, err, "another writer has written it, and the term ends")
+		// No leader writes such a value: another writer has overwritten the ledger,
+		// and with it the record of whether the commit was made. The term ends, and
+		// the next leader writes the ledger anew and reads the stored state.
+		t.leader.o.Metrics.ReportUnreadable(t.leader.log, kindLedger, kv, err, "another writer has overwritten it, and the term ends")
 	}
 	if err == nil && record.Incarnation == t.leader.o.Incarnation && record.Number == c.Number {
 		return committedAt{jobsched.Committed{Number: c.Number}, kv.ModRevision}
@@ -225,7 +230,7 @@
 	return commitSuperseded{}
 }
 
-// changes returns the writes of a commit.
+// changes returns the store writes of a commit.
 func (t *term) changes(c jobsched.Commit) []port.Op {
 	record := ledgerRecord{
 		Incarnation: t.leader.o.Incarnation, Number: c.Number, Summary: c.Summary,
@@ -251,10 +256,10 @@
 	return changes
 }
 
-// storeFinalCommit stores what the leader knows, after the commit in flight, so that the
-// next one finds it: above all what may run on which worker. It returns whether
-// that is certainly stored. It is given as long as the lead's lease lasts, since
-// two commits in turn take long while the store is slow.
+// storeFinalCommit stores the leader's last commit after the commit in flight, so
+// that the next leader inherits its state, above all which attempts may run on which
+// worker. It reports whether the last commit is certainly stored. The time limit is
+// LeaderTTL, because two commits in a row take long while the store is slow.
 func (t *term) storeFinalCommit() bool {
 	ctx, cancel := context.WithTimeout(context.Background(), t.leader.o.LeaderTTL)
 	defer cancel()
@@ -270,8 +275,8 @@
 	return stored
 }
 
-// resolvePending waits for the commit in flight, and returns whether there is none
-// any more and the term goes on.
+// resolvePending completes the commit in flight. It reports whether no commit is in
+// flight any more and the term is not over.
 func (t *term) resolvePending(ctx context.Context) bool {
 	if t.pending == nil {
 		return true
@@ -280,12 +285,13 @@
 	return ev != nil && !t.handle(ev)
 }
 
-// post hands the outcome of a commit to the control goroutine.
+// post passes the outcome of a commit to the control goroutine.
 func (t *term) post(ctx context.Context, ev jobsched.Event) { deliver(ctx, t.events, ev) }
 
-// postStored hands it what was read from the store.
+// postStored passes an event read from the store to the control goroutine.
 func (t *term) postStored(ctx context.Context, ev jobsched.Event) { deliver(ctx, t.storeEvents, ev) }
 
+// deliver sends an event on a channel unless ctx ends first.
 func deliver(ctx context.Context, events chan<- jobsched.Event, ev jobsched.Event) {
 	select {
 	case events <- ev:
@@ -293,7 +299,8 @@
 	}
 }
 
-// encodeRecord marshals the records of this package, which all have a JSON form.
+// encodeRecord encodes a record of this package as JSON. All these records can be
+// encoded, so a failure panics.
 func encodeRecord(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -302,6 +309,7 @@
 	return data
 }
 
+// isKind reports whether err is a *port.StoreError of the given kind.
 func isKind(err error, kind port.StoreErrorKind) bool {
 	var failure *port.StoreError
 	return errors.As(err, &failure) && failure.Kind == kind
--- a/jobservice/timeouts.go
+++ b/jobservice/timeouts.go
@@ -8,12 +8,13 @@
 )
 
 // WithTimeouts bounds the time of each order at the daemon that calls the worker,
-// which is where a call without an answer is told from one that was answered.
+// which is the only place where a call without a response can be told from one that
+// was answered.
 //
-// The leader must not take the time of an order that another daemon carries: its
-// clock goes on while its processor is busy, and the outcome lies unread. It
-// would take workers that are well for silent, and start again what they have
-// done.
+// The leader must not bound the time of an order that another daemon relays. Its
+// clock continues while its processor is busy and the outcome lies unread in the
+// socket. It would treat healthy workers as unreachable, and restart work that they have
+// completed.
 func WithTimeouts(workers port.TaskWorkers) port.TaskWorkers { return timeoutWorkers{workers} }
 
 type timeoutWorkers struct{ workers port.TaskWorkers }
--- a/jobservice/transfers_test.go
+++ b/jobservice/transfers_test.go
@@ -9,7 +9,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// transferTime is what the largest values take over a slow link that is in use.
+// transferTime is how long the largest values take over a slow link that other
+// transfers share.
 const transferTime = 2500 * time.Millisecond
 
 // transfer waits for as long as a transfer takes, or until ctx ends.
@@ -20,7 +21,7 @@
 	return &port.StoreError{Call: "Get", Kind: port.StoreTimeout, Outcome: port.OutcomeUnknown, Cause: ctx.Err()}
 }
 
-// slowStore is a store with a key whose value takes long to transfer.
+// slowStore is a store with one key whose value takes long to transfer.
 type slowStore struct {
 	*memStore
 	large string
@@ -57,8 +58,8 @@
 	return l.WorkerList.List(ctx)
 }
 
-// Guards against a leader that never gets to work, as the transfer of a large record
-// is broken off and begun anew each time.
+// Guards against a leader that never starts to schedule, because the transfer of a
+// large record is aborted and restarted each time.
 func TestTransfersThatTakeLong(t *testing.T) {
 	for name, large := range map[string]string{
 		"roster": rosterKey, "interference": interferenceKey, "progress in a commit": progressKey(intactJob),
@@ -88,8 +89,9 @@
 	return jobsched.VerdictDone, jobsched.Report{}
 }
 
-// Guards against a worker with many ends to tell that counts as silent, as its report
-// takes longer over a link in use than a renewal may.
+// Guards against treating a worker with many unacknowledged ends as unreachable,
+// because the transfer of its report over a busy link takes longer than a renewal
+// may.
 func TestReportThatTakesLong(t *testing.T) {
 	t.Parallel()
 	workers := WithTimeouts(slowReport{})
--- a/jobservice/unreadablejobs.go
+++ b/jobservice/unreadablejobs.go
@@ -11,15 +11,16 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// recheckBatch bounds the jobs that are looked at each time. A damage of all
-// records must not spend the daemon's share of the store's reads.
+// recheckBatch bounds the jobs that are rechecked each time. Damage to all records
+// must not use up the daemon's share of the store's reads.
 const recheckBatch = 3
 
-// unreadableJobs holds the jobs that are set aside because their records cannot be read.
+// unreadableJobs holds the jobs that are not scheduled because their records cannot
+// be read.
 type unreadableJobs struct {
 	mu   sync.Mutex
 	jobs map[job.ID]struct{}
-	// last is the one that was looked at last.
+	// last is the job that was rechecked last.
 	last job.ID
 }
 
@@ -44,7 +45,7 @@
 	return ok
 }
 
-// next returns the jobs whose turn it is to be looked at.
+// next returns the jobs to recheck next, in rotation.
 func (s *unreadableJobs) next() []job.ID {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,15 +59,16 @@
 	return turn
 }
 
-// recheckUnreadableJobs reads the records of jobs that are set aside again and again, and
-// hands those to the machine that can be read, or are gone. A watch would not do:
-// the record that was repaired may be the job's progress, which is not watched.
+// recheckUnreadableJobs periodically reads the records of unreadable jobs, and passes
+// a job to the machine when its records can be read again or are gone. A watch is not
+// enough, because the repaired record may be the job's progress, which is not
+// watched.
 func (t *term) recheckUnreadableJobs(ctx context.Context) {
 	for Pause(ctx, recheckInterval) {
 		for _, id := range t.unreadableJobs.next() {
 			ev, err := t.reread(ctx, id)
 			if err != nil {
-				t.leader.log.WithError(err).WithField("job", id).Debug("job stays set aside")
+				t.leader.log.WithError(err).WithField("job", id).Debug("records of the job not read; the job remains set aside")
 				continue
 			}
 			t.unreadableJobs.remove(id)
@@ -101,21 +103,23 @@
 	return ev, checkJobRecords(ev.Record, ev.Progress, acceptedErr, progressErr)
 }
 
+// reportDamage reports a job's record if err is the error of decoding it.
 func (t *term) reportDamage(kind string, kv port.KeyValue, err error) {
 	if err != nil {
 		t.leader.o.Metrics.ReportUnreadable(t.leader.log, kind, kv, err, unreadableJobConsequence)
 	}
 }
 
-// unreadableJobConsequence is what the log says of a job's records that cannot be read.
-const unreadableJobConsequence = "nothing of the job is started until it can"
+// unreadableJobConsequence is the consequence that the log states for a job's records
+// that cannot be read.
+const unreadableJobConsequence = "no task of the job is started until it can be read"
 
-// checkJobRecords returns an error unless a job's records are enough to go on with
-// it, each of which is nil when it is not there or cannot be read. They are also
-// enough when one of them can be read and says that the job is over:
+// checkJobRecords returns an error unless a job's records are sufficient to continue
+// the job. A record is nil if it is not stored or cannot be decoded. The records are
+// also sufficient if one of them can be decoded and says that the job is over:
 //
-//   - A final progress record. The accepted record is removed with it; what is
-//     there under its key since is not a job's.
+//   - A final progress record. The accepted record is removed together with it, so a
+//     later value under the accepted key is not a job's.
 //   - An accepted record that is canceled. Had the job ended otherwise, it would
 //     have been removed.
 func checkJobRecords(accepted *job.Accepted, progress *job.Progress, acceptedErr, progressErr error) error {
--- a/jobservice/unreadablerecords.go
+++ b/jobservice/unreadablerecords.go
@@ -23,12 +23,13 @@
 	KindConfiguration = "configuration"
 )
 
-// maxUnreadableRecords bounds the records that are remembered as unreadable. Those
-// beyond it are neither told nor counted.
+// maxUnreadableRecords bounds the records that are remembered as unreadable. Further
+// ones are neither logged nor counted.
 const maxUnreadableRecords = 4096
 
-// unreadableRecords tells of records that cannot be read. They are looked at again and
-// again, some every half second: each change of one is told once.
+// unreadableRecords remembers which unreadable records have been reported. Records
+// are read repeatedly, some every half second, and each change of a record is
+// reported once.
 type unreadableRecords struct {
 	count *prometheus.CounterVec
 
@@ -41,8 +42,8 @@
 	return &unreadableRecords{count: count, reported: make(map[string]int64)}
 }
 
-// ReportUnreadable writes a line about a record that cannot be read, and counts it,
-// unless that was done for this change of it. consequence says what follows.
+// ReportUnreadable logs and counts a record that cannot be read, unless that was done
+// for this revision of it. consequence states the effect in the log.
 func (m *Metrics) ReportUnreadable(log *logrus.Entry, kind string, kv port.KeyValue, cause error, consequence string) {
 	u := m.unreadable
 	u.mu.Lock()
@@ -60,8 +61,8 @@
 		Error("record cannot be read; " + consequence)
 }
 
-// clearReadable forgets what was told of the keys with a prefix, but for those that
-// cannot be read now.
+// clearReadable forgets the reported records whose keys have a prefix, except those
+// that still cannot be read.
 func (u *unreadableRecords) clearReadable(prefix string, damaged []damagedRecord) {
 	still := make(map[string]bool, len(damaged))
 	for _, d := range damaged {
@@ -76,7 +77,7 @@
 	}
 }
 
-// damagedRecord is an entry that cannot be read.
+// damagedRecord is a stored record that cannot be decoded, or whose key names no job.
 type damagedRecord struct {
 	kv    port.KeyValue
 	cause error
