--- a/jobservice/failoverstore.go
+++ b/jobservice/failoverstore.go
@@ -45,8 +45,8 @@
 
 // NewFailoverStore returns a FailoverStore; Run keeps its state up to date. self is
 // the name of this daemon among the members.
-func NewFailoverStore(own port.Store, peers PeerStores, self string, log *logrus.Logger, m *Metrics) *FailoverStore {
-	s := &FailoverStore{direct: own, peers: peers, self: self, log: log.WithField("component", "records"), metrics: m}
+func NewFailoverStore(direct port.Store, peers PeerStores, self string, log *logrus.Logger, m *Metrics) *FailoverStore {
+	s := &FailoverStore{direct: direct, peers: peers, self: self, log: log.WithField("component", "records"), metrics: m}
 	s.members.Store(new([]Relay))
 	return s
 }
--- a/jobservice/fleet_test.go
+++ b/jobservice/fleet_test.go
@@ -59,7 +59,7 @@
 	}
 	store.write(port.Op{Key: fleetKey, Value: []byte("{")})
 	if err := check(); err != nil {
-		t.Errorf("damaged fleet: %v", err)
+		t.Errorf("damaged: %v", err)
 	}
 	store.write(fleetChange(rosterOf(2000)))
 	if err := check(); err != nil {
