--- a/adapter/jobapi/messages.go
+++ b/adapter/jobapi/messages.go
@@ -84,10 +84,10 @@
 	fleetRetryAfterS = "60"
 )
 
-// RetryAfterS returns when to come back after an error that means "not done", in
+// RetryAfterSeconds returns when to come back after an error that means "not done", in
 // seconds.
-func RetryAfterS(err error) string {
-	var unservable *job.UnservableError
+func RetryAfterSeconds(err error) string {
+	var unservable *job.InfeasibleError
 	if errors.As(err, &unservable) {
 		return fleetRetryAfterS
 	}
@@ -101,8 +101,8 @@
 	var queue *jobservice.UnknownQueueError
 	var unknown *jobservice.UnknownJobError
 	var unavailable *jobservice.UnavailableError
-	var unservable *job.UnservableError
-	var stale *jobservice.StaleError
+	var unservable *job.InfeasibleError
+	var stale *jobservice.StaleSummaryError
 	var follower *jobservice.NotLeadingError
 	var routing *echo.HTTPError
 	switch {
--- a/jobservice/handover.go
+++ b/jobservice/handover.go
@@ -37,7 +37,7 @@
 
 // due takes in the daemons that are there, and reports whether the lead is to be
 // given up now.
-func (h *handOver) due(now time.Time, others []Carrier) bool {
+func (h *handOver) due(now time.Time, others []Relay) bool {
 	tried := h.triedAt.Load()
 	if !h.outweighed(others) || tried != 0 && now.Sub(time.Unix(0, tried)) < handOverPause {
 		h.reads = 0
@@ -50,7 +50,7 @@
 	return true
 }
 
-func (h *handOver) outweighed(others []Carrier) bool {
+func (h *handOver) outweighed(others []Relay) bool {
 	for _, c := range others {
 		if c.Weight >= handOverRatio*h.own {
 			return true
@@ -62,7 +62,7 @@
 // handTheLeadOver ends the term in favor of another daemon, which is faster to
 // take a lead that is free, see giveWay.
 func (t *term) handTheLeadOver() {
-	t.leader.log.WithFields(logrus.Fields{"epoch": t.epoch, "processors": t.leader.o.Processors}).Info(joblog.MessageHandsOver)
+	t.leader.log.WithFields(logrus.Fields{"epoch": t.epoch, "processors": t.leader.o.Processors}).Info(joblog.MessageLeadershipHandedOver)
 	t.handedOver.Store(true)
 	t.end()
 }
