--- a/core/eviction/cost.go
+++ b/core/eviction/cost.go
@@ -26,8 +26,8 @@
 	return Costs{Restart: 1, LongRunningFactor: 20, PriorityFactor: 2, RepeatFactor: 2}
 }
 
-// maxAgain bounds how often Costs.Again is applied.
-const maxAgain = 6
+// maxRepeats bounds how often Costs.Again is applied.
+const maxRepeats = 6
 
 // EvictionCost returns what evicting a task now would cost. A task that can be
 // checkpointed when it stops loses only part of its progress on average: the
@@ -36,31 +36,31 @@
 	cost := c.Restart
 	lost := now.Sub(t.SavedAt).Minutes()
 	if t.CanCheckpoint {
-		lost *= checkpointRisk
+		lost *= checkpointFailureShare
 	}
 	cost += max(0, lost)
-	cost *= c.class(t)
-	for range min(t.Evictions, maxAgain) {
+	cost *= c.classWeight(t)
+	for range min(t.Evictions, maxRepeats) {
 		cost *= c.RepeatFactor
 	}
 	return cost
 }
 
-// checkpointRisk is the part of unsaved progress that counts as lost although
+// checkpointFailureShare is the part of unsaved progress that counts as lost although
 // a checkpoint will be tried.
-const checkpointRisk = 0.1
+const checkpointFailureShare = 0.1
 
 // ThrottleCost returns what throttling a task by one percent costs: the
 // processors that it holds and cannot use, times its class weight.
 func (c Costs) ThrottleCost(t *Task) float64 {
 	cores := float64(t.Size.MilliCPU) / 1000
-	return c.class(t) * max(smallestTask, cores)
+	return c.classWeight(t) * max(minThrottleCores, cores)
 }
 
-// smallestTask keeps tasks that hold next to nothing from looking free.
-const smallestTask = 0.1
+// minThrottleCores keeps tasks that hold next to nothing from looking free.
+const minThrottleCores = 0.1
 
-func (c Costs) class(t *Task) float64 {
+func (c Costs) classWeight(t *Task) float64 {
 	weight := 1.0
 	if t.LongRunning {
 		weight = c.LongRunningFactor
--- a/core/eviction/decide.go
+++ b/core/eviction/decide.go
@@ -27,24 +27,24 @@
 
 // Decide returns what to do on one worker, and the worker's memory after it.
 // It is a pure function of its arguments.
-func Decide(now time.Time, v WorkerView, m State, o Options, p Predictor) ([]Action, State) {
-	d := decision{now: now, view: &v, memory: m, options: &o, predictor: p}
-	d.count()
-	if !m.LastAction.IsZero() && now.Before(m.LastAction.Add(o.ReportLag)) {
-		return nil, d.memory
+func Decide(now time.Time, v WorkerView, previous State, o Options, p Predictor) ([]Action, State) {
+	d := decision{now: now, view: &v, state: previous, options: &o, predictor: p}
+	d.countMeasurements()
+	if !previous.LastAction.IsZero() && now.Before(previous.LastAction.Add(o.ReportLag)) {
+		return nil, d.state
 	}
-	action, ok := d.act()
+	action, ok := d.chooseAction()
 	if !ok {
-		return nil, d.memory
+		return nil, d.state
 	}
-	d.remember(action)
-	return []Action{action}, d.memory
+	d.updateState(action)
+	return []Action{action}, d.state
 }
 
 type decision struct {
 	now       time.Time
 	view      *WorkerView
-	memory    State
+	state     State
 	options   *Options
 	predictor Predictor
 	// pressure is the highest of the services' fresh measurements; valid when
@@ -53,14 +53,14 @@
 	fresh    bool
 }
 
-// count takes in measurements that were not counted before and were made
+// countMeasurements takes in measurements that were not counted before and were made
 // after the latest action had settled.
-func (d *decision) count() {
-	settled := d.memory.LastAction
+func (d *decision) countMeasurements() {
+	settled := d.state.LastAction
 	if !settled.IsZero() {
 		settled = settled.Add(d.options.SettleTime)
 	}
-	newest := d.memory.LastMeasured
+	newest := d.state.LastMeasured
 	counted := false
 	for i := range d.view.Services {
 		s := &d.view.Services[i]
@@ -76,12 +76,12 @@
 	if !counted {
 		return
 	}
-	d.memory.LastMeasured = newest
+	d.state.LastMeasured = newest
 	d.countPressure(newest)
 }
 
 func (d *decision) countPressure(measured time.Time) {
-	m := &d.memory
+	m := &d.state
 	if d.pressure > 1 {
 		if m.OverCount == 0 {
 			m.OverSince = measured
@@ -109,48 +109,48 @@
 	return d.options.Limit
 }
 
-// act picks the action for what is most pressing.
-func (d *decision) act() (Action, bool) {
+// chooseAction picks the action for what is most pressing.
+func (d *decision) chooseAction() (Action, bool) {
 	if action, ok := d.relieveShortage(); ok {
 		return action, true
 	}
 	if len(d.view.Services) == 0 {
-		return d.releaseOne(NoServiceToSlow)
+		return d.unthrottleOne(NoServiceToSlow)
 	}
 	if !d.fresh {
 		return Action{}, false
 	}
 	if d.mustRelieve() {
-		return d.relieve()
+		return d.relieveSlowdown()
 	}
-	if action, ok := d.prevent(); ok {
+	if action, ok := d.throttlePredicted(); ok {
 		return action, true
 	}
 	if d.isCalm() {
-		return d.releaseOne(CalmServices)
+		return d.unthrottleOne(CalmServices)
 	}
 	return Action{}, false
 }
 
 func (d *decision) mustRelieve() bool {
-	if d.memory.OverCount >= d.options.ConfirmCount {
+	if d.state.OverCount >= d.options.ConfirmCount {
 		return true
 	}
-	return d.memory.OverCount > 0 && d.pressure >= d.options.SeverePressure
+	return d.state.OverCount > 0 && d.pressure >= d.options.SeverePressure
 }
 
 func (d *decision) isCalm() bool {
-	since := d.memory.CalmSince
+	since := d.state.CalmSince
 	return !since.IsZero() && d.now.Sub(since) >= d.calmFor()
 }
 
 func (d *decision) calmFor() time.Duration {
-	return max(d.options.CalmFor, d.memory.CalmFor)
+	return max(d.options.CalmFor, d.state.CalmFor)
 }
 
-// remember updates the memory by what was decided.
-func (d *decision) remember(a Action) {
-	m := &d.memory
+// updateState updates the memory by what was decided.
+func (d *decision) updateState(a Action) {
+	m := &d.state
 	switch a.Kind {
 	case Unthrottle:
 		m.Unthrottled = d.now
@@ -169,7 +169,7 @@
 // whose noise comes in waves would be throttled and released once a lag, and
 // its services slowed each time.
 func (d *decision) adaptCalm() {
-	m := &d.memory
+	m := &d.state
 	if !m.Unthrottled.IsZero() && d.now.Sub(m.Unthrottled) < 2*d.calmFor() {
 		m.CalmFor = min(2*d.calmFor(), d.options.MaxCalmFor)
 		return
@@ -177,10 +177,10 @@
 	m.CalmFor = d.options.CalmFor
 }
 
-// less orders tasks of equal merit by key, so that a decision does not depend
+// taskLess orders tasks of equal merit by key, so that a decision does not depend
 // on the order of the view.
-func less(a, b *Task) bool { return a.Key.Less(b.Key) }
+func taskLess(a, b *Task) bool { return a.Key.Less(b.Key) }
 
-func action(kind Kind, worker model.WorkerID, t *Task, percent uint32, reason Reason) Action {
+func newAction(kind Kind, worker model.WorkerID, t *Task, percent uint32, reason Reason) Action {
 	return Action{Kind: kind, Worker: worker, Task: t.Key, Percent: percent, Reason: reason}
 }
--- a/core/eviction/decide_test.go
+++ b/core/eviction/decide_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// drive feeds a controller a view every three seconds, with a slowdown given
+// runController feeds a controller a view every three seconds, with a slowdown given
 // by the throttle of the tasks, and returns the actions with their times.
-func drive(c *Controller, tasks []Task, seconds int, slowdown func(s int, tasks []Task) float64) (actions []Action, times []int) {
+func runController(c *Controller, tasks []Task, seconds int, slowdown func(s int, tasks []Task) float64) (actions []Action, times []int) {
 	for s := 0; s < seconds; s += 3 {
 		v := view(at(s-10), slowdown(s-10, tasks), tasks...)
 		for _, a := range c.Decide(at(s), v) {
@@ -139,7 +139,7 @@
 // Symptom: work is thrown away that a throttle would have saved.
 func TestThrottleComesBeforeEviction(t *testing.T) {
 	c := NewController(DefaultOptions(), effects{"loud": 0.39, "quiet": 0.01})
-	actions, times := drive(c, []Task{task("loud", 1), task("quiet", 1)}, 300, constant(1.7))
+	actions, times := runController(c, []Task{task("loud", 1), task("quiet", 1)}, 300, constant(1.7))
 	if len(actions) < 3 || actions[len(actions)-1].Kind != Evict || actions[0].Kind != Throttle || actions[0].Task.Workload != "loud" {
 		t.Fatalf("got %v", actions)
 	}
@@ -162,7 +162,7 @@
 	plain := task("watched", 2)
 	plain.Percent = o.MinPercent
 	c := NewController(o, effects{"watched": 2, "watch": 2})
-	actions, _ := drive(c, []Task{watcher, plain}, 30, constant(3))
+	actions, _ := runController(c, []Task{watcher, plain}, 30, constant(3))
 	if len(actions) == 0 || actions[0].Kind != Evict || actions[0].Task != plain.Key {
 		t.Errorf("got %v", actions)
 	}
@@ -193,7 +193,7 @@
 		}
 		return 1.1
 	}
-	actions, times := drive(c, []Task{task("loud", 1)}, 1800, loud)
+	actions, times := runController(c, []Task{task("loud", 1)}, 1800, loud)
 	var released []int
 	for i, a := range actions {
 		if a.Kind == Unthrottle {
@@ -215,7 +215,7 @@
 	low, loud := task("quiet", 1), task("huge", 2)
 	low.Percent, loud.Percent = o.MinPercent, o.MinPercent
 	c := NewController(o, effects{"quiet": 0.01, "huge": 0.7})
-	actions, _ := drive(c, []Task{low, loud}, 600, constant(1.05))
+	actions, _ := runController(c, []Task{low, loud}, 600, constant(1.05))
 	want := []uint32{o.MiddlePercent, o.MiddlePercent, FullSpeed}
 	if len(actions) != len(want) {
 		t.Fatalf("got %v", actions)
--- a/core/eviction/hold.go
+++ b/core/eviction/hold.go
@@ -15,8 +15,8 @@
 	return held
 }
 
-// growth returns the room that a task needs to be raised to a percentage.
-func (t *Task) growth(percent uint32) model.Resources {
+// growthTo returns the room that a task needs to be raised to a percentage.
+func (t *Task) growthTo(percent uint32) model.Resources {
 	if t.FullSize == (model.Resources{}) {
 		return model.Resources{}
 	}
--- a/core/eviction/policy_compare_test.go
+++ b/core/eviction/policy_compare_test.go
@@ -33,13 +33,13 @@
 func batchClasses() []class {
 	return []class{
 		{name: "reconcile", share: 0.45, size: model.Resources{MilliCPU: 1000, MemoryMB: 1500}, run: 4 * time.Minute,
-			quiet: 0.01, loud: 0.03, quietFor: 2 * time.Minute, loudFor: time.Minute},
+			quiet: 0.01, noisy: 0.03, quietFor: 2 * time.Minute, noisyFor: time.Minute},
 		{name: "report", share: 0.30, size: model.Resources{MilliCPU: 2000, MemoryMB: 3000}, run: 5 * time.Minute,
-			quiet: 0.03, loud: 0.10, quietFor: 3 * time.Minute, loudFor: time.Minute},
+			quiet: 0.03, noisy: 0.10, quietFor: 3 * time.Minute, noisyFor: time.Minute},
 		{name: "rebuild", share: 0.15, size: model.Resources{MilliCPU: 2000, MemoryMB: 4000}, run: 8 * time.Minute,
-			quiet: 0.05, loud: 0.6, quietFor: 4 * time.Minute, loudFor: time.Minute},
+			quiet: 0.05, noisy: 0.6, quietFor: 4 * time.Minute, noisyFor: time.Minute},
 		{name: "import", share: 0.10, size: model.Resources{MilliCPU: 2000, MemoryMB: 3000}, run: 3 * time.Minute,
-			quiet: 0.1, loud: 0.8, quietFor: time.Minute, loudFor: time.Minute, burst: true},
+			quiet: 0.1, noisy: 0.8, quietFor: time.Minute, noisyFor: time.Minute, burst: true},
 	}
 }
 
@@ -63,14 +63,14 @@
 	return "", false
 }
 
-func placed(s *sim, r *placement.Request) (model.WorkerID, bool) {
+func placerFit(s *sim, r *placement.Request) (model.WorkerID, bool) {
 	d, err := s.placer.Place(s.snapshot, r)
 	return d.Worker, err == nil
 }
 
-// threshold evicts the largest batch task whenever a report shows a service
+// thresholdControl evicts the largest batch task whenever a report shows a service
 // over the limit: no confirmation, no lag, no throttle.
-func threshold(s *sim, w *simWorker) {
+func thresholdControl(s *sim, w *simWorker) {
 	for _, service := range w.latest {
 		if service.Slowdown <= eviction.DefaultOptions().Limit {
 			continue
@@ -88,8 +88,8 @@
 	}
 }
 
-// controlled is the product's own policy.
-func controlled(s *sim, w *simWorker) {
+// productControl is the product's own policy.
+func productControl(s *sim, w *simWorker) {
 	view := s.view(w)
 	byKey := map[model.TaskKey]*simTask{}
 	for _, t := range w.tasks {
@@ -166,11 +166,11 @@
 	list := []policy{
 		{name: "first fit", place: firstFit},
 		{name: "random", place: randomFit},
-		{name: "first fit+threshold", place: firstFit, control: threshold},
-		{name: "random+threshold", place: randomFit, control: threshold},
-		{name: "placement alone", place: placed, learn: true},
-		{name: "guavarill", place: placed, learn: true, control: controlled, start: startPercent},
-		{name: "guavarill+smaller holds", place: placed, learn: true, control: controlled, start: startPercent, shrink: true},
+		{name: "first fit+threshold", place: firstFit, control: thresholdControl},
+		{name: "random+threshold", place: randomFit, control: thresholdControl},
+		{name: "placement alone", place: placerFit, learn: true},
+		{name: "guavarill", place: placerFit, learn: true, control: productControl, start: startPercent},
+		{name: "guavarill+smaller holds", place: placerFit, learn: true, control: productControl, start: startPercent, shrink: true},
 	}
 	for _, p := range list[:distinctPolicies] {
 		p.name, p.even = p.name+" (one a worker)", true
@@ -183,14 +183,14 @@
 func shortWaves() []class {
 	classes := batchClasses()
 	for i := range classes {
-		classes[i].loudFor /= 8
+		classes[i].noisyFor /= 8
 		classes[i].quietFor /= 8
 	}
 	return classes
 }
 
-// busy submits half as much again, more than the processors can do.
-func busy(st site) site {
+// overloaded submits half as much again, more than the processors can do.
+func overloaded(st site) site {
 	st.starts *= 1.5
 	return st
 }
@@ -210,14 +210,14 @@
 	st := sites()[0]
 	for _, p := range policies()[:distinctPolicies] {
 		b.Run("short waves/"+p.name, func(b *testing.B) { compare(b, st, shortWaves(), p) })
-		b.Run("busy/"+p.name, func(b *testing.B) { compare(b, busy(st), batchClasses(), p) })
+		b.Run("busy/"+p.name, func(b *testing.B) { compare(b, overloaded(st), batchClasses(), p) })
 	}
 }
 
 // BenchmarkPolicyStart measures the product's policy without the throttle that
 // tasks start with.
 func BenchmarkPolicyStart(b *testing.B) {
-	p := policy{name: "full speed at start", place: placed, learn: true, control: controlled}
+	p := policy{name: "full speed at start", place: placerFit, learn: true, control: productControl}
 	for _, st := range sites() {
 		b.Run(st.name+"/"+p.name, func(b *testing.B) { compare(b, st, batchClasses(), p) })
 	}
--- a/core/eviction/policy_test.go
+++ b/core/eviction/policy_test.go
@@ -37,14 +37,14 @@
 
 // class is the truth about a class of batch work.
 type class struct {
-	name        string
-	share       float64 // of the submissions
-	size        model.Resources
-	run         time.Duration
-	quiet, loud float64 // excess slowdown per two cores, in each phase
-	loudFor     time.Duration
-	quietFor    time.Duration
-	burst       bool // submitted in bursts
+	name         string
+	share        float64 // of the submissions
+	size         model.Resources
+	run          time.Duration
+	quiet, noisy float64 // excess slowdown per two cores, in each phase
+	noisyFor     time.Duration
+	quietFor     time.Duration
+	burst        bool // submitted in bursts
 }
 
 type workload struct {
@@ -63,8 +63,8 @@
 	total, done, saved   float64 // seconds of work
 	savedAt, throttledAt time.Time
 	percent              uint32
-	loud                 bool
-	turnAt, notBefore    time.Time
+	noisy                bool
+	phaseEnds, notBefore time.Time
 	evictions            uint32
 	last                 model.WorkerID
 	slowdown             float64
@@ -84,10 +84,10 @@
 	worker *simWorker
 	at     time.Time
 	load   float64
-	tasks  []measured
+	tasks  []measurement
 }
 
-type measured struct {
+type measurement struct {
 	task     *simTask
 	slowdown float64
 	usage    interference.Usage
@@ -132,7 +132,7 @@
 	control   *eviction.Controller
 	workloads []*workload
 	queue     []*simTask
-	onTheWay  []report
+	inFlight  []report
 	index     uint32
 	slowdowns *hdrhistogram.Histogram
 	out       outcome
@@ -189,8 +189,8 @@
 	}
 }
 
-// wrong returns a ratio of real to declared between 0.3 and 4.
-func (s *sim) wrong() float64 {
+// declarationError returns a ratio of real to declared between 0.3 and 4.
+func (s *sim) declarationError() float64 {
 	return math.Min(4, math.Max(0.3, math.Exp(0.6*s.rnd.NormFloat64())))
 }
 
@@ -201,7 +201,7 @@
 		for n := range workloadsPerClass {
 			s.workloads = append(s.workloads, &workload{
 				name: fmt.Sprintf("%s-%d", classes[i].name, n), class: &classes[i],
-				declared: classes[i].size, cpu: s.wrong(), memory: s.wrong(), run: s.wrong(),
+				declared: classes[i].size, cpu: s.declarationError(), memory: s.declarationError(), run: s.declarationError(),
 			})
 		}
 	}
@@ -210,7 +210,7 @@
 // addServices places the instances and the watchers.
 func (s *sim) addServices() {
 	orders := &workload{name: "orders", class: &class{name: "orders"}, declared: s.site.instance, cpu: 0.8, memory: 1, run: 1}
-	watch := &workload{name: "watch", class: &class{name: "watch", quiet: 0.005, loud: 0.005, quietFor: time.Hour, loudFor: time.Hour},
+	watch := &workload{name: "watch", class: &class{name: "watch", quiet: 0.005, noisy: 0.005, quietFor: time.Hour, noisyFor: time.Hour},
 		declared: model.Resources{MilliCPU: 250, MemoryMB: 512}, cpu: 0.8, memory: 1, run: 1}
 	for _, w := range s.workers {
 		t := s.newTask(orders, true, false)
@@ -416,7 +416,7 @@
 	capacity := s.site.capacity
 	var cpu, memory int64
 	for _, t := range w.tasks {
-		s.turn(t)
+		s.switchPhase(t)
 		cpu += s.cpuOf(t)
 		memory += t.used.MemoryMB
 	}
@@ -449,8 +449,8 @@
 			continue
 		}
 		effect := t.workload.class.quiet
-		if t.loud {
-			effect = t.workload.class.loud
+		if t.noisy {
+			effect = t.workload.class.noisy
 		}
 		sum += effect * float64(t.used.MilliCPU) / 2000 * float64(t.percent) / eviction.FullSpeed
 	}
@@ -461,22 +461,22 @@
 	return sum * 0.3
 }
 
-// turn switches a task between its loud and quiet phases.
-func (s *sim) turn(t *simTask) {
+// switchPhase switches a task between its loud and quiet phases.
+func (s *sim) switchPhase(t *simTask) {
 	c := t.workload.class
-	if t.service || s.now.Before(t.turnAt) {
+	if t.service || s.now.Before(t.phaseEnds) {
 		return
 	}
-	if t.turnAt.IsZero() {
-		t.loud = s.rnd.Float64() < float64(c.loudFor)/float64(c.loudFor+c.quietFor)
+	if t.phaseEnds.IsZero() {
+		t.noisy = s.rnd.Float64() < float64(c.noisyFor)/float64(c.noisyFor+c.quietFor)
 	} else {
-		t.loud = !t.loud
+		t.noisy = !t.noisy
 	}
 	mean := c.quietFor
-	if t.loud {
-		mean = c.loudFor
+	if t.noisy {
+		mean = c.noisyFor
 	}
-	t.turnAt = s.now.Add(time.Duration(float64(mean) * (0.5 + s.rnd.Float64())))
+	t.phaseEnds = s.now.Add(time.Duration(float64(mean) * (0.5 + s.rnd.Float64())))
 }
 
 // kill is what the kernel does when memory is out: the largest batch task
@@ -520,18 +520,18 @@
 	r := report{worker: w, at: s.now, load: math.Min(1, w.load)}
 	for _, t := range w.tasks {
 		noise := math.Exp(0.05 * s.rnd.NormFloat64())
-		r.tasks = append(r.tasks, measured{t, t.slowdown * noise, interference.Usage{
+		r.tasks = append(r.tasks, measurement{t, t.slowdown * noise, interference.Usage{
 			MilliCPU: s.cpuOf(t), MemoryMB: t.used.MemoryMB,
 		}})
 	}
-	s.onTheWay = append(s.onTheWay, r)
+	s.inFlight = append(s.inFlight, r)
 }
 
 // deliver hands over the reports that are ten seconds old.
 func (s *sim) deliver() {
-	for len(s.onTheWay) > 0 && s.now.Sub(s.onTheWay[0].at) >= reportLag {
-		r := s.onTheWay[0]
-		s.onTheWay = s.onTheWay[1:]
+	for len(s.inFlight) > 0 && s.now.Sub(s.inFlight[0].at) >= reportLag {
+		r := s.inFlight[0]
+		s.inFlight = s.inFlight[1:]
 		w := r.worker
 		clear(w.latest)
 		s.snapshot.SetLoad(w.id, r.load)
--- a/core/eviction/preempt.go
+++ b/core/eviction/preempt.go
@@ -50,7 +50,7 @@
 	return p.Worker < o.Worker
 }
 
-type priced struct {
+type pricedTask struct {
 	task *Task
 	cost float64
 }
@@ -59,19 +59,19 @@
 // room, then gives back those that turn out not to be needed, dearest first.
 // A single victim that would do alone is taken when it is cheaper.
 func preemptOn(now time.Time, size model.Resources, priority model.Priority, c *Candidate, costs Costs) (Preemption, bool) {
-	missing, victims := open(now, size, priority, c, costs)
-	if none(missing) {
+	missing, victims := findVictims(now, size, priority, c, costs)
+	if nothingMissing(missing) {
 		return Preemption{Worker: c.Worker}, true
 	}
-	chosen := greedy(missing, victims)
+	chosen := chooseGreedily(missing, victims)
 	if chosen == nil {
 		return Preemption{}, false
 	}
-	chosen = prune(missing, chosen)
-	if single, ok := cheapestAlone(missing, victims); ok && single.cost < total(chosen) {
-		chosen = []priced{single}
+	chosen = dropUnneeded(missing, chosen)
+	if single, ok := cheapestSingle(missing, victims); ok && single.cost < totalCost(chosen) {
+		chosen = []pricedTask{single}
 	}
-	p := Preemption{Worker: c.Worker, Cost: total(chosen)}
+	p := Preemption{Worker: c.Worker, Cost: totalCost(chosen)}
 	for _, v := range chosen {
 		p.Victims = append(p.Victims, v.task.Key)
 	}
@@ -79,33 +79,33 @@
 	return p, true
 }
 
-// open returns the room that is missing and the tasks that may be evicted.
-func open(now time.Time, size model.Resources, priority model.Priority, c *Candidate, costs Costs) (model.Resources, []priced) {
+// findVictims returns the room that is missing and the tasks that may be evicted.
+func findVictims(now time.Time, size model.Resources, priority model.Priority, c *Candidate, costs Costs) (model.Resources, []pricedTask) {
 	missing := size.Sub(c.Free)
-	var victims []priced
+	var victims []pricedTask
 	for i := range c.Batch {
 		t := &c.Batch[i]
 		switch {
 		case t.Stopping:
 			missing = missing.Sub(t.Size)
 		case t.Priority < priority:
-			victims = append(victims, priced{t, costs.EvictionCost(now, t)})
+			victims = append(victims, pricedTask{t, costs.EvictionCost(now, t)})
 		}
 	}
 	return missing, victims
 }
 
-func none(missing model.Resources) bool { return missing.Fits(model.Resources{}) }
+func nothingMissing(missing model.Resources) bool { return missing.Fits(model.Resources{}) }
 
-func greedy(missing model.Resources, victims []priced) []priced {
+func chooseGreedily(missing model.Resources, victims []pricedTask) []pricedTask {
 	left := slices.Clone(victims)
-	var chosen []priced
-	for !none(missing) {
+	var chosen []pricedTask
+	for !nothingMissing(missing) {
 		best := -1
 		bestMerit := 0.0
 		for i := range left {
-			merit := progress(left[i].task.Size, missing) / left[i].cost
-			if merit > bestMerit || (best >= 0 && merit == bestMerit && less(left[i].task, left[best].task)) {
+			merit := coverage(left[i].task.Size, missing) / left[i].cost
+			if merit > bestMerit || (best >= 0 && merit == bestMerit && taskLess(left[i].task, left[best].task)) {
 				best, bestMerit = i, merit
 			}
 		}
@@ -119,9 +119,9 @@
 	return chosen
 }
 
-// progress returns the sum over the missing dimensions of the part that size
+// coverage returns the sum over the missing dimensions of the part that size
 // covers.
-func progress(size, missing model.Resources) float64 {
+func coverage(size, missing model.Resources) float64 {
 	return covered(size.MilliCPU, missing.MilliCPU) +
 		covered(size.MemoryMB, missing.MemoryMB) +
 		covered(size.Accelerators, missing.Accelerators)
@@ -134,8 +134,8 @@
 	return min(1, float64(size)/float64(missing))
 }
 
-func prune(missing model.Resources, chosen []priced) []priced {
-	slices.SortStableFunc(chosen, func(a, b priced) int {
+func dropUnneeded(missing model.Resources, chosen []pricedTask) []pricedTask {
+	slices.SortStableFunc(chosen, func(a, b pricedTask) int {
 		if a.cost != b.cost {
 			if a.cost > b.cost {
 				return -1
@@ -148,7 +148,7 @@
 	for _, v := range chosen {
 		given = given.Add(v.task.Size)
 	}
-	return slices.DeleteFunc(chosen, func(v priced) bool {
+	return slices.DeleteFunc(chosen, func(v pricedTask) bool {
 		without := given.Sub(v.task.Size)
 		if !missing.Fits(without) {
 			return false
@@ -158,20 +158,20 @@
 	})
 }
 
-func cheapestAlone(missing model.Resources, victims []priced) (priced, bool) {
-	best, found := priced{}, false
+func cheapestSingle(missing model.Resources, victims []pricedTask) (pricedTask, bool) {
+	best, found := pricedTask{}, false
 	for _, v := range victims {
 		if !missing.Fits(v.task.Size) {
 			continue
 		}
-		if !found || v.cost < best.cost || (v.cost == best.cost && less(v.task, best.task)) {
+		if !found || v.cost < best.cost || (v.cost == best.cost && taskLess(v.task, best.task)) {
 			best, found = v, true
 		}
 	}
 	return best, found
 }
 
-func total(chosen []priced) float64 {
+func totalCost(chosen []pricedTask) float64 {
 	sum := 0.0
 	for _, v := range chosen {
 		sum += v.cost
--- a/core/eviction/preempt_test.go
+++ b/core/eviction/preempt_test.go
@@ -7,7 +7,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-func random(rnd *rand.Rand, n int) Candidate {
+func randomCandidate(rnd *rand.Rand, n int) Candidate {
 	c := Candidate{Worker: "w", Free: model.Resources{MilliCPU: rnd.Int64N(2000), MemoryMB: rnd.Int64N(2000)}}
 	for i := range n {
 		t := task("job", uint32(i))
@@ -19,8 +19,8 @@
 	return c
 }
 
-// cheapest tries every set of victims.
-func cheapest(size model.Resources, c Candidate) (float64, bool) {
+// cheapestPreemption tries every set of victims.
+func cheapestPreemption(size model.Resources, c Candidate) (float64, bool) {
 	best, found := 0.0, false
 	for set := range 1 << len(c.Batch) {
 		free, cost, allowed := c.Free, 0.0, true
@@ -46,10 +46,10 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	chosen, optimal, possible := 0.0, 0.0, 0
 	for range 500 {
-		c := random(rnd, 8)
+		c := randomCandidate(rnd, 8)
 		size := model.Resources{MilliCPU: 1000 + rnd.Int64N(6000), MemoryMB: 1000 + rnd.Int64N(6000)}
 		p, ok := Preempt(at(0), size, model.PriorityUrgent, []Candidate{c}, DefaultCosts())
-		want, can := cheapest(size, c)
+		want, can := cheapestPreemption(size, c)
 		if ok != can {
 			t.Fatalf("possible %v, found %v", can, ok)
 		}
@@ -81,7 +81,7 @@
 }
 
 func TestPreemptPrefersRoomThatIsThere(t *testing.T) {
-	full, half := random(rand.New(rand.NewPCG(1, 1)), 4), Candidate{Worker: "half", Batch: []Task{task("job", 1)}}
+	full, half := randomCandidate(rand.New(rand.NewPCG(1, 1)), 4), Candidate{Worker: "half", Batch: []Task{task("job", 1)}}
 	half.Batch[0].Stopping = true
 	p, ok := Preempt(at(0), half.Batch[0].Size, model.PriorityUrgent, []Candidate{full, half}, DefaultCosts())
 	if !ok || p.Worker != "half" || len(p.Victims) != 0 {
--- a/core/eviction/prevent.go
+++ b/core/eviction/prevent.go
@@ -27,8 +27,8 @@
 	return d.options.MinPercent
 }
 
-// prevent throttles the task that runs furthest above its ceiling.
-func (d *decision) prevent() (Action, bool) {
+// throttlePredicted throttles the task that runs furthest above its ceiling.
+func (d *decision) throttlePredicted() (Action, bool) {
 	var best *Task
 	var bestPercent uint32
 	for i := range d.view.Batch {
@@ -40,12 +40,12 @@
 		if percent >= t.Percent {
 			continue
 		}
-		if best == nil || percent < bestPercent || (percent == bestPercent && less(t, best)) {
+		if best == nil || percent < bestPercent || (percent == bestPercent && taskLess(t, best)) {
 			best, bestPercent = t, percent
 		}
 	}
 	if best == nil {
 		return Action{}, false
 	}
-	return action(Throttle, d.view.Worker, best, bestPercent, PredictedSlowdown), true
+	return newAction(Throttle, d.view.Worker, best, bestPercent, PredictedSlowdown), true
 }
--- a/core/eviction/relieve.go
+++ b/core/eviction/relieve.go
@@ -1,16 +1,16 @@
 package eviction
 
-// relieve throttles the task whose throttling helps most for its cost, and
+// relieveSlowdown throttles the task whose throttling helps most for its cost, and
 // evicts only when that is exhausted and the slowdown has lasted.
-func (d *decision) relieve() (Action, bool) {
+func (d *decision) relieveSlowdown() (Action, bool) {
 	if t, percent := d.bestThrottle(); t != nil {
-		return action(Throttle, d.view.Worker, t, percent, SlowedService), true
+		return newAction(Throttle, d.view.Worker, t, percent, SlowedService), true
 	}
-	if d.now.Sub(d.memory.OverSince) < d.options.EvictionDelay {
+	if d.now.Sub(d.state.OverSince) < d.options.EvictionDelay {
 		return Action{}, false
 	}
 	if t := d.bestEviction(); t != nil {
-		return action(Evict, d.view.Worker, t, 0, SlowedService), true
+		return newAction(Evict, d.view.Worker, t, 0, SlowedService), true
 	}
 	return Action{}, false
 }
@@ -22,7 +22,7 @@
 	var bestPercent uint32
 	for i := range d.view.Batch {
 		t := &d.view.Batch[i]
-		percent, ok := d.lowered(t)
+		percent, ok := d.lowerPercent(t)
 		if !ok {
 			continue
 		}
@@ -31,16 +31,16 @@
 			continue
 		}
 		merit := relief / d.options.Costs.ThrottleCost(t)
-		if best == nil || merit > bestMerit || (merit == bestMerit && less(t, best)) {
+		if best == nil || merit > bestMerit || (merit == bestMerit && taskLess(t, best)) {
 			best, bestMerit, bestPercent = t, merit, percent
 		}
 	}
 	return best, bestPercent
 }
 
-// lowered returns the next throttle step of a task: one step down, or to the
+// lowerPercent returns the next throttle step of a task: one step down, or to the
 // floor at once when the pressure is severe.
-func (d *decision) lowered(t *Task) (uint32, bool) {
+func (d *decision) lowerPercent(t *Task) (uint32, bool) {
 	if t.Stopping || t.Percent <= d.options.MinPercent {
 		return 0, false
 	}
@@ -64,7 +64,7 @@
 			continue
 		}
 		merit := relief / d.options.Costs.EvictionCost(d.now, t)
-		if best == nil || merit > bestMerit || (merit == bestMerit && less(t, best)) {
+		if best == nil || merit > bestMerit || (merit == bestMerit && taskLess(t, best)) {
 			best, bestMerit = t, merit
 		}
 	}
--- a/core/eviction/shortage.go
+++ b/core/eviction/shortage.go
@@ -9,27 +9,27 @@
 // contended, and for a service when its slowdown shows.
 func (d *decision) relieveShortage() (Action, bool) {
 	var missing model.Resources
-	var grower *Shortage
+	var largest *Shortage
 	for i := range d.view.Shortages {
 		s := &d.view.Shortages[i]
 		missing = missing.Add(s.Missing)
-		if grower == nil || before(s, grower) {
-			grower = s
+		if largest == nil || shortageBefore(s, largest) {
+			largest = s
 		}
 	}
 	switch {
-	case grower == nil:
+	case largest == nil:
 		return Action{}, false
 	case missing.MemoryMB > 0:
-		return d.evictFor(model.Resources{MemoryMB: missing.MemoryMB}, MemoryShort)
-	case d.view.Load >= d.options.ContendedLoad && !grower.Service:
-		return d.throttleGrower(grower)
+		return d.evictForRoom(model.Resources{MemoryMB: missing.MemoryMB}, MemoryShort)
+	case d.view.Load >= d.options.ContendedLoad && !largest.Service:
+		return d.throttleOveruse(largest)
 	}
 	return Action{}, false
 }
 
-// before puts services first, then larger shortages, then smaller keys.
-func before(a, b *Shortage) bool {
+// shortageBefore puts services first, then larger shortages, then smaller keys.
+func shortageBefore(a, b *Shortage) bool {
 	if a.Service != b.Service {
 		return a.Service
 	}
@@ -39,10 +39,10 @@
 	return a.Task.Less(b.Task)
 }
 
-// evictFor evicts the cheapest task that alone gives back what is missing, or
+// evictForRoom evicts the cheapest task that alone gives back what is missing, or
 // when none does the one that gives back most for its cost. Tasks that are
 // stopping already count as given back.
-func (d *decision) evictFor(missing model.Resources, reason Reason) (Action, bool) {
+func (d *decision) evictForRoom(missing model.Resources, reason Reason) (Action, bool) {
 	for i := range d.view.Batch {
 		if d.view.Batch[i].Stopping {
 			missing = missing.Sub(d.view.Batch[i].Size)
@@ -55,23 +55,23 @@
 	var bestMerit float64
 	for i := range d.view.Batch {
 		t := &d.view.Batch[i]
-		given := share(t.Size, missing)
+		given := coveredShare(t.Size, missing)
 		if t.Stopping || given == 0 {
 			continue
 		}
 		merit := given / d.options.Costs.EvictionCost(d.now, t)
-		if best == nil || merit > bestMerit || (merit == bestMerit && less(t, best)) {
+		if best == nil || merit > bestMerit || (merit == bestMerit && taskLess(t, best)) {
 			best, bestMerit = t, merit
 		}
 	}
 	if best == nil {
 		return Action{}, false
 	}
-	return action(Evict, d.view.Worker, best, 0, reason), true
+	return newAction(Evict, d.view.Worker, best, 0, reason), true
 }
 
-// share returns the part of what is missing that size covers, at most 1.
-func share(size, missing model.Resources) float64 {
+// coveredShare returns the part of what is missing that size covers, at most 1.
+func coveredShare(size, missing model.Resources) float64 {
 	part := 1.0
 	if missing.MilliCPU > 0 {
 		part = min(part, float64(size.MilliCPU)/float64(missing.MilliCPU))
@@ -85,15 +85,15 @@
 	return part
 }
 
-// throttleGrower slows a batch task that uses more processors than it holds
+// throttleOveruse slows a batch task that uses more processors than it holds
 // down to what it holds.
-func (d *decision) throttleGrower(s *Shortage) (Action, bool) {
+func (d *decision) throttleOveruse(s *Shortage) (Action, bool) {
 	for i := range d.view.Batch {
 		t := &d.view.Batch[i]
 		if t.Key != s.Task || t.Stopping || t.Percent <= d.options.MiddlePercent {
 			continue
 		}
-		return action(Throttle, d.view.Worker, t, d.options.MiddlePercent, CPUShort), true
+		return newAction(Throttle, d.view.Worker, t, d.options.MiddlePercent, CPUShort), true
 	}
 	return Action{}, false
 }
