--- a/core/eviction/cost.go
+++ b/core/eviction/cost.go
@@ -6,27 +6,28 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Costs weighs the eviction of a task, in minutes of work of a normal batch
-// task.
+// Costs are the weights of the cost of evicting a task. The unit of a cost is
+// one minute of work of a low-priority batch task.
 type Costs struct {
-	// Restart is what every eviction costs: stop, wait, place, load.
+	// Restart is the fixed cost of an eviction: stopping the task, queueing,
+	// placing and loading it.
 	Restart float64
-	// LongRunningFactor multiplies the cost of tasks whose whole use is that they
-	// keep running, such as route watchers.
+	// LongRunningFactor multiplies the cost of long-running tasks such as
+	// route watchers, which are useful only while they run.
 	LongRunningFactor float64
-	// PriorityFactor multiplies the cost for each priority above low.
+	// PriorityFactor multiplies the cost once for each priority above low.
 	PriorityFactor float64
-	// RepeatFactor multiplies the cost for each earlier eviction, so that the same
-	// task is not evicted over and over.
+	// RepeatFactor multiplies the cost once for each earlier eviction, so that
+	// the same task is not evicted repeatedly.
 	RepeatFactor float64
 }
 
-// DefaultCosts returns the weights that the policy measurements use.
+// DefaultCosts returns the weights that the policy benchmarks use.
 func DefaultCosts() Costs {
 	return Costs{Restart: 1, LongRunningFactor: 20, PriorityFactor: 2, RepeatFactor: 2}
 }
 
-// maxRepeats bounds how often Costs.Again is applied.
+// maxRepeats limits how often Costs.RepeatFactor is applied.
 const maxRepeats = 6
 
 // EvictionCost returns what evicting a task now would cost. A task that can be
@@ -46,8 +47,8 @@
 	return cost
 }
 
-// checkpointFailureShare is the part of unsaved progress that counts as lost although
-// a checkpoint will be tried.
+// checkpointFailureShare is the share of unsaved progress that counts as lost
+// although the task writes a checkpoint when it stops.
 const checkpointFailureShare = 0.1
 
 // ThrottleCost returns what throttling a task by one percent costs: the
@@ -57,7 +58,8 @@
 	return c.classWeight(t) * max(minThrottleCores, cores)
 }
 
-// minThrottleCores keeps tasks that hold next to nothing from looking free.
+// minThrottleCores is the smallest number of processors used in ThrottleCost,
+// so that throttling a tiny task does not look free.
 const minThrottleCores = 0.1
 
 func (c Costs) classWeight(t *Task) float64 {
--- a/core/eviction/decide.go
+++ b/core/eviction/decide.go
@@ -6,27 +6,28 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// State is what Decide must know of a worker's past.
+// State is what Decide keeps of a worker from one call to the next.
 type State struct {
-	// LastAction is when the latest action was taken; zero for none.
+	// LastAction is the time of the latest action, or zero if there was none.
 	LastAction time.Time
-	// LastMeasured is the latest measurement that was counted.
+	// LastMeasured is the time of the latest measurement that was counted.
 	LastMeasured time.Time
-	// OverCount is how many counted measurements in a row were over the limit,
-	// OverSince when the first of them was made.
+	// OverCount is the number of consecutive measurements over the limit, and
+	// OverSince the time of the first of them.
 	OverCount int
 	OverSince time.Time
-	// CalmSince is when the services became calm; zero while they are not.
+	// CalmSince is the time from which on the services have been calm, or zero
+	// if they are not calm.
 	CalmSince time.Time
-	// CalmFor is how long a calm is asked for now; zero stands for the
-	// option.
+	// CalmFor is the calm period required before the next unthrottle. If it is
+	// shorter than Options.CalmFor, that applies.
 	CalmFor time.Duration
-	// Unthrottled is when a task was last unthrottled.
+	// Unthrottled is the time at which a task was last unthrottled.
 	Unthrottled time.Time
 }
 
-// Decide returns what to do on one worker, and the worker's memory after it.
-// It is a pure function of its arguments.
+// Decide returns the action to take on one worker, if any, and the worker's new
+// state. It is a pure function of its arguments.
 func Decide(now time.Time, v WorkerView, previous State, o Options, p Predictor) ([]Action, State) {
 	d := decision{now: now, view: &v, state: previous, options: &o, predictor: p}
 	d.countMeasurements()
@@ -47,14 +48,15 @@
 	state     State
 	options   *Options
 	predictor Predictor
-	// pressure is the highest of the services' fresh measurements; valid when
-	// fresh is set.
+	// pressure is the highest pressure in the measurements made after the
+	// latest action had settled. It is valid only if fresh is true.
 	pressure float64
 	fresh    bool
 }
 
-// countMeasurements takes in measurements that were not counted before and were made
-// after the latest action had settled.
+// countMeasurements processes new measurements that were made after the latest
+// action had settled. It sets the pressure, and updates the state if at least
+// one of them was not counted before.
 func (d *decision) countMeasurements() {
 	settled := d.state.LastAction
 	if !settled.IsZero() {
@@ -109,7 +111,9 @@
 	return d.options.Limit
 }
 
-// chooseAction picks the action for what is most pressing.
+// chooseAction returns the action for the most urgent problem, in this order:
+// shortages, a slowdown over the limit, a predicted slowdown. If there is none,
+// a throttled task may be unthrottled.
 func (d *decision) chooseAction() (Action, bool) {
 	if action, ok := d.relieveShortage(); ok {
 		return action, true
@@ -148,7 +152,7 @@
 	return max(d.options.CalmFor, d.state.CalmFor)
 }
 
-// updateState updates the memory by what was decided.
+// updateState records an action in the worker's state.
 func (d *decision) updateState(a Action) {
 	m := &d.state
 	switch a.Kind {
@@ -164,10 +168,10 @@
 	m.OverCount = min(m.OverCount, d.options.ConfirmCount-1)
 }
 
-// adaptCalm asks for a longer calm when a throttle follows soon after an
-// unthrottle, and for the normal one again when it does not. Without it a task
-// whose noise comes in waves would be throttled and released once a lag, and
-// its services slowed each time.
+// adaptCalm doubles the required calm period when a throttle follows soon after
+// an unthrottle, and resets it otherwise. Without this, a task with periodic
+// noisy phases would be throttled and unthrottled once per report lag, and
+// would slow the services each time.
 func (d *decision) adaptCalm() {
 	m := &d.state
 	if !m.Unthrottled.IsZero() && d.now.Sub(m.Unthrottled) < 2*d.calmFor() {
@@ -177,8 +181,8 @@
 	m.CalmFor = d.options.CalmFor
 }
 
-// taskLess orders tasks of equal merit by key, so that a decision does not depend
-// on the order of the view.
+// taskLess orders tasks of equal merit by key, so that a decision does not
+// depend on the order of the tasks in the view.
 func taskLess(a, b *Task) bool { return a.Key.Less(b.Key) }
 
 func newAction(kind Kind, worker model.WorkerID, t *Task, percent uint32, reason Reason) Action {
--- a/core/eviction/decide_test.go
+++ b/core/eviction/decide_test.go
@@ -16,7 +16,8 @@
 
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
-// effects predicts by aggressor class, with no uncertainty.
+// effects is a Predictor that returns an effect by aggressor class, without
+// uncertainty.
 type effects map[string]float64
 
 func (e effects) PredictWorkload(_, aggressor, _ string, _ float64) interference.Estimate {
@@ -47,8 +48,9 @@
 	}
 }
 
-// runController feeds a controller a view every three seconds, with a slowdown given
-// by the throttle of the tasks, and returns the actions with their times.
+// runController passes a view to a controller every three seconds. The slowdown
+// function gives the slowdown at a second for the tasks and their throttles. It
+// returns the actions and their times in seconds.
 func runController(c *Controller, tasks []Task, seconds int, slowdown func(s int, tasks []Task) float64) (actions []Action, times []int) {
 	for s := 0; s < seconds; s += 3 {
 		v := view(at(s-10), slowdown(s-10, tasks), tasks...)
@@ -78,7 +80,7 @@
 	return func(int, []Task) float64 { return slowdown }
 }
 
-// One measurement over the limit may be noise.
+// A single measurement over the limit may be noise.
 func TestOneMeasurementIsNotEnoughUnlessSevere(t *testing.T) {
 	c := NewController(DefaultOptions(), known)
 	if got := c.Decide(at(10), view(at(0), 1.6, task("loud", 1))); len(got) != 0 {
@@ -96,9 +98,9 @@
 	}
 }
 
-// Symptom: several tasks are punished for what one did. Sequence: a throttle is
-// sent; reports that were held up on their way still show the time before it.
-// Cause: acting on measurements older than the latest action.
+// Guards against several tasks being throttled for the slowdown that one causes.
+// After a throttle, delayed reports still show measurements from before it;
+// these must not lead to an action.
 func TestNoActionOnMeasurementsFromBeforeTheLastOne(t *testing.T) {
 	c := NewController(DefaultOptions(), known)
 	tasks := []Task{task("loud", 1), task("loud", 2), task("loud", 3)}
@@ -136,7 +138,7 @@
 	}
 }
 
-// Symptom: work is thrown away that a throttle would have saved.
+// Guards against an eviction, which loses work, where a throttle is sufficient.
 func TestThrottleComesBeforeEviction(t *testing.T) {
 	c := NewController(DefaultOptions(), effects{"loud": 0.39, "quiet": 0.01})
 	actions, times := runController(c, []Task{task("loud", 1), task("quiet", 1)}, 300, constant(1.7))
@@ -153,7 +155,8 @@
 	}
 }
 
-// Symptom: route watchers are evicted although other work was there to evict.
+// Guards against route watchers being evicted while other tasks could be
+// evicted instead.
 func TestWatchersAreDear(t *testing.T) {
 	o := DefaultOptions()
 	o.EvictionDelay = 0
@@ -168,7 +171,8 @@
 	}
 }
 
-// Symptom: the same task is evicted over and over, and its progress with it.
+// Guards against the same task being evicted repeatedly and losing its progress
+// each time.
 func TestEvictionCost(t *testing.T) {
 	c := DefaultCosts()
 	fresh, old, again, safe := task("a", 1), task("a", 2), task("a", 3), task("a", 4)
@@ -182,9 +186,9 @@
 	}
 }
 
-// Symptom: a task whose noise comes in waves is throttled and released once a
-// lag for ever, and its service slowed each time. The calm that is asked for
-// must grow.
+// Guards against a task with periodic noisy phases being throttled and
+// unthrottled once per report lag forever, and slowing its service each time.
+// The required calm period must grow.
 func TestReleaseSlowsDownWhenItProvesTooEarly(t *testing.T) {
 	c := NewController(DefaultOptions(), known)
 	loud := func(_ int, tasks []Task) float64 {
@@ -201,7 +205,7 @@
 		}
 	}
 	if len(released) < 3 {
-		t.Fatalf("released only %d times: %v", len(released), actions)
+		t.Fatalf("unthrottled only %d times: %v", len(released), actions)
 	}
 	first, last := released[1]-released[0], released[len(released)-1]-released[len(released)-2]
 	if last < 3*first {
@@ -209,7 +213,7 @@
 	}
 }
 
-// Release goes by steps, and to no more than the ceiling.
+// Unthrottling goes step by step, and not above the ceiling.
 func TestReleaseIsGradualAndBounded(t *testing.T) {
 	o := DefaultOptions()
 	low, loud := task("quiet", 1), task("huge", 2)
@@ -226,11 +230,12 @@
 		}
 	}
 	if actions[2].Task != low.Key {
-		t.Errorf("the task above its ceiling was released: %v", actions[2])
+		t.Errorf("the task at its ceiling was unthrottled: %v", actions[2])
 	}
 }
 
-// A throttled task holds less; it is released only when the rest has room.
+// A throttled task has a smaller committed size. It is unthrottled only if the
+// worker has room for the difference.
 func TestReleaseNeedsRoomForTheFullHold(t *testing.T) {
 	o := DefaultOptions()
 	throttled := task("quiet", 1)
@@ -267,8 +272,9 @@
 	}
 }
 
-// Symptom: the kernel kills a task because a neighbour outgrew its memory; or
-// a task is evicted although only processors are short.
+// Guards against the kernel killing a task because another task on the worker
+// needs more memory than is committed for it, and against an eviction when only
+// processors are short.
 func TestShortage(t *testing.T) {
 	small, large := task("quiet", 1), task("loud", 2)
 	small.Size.MemoryMB = 500
@@ -280,7 +286,7 @@
 	}
 	v.Batch[1].Stopping = true
 	if got := NewController(DefaultOptions(), known).Decide(at(5), v); len(got) != 0 {
-		t.Errorf("memory that is on its way back: %v", got)
+		t.Errorf("memory that a stopping task frees: %v", got)
 	}
 	v.Shortages[0].Missing = model.Resources{MilliCPU: 1000}
 	v.Load = 1
@@ -290,8 +296,8 @@
 	}
 }
 
-// Whatever is measured, at most one action comes of it, on a task that is
-// there, not twice within a lag, and the order of the view does not matter.
+// Any series of measurements leads to at most one action per report lag, and the
+// order of the tasks in the view does not matter.
 func TestDecideIsBoundedAndDeterministic(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(20261202)
 	params.MinSuccessfulTests = 100
--- a/core/eviction/doc.go
+++ b/core/eviction/doc.go
@@ -1,25 +1,27 @@
-// Package eviction decides what to do on a worker whose services are slowed,
-// whose tasks outgrow their room, or whose room urgent work needs.
+// Package eviction decides which batch tasks of a worker to throttle or evict
+// when its services are slowed down, when its tasks need more resources than it
+// has, or when urgent work needs room.
 //
-// Controller.Decide looks at one worker and returns at most one action for
-// each report lag. Reports are old when they arrive, so an action's effect is
-// unseen for a while; acting again on measurements made before it took effect
-// would punish a second task for what the first did. Measurements made before
-// the latest action has settled are therefore ignored.
+// Controller.Decide evaluates one worker and returns at most one action per
+// report lag. Reports are delayed, so the effect of an action shows only after
+// some time. Acting on measurements made before that would throttle or evict a
+// second task for the slowdown that the first one caused. Measurements made
+// before the latest action has settled are therefore ignored.
 //
-// Actions are taken in order. A slowdown that two measurements confirm (or one
-// that is severe) throttles the task whose throttling is expected to help most
-// for its cost. Only when everything worth throttling is throttled and the
-// slowdown has lasted is a task evicted. When the services have been calm for
-// a while one task is unthrottled by one step; each time that brings the
-// slowdown back, the calm that is asked for doubles. The gap between the
-// pressure that throttles and the one that counts as calm is the hysteresis.
+// A slowdown that is confirmed by two measurements, or a severe one, first
+// leads to a throttle of the task with the largest expected relief for its
+// cost. A task is evicted only when no further throttle is worthwhile and the
+// slowdown has lasted for some time. When the services have been calm for a
+// while, one task is unthrottled by one step. Each time the slowdown then comes
+// back, the required calm period doubles. The gap between the pressure that
+// leads to a throttle and the pressure that counts as calm is the hysteresis.
 //
-// Memory that a task needs and its worker does not have cannot be throttled
-// away, so such a shortage evicts the cheapest task that makes the room.
+// A shortage of memory cannot be relieved by a throttle, so it leads to an
+// eviction of the task that frees the most missing memory for its cost.
 //
-// Preempt chooses the cheapest set of tasks whose eviction makes room for
-// urgent work.
+// Preempt chooses the cheapest set of tasks whose eviction makes room for an
+// urgent task.
 //
-// Nothing here reads a clock; the control goroutine owns a Controller.
+// The package does not read a clock. A Controller is owned by the control
+// goroutine and is not safe for concurrent use.
 package eviction
--- a/core/eviction/policy_compare_test.go
+++ b/core/eviction/policy_compare_test.go
@@ -13,8 +13,8 @@
 	"github.com/guavarill/guavarill/core/placement"
 )
 
-// sites are the users' fleets. The rate of submissions keeps the processors
-// that services leave about two thirds busy.
+// sites returns the users' fleets. The submission rate keeps about two thirds of
+// the processors that the services do not use busy.
 func sites() []site {
 	return []site{
 		{
@@ -68,8 +68,8 @@
 	return d.Worker, err == nil
 }
 
-// thresholdControl evicts the largest batch task whenever a report shows a service
-// over the limit: no confirmation, no lag, no throttle.
+// thresholdControl evicts the largest batch task whenever a report shows a
+// service over the limit, without confirmation, report lag or throttling.
 func thresholdControl(s *sim, w *simWorker) {
 	for _, service := range w.latest {
 		if service.Slowdown <= eviction.DefaultOptions().Limit {
@@ -88,7 +88,7 @@
 	}
 }
 
-// productControl is the product's own policy.
+// productControl is the policy of this package.
 func productControl(s *sim, w *simWorker) {
 	view := s.view(w)
 	byKey := map[model.TaskKey]*simTask{}
@@ -136,8 +136,8 @@
 	return eviction.StartPercent(s.view(t.worker), s.viewOf(t), s.set.eviction, s.model)
 }
 
-// grow raises a task's hold to what it was seen to need, as far as there is
-// room.
+// grow raises the committed size of a task to its learned need, as far as the
+// worker has room.
 func (s *sim) grow(t *simTask, view *eviction.WorkerView) {
 	want := s.sizes.RunningSize(t.key, t.workload.declared, t.full)
 	if want == t.full {
@@ -156,12 +156,13 @@
 	view.Shortages = append(view.Shortages, eviction.Shortage{Task: t.key, Service: t.service, Missing: missing})
 }
 
-// distinctPolicies is how many policies there are before they are repeated with
-// one instance on each worker.
+// distinctPolicies is the number of policies before they are repeated with one
+// instance on each worker.
 const distinctPolicies = 7
 
-// policies are compared twice: with the instances where the product's
-// placement puts them, and with one on each worker.
+// policies returns the policies to compare. Each is listed twice: with the
+// instances where package placement puts them, and with one instance on each
+// worker.
 func policies() []policy {
 	list := []policy{
 		{name: "first fit", place: firstFit},
@@ -179,7 +180,7 @@
 	return list
 }
 
-// shortWaves makes loud phases shorter than the report lag.
+// shortWaves returns the classes with noisy phases shorter than the report lag.
 func shortWaves() []class {
 	classes := batchClasses()
 	for i := range classes {
@@ -189,14 +190,15 @@
 	return classes
 }
 
-// overloaded submits half as much again, more than the processors can do.
+// overloaded raises the submission rate by half, which is more than the
+// processors can run.
 func overloaded(st site) site {
 	st.starts *= 1.5
 	return st
 }
 
-// BenchmarkPolicy measures the policies over the same submissions. Each
-// iteration is a run with a seed of its own; medians are reported.
+// BenchmarkPolicy compares the policies on the same submissions. Each iteration
+// is a simulation with a seed of its own. The medians are reported.
 func BenchmarkPolicy(b *testing.B) {
 	for _, st := range sites() {
 		for _, p := range policies() {
@@ -205,7 +207,8 @@
 	}
 }
 
-// BenchmarkPolicyWorse measures where the product's policy does less well.
+// BenchmarkPolicyWorse compares the policies under conditions that the policy of
+// this package handles less well: short noisy phases, and overload.
 func BenchmarkPolicyWorse(b *testing.B) {
 	st := sites()[0]
 	for _, p := range policies()[:distinctPolicies] {
@@ -214,8 +217,8 @@
 	}
 }
 
-// BenchmarkPolicyStart measures the product's policy without the throttle that
-// tasks start with.
+// BenchmarkPolicyStart measures the policy of this package without the throttle
+// at the start of tasks.
 func BenchmarkPolicyStart(b *testing.B) {
 	p := policy{name: "full speed at start", place: placerFit, learn: true, control: productControl}
 	for _, st := range sites() {
@@ -223,7 +226,7 @@
 	}
 }
 
-// parallelRuns bounds how many runs go on at once.
+// parallelRuns is the largest number of simulations that run at the same time.
 const parallelRuns = 4
 
 func compare(b *testing.B, st site, classes []class, p policy) {
--- a/core/eviction/policy_test.go
+++ b/core/eviction/policy_test.go
@@ -14,9 +14,9 @@
 	"github.com/guavarill/guavarill/core/placement"
 )
 
-// This file is the scaffold of the policy measurements: one site, stepped a
-// second at a time, with tasks that slow services in waves, sizes and run
-// times that are declared wrongly, and reports that arrive ten seconds late.
+// This file is the simulator of the policy benchmarks. It simulates one site in
+// steps of a second. Tasks slow services in noisy phases, declared sizes and run
+// times are wrong, and reports arrive ten seconds late.
 
 const (
 	reportEvery = 3 * time.Second
@@ -25,7 +25,7 @@
 	warmUp      = 10 * time.Minute
 )
 
-// site is the size of one user's fleet.
+// site describes the fleet of one user.
 type site struct {
 	name                    string
 	zones, workers, perRack int
@@ -35,7 +35,7 @@
 	starts                  float64 // batch tasks submitted a second
 }
 
-// class is the truth about a class of batch work.
+// class is the real behaviour of a class of batch tasks.
 type class struct {
 	name         string
 	share        float64 // of the submissions
@@ -79,7 +79,7 @@
 	room *placement.Worker
 }
 
-// report is one worker's measurement on its way.
+// report is a measurement of one worker that is in flight.
 type report struct {
 	worker *simWorker
 	at     time.Time
@@ -93,17 +93,17 @@
 	usage    interference.Usage
 }
 
-// policy is what is compared.
+// policy is one combination of placement and control to compare.
 type policy struct {
 	name  string
 	place func(s *sim, r *placement.Request) (model.WorkerID, bool)
 	learn bool
-	// even puts one instance of the service on each worker.
+	// even places one instance of the service on each worker.
 	even bool
-	// shrink commits less for throttled tasks.
+	// shrink commits the smaller ThrottledSize for throttled tasks.
 	shrink  bool
 	control func(s *sim, w *simWorker)
-	// start returns the throttle at which a task starts.
+	// start returns the throttle percentage at which a task starts.
 	start func(s *sim, t *simTask) uint32
 }
 
@@ -139,7 +139,7 @@
 	finished  int
 }
 
-// settings are the product's own, for the policies that use it.
+// settings are the options of the packages under test.
 type settings struct {
 	model    interference.Options
 	sizes    interference.SizeOptions
@@ -189,7 +189,8 @@
 	}
 }
 
-// declarationError returns a ratio of real to declared between 0.3 and 4.
+// declarationError returns a random ratio of real to declared size, between 0.3
+// and 4.
 func (s *sim) declarationError() float64 {
 	return math.Min(4, math.Max(0.3, math.Exp(0.6*s.rnd.NormFloat64())))
 }
@@ -207,7 +208,7 @@
 	}
 }
 
-// addServices places the instances and the watchers.
+// addServices places the instances of the service and the route watchers.
 func (s *sim) addServices() {
 	orders := &workload{name: "orders", class: &class{name: "orders"}, declared: s.site.instance, cpu: 0.8, memory: 1, run: 1}
 	watch := &workload{name: "watch", class: &class{name: "watch", quiet: 0.005, noisy: 0.005, quietFor: time.Hour, noisyFor: time.Hour},
@@ -282,7 +283,7 @@
 	s.out.starts++
 }
 
-// end takes a task off its worker.
+// end removes a task from its worker.
 func (s *sim) end(t *simTask) {
 	w := t.worker
 	for i := range w.tasks {
@@ -301,8 +302,8 @@
 	checkpointEvery = 5 * time.Minute
 )
 
-// evict stops a task; one time in ten its checkpoint fails and the work since
-// the last one is lost.
+// evict stops a task. One time in ten its checkpoint fails, and the work since
+// the previous checkpoint is lost.
 func (s *sim) evict(t *simTask) {
 	if s.rnd.Float64() >= 0.1 {
 		t.saved = t.done
@@ -368,8 +369,8 @@
 	burstLength = 40 * time.Second
 )
 
-// submit adds batch tasks: evenly, and for classes that come in bursts all
-// within the first part of each burst period.
+// submit adds batch tasks to the queue at a constant rate. The tasks of classes
+// with bursts are all submitted in the first part of each burst period.
 func (s *sim) submit() {
 	inBurst := s.now.Sub(s.start)%burstEvery < burstLength
 	for _, w := range s.workloads {
@@ -406,7 +407,8 @@
 	s.queue = waiting
 }
 
-// serviceLoad is the callers' load, from 0.3 to 0.9 over twenty minutes.
+// serviceLoad returns the load of the service, which varies between 0.3 and 0.9
+// with a period of twenty minutes.
 func (s *sim) serviceLoad() float64 {
 	phase := s.now.Sub(s.start).Minutes() / 20 * 2 * math.Pi
 	return 0.6 + 0.3*math.Sin(phase)
@@ -441,7 +443,7 @@
 	return t.used.MilliCPU * int64(t.percent) / eviction.FullSpeed
 }
 
-// excess is the slowdown that the others on a worker add to a task.
+// excess returns the slowdown that the other tasks on a worker add to a task.
 func (s *sim) excess(w *simWorker, victim *simTask) float64 {
 	sum := 0.0
 	for _, t := range w.tasks {
@@ -461,7 +463,8 @@
 	return sum * 0.3
 }
 
-// switchPhase switches a task between its loud and quiet phases.
+// switchPhase switches a batch task between its noisy and quiet phases when the
+// current phase has ended.
 func (s *sim) switchPhase(t *simTask) {
 	c := t.workload.class
 	if t.service || s.now.Before(t.phaseEnds) {
@@ -479,8 +482,8 @@
 	t.phaseEnds = s.now.Add(time.Duration(float64(mean) * (0.5 + s.rnd.Float64())))
 }
 
-// kill is what the kernel does when memory is out: the largest batch task
-// dies and loses the work since its last checkpoint.
+// kill simulates the kernel when a worker is out of memory: the largest batch
+// task is killed and loses the work since its last checkpoint.
 func (s *sim) kill(w *simWorker) {
 	var largest *simTask
 	for _, t := range w.tasks {
@@ -527,7 +530,7 @@
 	s.inFlight = append(s.inFlight, r)
 }
 
-// deliver hands over the reports that are ten seconds old.
+// deliver processes the reports that are ten seconds old.
 func (s *sim) deliver() {
 	for len(s.inFlight) > 0 && s.now.Sub(s.inFlight[0].at) >= reportLag {
 		r := s.inFlight[0]
--- a/core/eviction/preempt.go
+++ b/core/eviction/preempt.go
@@ -7,24 +7,26 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Candidate is a worker on which room for urgent work might be made.
+// Candidate is a worker on which tasks may be preempted.
 type Candidate struct {
 	Worker model.WorkerID
-	Free   model.Resources
-	Batch  []Task
+	// Free is the uncommitted resources.
+	Free model.Resources
+	// Batch holds the batch tasks on the worker.
+	Batch []Task
 }
 
-// Preemption is a set of tasks whose eviction makes room on a worker.
+// Preemption is a set of tasks on one worker whose eviction makes enough room.
 type Preemption struct {
 	Worker  model.WorkerID
 	Victims []model.TaskKey
 	Cost    float64
 }
 
-// Preempt returns the cheapest way to make room for a task of a size and
-// priority on one of the candidates. Only batch tasks of lower priority are
-// evicted. Room that stopping tasks will give back counts as free. The second
-// result is false when no candidate can be made to hold it.
+// Preempt returns the cheapest preemption found that makes room for a task of
+// the given size and priority on one of the candidates. Only batch tasks of
+// lower priority are chosen. The resources of tasks that are already stopping
+// count as free. Preempt returns false if no candidate can make enough room.
 func Preempt(now time.Time, size model.Resources, priority model.Priority, candidates []Candidate, costs Costs) (Preemption, bool) {
 	var best Preemption
 	found := false
@@ -55,9 +57,10 @@
 	cost float64
 }
 
-// preemptOn takes victims by what they give for their cost until there is
-// room, then gives back those that turn out not to be needed, dearest first.
-// A single victim that would do alone is taken when it is cheaper.
+// preemptOn chooses victims on one worker. It takes tasks in the order of the
+// missing resources that they cover for their cost until there is enough room,
+// then drops the tasks that are not needed, the most expensive first. A single
+// task that makes enough room is chosen instead if it is cheaper.
 func preemptOn(now time.Time, size model.Resources, priority model.Priority, c *Candidate, costs Costs) (Preemption, bool) {
 	missing, victims := findVictims(now, size, priority, c, costs)
 	if nothingMissing(missing) {
@@ -79,7 +82,8 @@
 	return p, true
 }
 
-// findVictims returns the room that is missing and the tasks that may be evicted.
+// findVictims returns the missing resources and the tasks that may be evicted
+// for them.
 func findVictims(now time.Time, size model.Resources, priority model.Priority, c *Candidate, costs Costs) (model.Resources, []pricedTask) {
 	missing := size.Sub(c.Free)
 	var victims []pricedTask
@@ -119,8 +123,8 @@
 	return chosen
 }
 
-// coverage returns the sum over the missing dimensions of the part that size
-// covers.
+// coverage returns the fractions of the missing resources that size covers,
+// summed over the dimensions in which resources are missing.
 func coverage(size, missing model.Resources) float64 {
 	return covered(size.MilliCPU, missing.MilliCPU) +
 		covered(size.MemoryMB, missing.MemoryMB) +
--- a/core/eviction/preempt_test.go
+++ b/core/eviction/preempt_test.go
@@ -19,7 +19,8 @@
 	return c
 }
 
-// cheapestPreemption tries every set of victims.
+// cheapestPreemption returns the lowest cost over all sets of victims that make
+// enough room, found by an exhaustive search.
 func cheapestPreemption(size model.Resources, c Candidate) (float64, bool) {
 	best, found := 0.0, false
 	for set := range 1 << len(c.Batch) {
@@ -40,8 +41,9 @@
 	return best, found
 }
 
-// Symptom: urgent work waits although room could be made, or more is thrown
-// away for it than was needed. The choice is compared with an exhaustive one.
+// Guards against urgent tasks staying pending although room can be made, and
+// against preempting more than necessary. The result is compared with an
+// exhaustive search.
 func TestPreemptMakesRoomCheaply(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	chosen, optimal, possible := 0.0, 0.0, 0
--- a/core/eviction/prevent.go
+++ b/core/eviction/prevent.go
@@ -1,17 +1,19 @@
 package eviction
 
-// A loud phase is seen only a report lag after it began. For a task that could
-// push a service far over its limit by itself that is too late each time, so
-// it is not let run at full speed next to the service in the first place.
+// The start of a noisy phase is known only after the report lag. That is too
+// late for a task that alone can push a service far over its limit, so such a
+// task does not run at full speed next to the service in the first place.
 
-// StartPercent returns the throttle at which a task should start on a worker.
+// StartPercent returns the throttle percentage at which a task should start on
+// a worker.
 func StartPercent(v WorkerView, t Task, o Options, p Predictor) uint32 {
 	d := decision{view: &v, options: &o, predictor: p}
 	return d.ceiling(&t)
 }
 
-// ceiling returns the highest step at which a task is not predicted to push a
-// service beyond Options.Peak.
+// ceiling returns the highest throttle percentage at which a task is not
+// predicted to push the pressure of a service above Options.PeakPressure, or
+// Options.MinPercent if there is none.
 func (d *decision) ceiling(t *Task) uint32 {
 	peak := 0.0
 	for i := range d.view.Services {
@@ -27,7 +29,8 @@
 	return d.options.MinPercent
 }
 
-// throttlePredicted throttles the task that runs furthest above its ceiling.
+// throttlePredicted throttles the task with the lowest ceiling among those that
+// run above theirs.
 func (d *decision) throttlePredicted() (Action, bool) {
 	var best *Task
 	var bestPercent uint32
--- a/core/eviction/release.go
+++ b/core/eviction/release.go
@@ -1,8 +1,9 @@
 package eviction
 
-// unthrottleOne unthrottles one task by one step, the dearest first and among
-// equals the one that has waited longest. None goes above its ceiling,
-// and none whose larger hold has no room is raised.
+// unthrottleOne raises the throttle of one task by one step. The task with the
+// highest cost class comes first, and among equals the one whose throttle was
+// changed longest ago. Tasks that are at their ceiling, or for whose larger
+// committed size the worker has no room, are skipped.
 func (d *decision) unthrottleOne(reason Reason) (Action, bool) {
 	var best *Task
 	for i := range d.view.Batch {
--- a/core/eviction/relieve.go
+++ b/core/eviction/relieve.go
@@ -1,7 +1,8 @@
 package eviction
 
-// relieveSlowdown throttles the task whose throttling helps most for its cost, and
-// evicts only when that is exhausted and the slowdown has lasted.
+// relieveSlowdown throttles the task whose throttle gives the most relief for
+// its cost. It evicts a task only if no throttle is worthwhile and the slowdown
+// has lasted for Options.EvictionDelay.
 func (d *decision) relieveSlowdown() (Action, bool) {
 	if t, percent := d.bestThrottle(); t != nil {
 		return newAction(Throttle, d.view.Worker, t, percent, SlowedService), true
@@ -15,7 +16,8 @@
 	return Action{}, false
 }
 
-// bestThrottle returns the task to throttle and its new percentage.
+// bestThrottle returns the task to throttle and its new percentage, or nil if
+// no throttle is worthwhile.
 func (d *decision) bestThrottle() (*Task, uint32) {
 	var best *Task
 	var bestMerit float64
@@ -38,8 +40,9 @@
 	return best, bestPercent
 }
 
-// lowerPercent returns the next throttle step of a task: one step down, or to the
-// floor at once when the pressure is severe.
+// lowerPercent returns the next lower throttle percentage of a task, which is
+// Options.MinPercent at once if the pressure is severe. It returns false if the
+// task cannot be throttled further.
 func (d *decision) lowerPercent(t *Task) (uint32, bool) {
 	if t.Stopping || t.Percent <= d.options.MinPercent {
 		return 0, false
@@ -50,7 +53,8 @@
 	return d.options.MinPercent, true
 }
 
-// bestEviction returns the task whose eviction helps most for its cost.
+// bestEviction returns the task whose eviction gives the most relief for its
+// cost, or nil if no eviction is worthwhile.
 func (d *decision) bestEviction() *Task {
 	var best *Task
 	var bestMerit float64
@@ -71,12 +75,13 @@
 	return best
 }
 
-// reliefStd is how many standard deviations count towards a task's predicted
-// effect: a task of unknown class is a likelier cause than a known quiet one.
+// reliefStd is the number of standard deviations added to a task's predicted
+// effect. A task of an unknown class is a more likely cause than a task that is
+// known to be quiet.
 const reliefStd = 1
 
-// relief returns how much slowdown a task at full speed is thought to add to
-// the services that are over their limits.
+// relief returns the estimated slowdown that a task at full speed adds to the
+// services over their limits, summed over these services.
 func (d *decision) relief(t *Task) float64 {
 	sum := 0.0
 	for i := range d.view.Services {
@@ -89,7 +94,8 @@
 	return sum
 }
 
-// excess returns by how much the services over their limits are slowed.
+// excess returns the slowdown above 1 of the services over their limits, summed
+// over these services.
 func (d *decision) excess() float64 {
 	sum := 0.0
 	for i := range d.view.Services {
--- a/core/eviction/shortage.go
+++ b/core/eviction/shortage.go
@@ -2,11 +2,12 @@
 
 import "github.com/guavarill/guavarill/core/model"
 
-// relieveShortage deals with tasks that need more room than their worker has.
-// Raising their holds would commit the worker beyond its capacity. Left alone,
-// a shortage of memory would let the kernel kill a task of its own choosing. A
-// shortage of processors only slows: it is acted on when the processors are
-// contended, and for a service when its slowdown shows.
+// relieveShortage handles tasks that need more resources than their worker has.
+// Committing those would exceed the worker's capacity. Without an eviction, a
+// shortage of memory would make the kernel kill a task of its own choice. A
+// shortage of processors only slows tasks down: a batch task with such a
+// shortage is throttled when the processors are contended, and for a service
+// the measured slowdown leads to an action.
 func (d *decision) relieveShortage() (Action, bool) {
 	var missing model.Resources
 	var largest *Shortage
@@ -28,7 +29,8 @@
 	return Action{}, false
 }
 
-// shortageBefore puts services first, then larger shortages, then smaller keys.
+// shortageBefore orders shortages: services first, then larger shortages of
+// processors, then smaller keys.
 func shortageBefore(a, b *Shortage) bool {
 	if a.Service != b.Service {
 		return a.Service
@@ -39,9 +41,9 @@
 	return a.Task.Less(b.Task)
 }
 
-// evictForRoom evicts the cheapest task that alone gives back what is missing, or
-// when none does the one that gives back most for its cost. Tasks that are
-// stopping already count as given back.
+// evictForRoom evicts the task that frees the largest share of the missing
+// resources for its cost. Resources beyond the missing ones do not count. The
+// resources of tasks that are already stopping count as freed.
 func (d *decision) evictForRoom(missing model.Resources, reason Reason) (Action, bool) {
 	for i := range d.view.Batch {
 		if d.view.Batch[i].Stopping {
@@ -70,7 +72,8 @@
 	return newAction(Evict, d.view.Worker, best, 0, reason), true
 }
 
-// coveredShare returns the part of what is missing that size covers, at most 1.
+// coveredShare returns the share of the missing resources that size covers, at
+// most 1, in the dimension in which it covers the least.
 func coveredShare(size, missing model.Resources) float64 {
 	part := 1.0
 	if missing.MilliCPU > 0 {
@@ -85,8 +88,9 @@
 	return part
 }
 
-// throttleOveruse slows a batch task that uses more processors than it holds
-// down to what it holds.
+// throttleOveruse throttles a batch task that uses more processors than are
+// committed for it, to Options.MiddlePercent. It returns false if the task is
+// already throttled that far or is stopping.
 func (d *decision) throttleOveruse(s *Shortage) (Action, bool) {
 	for i := range d.view.Batch {
 		t := &d.view.Batch[i]
--- a/core/eviction/view.go
+++ b/core/eviction/view.go
@@ -15,66 +15,70 @@
 	Key      model.TaskKey
 	Class    string
 	Priority model.Priority
-	// Size is what is committed for it now.
+	// Size is the resources committed for the task now.
 	Size model.Resources
-	// FullSize is what is committed for it at full speed; zero stands for Size.
-	// See ThrottledHold.
+	// FullSize is the resources to commit for the task at full speed; zero
+	// means that the committed size does not depend on the throttle. See
+	// ThrottledSize.
 	FullSize    model.Resources
 	LongRunning bool
-	// Percent of its committed processors that it may use; FullSpeed when not
-	// throttled.
+	// Percent is the percentage of its full processors that the task may use,
+	// FullSpeed if it is not throttled.
 	Percent uint32
-	// ThrottledAt is when Percent was last changed.
+	// ThrottledAt is the time at which Percent was last changed.
 	ThrottledAt time.Time
-	// SavedAt is when its progress was last safe: its latest checkpoint, or
-	// its start. Progress since then is lost when it is stopped without one.
+	// SavedAt is the time of the latest checkpoint, or of the start if there is
+	// none. Progress since then is lost if the task stops without a checkpoint.
 	SavedAt time.Time
-	// CanCheckpoint is whether it can be checkpointed when it is stopped.
+	// CanCheckpoint is true if the task can write a checkpoint when it stops.
 	CanCheckpoint bool
 	Evictions     uint32
-	// Stopping is true once its end was asked for.
+	// Stopping is true once the task was requested to stop.
 	Stopping bool
 }
 
-// Service is an instance of a service on a worker, as last measured.
+// Service is the latest measurement of an instance of a service.
 type Service struct {
 	Key   model.TaskKey
 	Class string
-	// Slowdown is 1 when undisturbed.
+	// Slowdown is the measured slowdown factor; 1 means undisturbed.
 	Slowdown   float64
 	MeasuredAt time.Time
-	// Limit is the slowdown that its callers can bear; 0 stands for
-	// Options.Limit.
+	// Limit is the largest acceptable slowdown; 0 selects Options.Limit.
 	Limit float64
 }
 
-// Shortage is room that a task needs beyond what it holds and its worker has
-// free; see interference.Grow.
+// Shortage is the resources that a task needs beyond its committed size and the
+// free resources of its worker; see interference.Grow.
 type Shortage struct {
 	Task    model.TaskKey
 	Service bool
 	Missing model.Resources
 }
 
-// WorkerView is what is known of one worker.
+// WorkerView is the state of one worker that decisions are based on.
 type WorkerView struct {
 	Worker model.WorkerID
-	Load   float64
-	// Free is the room that is not committed.
-	Free      model.Resources
-	Services  []Service
+	// Load is the utilization of the worker's processors, from 0 to 1.
+	Load float64
+	// Free is the uncommitted resources.
+	Free     model.Resources
+	Services []Service
+	// Batch holds the batch tasks on the worker.
 	Batch     []Task
 	Shortages []Shortage
 }
 
-// Predictor tells how much one aggressor slows a victim; see
-// interference.Model.
+// Predictor predicts how much one task (the aggressor) slows another (the
+// victim) on the same worker; see interference.Model.
 type Predictor interface {
+	// PredictWorkload predicts for any task of the aggressor's workload.
 	PredictWorkload(victimClass, aggressorClass, workload string, load float64) interference.Estimate
+	// PredictTask predicts for one task, from what was learned about it.
 	PredictTask(victimClass, aggressorClass string, aggressor model.TaskKey, load float64) interference.Estimate
 }
 
-// Kind says what an action does.
+// Kind is the kind of an action.
 type Kind string
 
 // The kinds of action.
@@ -84,27 +88,35 @@
 	Evict      Kind = "evict"
 )
 
-// Reason says why an action is taken.
+// Reason is the reason for an action.
 type Reason string
 
 // The reasons for an action.
 const (
+	// SlowedService means that a service is slowed beyond its limit.
 	SlowedService Reason = "slowed service"
-	// PredictedSlowdown: the task could slow a service far beyond its limit.
+	// PredictedSlowdown means that the task could slow a service far beyond its
+	// limit.
 	PredictedSlowdown Reason = "slowdown predicted"
-	CalmServices      Reason = "services calm"
-	MemoryShort       Reason = "memory short"
-	CPUShort          Reason = "processors short"
-	RoomForUrgent     Reason = "room for urgent work"
-	NoServiceToSlow   Reason = "no service left to slow"
+	// CalmServices means that the services have been calm long enough.
+	CalmServices Reason = "services calm"
+	// MemoryShort means that a task needs memory that the worker does not have.
+	MemoryShort Reason = "memory short"
+	// CPUShort means that the task needs processors that the worker does not
+	// have.
+	CPUShort Reason = "processors short"
+	// RoomForUrgent means that an urgent task needs the room.
+	RoomForUrgent Reason = "room for urgent work"
+	// NoServiceToSlow means that the worker has no service any more.
+	NoServiceToSlow Reason = "no service left to slow"
 )
 
-// Action is one thing to do to one task.
+// Action is an action on one task.
 type Action struct {
 	Kind   Kind
 	Worker model.WorkerID
 	Task   model.TaskKey
-	// Percent is the task's new throttle, for Throttle and Unthrottle.
+	// Percent is the new throttle percentage, for Throttle and Unthrottle.
 	Percent uint32
 	Reason  Reason
 }
