--- a/core/eviction/decide_test.go
+++ b/core/eviction/decide_test.go
@@ -101,7 +101,7 @@
 // Guards against several tasks being throttled for the slowdown that one causes.
 // After a throttle, delayed reports still show measurements from before it;
 // these must not lead to an action.
-func TestNoActionOnMeasurementsFromBeforeTheLastOne(t *testing.T) {
+func TestMeasurementsBeforeTheLastActionAreIgnored(t *testing.T) {
 	c := NewController(DefaultOptions(), known)
 	tasks := []Task{task("loud", 1), task("loud", 2), task("loud", 3)}
 	got := c.Decide(at(20), view(at(10), 2.5, tasks...))
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestAtMostOneActionALag(t *testing.T) {
+func TestAtMostOneActionPerReportLag(t *testing.T) {
 	c := NewController(DefaultOptions(), known)
 	tasks := []Task{task("loud", 1), task("loud", 2), task("loud", 3)}
 	last, actions := -100, 0
@@ -157,7 +157,7 @@
 
 // Guards against route watchers being evicted while other tasks could be
 // evicted instead.
-func TestWatchersAreDear(t *testing.T) {
+func TestRouteWatchersAreEvictedLast(t *testing.T) {
 	o := DefaultOptions()
 	o.EvictionDelay = 0
 	watcher := task("watch", 1)
@@ -189,37 +189,37 @@
 // Guards against a task with periodic noisy phases being throttled and
 // unthrottled once per report lag forever, and slowing its service each time.
 // The required calm period must grow.
-func TestReleaseSlowsDownWhenItProvesTooEarly(t *testing.T) {
+func TestCalmPeriodGrowsWhenUnthrottledTooEarly(t *testing.T) {
 	c := NewController(DefaultOptions(), known)
-	loud := func(_ int, tasks []Task) float64 {
+	slowdown := func(_ int, tasks []Task) float64 {
 		if tasks[0].Percent == FullSpeed {
 			return 1.7
 		}
 		return 1.1
 	}
-	actions, times := runController(c, []Task{task("loud", 1)}, 1800, loud)
-	var released []int
+	actions, times := runController(c, []Task{task("loud", 1)}, 1800, slowdown)
+	var unthrottled []int
 	for i, a := range actions {
 		if a.Kind == Unthrottle {
-			released = append(released, times[i])
+			unthrottled = append(unthrottled, times[i])
 		}
 	}
-	if len(released) < 3 {
-		t.Fatalf("unthrottled only %d times: %v", len(released), actions)
+	if len(unthrottled) < 3 {
+		t.Fatalf("unthrottled only %d times: %v", len(unthrottled), actions)
 	}
-	first, last := released[1]-released[0], released[len(released)-1]-released[len(released)-2]
+	first, last := unthrottled[1]-unthrottled[0], unthrottled[len(unthrottled)-1]-unthrottled[len(unthrottled)-2]
 	if last < 3*first {
 		t.Errorf("first wait %ds, last %ds", first, last)
 	}
 }
 
 // Unthrottling goes step by step, and not above the ceiling.
-func TestReleaseIsGradualAndBounded(t *testing.T) {
+func TestUnthrottleIsGradualAndBounded(t *testing.T) {
 	o := DefaultOptions()
-	low, loud := task("quiet", 1), task("huge", 2)
-	low.Percent, loud.Percent = o.MinPercent, o.MinPercent
+	quiet, noisy := task("quiet", 1), task("huge", 2)
+	quiet.Percent, noisy.Percent = o.MinPercent, o.MinPercent
 	c := NewController(o, effects{"quiet": 0.01, "huge": 0.7})
-	actions, _ := runController(c, []Task{low, loud}, 600, constant(1.05))
+	actions, _ := runController(c, []Task{quiet, noisy}, 600, constant(1.05))
 	want := []uint32{o.MiddlePercent, o.MiddlePercent, FullSpeed}
 	if len(actions) != len(want) {
 		t.Fatalf("got %v", actions)
@@ -229,14 +229,14 @@
 			t.Errorf("action %d: %v", i, a)
 		}
 	}
-	if actions[2].Task != low.Key {
+	if actions[2].Task != quiet.Key {
 		t.Errorf("the task at its ceiling was unthrottled: %v", actions[2])
 	}
 }
 
 // A throttled task has a smaller committed size. It is unthrottled only if the
 // worker has room for the difference.
-func TestReleaseNeedsRoomForTheFullHold(t *testing.T) {
+func TestUnthrottleNeedsRoomForTheFullSize(t *testing.T) {
 	o := DefaultOptions()
 	throttled := task("quiet", 1)
 	throttled.FullSize = throttled.Size
--- a/core/eviction/preempt_test.go
+++ b/core/eviction/preempt_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestPreemptPrefersRoomThatIsThere(t *testing.T) {
+func TestPreemptPrefersFreeRoom(t *testing.T) {
 	full, half := randomCandidate(rand.New(rand.NewPCG(1, 1)), 4), Candidate{Worker: "half", Batch: []Task{task("job", 1)}}
 	half.Batch[0].Stopping = true
 	p, ok := Preempt(at(0), half.Batch[0].Size, model.PriorityUrgent, []Candidate{full, half}, DefaultCosts())
