--- a/core/admission/options.go
+++ b/core/admission/options.go
@@ -22,8 +22,8 @@
 	// TargetWait is the longest predicted wait that a ticket below urgent is
 	// admitted to while the queue is overloaded, in mean service times.
 	TargetWait float64
-	// InitialService is the service time assumed before any was observed.
-	InitialService time.Duration
+	// InitialServiceTime is the service time assumed before any was observed.
+	InitialServiceTime time.Duration
 	// MinRetryAfter and MaxRetryAfter bound what callers are told.
 	MinRetryAfter, MaxRetryAfter time.Duration
 }
@@ -33,7 +33,7 @@
 	DefaultMaxQueued        = 1024
 	DefaultStandingInterval = 100 * time.Millisecond
 	DefaultTargetWait       = 1.2
-	DefaultInitialService   = 10 * time.Millisecond
+	DefaultInitialServiceTime   = 10 * time.Millisecond
 	DefaultMinRetryAfter    = 250 * time.Millisecond
 	DefaultMaxRetryAfter    = 30 * time.Second
 )
@@ -63,8 +63,8 @@
 	if o.TargetWait <= 0 {
 		o.TargetWait = DefaultTargetWait
 	}
-	if o.InitialService <= 0 {
-		o.InitialService = DefaultInitialService
+	if o.InitialServiceTime <= 0 {
+		o.InitialServiceTime = DefaultInitialServiceTime
 	}
 	if o.MinRetryAfter <= 0 {
 		o.MinRetryAfter = DefaultMinRetryAfter
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -30,7 +30,7 @@
 	return &Queue{
 		o:       o,
 		waiting: make(map[uint64]*waiter),
-		load:    newLoad(o.InitialService),
+		load:    newLoad(o.InitialServiceTime),
 	}
 }
 
@@ -160,9 +160,9 @@
 	return int(q.o.UrgentReserve * float64(q.total))
 }
 
-// Return puts back, at the head of its priority, a ticket that Next gave and
+// Requeue puts back, at the head of its priority, a ticket that Next gave and
 // for which no target was found. It is not counted as an arrival.
-func (q *Queue) Return(now time.Time, t Ticket) {
+func (q *Queue) Requeue(now time.Time, t Ticket) {
 	t.Priority = clamp(t.Priority)
 	w := q.insert(t)
 	q.classes[t.Priority].pushOldest(w)
@@ -221,9 +221,9 @@
 	return expired
 }
 
-// Expiry returns when Expire will next have something to return; false when
+// NextExpiry returns when Expire will next have something to return; false when
 // no waiting ticket has a deadline.
-func (q *Queue) Expiry() (time.Time, bool) {
+func (q *Queue) NextExpiry() (time.Time, bool) {
 	if len(q.expiry) == 0 {
 		return time.Time{}, false
 	}
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -58,7 +58,7 @@
 // turn comes after its deadline. Cause: a queue that admits what it cannot
 // serve in time.
 func TestShedAtOnceWhatCannotMakeItsDeadline(t *testing.T) {
-	q := full(Options{InitialService: 100 * time.Millisecond, TargetWait: 100}, 4)
+	q := full(Options{InitialServiceTime: 100 * time.Millisecond, TargetWait: 100}, 4)
 	for id := uint64(1); id <= 100; id++ {
 		v := q.Offer(start, ticket(id, model.PriorityNormal))
 		// 100 ms over 4 slots is 25 ms a turn; with 100 ms of service the
@@ -77,7 +77,7 @@
 	short := ticket(1, model.PriorityNormal)
 	short.Deadline = at(50)
 	mustQueue(t, q, start, short, ticket(2, model.PriorityNormal))
-	if due, ok := q.Expiry(); !ok || !due.Equal(at(40)) {
+	if due, ok := q.NextExpiry(); !ok || !due.Equal(at(40)) {
 		t.Fatalf("expiry at %v", due)
 	}
 	if gone := q.Expire(at(40)); len(gone) != 0 {
@@ -206,7 +206,7 @@
 	mustQueue(t, q, start, ticket(1, model.PriorityNormal), ticket(2, model.PriorityNormal))
 	q.SetSlots(1, 8)
 	first, _, _ := q.Next(start)
-	q.Return(start, first)
+	q.Requeue(start, first)
 	if last, ok := q.Last(); !ok || last.ID != 2 {
 		t.Fatalf("last is %+v", last)
 	}
@@ -296,7 +296,7 @@
 			l.leave("expiry", e.ID)
 		}
 		if ok && rnd.IntN(3) == 0 {
-			q.Return(at(ms), tk)
+			q.Requeue(at(ms), tk)
 		} else if ok {
 			l.leave("next", tk.ID)
 		}
--- a/core/dedup/claim.go
+++ b/core/dedup/claim.go
@@ -123,13 +123,13 @@
 // Member is an entry as Eligible looks at it.
 type Member struct {
 	ID model.DaemonID
-	// LastKnown is when the entry was last known to be up, by any sign; it is
+	// LastSeen is when the entry was last known to be up, by any sign; it is
 	// zero while the entry is up, suspect or leaving.
-	LastKnown time.Time
-	// Gone is when the platform's list stopped naming the entry's VM; zero
+	LastSeen time.Time
+	// RemovedAt is when the platform's list stopped naming the entry's VM; zero
 	// while it is listed. Silence alone never sets it: a silent entry may
 	// still be granting claims to others.
-	Gone time.Time
+	RemovedAt time.Time
 }
 
 // Eligible returns the entries from which the homes of an id are taken. An
@@ -141,10 +141,10 @@
 	o = o.WithDefaults()
 	eligible := make([]model.DaemonID, 0, len(members))
 	for _, m := range members {
-		if !m.LastKnown.IsZero() && now.Sub(m.LastKnown) > o.Retention {
+		if !m.LastSeen.IsZero() && now.Sub(m.LastSeen) > o.Retention {
 			continue
 		}
-		if !m.Gone.IsZero() && issued.After(m.Gone.Add(o.Settle+o.Skew)) {
+		if !m.RemovedAt.IsZero() && issued.After(m.RemovedAt.Add(o.MembershipDelay+o.MaxClockSkew)) {
 			continue
 		}
 		eligible = append(eligible, m.ID)
--- a/core/dedup/homes.go
+++ b/core/dedup/homes.go
@@ -44,9 +44,9 @@
 	claimed time.Time
 }
 
-// Homes is the record that one entry keeps of the ids it is a home of. It is
+// ClaimStore is the record that one entry keeps of the ids it is a home of. It is
 // not safe for concurrent use.
-type Homes struct {
+type ClaimStore struct {
 	o       Options
 	booted  time.Time
 	records map[key]record
@@ -56,9 +56,9 @@
 	first int
 }
 
-// NewHomes returns the empty record of an entry that booted at booted.
-func NewHomes(booted time.Time, o Options) *Homes {
-	return &Homes{
+// NewClaimStore returns the empty record of an entry that booted at booted.
+func NewClaimStore(booted time.Time, o Options) *ClaimStore {
+	return &ClaimStore{
 		o:       o.WithDefaults(),
 		booted:  booted,
 		records: make(map[key]record),
@@ -66,11 +66,11 @@
 }
 
 // Len returns how many claims are remembered.
-func (h *Homes) Len() int { return len(h.records) }
+func (h *ClaimStore) Len() int { return len(h.records) }
 
 // Claim answers a claim, and records it when it is granted. The same claimant
 // asking twice is answered alike, so a repeated message does no harm.
-func (h *Homes) Claim(now time.Time, r Request) Verdict {
+func (h *ClaimStore) Claim(now time.Time, r Request) Verdict {
 	h.expire(now)
 	k := keyOf(r)
 	if held, ok := h.records[k]; ok {
@@ -90,7 +90,7 @@
 // Release forgets the claim of exactly this claimant, whose request was
 // certainly not run. A release that overtook its claim or comes after another
 // claim was made changes nothing.
-func (h *Homes) Release(now time.Time, r Request) {
+func (h *ClaimStore) Release(now time.Time, r Request) {
 	h.expire(now)
 	k := keyOf(r)
 	if held, ok := h.records[k]; ok && held.holder == holderOf(r) {
@@ -110,24 +110,24 @@
 
 // knows reports whether an id that is not recorded was certainly not claimed
 // here within the promise.
-func (h *Homes) knows(now, issued time.Time) bool {
-	tells := !issued.IsZero() && !issued.After(now.Add(h.o.Skew))
-	if tells && issued.Before(now.Add(h.o.Skew-h.o.Retention)) {
+func (h *ClaimStore) knows(now, issued time.Time) bool {
+	tells := !issued.IsZero() && !issued.After(now.Add(h.o.MaxClockSkew))
+	if tells && issued.Before(now.Add(h.o.MaxClockSkew-h.o.Retention)) {
 		return false
 	}
 	if now.Sub(h.booted) >= h.o.Retention {
 		return true
 	}
-	return tells && issued.After(h.booted.Add(h.o.Settle+h.o.Skew))
+	return tells && issued.After(h.booted.Add(h.o.MembershipDelay+h.o.MaxClockSkew))
 }
 
 // isFull counts the order too, so that a burst of claims that are released
 // again cannot grow it without bound.
-func (h *Homes) isFull() bool {
+func (h *ClaimStore) isFull() bool {
 	return len(h.records) >= h.o.MaxRecords || len(h.order)-h.first >= 2*h.o.MaxRecords
 }
 
-func (h *Homes) expire(now time.Time) {
+func (h *ClaimStore) expire(now time.Time) {
 	for h.first < len(h.order) {
 		oldest := h.order[h.first]
 		if now.Sub(oldest.claimed) < h.o.Retention {
--- a/core/dedup/homes_bench_test.go
+++ b/core/dedup/homes_bench_test.go
@@ -13,7 +13,7 @@
 // BenchmarkClaim measures one claim at a home, and the memory that a record
 // holds on to.
 func BenchmarkClaim(b *testing.B) {
-	h := dedup.NewHomes(start.Add(-time.Hour), dedup.Options{MaxRecords: 1 << 30})
+	h := dedup.NewClaimStore(start.Add(-time.Hour), dedup.Options{MaxRecords: 1 << 30})
 	ids := make([]string, b.N)
 	for i := range ids {
 		ids[i] = fmt.Sprintf("01990000-0000-7000-8000-%012d", i)
--- a/core/dedup/homes_test.go
+++ b/core/dedup/homes_test.go
@@ -15,8 +15,8 @@
 var (
 	options = dedup.Options{
 		Retention:  10 * time.Minute,
-		Settle:     5 * time.Second,
-		Skew:       2 * time.Second,
+		MembershipDelay:     5 * time.Second,
+		MaxClockSkew:       2 * time.Second,
 		MaxRecords: 4,
 	}
 	start = time.Unix(1_800_000_000, 0)
@@ -27,11 +27,11 @@
 }
 
 // oldHomes returns a record that knows everything at start.
-func oldHomes() *dedup.Homes {
-	return dedup.NewHomes(start.Add(-options.Retention), options)
+func oldHomes() *dedup.ClaimStore {
+	return dedup.NewClaimStore(start.Add(-options.Retention), options)
 }
 
-func checkClaim(t *testing.T, h *dedup.Homes, now time.Time, r dedup.Request, want dedup.Verdict) {
+func checkClaim(t *testing.T, h *dedup.ClaimStore, now time.Time, r dedup.Request, want dedup.Verdict) {
 	t.Helper()
 	if got := h.Claim(now, r); got != want {
 		t.Errorf("%s for %s: got %s, want %s", r.ID, r.Claimant, got, want)
@@ -103,7 +103,7 @@
 // Symptom: a request runs twice when a home restarts between it and its
 // repeat. Cause: the home took what it had forgotten for new.
 func TestYoungHomeIsUnsure(t *testing.T) {
-	h := dedup.NewHomes(start, options)
+	h := dedup.NewClaimStore(start, options)
 	now := start.Add(time.Minute)
 	checkClaim(t, h, now, request("opaque", "a/1"), dedup.Unsure)
 	issued := func(at time.Time) dedup.Request {
@@ -111,11 +111,11 @@
 		r.Issued = at
 		return r
 	}
-	settled := start.Add(options.Settle + options.Skew)
+	settled := start.Add(options.MembershipDelay + options.MaxClockSkew)
 	checkClaim(t, h, now, issued(settled), dedup.Unsure)
 	checkClaim(t, h, now, issued(settled.Add(time.Millisecond)), dedup.Granted)
 	// An id from the future says nothing of when it was made.
-	checkClaim(t, h, now, issued(now.Add(options.Skew+time.Millisecond)), dedup.Unsure)
+	checkClaim(t, h, now, issued(now.Add(options.MaxClockSkew+time.Millisecond)), dedup.Unsure)
 	checkClaim(t, h, start.Add(options.Retention), request("opaque", "a/1"), dedup.Granted)
 }
 
@@ -124,7 +124,7 @@
 func TestOldIdIsUnsure(t *testing.T) {
 	h := oldHomes()
 	r := request("old", "a/1")
-	r.Issued = start.Add(options.Skew - options.Retention - time.Millisecond)
+	r.Issued = start.Add(options.MaxClockSkew - options.Retention - time.Millisecond)
 	checkClaim(t, h, start, r, dedup.Unsure)
 }
 
@@ -180,12 +180,12 @@
 
 func TestEligible(t *testing.T) {
 	now := start
-	settle := options.Settle + options.Skew
+	settle := options.MembershipDelay + options.MaxClockSkew
 	members := []dedup.Member{
 		{ID: "up"},
-		{ID: "silent", LastKnown: now.Add(-options.Retention)},
-		{ID: "long-silent", LastKnown: now.Add(-options.Retention - 1)},
-		{ID: "gone", LastKnown: now.Add(-time.Minute), Gone: now.Add(-time.Minute)},
+		{ID: "silent", LastSeen: now.Add(-options.Retention)},
+		{ID: "long-silent", LastSeen: now.Add(-options.Retention - 1)},
+		{ID: "gone", LastSeen: now.Add(-time.Minute), RemovedAt: now.Add(-time.Minute)},
 	}
 	check := func(issued time.Time, want ...model.DaemonID) {
 		t.Helper()
@@ -241,7 +241,7 @@
 // although the remaining home has never heard of the id.
 func TestLostHomesMakeARepeatUnsure(t *testing.T) {
 	members := []model.DaemonID{"a", "b", "c"}
-	homes := map[model.DaemonID]*dedup.Homes{"a": oldHomes(), "b": oldHomes(), "c": oldHomes()}
+	homes := map[model.DaemonID]*dedup.ClaimStore{"a": oldHomes(), "b": oldHomes(), "c": oldHomes()}
 	claim := func(claimant string, away model.DaemonID) dedup.Outcome {
 		c := dedup.NewClaim(dedup.HomesFor("s", "r", members))
 		for _, m := range members {
@@ -256,8 +256,8 @@
 	if got := claim("x/1", "c"); got != dedup.Proceed {
 		t.Fatalf("first use: %s", got)
 	}
-	homes["a"] = dedup.NewHomes(start, options)
-	homes["b"] = dedup.NewHomes(start, options)
+	homes["a"] = dedup.NewClaimStore(start, options)
+	homes["b"] = dedup.NewClaimStore(start, options)
 	if got := claim("y/1", ""); got != dedup.RefusedUnsure {
 		t.Errorf("repeat: got %s, want unsure", got)
 	}
--- a/core/dedup/options.go
+++ b/core/dedup/options.go
@@ -8,8 +8,8 @@
 // Defaults of Options.
 const (
 	DefaultRetention  = 10 * time.Minute
-	DefaultSettle     = 5 * time.Second
-	DefaultSkew       = 2 * time.Second
+	DefaultMembershipDelay     = 5 * time.Second
+	DefaultMaxClockSkew       = 2 * time.Second
 	DefaultMaxRecords = 200_000
 )
 
@@ -18,11 +18,11 @@
 type Options struct {
 	// Retention is how long a home remembers a claim.
 	Retention time.Duration
-	// Settle is how long after its boot an entry is in every other entry's
+	// MembershipDelay is how long after its boot an entry is in every other entry's
 	// view of the members.
-	Settle time.Duration
-	// Skew bounds the difference between any two clocks involved.
-	Skew time.Duration
+	MembershipDelay time.Duration
+	// MaxClockSkew bounds the difference between any two clocks involved.
+	MaxClockSkew time.Duration
 	// MaxRecords bounds the claims that a home remembers, at about
 	// RecordBytes of memory each.
 	MaxRecords int
@@ -34,8 +34,8 @@
 // WithDefaults returns o with its zero fields set.
 func (o Options) WithDefaults() Options {
 	o.Retention = cmp.Or(o.Retention, DefaultRetention)
-	o.Settle = cmp.Or(o.Settle, DefaultSettle)
-	o.Skew = cmp.Or(o.Skew, DefaultSkew)
+	o.MembershipDelay = cmp.Or(o.MembershipDelay, DefaultMembershipDelay)
+	o.MaxClockSkew = cmp.Or(o.MaxClockSkew, DefaultMaxClockSkew)
 	o.MaxRecords = cmp.Or(o.MaxRecords, DefaultMaxRecords)
 	return o
 }
--- a/core/dedup/property_test.go
+++ b/core/dedup/property_test.go
@@ -35,7 +35,7 @@
 	booted time.Time
 	died   time.Time
 	gone   time.Time
-	homes  *dedup.Homes
+	homes  *dedup.ClaimStore
 	// seenAfter is how long after this boot each other entry sees it.
 	seenAfter map[model.DaemonID]time.Duration
 	// before is when an earlier boot under this name ended; zero without one.
@@ -70,7 +70,7 @@
 func newWorld(seed uint64) *world {
 	w := &world{
 		rnd: rand.New(rand.NewPCG(seed, seed)),
-		o:   dedup.Options{Retention: time.Minute, Settle: 5 * time.Second, Skew: 2 * time.Second, MaxRecords: 50},
+		o:   dedup.Options{Retention: time.Minute, MembershipDelay: 5 * time.Second, MaxClockSkew: 2 * time.Second, MaxRecords: 50},
 		now: start,
 	}
 	for range firstEntries {
@@ -98,7 +98,7 @@
 	e.booted = w.now
 	e.died = time.Time{}
 	e.gone = time.Time{}
-	e.homes = dedup.NewHomes(w.now, w.o)
+	e.homes = dedup.NewClaimStore(w.now, w.o)
 	e.seenAfter = make(map[model.DaemonID]time.Duration)
 }
 
@@ -119,8 +119,8 @@
 		}
 		m := dedup.Member{ID: e.id}
 		if !e.up {
-			m.LastKnown = e.died
-			m.Gone = e.gone
+			m.LastSeen = e.died
+			m.RemovedAt = e.gone
 		}
 		known = append(known, m)
 	}
@@ -136,7 +136,7 @@
 	}
 	after, ok := e.seenAfter[viewer.id]
 	if !ok {
-		after = w.duration(w.o.Settle)
+		after = w.duration(w.o.MembershipDelay)
 		e.seenAfter[viewer.id] = after
 	}
 	return !w.now.Before(e.booted.Add(after))
@@ -147,7 +147,7 @@
 func (w *world) newUse() *use {
 	u := &use{id: fmt.Sprintf("r%d", len(w.uses))}
 	if w.rnd.IntN(opaqueEvery) > 0 {
-		u.issued = w.now.Add(w.duration(w.o.Skew) - w.o.Skew/2).Truncate(time.Millisecond)
+		u.issued = w.now.Add(w.duration(w.o.MaxClockSkew) - w.o.MaxClockSkew/2).Truncate(time.Millisecond)
 	}
 	w.uses = append(w.uses, u)
 	return u
@@ -169,7 +169,7 @@
 
 func (w *world) begin() {
 	e := w.entries[w.rnd.IntN(len(w.entries))]
-	if !e.up || w.now.Sub(e.booted) < w.o.Settle {
+	if !e.up || w.now.Sub(e.booted) < w.o.MembershipDelay {
 		return
 	}
 	u := w.anyUse()
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -45,8 +45,8 @@
 	return &Budget{o: o, tokens: o.Burst}
 }
 
-// Earn records a first attempt.
-func (b *Budget) Earn() {
+// Deposit records a first attempt.
+func (b *Budget) Deposit() {
 	b.tokens = min(b.tokens+b.o.Ratio, b.o.Burst)
 }
 
@@ -98,15 +98,15 @@
 // Decide applies the rules to a failure and, when they allow a retry, takes it
 // from the budget.
 func (b *Budget) Decide(now time.Time, f Failure) Verdict {
-	v := b.Would(now, f)
+	v := b.Check(now, f)
 	if v == Send {
 		b.tokens--
 	}
 	return v
 }
 
-// Would returns what Decide would, and takes nothing from the budget.
-func (b *Budget) Would(now time.Time, f Failure) Verdict {
+// Check returns what Decide would, and takes nothing from the budget.
+func (b *Budget) Check(now time.Time, f Failure) Verdict {
 	switch {
 	case f.Fate != fate.NotRun && !f.Idempotent:
 		return Unsafe
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -56,7 +56,7 @@
 	rnd := rand.New(rand.NewPCG(1, 1))
 	firsts, retries := 0, 0
 	for range 10_000 {
-		b.Earn()
+		b.Deposit()
 		firsts++
 		f := failure()
 		for b.Decide(now, f) == retry.Send {
@@ -64,7 +64,7 @@
 			f.Attempts++
 		}
 		if rnd.IntN(100) == 0 {
-			b.Earn() // a quiet time without failures
+			b.Deposit() // a quiet time without failures
 			firsts++
 		}
 		if most := float64(firsts)*o.Ratio + o.Burst + 1e-6; float64(retries) > most {
--- a/core/routing/balancer.go
+++ b/core/routing/balancer.go
@@ -176,7 +176,7 @@
 	}
 }
 
-func rests(s State) bool { return s == Resting || s == Suspect }
+func rests(s State) bool { return s == Ejected || s == Suspect }
 
 // Free returns how many slots are free on targets that may be chosen.
 func (b *Balancer) Free() int {
--- a/core/routing/balancer_test.go
+++ b/core/routing/balancer_test.go
@@ -201,7 +201,7 @@
 	if n := x.serve(400, onBad(Result{Latency: time.Millisecond, Outcome: Failed}))[bad]; n > 8 {
 		t.Errorf("%d of 400 requests went to the failing target", n)
 	}
-	if s := x.state(bad).State; s != Resting {
+	if s := x.state(bad).State; s != Ejected {
 		t.Errorf("the failing target is %v", s)
 	}
 }
@@ -216,7 +216,7 @@
 		x.serve(400, func(string) Result { return Result{Latency: usual, Outcome: outcome} })
 		resting := 0
 		for _, s := range x.b.Snapshot() {
-			if s.State == Resting && !x.b.targets[s.Address].lastResort {
+			if s.State == Ejected && !x.b.targets[s.Address].lastResort {
 				resting++
 			}
 		}
@@ -235,20 +235,20 @@
 	x.serve(50, quick)
 	lost, _ := x.pick(Query{NonIdempotent: true})
 	x.now = x.now.Add(lost.OverdueAfter())
-	lost.Overdue(x.now)
+	lost.ReportOverdue(x.now)
 	c, _ := x.pick(Query{})
-	if c.Fresh() || !c.TrustSince().After(start) || c.TrustSince().After(x.now) {
-		t.Fatalf("after an overdue exchange: fresh %v, trust since %v", c.Fresh(), c.TrustSince())
+	if c.RequiresNewConnection() || !c.TrustSince().After(start) || c.TrustSince().After(x.now) {
+		t.Fatalf("after an overdue exchange: fresh %v, trust since %v", c.RequiresNewConnection(), c.TrustSince())
 	}
 	c.Done(x.now, Result{Outcome: Canceled})
 
 	x.now = x.now.Add(lost.SilenceAfter())
-	lost.Overdue(x.now)
+	lost.ReportOverdue(x.now)
 	if s := x.state("10.0.0.0:80"); s.State != Suspect || s.InFlight != 0 || s.Held != 1 {
 		t.Fatalf("after a silence: %+v", s)
 	}
 	proof, ok := x.pick(Query{NonIdempotent: true})
-	if !ok || !proof.Fresh() {
+	if !ok || !proof.RequiresNewConnection() {
 		t.Fatal("the suspect target is not tried over a new connection")
 	}
 	if _, ok := x.pick(Query{Ahead: 1000}); ok {
@@ -300,7 +300,7 @@
 	x := newBench(t, targets(8, 2))
 	x.serve(200, quick)
 	x.serve(200, onBad(Result{Latency: 10 * usual, Outcome: Silent}))
-	if s := x.state(bad).State; s != Resting {
+	if s := x.state(bad).State; s != Ejected {
 		t.Errorf("a target that is silent over new connections is %v", s)
 	}
 }
@@ -315,7 +315,7 @@
 	}
 	x.now = x.now.Add(lost[0].OverdueAfter())
 	for _, c := range lost {
-		c.Overdue(x.now)
+		c.ReportOverdue(x.now)
 	}
 	c, _ := x.pick(Query{})
 	if !c.TrustSince().After(start) {
@@ -400,7 +400,7 @@
 			for i := range 500 {
 				now := start.Add(time.Duration(i) * time.Millisecond)
 				if c, ok := b.Pick(now, rnd.Uint64(), Query{}); ok {
-					c.Overdue(now)
+					c.ReportOverdue(now)
 					c.Done(now.Add(usual), Result{Latency: usual, Outcome: Outcome(rnd.IntN(5))})
 				}
 				if i%100 == g {
--- a/core/routing/learn.go
+++ b/core/routing/learn.go
@@ -154,7 +154,7 @@
 		return
 	}
 	t.recovered++
-	if t.state == Resting && t.recovered >= recoveryAnswers && reference > 0 && ns > goodAnswerRatio*reference {
+	if t.state == Ejected && t.recovered >= recoveryAnswers && reference > 0 && ns > goodAnswerRatio*reference {
 		b.backToSlow(t, now, reference)
 		return
 	}
@@ -168,7 +168,7 @@
 // goodRatio is how many times its peers' latency an answer may take and still
 // speak for the target.
 func (b *Balancer) goodRatio(t *target) float64 {
-	if t.state == Resting {
+	if t.state == Ejected {
 		return b.o.EjectRatio
 	}
 	return goodAnswerRatio
@@ -205,9 +205,9 @@
 // rest already: when most look bad, what is seen says more of the entry's own
 // view than of the targets, and leaving them all would serve nobody.
 func (b *Balancer) rest(t *target, now time.Time) {
-	b.setState(t, Resting)
+	b.setState(t, Ejected)
 	t.recovered = 0
-	t.lastResort = float64(b.resting) > b.o.MaxResting*float64(b.listed)
+	t.lastResort = float64(b.resting) > b.o.MaxEjected*float64(b.listed)
 	b.probes.schedule(t, now.Add(b.restFor(t)))
 	t.lengthenRest()
 }
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -12,12 +12,12 @@
 	SlowRatio float64
 	// EjectRatio is how many times its peers' latency makes a target rest.
 	EjectRatio float64
-	// MaxResting is the fraction of targets that may rest at once. Those that
+	// MaxEjected is the fraction of targets that may rest at once. Those that
 	// should rest beyond it are the last resort: used when no other is free.
-	MaxResting float64
-	// FirstRest is how long a target rests the first time; each further time
-	// without a recovery doubles it up to MaxRest.
-	FirstRest, MaxRest time.Duration
+	MaxEjected float64
+	// BaseProbeDelay is how long a target rests the first time; each further time
+	// without a recovery doubles it up to MaxProbeDelay.
+	BaseProbeDelay, MaxProbeDelay time.Duration
 	// ProvenWithin is how recent a target's last answer must be for a
 	// non-idempotent request to trust its connections.
 	ProvenWithin time.Duration
@@ -32,9 +32,9 @@
 	DefaultChoices        = 4
 	DefaultSlowRatio      = 1.8
 	DefaultEjectRatio     = 5.0
-	DefaultMaxResting     = 0.5
-	DefaultFirstRest      = 200 * time.Millisecond
-	DefaultMaxRest        = 10 * time.Second
+	DefaultMaxEjected     = 0.5
+	DefaultBaseProbeDelay      = 200 * time.Millisecond
+	DefaultMaxProbeDelay        = 10 * time.Second
 	DefaultProvenWithin   = 3 * time.Second
 	DefaultInitialLatency = 10 * time.Millisecond
 	DefaultMinSilence     = 50 * time.Millisecond
@@ -87,9 +87,9 @@
 	setInt(&o.Choices, DefaultChoices)
 	setFloat(&o.SlowRatio, DefaultSlowRatio)
 	setFloat(&o.EjectRatio, DefaultEjectRatio)
-	setFloat(&o.MaxResting, DefaultMaxResting)
-	setDuration(&o.FirstRest, DefaultFirstRest)
-	setDuration(&o.MaxRest, DefaultMaxRest)
+	setFloat(&o.MaxEjected, DefaultMaxEjected)
+	setDuration(&o.BaseProbeDelay, DefaultBaseProbeDelay)
+	setDuration(&o.MaxProbeDelay, DefaultMaxProbeDelay)
 	setDuration(&o.ProvenWithin, DefaultProvenWithin)
 	setDuration(&o.InitialLatency, DefaultInitialLatency)
 	setDuration(&o.MinSilence, DefaultMinSilence)
--- a/core/routing/policies_test.go
+++ b/core/routing/policies_test.go
@@ -201,7 +201,7 @@
 		if l.try(first, 0) {
 			continue
 		}
-		l.queue.Return(l.s.time(), first)
+		l.queue.Requeue(l.s.time(), first)
 		last, _ := l.queue.Last()
 		if !l.try(last, l.queue.Ahead(last.Priority)-1) {
 			return
@@ -236,7 +236,7 @@
 		c.Done(l.s.time(), routing.Result{Latency: l.s.now - started, Outcome: o})
 	}
 	trusted := c.TrustSince().Sub(epoch)
-	if c.Fresh() {
+	if c.RequiresNewConnection() {
 		trusted = math.MaxInt64
 	}
 	abandon := l.s.exchange(l.e, i, trusted, func() {
@@ -253,9 +253,9 @@
 			}
 		})
 	}
-	at(c.OverdueAfter(), func() { c.Overdue(l.s.time()) })
+	at(c.OverdueAfter(), func() { c.ReportOverdue(l.s.time()) })
 	at(c.SilenceAfter(), func() {
-		c.Overdue(l.s.time())
+		c.ReportOverdue(l.s.time())
 		if !r.idempotent {
 			return
 		}
--- a/core/routing/probe.go
+++ b/core/routing/probe.go
@@ -70,7 +70,7 @@
 		return nil
 	}
 	if t.limit() == 0 || t.inflight >= t.limit() || avoided(q, t) {
-		b.probes.schedule(t, now.Add(b.o.FirstRest/busyProbe))
+		b.probes.schedule(t, now.Add(b.o.BaseProbeDelay/busyProbe))
 		return nil
 	}
 	b.sinceProbe = 0
@@ -104,5 +104,5 @@
 
 // restFor is how long a target waits for its next probe.
 func (b *Balancer) restFor(t *target) time.Duration {
-	return min(b.o.FirstRest<<t.doublings, b.o.MaxRest)
+	return min(b.o.BaseProbeDelay<<t.doublings, b.o.MaxProbeDelay)
 }
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -85,10 +85,10 @@
 // Task returns the attempt that the target runs.
 func (c *Choice) Task() model.AttemptKey { return c.task }
 
-// Fresh reports that the request must go over a new connection: an earlier
+// RequiresNewConnection reports that the request must go over a new connection: an earlier
 // one to this target went silent, and only a new one can tell whether the
 // target or the connection is at fault.
-func (c *Choice) Fresh() bool { return c.fresh }
+func (c *Choice) RequiresNewConnection() bool { return c.fresh }
 
 // TrustSince returns the time since when a connection must have carried an
 // answer, or have been opened, to be used: older ones may have gone silent
@@ -105,12 +105,12 @@
 // elsewhere; one that may not goes on waiting for its answer.
 func (c *Choice) SilenceAfter() time.Duration { return c.silenceAfter }
 
-// Overdue tells that the exchange is still unanswered after OverdueAfter, and
+// ReportOverdue tells that the exchange is still unanswered after OverdueAfter, and
 // again after SilenceAfter. The first makes the entry open new connections to
 // the target, which costs little. The second also gives the slot back after a
 // while, though the request may go on waiting, and, unless the target answers
 // others, tries it with one request at a time. Done is still to be called.
-func (c *Choice) Overdue(now time.Time) { c.b.overdue(c, now) }
+func (c *Choice) ReportOverdue(now time.Time) { c.b.overdue(c, now) }
 
 // Done gives the slot back and learns from the result. Call it exactly once;
 // a second call before the choice is used again does nothing.
--- a/core/routing/target.go
+++ b/core/routing/target.go
@@ -16,8 +16,8 @@
 	// Suspect targets had an exchange go silent: one request at a time, over
 	// a new connection, until one is answered.
 	Suspect
-	// Resting targets get nothing but probes.
-	Resting
+	// Ejected targets get nothing but probes.
+	Ejected
 )
 
 var stateNames = [...]string{"healthy", "slow", "suspect", "resting"}
@@ -96,7 +96,7 @@
 	switch {
 	case t.gone || t.Leaving:
 		return 0
-	case t.state == Suspect || t.state == Resting && !t.lastResort:
+	case t.state == Suspect || t.state == Ejected && !t.lastResort:
 		return 0
 	}
 	return min(t.allowance, t.limit())
--- a/daemon/homes.go
+++ b/daemon/homes.go
@@ -21,7 +21,7 @@
 	clock port.Clock
 
 	mu     sync.Mutex
-	record *dedup.Homes
+	record *dedup.ClaimStore
 
 	viewMu    sync.RWMutex
 	members   []dedup.Member
@@ -34,7 +34,7 @@
 		self:      id.ID,
 		peers:     ports.Peers,
 		clock:     ports.Clock,
-		record:    dedup.NewHomes(id.Started, o),
+		record:    dedup.NewClaimStore(id.Started, o),
 		addresses: make(map[model.DaemonID]string),
 	}
 }
@@ -63,7 +63,7 @@
 func dedupMember(m membership.Member) dedup.Member {
 	d := dedup.Member{ID: m.ID}
 	if m.State == membership.Dead {
-		d.LastKnown = m.Heard
+		d.LastSeen = m.Heard
 	}
 	return d
 }
--- a/daemon/serving.go
+++ b/daemon/serving.go
@@ -58,7 +58,7 @@
 // as their home.
 func (c *control) homeAfter() time.Duration {
 	o := c.o.Dedup.WithDefaults()
-	return o.Settle + o.Skew
+	return o.MembershipDelay + o.MaxClockSkew
 }
 
 // heardMajority reports whether a majority of the other members answered this
--- a/traffic/claims.go
+++ b/traffic/claims.go
@@ -79,7 +79,7 @@
 	// An entry whose view is not yet that of the others would take other
 	// homes than they did, and find an id unused that another entry has
 	// sent. One would notice it only by the second run.
-	if !confirmed || now.Sub(q.o.Booted) < q.o.Dedup.Settle {
+	if !confirmed || now.Sub(q.o.Booted) < q.o.Dedup.MembershipDelay {
 		return r, dedup.RefusedUnsure
 	}
 	homes := dedup.HomesFor(r.Service, r.ID, dedup.Eligible(now, r.Issued, members, q.o.Dedup))
--- a/traffic/claims_test.go
+++ b/traffic/claims_test.go
@@ -15,7 +15,7 @@
 // answer only when told to.
 type homeSet struct {
 	mu    sync.Mutex
-	homes map[model.DaemonID]*dedup.Homes
+	homes map[model.DaemonID]*dedup.ClaimStore
 	away  map[model.DaemonID]bool
 	// hold, when set, is waited for before a home answers.
 	hold map[model.DaemonID]chan struct{}
@@ -30,13 +30,13 @@
 
 func newHomeSet(o dedup.Options, entries ...model.DaemonID) *homeSet {
 	h := &homeSet{
-		homes: make(map[model.DaemonID]*dedup.Homes),
+		homes: make(map[model.DaemonID]*dedup.ClaimStore),
 		away:  make(map[model.DaemonID]bool),
 		hold:  make(map[model.DaemonID]chan struct{}),
 	}
 	long := time.Now().Add(-o.WithDefaults().Retention)
 	for _, e := range entries {
-		h.homes[e] = dedup.NewHomes(long, o)
+		h.homes[e] = dedup.NewClaimStore(long, o)
 	}
 	return h
 }
@@ -167,7 +167,7 @@
 // An entry whose own view may still differ from the others' claims nothing.
 func TestYoungEntryClaimsNothing(t *testing.T) {
 	h := newHomeSet(dedup.Options{}, "a", "b", "c")
-	c := h.claims("a", time.Now(), dedup.Options{Settle: time.Hour})
+	c := h.claims("a", time.Now(), dedup.Options{MembershipDelay: time.Hour})
 	if _, outcome := c.Claim(context.Background(), claimRequest("r")); outcome != dedup.RefusedUnsure {
 		t.Errorf("got %s", outcome)
 	}
--- a/traffic/exchange.go
+++ b/traffic/exchange.go
@@ -29,7 +29,7 @@
 	defer overdue.Stop()
 	resp, err := j.s.e.o.Target.Do(ctx, address, &Call{
 		Request:      j.req,
-		Fresh:        choice.Fresh(),
+		Fresh:        choice.RequiresNewConnection(),
 		TrustSince:   choice.TrustSince(),
 		SilenceAfter: silence,
 		Silent:       j.onSilence(held, j.attempts),
@@ -91,7 +91,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.choice != nil {
-		h.choice.Overdue(now)
+		h.choice.ReportOverdue(now)
 	}
 }
 
--- a/traffic/service.go
+++ b/traffic/service.go
@@ -154,7 +154,7 @@
 func (s *service) earn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budget.Earn()
+	s.budget.Deposit()
 }
 
 // decide asks the retry budget about a failed exchange.
@@ -173,7 +173,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f.Expected = s.latency
-	return s.budget.Would(now, f) == retry.Send
+	return s.budget.Check(now, f) == retry.Send
 }
 
 // released gives a slot back and starts those that wait for it.
--- a/traffic/wait.go
+++ b/traffic/wait.go
@@ -167,7 +167,7 @@
 	if s.grantLocked(now, next, 0) {
 		return true
 	}
-	s.queue.Return(now, next)
+	s.queue.Requeue(now, next)
 	last, ok := s.queue.Last()
 	if !ok || last.ID == next.ID || !s.grantLocked(now, last, s.queue.Ahead(last.Priority)-1) {
 		return false
