--- a/core/admission/options.go
+++ b/core/admission/options.go
@@ -30,12 +30,12 @@
 
 // The defaults of Options.
 const (
-	DefaultMaxQueued        = 1024
-	DefaultStandingInterval = 100 * time.Millisecond
-	DefaultTargetWait       = 1.2
-	DefaultInitialServiceTime   = 10 * time.Millisecond
-	DefaultMinRetryAfter    = 250 * time.Millisecond
-	DefaultMaxRetryAfter    = 30 * time.Second
+	DefaultMaxQueued          = 1024
+	DefaultStandingInterval   = 100 * time.Millisecond
+	DefaultTargetWait         = 1.2
+	DefaultInitialServiceTime = 10 * time.Millisecond
+	DefaultMinRetryAfter      = 250 * time.Millisecond
+	DefaultMaxRetryAfter      = 30 * time.Second
 )
 
 // maxUrgentReserve leaves lower priorities half of the slots.
--- a/core/dedup/homes_test.go
+++ b/core/dedup/homes_test.go
@@ -14,10 +14,10 @@
 
 var (
 	options = dedup.Options{
-		Retention:  10 * time.Minute,
-		MembershipDelay:     5 * time.Second,
-		MaxClockSkew:       2 * time.Second,
-		MaxRecords: 4,
+		Retention:       10 * time.Minute,
+		MembershipDelay: 5 * time.Second,
+		MaxClockSkew:    2 * time.Second,
+		MaxRecords:      4,
 	}
 	start = time.Unix(1_800_000_000, 0)
 )
--- a/core/dedup/options.go
+++ b/core/dedup/options.go
@@ -7,10 +7,10 @@
 
 // Defaults of Options.
 const (
-	DefaultRetention  = 10 * time.Minute
-	DefaultMembershipDelay     = 5 * time.Second
-	DefaultMaxClockSkew       = 2 * time.Second
-	DefaultMaxRecords = 200_000
+	DefaultRetention       = 10 * time.Minute
+	DefaultMembershipDelay = 5 * time.Second
+	DefaultMaxClockSkew    = 2 * time.Second
+	DefaultMaxRecords      = 200_000
 )
 
 // Options sets the times of the protocol; all entries of a cluster must have
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -33,8 +33,8 @@
 	DefaultSlowRatio      = 1.8
 	DefaultEjectRatio     = 5.0
 	DefaultMaxEjected     = 0.5
-	DefaultBaseProbeDelay      = 200 * time.Millisecond
-	DefaultMaxProbeDelay        = 10 * time.Second
+	DefaultBaseProbeDelay = 200 * time.Millisecond
+	DefaultMaxProbeDelay  = 10 * time.Second
 	DefaultProvenWithin   = 3 * time.Second
 	DefaultInitialLatency = 10 * time.Millisecond
 	DefaultMinSilence     = 50 * time.Millisecond
