--- a/core/routing/balancer.go
+++ b/core/routing/balancer.go
@@ -21,23 +21,23 @@
 	tiers   tiers
 	probes  probeHeap
 	// sinceProbe counts picks since the last probe.
-	sinceProbe int
-	listed     int // targets neither gone nor leaving
-	resting    int // of those, how many rest or are suspect
-	failures   float64
-	mean       float64 // latency of all answers, nanoseconds
-	deviation  float64 // mean distance from it
-	// patience multiplies silenceAfter; it grows with each silence, so that
+	sinceProbe    int
+	listed        int // targets neither gone nor leaving
+	outOfRotation int // of those, how many rest or are suspect
+	failureRate   float64
+	mean          float64 // latency of all answers, nanoseconds
+	deviation     float64 // mean distance from it
+	// silenceFactor multiplies silenceAfter; it grows with each silence, so that
 	// answers that are merely rare and slow are not given up over and over.
-	patience  float64
-	patientAt time.Time
+	silenceFactor float64
+	patientAt     time.Time
 	// overdueRate is the part of exchanges that become overdue lately, and
 	// trustSince holds for all targets when it is high.
 	overdueRate float64
 	trustSince  time.Time
 	unused      []*Choice
-	limbo       []*limboSlot
-	limboNext   time.Time // when the first of them ends
+	heldSlots   []*heldSlot
+	nextHoldEnd time.Time // when the first of them ends
 }
 
 // New returns a balancer for an entry in zone.
@@ -48,7 +48,7 @@
 		targets: make(map[string]*target),
 		groups:  make(map[model.Zone]*group),
 
-		patience: 1,
+		silenceFactor: 1,
 	}
 }
 
@@ -60,14 +60,14 @@
 func (b *Balancer) Update(now time.Time, targets []Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.settle(now)
+	b.endExpiredHolds(now)
 	listed := make(map[string]bool, len(targets))
 	for _, t := range targets {
 		listed[t.Address] = true
-		b.put(now, t)
+		b.upsert(now, t)
 	}
 	for _, address := range b.unlisted(listed) {
-		b.drop(b.targets[address])
+		b.remove(b.targets[address])
 	}
 }
 
@@ -84,10 +84,10 @@
 	return missing
 }
 
-func (b *Balancer) put(now time.Time, listed Target) {
+func (b *Balancer) upsert(now time.Time, listed Target) {
 	t := b.targets[listed.Address]
 	if t != nil && (t.Task != listed.Task || t.Zone != listed.Zone) {
-		b.drop(t)
+		b.remove(t)
 		t = nil
 	}
 	if t == nil {
@@ -109,12 +109,12 @@
 
 func (b *Balancer) add(_ time.Time, listed Target) {
 	t := &target{
-		Target:     listed,
-		allowance:  1,
-		tier:       noTier,
-		class:      noTier,
-		position:   notPlaced,
-		probeIndex: notPlaced,
+		Target:      listed,
+		allowance:   1,
+		tier:        noTier,
+		countedTier: noTier,
+		position:    notPlaced,
+		probeIndex:  notPlaced,
 	}
 	b.groupOf(listed.Zone).add(t)
 	b.targets[listed.Address] = t
@@ -133,8 +133,8 @@
 	return g
 }
 
-// drop forgets a target that is no longer listed.
-func (b *Balancer) drop(t *target) {
+// remove forgets a target that is no longer listed.
+func (b *Balancer) remove(t *target) {
 	if !t.Leaving {
 		b.retire(t)
 	}
@@ -166,23 +166,23 @@
 
 // setState changes a target's state and the count of those that rest.
 func (b *Balancer) setState(t *target, s State) {
-	if rests(t.state) {
-		b.resting--
+	if isOutOfRotation(t.state) {
+		b.outOfRotation--
 	}
 	t.state = s
 	t.lastResort = false
-	if rests(s) {
-		b.resting++
+	if isOutOfRotation(s) {
+		b.outOfRotation++
 	}
 }
 
-func rests(s State) bool { return s == Ejected || s == Suspect }
+func isOutOfRotation(s State) bool { return s == Ejected || s == Suspect }
 
 // Free returns how many slots are free on targets that may be chosen.
 func (b *Balancer) Free() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.tiers.open
+	return b.tiers.freeSlots
 }
 
 // Slots returns how many slots the targets that may be chosen have.
@@ -223,8 +223,8 @@
 			Held:        t.held,
 			Slots:       t.Slots,
 			Allowance:   min(t.allowance, t.limit()),
-			Latency:     time.Duration(t.fast),
-			LongLatency: time.Duration(t.slow),
+			Latency:     time.Duration(t.shortAverage),
+			LongLatency: time.Duration(t.longAverage),
 		})
 	}
 	slices.SortFunc(states, func(a, c TargetState) int { return cmp.Compare(a.Address, c.Address) })
--- a/core/routing/balancer_test.go
+++ b/core/routing/balancer_test.go
@@ -258,7 +258,7 @@
 	if s := x.state("10.0.0.0:80").State; s != Healthy {
 		t.Errorf("the target that answered is %v", s)
 	}
-	x.now = x.now.Add(maxLimbo)
+	x.now = x.now.Add(maxHold)
 	lost.Done(x.now, Result{Outcome: Silent})
 	if s := x.state("10.0.0.0:80"); s.State != Healthy || s.InFlight+s.Held != 0 {
 		t.Errorf("the end of the lost exchange was held against the target: %+v", s)
@@ -290,7 +290,7 @@
 	if _, ok := x.pick(Query{Ahead: 1000}); ok {
 		t.Fatal("the slot was given again at once")
 	}
-	x.now = x.now.Add(maxLimbo)
+	x.now = x.now.Add(maxHold)
 	if _, ok := x.pick(Query{Ahead: 1000}); !ok {
 		t.Error("the slot never came back")
 	}
@@ -379,7 +379,7 @@
 		for _, c := range held {
 			c.Done(x.now, Result{Outcome: Canceled})
 		}
-		x.b.Update(x.now.Add(maxLimbo), targets(6, 3))
+		x.b.Update(x.now.Add(maxHold), targets(6, 3))
 		for _, s := range x.b.Snapshot() {
 			if s.InFlight+s.Held != 0 {
 				return fmt.Sprintf("in the end %+v", s)
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -22,7 +22,7 @@
 	zone      model.Zone
 	near      bool
 	members   []*target
-	answers   int
+	responses int
 	offset    int
 	reference float64 // median latency of the members, nanoseconds; 0: none
 }
@@ -42,28 +42,28 @@
 	g.members = g.members[:last]
 }
 
-// answered counts an answer, and computes the reference anew when it is due.
-func (g *group) answered() {
-	g.answers++
-	if g.answers < referenceEvery && g.reference > 0 {
+// countResponse counts an answer, and computes the reference anew when it is due.
+func (g *group) countResponse() {
+	g.responses++
+	if g.responses < referenceEvery && g.reference > 0 {
 		return
 	}
-	g.answers = 0
-	g.compute()
+	g.responses = 0
+	g.updateReference()
 }
 
-// compute sets the reference to the median of the members' averages: it stays
+// updateReference sets the reference to the median of the members' averages: it stays
 // that of the healthy ones while fewer than half are slow. A mean would rise
 // with the slow ones and hide them. Of two it is the lower. Of a large group each computation looks
 // at the next part.
-func (g *group) compute() {
+func (g *group) updateReference() {
 	var buffer [referencePeers]float64
 	latencies := buffer[:0]
 	n := min(len(g.members), referencePeers)
 	for i := range n {
 		t := g.members[(g.offset+i)%len(g.members)]
 		if t.samples >= minSamples {
-			latencies = append(latencies, t.fast)
+			latencies = append(latencies, t.shortAverage)
 		}
 	}
 	g.offset += n
--- a/core/routing/learn.go
+++ b/core/routing/learn.go
@@ -15,27 +15,27 @@
 const (
 	// overdueGain is the weight of one exchange in overdueRate, and manyOverdue
 	// the rate from which connections to all targets are doubted.
-	overdueGain = 1.0 / 32
-	manyOverdue = 0.15
-	// patienceGrowth and patienceDecay balance where one exchange in about
+	overdueGain     = 1.0 / 32
+	manyOverdueRate = 0.15
+	// silenceFactorGrowth and patienceDecay balance where one exchange in about
 	// five hundred is given up without need.
-	patienceGrowth = 1.1
-	patienceDecay  = 1.0 / 5000
-	maxPatience    = 8.0
-	// patienceSpacing makes one of the silences that come together: when many
+	silenceFactorGrowth = 1.1
+	silenceFactorDecay  = 1.0 / 5000
+	maxSilenceFactor    = 8.0
+	// silenceFactorSpacing makes one of the silences that come together: when many
 	// connections die at once, the answers have not become slower.
-	patienceSpacing = 100 * time.Millisecond
+	silenceFactorSpacing = 100 * time.Millisecond
 )
 
-// longest returns how long an exchange with t may last to stay within the given
+// latencyBound returns how long an exchange with t may last to stay within the given
 // number of deviations of the mean.
-func (b *Balancer) longest(t *target, deviations float64) time.Duration {
+func (b *Balancer) latencyBound(t *target, deviations float64) time.Duration {
 	if b.mean == 0 {
 		return b.o.MaxSilence
 	}
-	ns := (b.mean + deviations*b.deviation) * b.patience
-	if t.fast > b.mean {
-		ns *= t.fast / b.mean
+	ns := (b.mean + deviations*b.deviation) * b.silenceFactor
+	if t.shortAverage > b.mean {
+		ns *= t.shortAverage / b.mean
 	}
 	if ns > float64(b.o.MaxSilence) {
 		return b.o.MaxSilence
@@ -51,13 +51,13 @@
 	if t == nil {
 		return
 	}
-	b.settle(now)
+	b.endExpiredHolds(now)
 	if r.Outcome == Silent && c.released {
 		r.Outcome = Canceled // Overdue has told it already.
 	}
 	b.release(c, now, r.Outcome == Silent)
-	if c.limbo != nil && (r.Outcome == OK || r.Outcome == Failed) {
-		b.endLimbo(c.limbo)
+	if c.hold != nil && (r.Outcome == OK || r.Outcome == Failed) {
+		b.endHold(c.hold)
 	}
 	if !t.gone && !t.Leaving {
 		b.learn(c, now, r)
@@ -70,58 +70,58 @@
 func (b *Balancer) learn(c *Choice, now time.Time, r Result) {
 	switch r.Outcome {
 	case OK:
-		b.answered(c, now, float64(r.Latency))
+		b.learnResponse(c, now, float64(r.Latency))
 	case Failed:
-		b.failed(c.t, now)
+		b.learnFailure(c.t, now)
 	case Refused:
-		b.refused(c.t, now)
+		b.learnRefusal(c.t, now)
 	case Silent:
-		b.silent(c, now)
+		b.learnSilence(c, now)
 	}
 }
 
-// answered learns from a whole answer.
-func (b *Balancer) answered(c *Choice, now time.Time, ns float64) {
+// learnResponse learns from a whole answer.
+func (b *Balancer) learnResponse(c *Choice, now time.Time, ns float64) {
 	t := c.t
-	b.learnSpread(ns)
+	b.learnDeviation(ns)
 	b.overdueRate -= overdueGain * b.overdueRate
-	b.patience = max(1, b.patience*(1-patienceDecay))
-	b.tiers.learn(t.class, ns)
+	b.silenceFactor = max(1, b.silenceFactor*(1-silenceFactorDecay))
+	b.tiers.learn(t.countedTier, ns)
 	b.countFailure(t, 0)
-	t.failed = 0
-	t.answeredAt = now
+	t.failuresInRow = 0
+	t.respondedAt = now
 	t.silentAt = time.Time{}
 	t.learnLatency(ns)
-	t.group.answered()
+	t.group.countResponse()
 	t.grow()
 	switch {
 	case t.state == Healthy:
-		b.judge(t, now)
+		b.compareWithPeers(t, now)
 	case t.state == Suspect:
-		b.recover(t)
+		b.restore(t)
 	default:
-		b.recovering(t, now, ns)
+		b.countRecovery(t, now, ns)
 	}
 }
 
-func (b *Balancer) learnSpread(ns float64) {
+func (b *Balancer) learnDeviation(ns float64) {
 	if b.mean == 0 {
 		b.mean, b.deviation = ns, ns/2
 		return
 	}
-	b.deviation += slowGain * (math.Abs(ns-b.mean) - b.deviation)
-	b.mean += slowGain * (ns - b.mean)
+	b.deviation += longGain * (math.Abs(ns-b.mean) - b.deviation)
+	b.mean += longGain * (ns - b.mean)
 }
 
-// judge compares a healthy target with its peers.
-func (b *Balancer) judge(t *target, now time.Time) {
+// compareWithPeers compares a healthy target with its peers.
+func (b *Balancer) compareWithPeers(t *target, now time.Time) {
 	switch {
 	case t.ratio(t.group.reference) > b.o.EjectRatio:
-		b.rest(t, now)
+		b.eject(t, now)
 	case t.ratio(b.referenceFor(t)) > b.o.SlowRatio:
 		b.setState(t, Slow)
-		t.recovered = 0
-		b.probes.schedule(t, now.Add(b.restFor(t)))
+		t.goodResponses = 0
+		b.probes.schedule(t, now.Add(b.probeDelay(t)))
 	}
 }
 
@@ -140,26 +140,26 @@
 	return best
 }
 
-// recovering counts the good answers of a target that is slow or resting, and
+// countRecovery counts the good answers of a target that is slow or resting, and
 // lets it back after a few in a row.
-func (b *Balancer) recovering(t *target, now time.Time, ns float64) {
+func (b *Balancer) countRecovery(t *target, now time.Time, ns float64) {
 	reference := b.referenceFor(t)
 	if reference > 0 && ns > b.goodRatio(t)*reference {
-		t.recovered = 0
-		t.lengthenRest()
-		b.probes.schedule(t, now.Add(b.restFor(t)))
+		t.goodResponses = 0
+		t.lengthenProbeDelay()
+		b.probes.schedule(t, now.Add(b.probeDelay(t)))
 		if t.state == Slow && t.ratio(t.group.reference) > b.o.EjectRatio {
-			b.rest(t, now)
+			b.eject(t, now)
 		}
 		return
 	}
-	t.recovered++
-	if t.state == Ejected && t.recovered >= recoveryAnswers && reference > 0 && ns > goodAnswerRatio*reference {
-		b.backToSlow(t, now, reference)
+	t.goodResponses++
+	if t.state == Ejected && t.goodResponses >= recoveryResponses && reference > 0 && ns > goodResponseRatio*reference {
+		b.returnAsSlow(t, now, reference)
 		return
 	}
-	if t.recovered >= recoveryAnswers {
-		b.recover(t)
+	if t.goodResponses >= recoveryResponses {
+		b.restore(t)
 		return
 	}
 	b.probes.schedule(t, now)
@@ -171,150 +171,150 @@
 	if t.state == Ejected {
 		return b.o.EjectRatio
 	}
-	return goodAnswerRatio
+	return goodResponseRatio
 }
 
-// backToSlow ends the rest of a target that is merely slow.
-func (b *Balancer) backToSlow(t *target, now time.Time, reference float64) {
+// returnAsSlow ends the rest of a target that is merely slow.
+func (b *Balancer) returnAsSlow(t *target, now time.Time, reference float64) {
 	b.setState(t, Slow)
-	t.recovered = 0
-	t.allowance, t.answers = 1, 0
-	t.fast = goodAnswerRatio * reference
-	b.probes.schedule(t, now.Add(b.restFor(t)))
+	t.goodResponses = 0
+	t.allowance, t.responses = 1, 0
+	t.shortAverage = goodResponseRatio * reference
+	b.probes.schedule(t, now.Add(b.probeDelay(t)))
 }
 
-// recover makes a target healthy. It starts with one request at a time, and
+// restore makes a target healthy. It starts with one request at a time, and
 // its average starts from its peers': what it was before is no longer so.
-func (b *Balancer) recover(t *target) {
+func (b *Balancer) restore(t *target) {
 	wasSuspect := t.state == Suspect
 	b.setState(t, Healthy)
 	b.probes.remove(t)
-	t.recovered = 0
-	t.failures = 0
+	t.goodResponses = 0
+	t.failureRate = 0
 	if wasSuspect {
 		return
 	}
-	t.doublings = max(t.doublings-1, 0)
-	t.allowance, t.answers = 1, 0
+	t.probeDoublings = max(t.probeDoublings-1, 0)
+	t.allowance, t.responses = 1, 0
 	if reference := b.referenceFor(t); reference > 0 {
-		t.fast = reference
+		t.shortAverage = reference
 	}
 }
 
-// rest takes a target out of use, or makes it a last resort when too many
-// rest already: when most look bad, what is seen says more of the entry's own
+// eject takes a target out of use, or makes it a last resort when too many
+// eject already: when most look bad, what is seen says more of the entry's own
 // view than of the targets, and leaving them all would serve nobody.
-func (b *Balancer) rest(t *target, now time.Time) {
+func (b *Balancer) eject(t *target, now time.Time) {
 	b.setState(t, Ejected)
-	t.recovered = 0
-	t.lastResort = float64(b.resting) > b.o.MaxEjected*float64(b.listed)
-	b.probes.schedule(t, now.Add(b.restFor(t)))
-	t.lengthenRest()
+	t.goodResponses = 0
+	t.lastResort = float64(b.outOfRotation) > b.o.MaxEjected*float64(b.listed)
+	b.probes.schedule(t, now.Add(b.probeDelay(t)))
+	t.lengthenProbeDelay()
 }
 
-// failed learns from an error of the target's own.
-func (b *Balancer) failed(t *target, now time.Time) {
-	peers := b.failures
+// learnFailure learns from an error of the target's own.
+func (b *Balancer) learnFailure(t *target, now time.Time) {
+	peers := b.failureRate
 	b.countFailure(t, 1)
-	t.failed++
-	t.recovered = 0
-	if rests(t.state) {
-		t.lengthenRest()
-		b.probes.schedule(t, now.Add(b.restFor(t)))
+	t.failuresInRow++
+	t.goodResponses = 0
+	if isOutOfRotation(t.state) {
+		t.lengthenProbeDelay()
+		b.probes.schedule(t, now.Add(b.probeDelay(t)))
 		return
 	}
 	// A target that fails no more often than all do is not to blame.
-	if t.failed >= failuresToRest && t.failures > 2*peers {
-		b.rest(t, now)
+	if t.failuresInRow >= failuresToEject && t.failureRate > 2*peers {
+		b.eject(t, now)
 	}
 }
 
-// refused rests a target at once: it takes nothing now, and the request goes
+// learnRefusal rests a target at once: it takes nothing now, and the request goes
 // elsewhere at no cost.
-func (b *Balancer) refused(t *target, now time.Time) {
-	t.recovered = 0
-	if rests(t.state) {
-		t.lengthenRest()
-		b.probes.schedule(t, now.Add(b.restFor(t)))
+func (b *Balancer) learnRefusal(t *target, now time.Time) {
+	t.goodResponses = 0
+	if isOutOfRotation(t.state) {
+		t.lengthenProbeDelay()
+		b.probes.schedule(t, now.Add(b.probeDelay(t)))
 		return
 	}
-	b.rest(t, now)
+	b.eject(t, now)
 }
 
-// overdue is told of an exchange that is unanswered for long but not over.
-func (b *Balancer) overdue(c *Choice, now time.Time) {
+// reportOverdue is told of an exchange that is unanswered for long but not over.
+func (b *Balancer) reportOverdue(c *Choice, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.settle(now)
+	b.endExpiredHolds(now)
 	if c.t == nil || c.released {
 		return
 	}
 	if !c.overdue {
 		c.overdue = true
-		b.doubt(c)
+		b.distrustConnections(c)
 	}
 	if now.Sub(c.started) < c.silenceAfter {
 		return
 	}
 	if !c.t.gone && !c.t.Leaving {
-		b.silent(c, now)
+		b.learnSilence(c, now)
 	}
 	b.release(c, now, true)
 	b.tiers.place(c.t)
 }
 
-// doubt stops the use of connections that may have gone silent with the
+// distrustConnections stops the use of connections that may have gone silent with the
 // overdue one: the loss happened before its answer was due, so that those
 // which carried an answer later are proven. When many exchanges are overdue at
 // once, something between has lost track of more than this target's.
-func (b *Balancer) doubt(c *Choice) {
+func (b *Balancer) distrustConnections(c *Choice) {
 	due := c.started.Add(time.Duration(b.mean))
 	if due.After(c.t.trustSince) {
 		c.t.trustSince = due
 	}
 	b.overdueRate += overdueGain * (1 - b.overdueRate)
-	if b.overdueRate > manyOverdue && due.After(b.trustSince) {
+	if b.overdueRate > manyOverdueRate && due.After(b.trustSince) {
 		b.trustSince = due
 	}
 }
 
-// morePatience makes exchanges wait longer before they count as silent.
-func (b *Balancer) morePatience(now time.Time) {
-	if now.Sub(b.patientAt) < patienceSpacing {
+// raiseSilenceFactor makes exchanges wait longer before they count as silent.
+func (b *Balancer) raiseSilenceFactor(now time.Time) {
+	if now.Sub(b.patientAt) < silenceFactorSpacing {
 		return
 	}
 	b.patientAt = now
-	b.patience = min(b.patience*patienceGrowth, maxPatience)
+	b.silenceFactor = min(b.silenceFactor*silenceFactorGrowth, maxSilenceFactor)
 }
 
-// silent learns that no answer came. A target that answered others after this
+// learnSilence learns that no answer came. A target that answered others after this
 // answer was due is well: the connection is at fault. Else the target becomes
 // suspect, and the next request proves it over a new connection. A second
 // silence, of an exchange that began after the first was known, blames the
 // target.
-func (b *Balancer) silent(c *Choice, now time.Time) {
-	b.morePatience(now)
+func (b *Balancer) learnSilence(c *Choice, now time.Time) {
+	b.raiseSilenceFactor(now)
 	t := c.t
-	if t.answeredAt.After(c.started.Add(time.Duration(b.mean))) {
+	if t.respondedAt.After(c.started.Add(time.Duration(b.mean))) {
 		return
 	}
-	t.recovered = 0
+	t.goodResponses = 0
 	again := !t.silentAt.IsZero() && !c.started.Before(t.silentAt)
 	if !again {
 		t.silentAt = now
-		if !rests(t.state) {
+		if !isOutOfRotation(t.state) {
 			b.setState(t, Suspect)
 			b.probes.schedule(t, now.Add(-suspectHeadStart))
 		}
 		return
 	}
 	t.silentAt = now
-	b.rest(t, now)
+	b.eject(t, now)
 }
 
 // countFailure takes an outcome, 1 for a failure, into the rates of the target
 // and of all.
 func (b *Balancer) countFailure(t *target, v float64) {
-	t.failures += failureGain * (v - t.failures)
-	b.failures += slowGain * (v - b.failures)
+	t.failureRate += failureGain * (v - t.failureRate)
+	b.failureRate += longGain * (v - b.failureRate)
 }
--- a/core/routing/limbo.go
+++ b/core/routing/limbo.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// limboSlot is a slot whose exchange was given up as silent. The target may
+// heldSlot is a slot whose exchange was given up as silent. The target may
 // still be at work on it: a slot given to another request at once would be one
 // more than the target has. It comes back a while later.
-type limboSlot struct {
+type heldSlot struct {
 	t     *target
 	until time.Time
 	over  bool
 }
 
-// maxLimbo bounds how long a slot stays taken after its exchange was given up.
-const maxLimbo = time.Second
+// maxHold bounds how long a slot stays taken after its exchange was given up.
+const maxHold = time.Second
 
 // release gives the slot of a choice back. That of a silent exchange stays
 // taken for as long again as the exchange has lasted, unless so many are
@@ -22,39 +22,39 @@
 		return
 	}
 	c.released = true
-	if !silent || b.overdueRate > manyOverdue {
+	if !silent || b.overdueRate > manyOverdueRate {
 		c.t.inflight--
 		return
 	}
 	c.t.held++
-	c.limbo = &limboSlot{t: c.t, until: now.Add(min(now.Sub(c.started), maxLimbo))}
-	b.limbo = append(b.limbo, c.limbo)
-	if len(b.limbo) == 1 || c.limbo.until.Before(b.limboNext) {
-		b.limboNext = c.limbo.until
+	c.hold = &heldSlot{t: c.t, until: now.Add(min(now.Sub(c.started), maxHold))}
+	b.heldSlots = append(b.heldSlots, c.hold)
+	if len(b.heldSlots) == 1 || c.hold.until.Before(b.nextHoldEnd) {
+		b.nextHoldEnd = c.hold.until
 	}
 }
 
-// settle gives back the slots whose time in limbo is over.
-func (b *Balancer) settle(now time.Time) {
-	if len(b.limbo) == 0 || now.Before(b.limboNext) {
+// endExpiredHolds gives back the slots whose time in limbo is over.
+func (b *Balancer) endExpiredHolds(now time.Time) {
+	if len(b.heldSlots) == 0 || now.Before(b.nextHoldEnd) {
 		return
 	}
-	kept := b.limbo[:0]
-	for _, s := range b.limbo {
+	kept := b.heldSlots[:0]
+	for _, s := range b.heldSlots {
 		if !s.over && now.Before(s.until) {
-			if len(kept) == 0 || s.until.Before(b.limboNext) {
-				b.limboNext = s.until
+			if len(kept) == 0 || s.until.Before(b.nextHoldEnd) {
+				b.nextHoldEnd = s.until
 			}
 			kept = append(kept, s)
 			continue
 		}
-		b.endLimbo(s)
+		b.endHold(s)
 	}
-	clear(b.limbo[len(kept):])
-	b.limbo = kept
+	clear(b.heldSlots[len(kept):])
+	b.heldSlots = kept
 }
 
-func (b *Balancer) endLimbo(s *limboSlot) {
+func (b *Balancer) endHold(s *heldSlot) {
 	if s.over {
 		return
 	}
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -42,30 +42,30 @@
 )
 
 const (
-	// fastGain and slowGain are the weights of one answer in a target's two
+	// shortGain and slowGain are the weights of one answer in a target's two
 	// latency averages.
-	fastGain = 1.0 / 8
-	slowGain = 1.0 / 64
+	shortGain = 1.0 / 8
+	longGain  = 1.0 / 64
 	// failureGain is the weight of one outcome in failure rates.
 	failureGain = 1.0 / 8
 	// minSamples is how many answers a target must have given before it is
 	// compared with its peers.
 	minSamples = 8
-	// failuresToRest is how many exchanges in a row must fail before a target
+	// failuresToEject is how many exchanges in a row must fail before a target
 	// may rest for it.
-	failuresToRest = 3
-	// recoveryAnswers is how many good answers in a row end a rest.
-	recoveryAnswers = 3
-	// goodAnswerRatio is how many times the peers' latency an answer may take
+	failuresToEject = 3
+	// recoveryResponses is how many good answers in a row end a rest.
+	recoveryResponses = 3
+	// goodResponseRatio is how many times the peers' latency an answer may take
 	// and still count toward recovery.
-	goodAnswerRatio = 2.0
+	goodResponseRatio = 2.0
 	// probeSpacing is how many picks lie between two probes of doubtful
 	// targets, so that probes stay a small part of requests; but no target
 	// waits for its probe longer than probeLateness.
-	probeSpacing  = 400
-	probeLateness = time.Second
-	// maxRestDoublings bounds the exponent of rests.
-	maxRestDoublings = 6
+	probeSpacing     = 400
+	maxProbeLateness = time.Second
+	// maxProbeDoublings bounds the exponent of rests.
+	maxProbeDoublings = 6
 )
 
 func (o Options) withDefaults() Options {
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -9,16 +9,16 @@
 func (b *Balancer) Pick(now time.Time, rnd uint64, q Query) (*Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.settle(now)
+	b.endExpiredHolds(now)
 	if t := b.probe(now, q); t != nil {
 		return b.take(now, t), true
 	}
 	for kind := tierNear; kind < numTiers; kind++ {
-		t := b.draw(now, kind, rnd, q)
+		t := b.sample(now, kind, rnd, q)
 		if t == nil {
 			continue
 		}
-		if !b.tiers.worthIt(kind, t.latency(b.usual()), q.Ahead, b.usual()) {
+		if !b.tiers.beatsWaiting(kind, t.latency(b.typicalLatency()), q.Ahead, b.typicalLatency()) {
 			return nil, false
 		}
 		return b.take(now, t), true
@@ -26,8 +26,8 @@
 	return nil, false
 }
 
-// draw returns the best of a few random targets of a tier, or nil.
-func (b *Balancer) draw(now time.Time, kind tier, rnd uint64, q Query) *target {
+// sample returns the best of a few random targets of a tier, or nil.
+func (b *Balancer) sample(now time.Time, kind tier, rnd uint64, q Query) *target {
 	list := b.tiers.free[kind]
 	if len(list) == 0 {
 		return nil
@@ -37,8 +37,8 @@
 	}
 	var best *target
 	for range b.o.Choices {
-		rnd = scatter(rnd)
-		t := list[within(rnd, len(list))]
+		rnd = mix64(rnd)
+		t := list[boundedRandom(rnd, len(list))]
 		if !avoided(q, t) && b.better(now, t, best, q) {
 			best = t
 		}
@@ -53,7 +53,7 @@
 // random one on: equals are to be chosen equally often.
 func (b *Balancer) bestOf(now time.Time, list []*target, rnd uint64, q Query) *target {
 	var best *target
-	first := within(scatter(rnd), len(list))
+	first := boundedRandom(mix64(rnd), len(list))
 	for i := range min(len(list), maxScan) {
 		t := list[(first+i)%len(list)]
 		if !avoided(q, t) && b.better(now, t, best, q) {
@@ -71,8 +71,8 @@
 		return true
 	}
 	if q.NonIdempotent {
-		proven := now.Sub(t.answeredAt) <= b.o.ProvenWithin
-		if proven != (now.Sub(than.answeredAt) <= b.o.ProvenWithin) {
+		proven := now.Sub(t.respondedAt) <= b.o.ProvenWithin
+		if proven != (now.Sub(than.respondedAt) <= b.o.ProvenWithin) {
 			return proven
 		}
 	}
@@ -82,11 +82,11 @@
 // cost is the expected latency, raised by how much of the target is in use.
 func (b *Balancer) cost(t *target) float64 {
 	used := float64(t.inflight) / float64(t.limit())
-	return t.latency(b.usual()) * (1 + used)
+	return t.latency(b.typicalLatency()) * (1 + used)
 }
 
-// usual is the mean latency of all answers, or what is assumed before any.
-func (b *Balancer) usual() float64 {
+// typicalLatency is the mean latency of all answers, or what is assumed before any.
+func (b *Balancer) typicalLatency() float64 {
 	if b.mean > 0 {
 		return b.mean
 	}
@@ -122,8 +122,8 @@
 		started: now,
 		fresh:   !t.silentAt.IsZero(),
 
-		overdueAfter: b.longest(t, overdueDeviations),
-		silenceAfter: max(b.longest(t, silenceDeviations), b.o.MinSilence),
+		overdueAfter: b.latencyBound(t, overdueDeviations),
+		silenceAfter: max(b.latencyBound(t, silenceDeviations), b.o.MinSilence),
 		trustSince:   later(t.trustSince, b.trustSince),
 	}
 	return c
@@ -136,13 +136,13 @@
 	return b
 }
 
-// within maps a uniformly random number to [0, n).
-func within(rnd uint64, n int) int {
+// boundedRandom maps a uniformly random number to [0, n).
+func boundedRandom(rnd uint64, n int) int {
 	return int((rnd >> 32) * uint64(n) >> 32)
 }
 
-// scatter is the finaliser of splitmix64.
-func scatter(x uint64) uint64 {
+// mix64 is the finaliser of splitmix64.
+func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/core/routing/probe.go
+++ b/core/routing/probe.go
@@ -70,11 +70,11 @@
 		return nil
 	}
 	if t.limit() == 0 || t.inflight >= t.limit() || avoided(q, t) {
-		b.probes.schedule(t, now.Add(b.o.BaseProbeDelay/busyProbe))
+		b.probes.schedule(t, now.Add(b.o.BaseProbeDelay/busyProbeDivisor))
 		return nil
 	}
 	b.sinceProbe = 0
-	b.probes.schedule(t, now.Add(b.restFor(t)))
+	b.probes.schedule(t, now.Add(b.probeDelay(t)))
 	return t
 }
 
@@ -86,7 +86,7 @@
 	switch {
 	case t.state == Suspect:
 		return true
-	case now.Sub(t.probeAt) > probeLateness:
+	case now.Sub(t.probeAt) > maxProbeLateness:
 		return true
 	case q.NonIdempotent:
 		return false
@@ -94,15 +94,15 @@
 	return b.sinceProbe >= probeSpacing
 }
 
-// busyProbe divides the first rest: that soon a probe that found no free slot
+// busyProbeDivisor divides the first rest: that soon a probe that found no free slot
 // is tried again.
-const busyProbe = 16
+const busyProbeDivisor = 16
 
 // suspectHeadStart puts suspect targets before all others in the heap, or they
 // would wait behind slow ones that are due but spaced.
 const suspectHeadStart = time.Hour
 
-// restFor is how long a target waits for its next probe.
-func (b *Balancer) restFor(t *target) time.Duration {
-	return min(b.o.BaseProbeDelay<<t.doublings, b.o.MaxProbeDelay)
+// probeDelay is how long a target waits for its next probe.
+func (b *Balancer) probeDelay(t *target) time.Duration {
+	return min(b.o.BaseProbeDelay<<t.probeDoublings, b.o.MaxProbeDelay)
 }
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -76,7 +76,7 @@
 	overdue      bool
 	// released choices no longer take a slot, though their exchange goes on.
 	released bool
-	limbo    *limboSlot
+	hold     *heldSlot
 }
 
 // Address returns the target's address.
@@ -110,7 +110,7 @@
 // the target, which costs little. The second also gives the slot back after a
 // while, though the request may go on waiting, and, unless the target answers
 // others, tries it with one request at a time. Done is still to be called.
-func (c *Choice) ReportOverdue(now time.Time) { c.b.overdue(c, now) }
+func (c *Choice) ReportOverdue(now time.Time) { c.b.reportOverdue(c, now) }
 
 // Done gives the slot back and learns from the result. Call it exactly once;
 // a second call before the choice is used again does nothing.
--- a/core/routing/target.go
+++ b/core/routing/target.go
@@ -37,7 +37,7 @@
 	tierNear tier = iota
 	tierFar
 	tierSlow
-	tierLast
+	tierLastResort
 	numTiers
 	noTier tier = -1
 )
@@ -60,26 +60,26 @@
 	// allowance is how many slots may be used now: it doubles from 1 with the
 	// answers of a target that is new or back from a rest.
 	allowance int
-	answers   int // since the allowance last changed
-
-	fast, slow float64 // latency averages, nanoseconds
-	samples    int
-	failures   float64 // rate
-	failed     int     // in a row
-	recovered  int     // good answers in a row while slow or resting
-	doublings  int     // of the rest
-	probeAt    time.Time
-	silentAt   time.Time // when the last silence was told; zero when answered since
-	answeredAt time.Time
-	trustSince time.Time
-
-	tier        tier // of the list that holds it, or noTier
-	position    int  // in that list
-	class       tier // of the sums that count it, or noTier
-	counted     int  // allowance in those sums
-	countedOpen int  // free slots in those sums
-	probeIndex  int  // in the probe heap
-	groupMember int  // index in its group
+	responses int // since the allowance last changed
+
+	shortAverage, longAverage float64 // latency averages, nanoseconds
+	samples                   int
+	failureRate               float64 // rate
+	failuresInRow             int     // in a row
+	goodResponses             int     // good answers in a row while slow or resting
+	probeDoublings            int     // of the rest
+	probeAt                   time.Time
+	silentAt                  time.Time // when the last silence was told; zero when answered since
+	respondedAt               time.Time
+	trustSince                time.Time
+
+	tier         tier // of the list that holds it, or noTier
+	position     int  // in that list
+	countedTier  tier // of the sums that count it, or noTier
+	countedSlots int  // allowance in those sums
+	countedFree  int  // free slots in those sums
+	probeIndex   int  // in the probe heap
+	groupMember  int  // index in its group
 }
 
 // limit is how many requests may be in flight at the target.
@@ -91,8 +91,8 @@
 	return limit
 }
 
-// room is how many requests may be in flight now.
-func (t *target) room() int {
+// usableSlots is how many requests may be in flight now.
+func (t *target) usableSlots() int {
 	switch {
 	case t.gone || t.Leaving:
 		return 0
@@ -102,13 +102,13 @@
 	return min(t.allowance, t.limit())
 }
 
-// usableClass is the tier that the target belongs to when it has a free slot.
-func (t *target) usableClass() tier {
+// usableTier is the tier that the target belongs to when it has a free slot.
+func (t *target) usableTier() tier {
 	switch {
-	case t.room() == 0:
+	case t.usableSlots() == 0:
 		return noTier
 	case t.lastResort:
-		return tierLast
+		return tierLastResort
 	case t.state == Slow:
 		return tierSlow
 	case t.group.near:
@@ -122,7 +122,7 @@
 // that once answered would be preferred to those that never had a chance to.
 func (t *target) latency(usual float64) float64 {
 	if t.samples >= minSamples {
-		return t.fast
+		return t.shortAverage
 	}
 	if t.group.reference > 0 {
 		usual = t.group.reference
@@ -140,33 +140,33 @@
 	if reference <= 0 {
 		return 1
 	}
-	if t.samples < minSamples && t.fast < bluntRatio*reference {
+	if t.samples < minSamples && t.shortAverage < unprovenSlowRatio*reference {
 		return 1
 	}
-	return t.fast / reference
+	return t.shortAverage / reference
 }
 
-// bluntRatio is how many times its peers' latency an answer must have taken
+// unprovenSlowRatio is how many times its peers' latency an answer must have taken
 // to be held against a target with few answers.
-const bluntRatio = 8.0
+const unprovenSlowRatio = 8.0
 
 // learnLatency takes an answer's latency into the averages.
 func (t *target) learnLatency(ns float64) {
 	if t.samples == 0 {
-		t.fast, t.slow = ns, ns
+		t.shortAverage, t.longAverage = ns, ns
 	}
 	// The first answers weigh as in a plain mean, or the very first would
 	// stay dominant for long.
-	gain := max(fastGain, 1/float64(t.samples+1))
-	t.fast += gain * (ns - t.fast)
-	gain = max(slowGain, 1/float64(t.samples+1))
-	t.slow += gain * (ns - t.slow)
+	gain := max(shortGain, 1/float64(t.samples+1))
+	t.shortAverage += gain * (ns - t.shortAverage)
+	gain = max(longGain, 1/float64(t.samples+1))
+	t.longAverage += gain * (ns - t.longAverage)
 	t.samples++
 }
 
-// lengthenRest doubles the next rest.
-func (t *target) lengthenRest() {
-	t.doublings = min(t.doublings+1, maxRestDoublings)
+// lengthenProbeDelay doubles the next rest.
+func (t *target) lengthenProbeDelay() {
+	t.probeDoublings = min(t.probeDoublings+1, maxProbeDoublings)
 }
 
 // grow raises the allowance after an answer.
@@ -174,10 +174,10 @@
 	if t.allowance >= t.limit() {
 		return
 	}
-	t.answers++
-	if t.answers < t.allowance {
+	t.responses++
+	if t.responses < t.allowance {
 		return
 	}
-	t.answers = 0
+	t.responses = 0
 	t.allowance = min(2*t.allowance, t.limit())
 }
--- a/core/routing/tiers.go
+++ b/core/routing/tiers.go
@@ -6,17 +6,17 @@
 	free [numTiers][]*target
 	// slots sums the allowances of all targets of a class, free or not.
 	slots [numTiers]int
-	// open sums the free slots of all targets.
-	open int
+	// freeSlots sums the free slots of all targets.
+	freeSlots int
 	// latency is the average of each class's answers, nanoseconds.
 	latency [numTiers]float64
 }
 
 // place puts t where its state and free slots say.
 func (s *tiers) place(t *target) {
-	class := t.usableClass()
+	class := t.usableTier()
 	s.count(t, class)
-	if class != noTier && t.inflight >= t.room() {
+	if class != noTier && t.inflight >= t.usableSlots() {
 		class = noTier
 	}
 	if class == t.tier {
@@ -46,16 +46,16 @@
 
 // count moves t's allowance and free slots to the sums of class.
 func (s *tiers) count(t *target, class tier) {
-	if t.class != noTier {
-		s.slots[t.class] -= t.counted
-		s.open -= t.countedOpen
+	if t.countedTier != noTier {
+		s.slots[t.countedTier] -= t.countedSlots
+		s.freeSlots -= t.countedFree
 	}
-	t.class = class
-	t.counted = t.room()
-	t.countedOpen = max(t.counted-t.inflight, 0)
+	t.countedTier = class
+	t.countedSlots = t.usableSlots()
+	t.countedFree = max(t.countedSlots-t.inflight, 0)
 	if class != noTier {
-		s.slots[class] += t.counted
-		s.open += t.countedOpen
+		s.slots[class] += t.countedSlots
+		s.freeSlots += t.countedFree
 	}
 }
 
@@ -77,23 +77,23 @@
 		s.latency[class] = ns
 		return
 	}
-	s.latency[class] += slowGain * (ns - s.latency[class])
+	s.latency[class] += longGain * (ns - s.latency[class])
 }
 
 const (
-	// notMuchSlower is how many times the usual latency a slot may cost and be
+	// acceptableSlowdown is how many times the usual latency a slot may cost and be
 	// taken without asking whether waiting is better: a request that waits
 	// also delays all that come after it.
-	notMuchSlower = 1.5
+	acceptableSlowdown = 1.5
 	// maxDefer is the longest wait for a better slot, in usual latencies.
 	// Beyond it a slow answer is better than the shedding that would follow.
 	maxDefer = 1.0
 )
 
-// worthIt reports whether taking a slot of the given tier with the expected
+// beatsWaiting reports whether taking a slot of the given tier with the expected
 // latency beats waiting for one of the better tiers, whose slots come free at
 // a known rate: with n requests ahead, in about (n+1)/rate.
-func (s *tiers) worthIt(of tier, latency float64, ahead int, initial float64) bool {
+func (s *tiers) beatsWaiting(of tier, latency float64, ahead int, initial float64) bool {
 	slots, rate := 0, 0.0
 	for better := tierNear; better < of; better++ {
 		if s.slots[better] == 0 {
@@ -112,7 +112,7 @@
 	wait := float64(ahead+1) / rate
 	usual := float64(slots) / rate
 	switch {
-	case latency <= notMuchSlower*usual:
+	case latency <= acceptableSlowdown*usual:
 		return true
 	case wait >= maxDefer*usual:
 		return true
