--- a/core/routing/balancer.go
+++ b/core/routing/balancer.go
@@ -20,24 +20,25 @@
 	groups  map[model.Zone]*group
 	tiers   tiers
 	probes  probeHeap
-	// sinceProbe counts picks since the last probe.
+	// sinceProbe counts the calls of Pick since the last probe.
 	sinceProbe    int
-	listed        int // targets neither gone nor leaving
-	outOfRotation int // of those, how many rest or are suspect
+	listed        int // listed targets that are not leaving
+	outOfRotation int // of the listed targets, how many are ejected or suspect
 	failureRate   float64
-	mean          float64 // latency of all answers, nanoseconds
-	deviation     float64 // mean distance from it
-	// silenceFactor multiplies silenceAfter; it grows with each silence, so that
-	// answers that are merely rare and slow are not given up over and over.
+	mean          float64 // mean latency of all responses, in nanoseconds
+	deviation     float64 // mean absolute deviation from it, in nanoseconds
+	// silenceFactor multiplies OverdueAfter and SilenceAfter. It grows with
+	// each silence, so that a class of slow but rare responses is not abandoned
+	// again and again.
 	silenceFactor float64
 	patientAt     time.Time
-	// overdueRate is the part of exchanges that become overdue lately, and
-	// trustSince holds for all targets when it is high.
+	// overdueRate is the recent fraction of exchanges that become overdue.
+	// trustSince applies to all targets and advances when that rate is high.
 	overdueRate float64
 	trustSince  time.Time
 	unused      []*Choice
 	heldSlots   []*heldSlot
-	nextHoldEnd time.Time // when the first of them ends
+	nextHoldEnd time.Time // when the first of heldSlots ends
 }
 
 // New returns a balancer for an entry in zone.
@@ -52,11 +53,11 @@
 	}
 }
 
-// Update replaces the list of targets. A new one starts with one request at a
-// time and doubles with its answers; a missing one gets nothing new, and its
-// requests in flight finish. A target that was marked as leaving stays so
-// while the list shows the same attempt, however the list says it is: lists
-// lag.
+// Update replaces the list of targets. A new target starts with one request at
+// a time, and its allowance doubles with its responses. A target that is no
+// longer listed receives no new requests, and its requests in flight finish. A
+// target that was marked as leaving stays so while the list shows the same
+// attempt, whether or not the list marks it, because lists may be outdated.
 func (b *Balancer) Update(now time.Time, targets []Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -71,8 +72,8 @@
 	}
 }
 
-// unlisted returns the known addresses that are not listed, sorted: the order
-// of removal must not depend on that of a map.
+// unlisted returns the known addresses that are not listed. They are sorted, so
+// that the order of removal does not depend on the order of a map.
 func (b *Balancer) unlisted(listed map[string]bool) []string {
 	var missing []string
 	for address := range b.targets {
@@ -133,7 +134,7 @@
 	return g
 }
 
-// remove forgets a target that is no longer listed.
+// remove removes a target that is no longer listed.
 func (b *Balancer) remove(t *target) {
 	if !t.Leaving {
 		b.retire(t)
@@ -144,14 +145,15 @@
 	delete(b.targets, t.Address)
 }
 
-// retire takes a target that is leaving or gone out of the counts.
+// retire excludes a target that is leaving or removed from the counts and from
+// probing.
 func (b *Balancer) retire(t *target) {
 	b.listed--
 	b.setState(t, Healthy)
 	b.probes.remove(t)
 }
 
-// MarkLeaving stops new requests to the target at once.
+// MarkLeaving stops new requests to the target immediately.
 func (b *Balancer) MarkLeaving(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -164,7 +166,8 @@
 	b.tiers.place(t)
 }
 
-// setState changes a target's state and the count of those that rest.
+// setState changes a target's state and maintains the count of targets out of
+// rotation.
 func (b *Balancer) setState(t *target, s State) {
 	if isOutOfRotation(t.state) {
 		b.outOfRotation--
@@ -185,27 +188,27 @@
 	return b.tiers.freeSlots
 }
 
-// Slots returns how many slots the targets that may be chosen have.
+// Slots returns how many slots may be used on targets that may be chosen.
 func (b *Balancer) Slots() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tiers.total()
 }
 
-// TargetState is what the balancer believes of one target, for metrics and
-// operators.
+// TargetState is the balancer's view of one target, for metrics and operators.
 type TargetState struct {
 	Address string
 	State   State
 	Leaving bool
-	// InFlight counts exchanges, and Held the slots of those given up as
-	// silent that the target may still be at work on.
+	// InFlight counts exchanges, and Held counts the slots of exchanges
+	// abandoned as silent that the target may still be processing.
 	InFlight int
 	Held     int
 	Slots    int
 	// Allowance is how many of Slots may be used now.
 	Allowance int
-	// Latency and LongLatency are the fast and the slow average.
+	// Latency and LongLatency are the latency averages over recent responses
+	// and over a longer period.
 	Latency, LongLatency time.Duration
 }
 
--- a/core/routing/group.go
+++ b/core/routing/group.go
@@ -7,24 +7,27 @@
 )
 
 const (
-	// referenceEvery is after how many answers a group's reference is
-	// computed anew.
+	// referenceEvery is the number of responses after which a group's reference
+	// is recomputed.
 	referenceEvery = 32
-	// referencePeers is how many targets at most are looked at for it.
+	// referencePeers is the maximum number of targets from which a reference is
+	// computed.
 	referencePeers = 63
-	// minPeers is how many compared targets make a reference.
+	// minPeers is the minimum number of targets with enough samples for a
+	// reference.
 	minPeers = 2
 )
 
 // group is the targets of one availability zone. Targets are compared within
-// it, so that distance is not taken for slowness.
+// their group, so that the latency of a distant zone is not mistaken for
+// slowness.
 type group struct {
 	zone      model.Zone
 	near      bool
 	members   []*target
 	responses int
 	offset    int
-	reference float64 // median latency of the members, nanoseconds; 0: none
+	reference float64 // median latency of the members in nanoseconds, 0 if unknown
 }
 
 func (g *group) add(t *target) {
@@ -42,7 +45,7 @@
 	g.members = g.members[:last]
 }
 
-// countResponse counts an answer, and computes the reference anew when it is due.
+// countResponse counts a response and recomputes the reference when due.
 func (g *group) countResponse() {
 	g.responses++
 	if g.responses < referenceEvery && g.reference > 0 {
@@ -52,10 +55,11 @@
 	g.updateReference()
 }
 
-// updateReference sets the reference to the median of the members' averages: it stays
-// that of the healthy ones while fewer than half are slow. A mean would rise
-// with the slow ones and hide them. Of two it is the lower. Of a large group each computation looks
-// at the next part.
+// updateReference sets the reference to the median of the members' averages,
+// which stays that of the healthy members while fewer than half are slow. A
+// mean would rise with the slow members and hide them. Of an even number of
+// averages, the lower middle one is taken. In a large group, each computation
+// covers the next referencePeers members.
 func (g *group) updateReference() {
 	var buffer [referencePeers]float64
 	latencies := buffer[:0]
--- a/core/routing/limbo.go
+++ b/core/routing/held.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// heldSlot is a slot whose exchange was given up as silent. The target may
-// still be at work on it: a slot given to another request at once would be one
-// more than the target has. It comes back a while later.
+// heldSlot is a slot whose exchange was abandoned as silent. The target may
+// still be processing the request, so giving the slot to another request
+// immediately would exceed the target's slots. The slot becomes free when the
+// hold ends.
 type heldSlot struct {
 	t     *target
 	until time.Time
 	over  bool
 }
 
-// maxHold bounds how long a slot stays taken after its exchange was given up.
+// maxHold limits how long a slot stays taken after its exchange was abandoned.
 const maxHold = time.Second
 
-// release gives the slot of a choice back. That of a silent exchange stays
-// taken for as long again as the exchange has lasted, unless so many are
-// overdue that their connections are lost rather than their answers late.
+// release frees the slot of a choice. The slot of a silent exchange stays taken
+// for as long again as the exchange has lasted, unless so many exchanges are
+// overdue that lost connections are a more likely cause than late responses.
 func (b *Balancer) release(c *Choice, now time.Time, silent bool) {
 	if c.released {
 		return
@@ -34,7 +35,7 @@
 	}
 }
 
-// endExpiredHolds gives back the slots whose time in limbo is over.
+// endExpiredHolds frees the held slots whose hold has expired.
 func (b *Balancer) endExpiredHolds(now time.Time) {
 	if len(b.heldSlots) == 0 || now.Before(b.nextHoldEnd) {
 		return
--- a/core/routing/learn.go
+++ b/core/routing/learn.go
@@ -5,30 +5,33 @@
 	"time"
 )
 
-// silenceDeviations is how many mean deviations above the mean an exchange
-// may last before it counts as silent.
+// silenceDeviations is how many mean deviations above the mean latency an
+// exchange may last before it counts as silent.
 const silenceDeviations = 8
 
-// overdueDeviations is the same for being overdue.
+// overdueDeviations is how many mean deviations above the mean latency an
+// exchange may last before it counts as overdue.
 const overdueDeviations = 5
 
 const (
-	// overdueGain is the weight of one exchange in overdueRate, and manyOverdue
-	// the rate from which connections to all targets are doubted.
+	// overdueGain is the weight of one exchange in overdueRate, and
+	// manyOverdueRate the rate above which the connections to all targets
+	// become untrusted.
 	overdueGain     = 1.0 / 32
 	manyOverdueRate = 0.15
-	// silenceFactorGrowth and patienceDecay balance where one exchange in about
-	// five hundred is given up without need.
+	// silenceFactorGrowth and silenceFactorDecay are in balance when about one
+	// exchange in five hundred is abandoned although its response would have
+	// come.
 	silenceFactorGrowth = 1.1
 	silenceFactorDecay  = 1.0 / 5000
 	maxSilenceFactor    = 8.0
-	// silenceFactorSpacing makes one of the silences that come together: when many
-	// connections die at once, the answers have not become slower.
+	// silenceFactorSpacing makes silences that occur together count as one:
+	// when many connections fail at once, the responses have not become slower.
 	silenceFactorSpacing = 100 * time.Millisecond
 )
 
-// latencyBound returns how long an exchange with t may last to stay within the given
-// number of deviations of the mean.
+// latencyBound returns how long an exchange with t may last to stay within the
+// given number of deviations of the mean latency.
 func (b *Balancer) latencyBound(t *target, deviations float64) time.Duration {
 	if b.mean == 0 {
 		return b.o.MaxSilence
@@ -43,7 +46,7 @@
 	return time.Duration(ns)
 }
 
-// done gives a slot back and learns from how the exchange ended.
+// done frees the slot of c and updates the statistics from the result.
 func (b *Balancer) done(c *Choice, now time.Time, r Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -53,7 +56,7 @@
 	}
 	b.endExpiredHolds(now)
 	if r.Outcome == Silent && c.released {
-		r.Outcome = Canceled // Overdue has told it already.
+		r.Outcome = Canceled // ReportOverdue has already recorded the silence.
 	}
 	b.release(c, now, r.Outcome == Silent)
 	if c.hold != nil && (r.Outcome == OK || r.Outcome == Failed) {
@@ -80,7 +83,8 @@
 	}
 }
 
-// learnResponse learns from a whole answer.
+// learnResponse updates the statistics from a complete response that took ns
+// nanoseconds.
 func (b *Balancer) learnResponse(c *Choice, now time.Time, ns float64) {
 	t := c.t
 	b.learnDeviation(ns)
@@ -113,7 +117,8 @@
 	b.mean += longGain * (ns - b.mean)
 }
 
-// compareWithPeers compares a healthy target with its peers.
+// compareWithPeers ejects a healthy target or marks it slow when its latency
+// exceeds that of its peers.
 func (b *Balancer) compareWithPeers(t *target, now time.Time) {
 	switch {
 	case t.ratio(t.group.reference) > b.o.EjectRatio:
@@ -125,8 +130,8 @@
 	}
 }
 
-// referenceFor returns what t's latency is compared with: its group's, or
-// that of the quickest group when t has no peers in its own.
+// referenceFor returns the latency with which t's is compared: its group's
+// reference, or that of the quickest group when t's group has none.
 func (b *Balancer) referenceFor(t *target) float64 {
 	if t.group.reference > 0 {
 		return t.group.reference
@@ -140,8 +145,8 @@
 	return best
 }
 
-// countRecovery counts the good answers of a target that is slow or resting, and
-// lets it back after a few in a row.
+// countRecovery counts the good responses of a slow or ejected target, and
+// restores it after several in a row.
 func (b *Balancer) countRecovery(t *target, now time.Time, ns float64) {
 	reference := b.referenceFor(t)
 	if reference > 0 && ns > b.goodRatio(t)*reference {
@@ -165,8 +170,8 @@
 	b.probes.schedule(t, now)
 }
 
-// goodRatio is how many times its peers' latency an answer may take and still
-// speak for the target.
+// goodRatio is the multiple of its peers' latency up to which a response of t
+// counts toward recovery.
 func (b *Balancer) goodRatio(t *target) float64 {
 	if t.state == Ejected {
 		return b.o.EjectRatio
@@ -174,7 +179,8 @@
 	return goodResponseRatio
 }
 
-// returnAsSlow ends the rest of a target that is merely slow.
+// returnAsSlow ends the ejection of a target whose responses are slow but
+// acceptable.
 func (b *Balancer) returnAsSlow(t *target, now time.Time, reference float64) {
 	b.setState(t, Slow)
 	t.goodResponses = 0
@@ -183,8 +189,9 @@
 	b.probes.schedule(t, now.Add(b.probeDelay(t)))
 }
 
-// restore makes a target healthy. It starts with one request at a time, and
-// its average starts from its peers': what it was before is no longer so.
+// restore makes a target healthy. Unless it was only suspect, it starts with
+// one request at a time, and its short average starts from its peers' latency,
+// because the old average no longer applies.
 func (b *Balancer) restore(t *target) {
 	wasSuspect := t.state == Suspect
 	b.setState(t, Healthy)
@@ -202,8 +209,9 @@
 }
 
 // eject takes a target out of use, or makes it a last resort when too many
-// eject already: when most look bad, what is seen says more of the entry's own
-// view than of the targets, and leaving them all would serve nobody.
+// targets are out of rotation already. When most targets look bad, the cause is
+// more likely on the entry's side, and ejecting all of them would leave none to
+// serve requests.
 func (b *Balancer) eject(t *target, now time.Time) {
 	b.setState(t, Ejected)
 	t.goodResponses = 0
@@ -212,7 +220,8 @@
 	t.lengthenProbeDelay()
 }
 
-// learnFailure learns from an error of the target's own.
+// learnFailure updates the statistics from an error of the target's own, and
+// ejects the target after several in a row.
 func (b *Balancer) learnFailure(t *target, now time.Time) {
 	peers := b.failureRate
 	b.countFailure(t, 1)
@@ -223,14 +232,15 @@
 		b.probes.schedule(t, now.Add(b.probeDelay(t)))
 		return
 	}
-	// A target that fails no more often than all do is not to blame.
+	// A target that fails about as often as all targets is not at fault.
 	if t.failuresInRow >= failuresToEject && t.failureRate > 2*peers {
 		b.eject(t, now)
 	}
 }
 
-// learnRefusal rests a target at once: it takes nothing now, and the request goes
-// elsewhere at no cost.
+// learnRefusal ejects a target immediately: it accepts nothing at present, and
+// the refused request can be sent elsewhere without risk because it did not
+// start.
 func (b *Balancer) learnRefusal(t *target, now time.Time) {
 	t.goodResponses = 0
 	if isOutOfRotation(t.state) {
@@ -241,7 +251,8 @@
 	b.eject(t, now)
 }
 
-// reportOverdue is told of an exchange that is unanswered for long but not over.
+// reportOverdue records an exchange that has had no response for long and is
+// still in flight.
 func (b *Balancer) reportOverdue(c *Choice, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -263,10 +274,12 @@
 	b.tiers.place(c.t)
 }
 
-// distrustConnections stops the use of connections that may have gone silent with the
-// overdue one: the loss happened before its answer was due, so that those
-// which carried an answer later are proven. When many exchanges are overdue at
-// once, something between has lost track of more than this target's.
+// distrustConnections stops the use of connections that may have failed
+// together with the overdue one. The failure happened before the response was
+// due, so connections that have delivered a response since then are usable.
+// When many exchanges are overdue at once, a network device on the path has
+// probably dropped connections to other targets too, and the connections to all
+// targets become untrusted.
 func (b *Balancer) distrustConnections(c *Choice) {
 	due := c.started.Add(time.Duration(b.mean))
 	if due.After(c.t.trustSince) {
@@ -278,7 +291,7 @@
 	}
 }
 
-// raiseSilenceFactor makes exchanges wait longer before they count as silent.
+// raiseSilenceFactor increases the time after which exchanges count as silent.
 func (b *Balancer) raiseSilenceFactor(now time.Time) {
 	if now.Sub(b.patientAt) < silenceFactorSpacing {
 		return
@@ -287,11 +300,11 @@
 	b.silenceFactor = min(b.silenceFactor*silenceFactorGrowth, maxSilenceFactor)
 }
 
-// learnSilence learns that no answer came. A target that answered others after this
-// answer was due is well: the connection is at fault. Else the target becomes
-// suspect, and the next request proves it over a new connection. A second
-// silence, of an exchange that began after the first was known, blames the
-// target.
+// learnSilence handles an exchange without a response. If the target has
+// responded to others since this response was due, the target is healthy and
+// the connection is at fault. Otherwise the target becomes suspect, and the
+// next request tests it over a new connection. A second silence, of an exchange
+// that began after the first was detected, ejects the target.
 func (b *Balancer) learnSilence(c *Choice, now time.Time) {
 	b.raiseSilenceFactor(now)
 	t := c.t
@@ -312,8 +325,8 @@
 	b.eject(t, now)
 }
 
-// countFailure takes an outcome, 1 for a failure, into the rates of the target
-// and of all.
+// countFailure adds an outcome, 1 for a failure and 0 for a response, to the
+// failure rates of the target and of all targets.
 func (b *Balancer) countFailure(t *target, v float64) {
 	t.failureRate += failureGain * (v - t.failureRate)
 	b.failureRate += longGain * (v - b.failureRate)
--- a/core/routing/options.go
+++ b/core/routing/options.go
@@ -2,32 +2,37 @@
 
 import "time"
 
-// Options tunes a Balancer. Zero fields take the defaults.
+// Options configures a Balancer. Zero fields take the defaults.
 type Options struct {
-	// Choices is how many targets of the best kind with free slots are drawn
-	// at random, of which the best is taken.
+	// Choices is how many targets with free slots are sampled from the best
+	// tier. The best of the sample is chosen.
 	Choices int
-	// SlowRatio is how many times its peers' latency makes a target slow: it
-	// is then used only when waiting for another is expected to take longer.
+	// SlowRatio is the multiple of its peers' latency above which a target is
+	// slow. A slow target is used only when waiting for a better one is
+	// expected to take longer.
 	SlowRatio float64
-	// EjectRatio is how many times its peers' latency makes a target rest.
+	// EjectRatio is the multiple of its peers' latency above which a target is
+	// ejected.
 	EjectRatio float64
-	// MaxEjected is the fraction of targets that may rest at once. Those that
-	// should rest beyond it are the last resort: used when no other is free.
+	// MaxEjected is the fraction of targets that may be ejected or suspect at
+	// once. Targets that qualify for ejection beyond it are the last resort:
+	// they are used when no other target is free.
 	MaxEjected float64
-	// BaseProbeDelay is how long a target rests the first time; each further time
-	// without a recovery doubles it up to MaxProbeDelay.
+	// BaseProbeDelay is the time until the first probe of a slow or ejected
+	// target. The delay doubles with each further failure to recover, up to
+	// MaxProbeDelay.
 	BaseProbeDelay, MaxProbeDelay time.Duration
-	// ProvenWithin is how recent a target's last answer must be for a
-	// non-idempotent request to trust its connections.
+	// ProvenWithin is how recent a target's last response must be for
+	// non-idempotent requests to prefer the target.
 	ProvenWithin time.Duration
-	// InitialLatency is assumed of targets before any answer came.
+	// InitialLatency is the latency assumed of targets before the first
+	// response.
 	InitialLatency time.Duration
 	// MinSilence and MaxSilence bound SilenceAfter.
 	MinSilence, MaxSilence time.Duration
 }
 
-// The defaults of Options.
+// Default values of Options.
 const (
 	DefaultChoices        = 4
 	DefaultSlowRatio      = 1.8
@@ -42,29 +47,29 @@
 )
 
 const (
-	// shortGain and slowGain are the weights of one answer in a target's two
+	// shortGain and longGain are the weights of one response in a target's two
 	// latency averages.
 	shortGain = 1.0 / 8
 	longGain  = 1.0 / 64
 	// failureGain is the weight of one outcome in failure rates.
 	failureGain = 1.0 / 8
-	// minSamples is how many answers a target must have given before it is
-	// compared with its peers.
+	// minSamples is how many responses a target must have given before its
+	// average is used and compared with its peers.
 	minSamples = 8
-	// failuresToEject is how many exchanges in a row must fail before a target
-	// may rest for it.
+	// failuresToEject is how many consecutive exchanges must fail before a
+	// target may be ejected for it.
 	failuresToEject = 3
-	// recoveryResponses is how many good answers in a row end a rest.
+	// recoveryResponses is how many good responses in a row restore a target.
 	recoveryResponses = 3
-	// goodResponseRatio is how many times the peers' latency an answer may take
-	// and still count toward recovery.
+	// goodResponseRatio is the multiple of the peers' latency up to which a
+	// response counts toward recovery.
 	goodResponseRatio = 2.0
-	// probeSpacing is how many picks lie between two probes of doubtful
-	// targets, so that probes stay a small part of requests; but no target
-	// waits for its probe longer than probeLateness.
+	// probeSpacing is the minimum number of picks between two probes of slow or
+	// ejected targets, so that probes stay a small fraction of requests. A
+	// probe that is late by more than maxProbeLateness is sent regardless.
 	probeSpacing     = 400
 	maxProbeLateness = time.Second
-	// maxProbeDoublings bounds the exponent of rests.
+	// maxProbeDoublings limits the number of doublings of the probe delay.
 	maxProbeDoublings = 6
 )
 
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -3,9 +3,9 @@
 import "time"
 
 // Pick takes a slot on the best target. rnd is a uniformly random number. The
-// second result is false when no slot is free, or when waiting for a better
-// one is expected to be faster: in either case the request waits until a Done,
-// an Update or a longer queue.
+// second result is false when no slot is free, or when waiting for a better one
+// is expected to be faster. In either case the request should wait until a
+// Done, an Update or a longer queue changes the decision.
 func (b *Balancer) Pick(now time.Time, rnd uint64, q Query) (*Choice, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,8 +49,9 @@
 	return best
 }
 
-// bestOf looks at all of a short list, and at a part of a long one, from a
-// random one on: equals are to be chosen equally often.
+// bestOf returns the best target of a short list, or of maxScan targets of a
+// long one. It starts at a random position, so that equal targets are chosen
+// equally often.
 func (b *Balancer) bestOf(now time.Time, list []*target, rnd uint64, q Query) *target {
 	var best *target
 	first := boundedRandom(mix64(rnd), len(list))
@@ -63,7 +64,8 @@
 	return best
 }
 
-// maxScan bounds the targets looked at when the drawn ones were all avoided.
+// maxScan limits how many targets are examined when all sampled ones are
+// avoided.
 const maxScan = 32
 
 func (b *Balancer) better(now time.Time, t, than *target, q Query) bool {
@@ -79,13 +81,15 @@
 	return b.cost(t) < b.cost(than)
 }
 
-// cost is the expected latency, raised by how much of the target is in use.
+// cost is the expected latency, weighted by the fraction of the target's slots
+// in use.
 func (b *Balancer) cost(t *target) float64 {
 	used := float64(t.inflight) / float64(t.limit())
 	return t.latency(b.typicalLatency()) * (1 + used)
 }
 
-// typicalLatency is the mean latency of all answers, or what is assumed before any.
+// typicalLatency is the mean latency of all responses in nanoseconds, or
+// InitialLatency before the first.
 func (b *Balancer) typicalLatency() float64 {
 	if b.mean > 0 {
 		return b.mean
@@ -102,8 +106,8 @@
 	return false
 }
 
-// take uses a slot. It allocates only while more requests are in flight than
-// ever before.
+// take takes a slot on t. It allocates memory only while more requests are in
+// flight than ever before.
 func (b *Balancer) take(now time.Time, t *target) *Choice {
 	t.inflight++
 	b.tiers.place(t)
@@ -141,7 +145,7 @@
 	return int((rnd >> 32) * uint64(n) >> 32)
 }
 
-// mix64 is the finaliser of splitmix64.
+// mix64 is the finalizer of splitmix64.
 func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/core/routing/probe.go
+++ b/core/routing/probe.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// probeHeap orders the targets that are slow, suspect or resting by when each
-// may be tried again.
+// probeHeap orders slow, suspect and ejected targets by the time of their next
+// probe.
 type probeHeap []*target
 
 func (h probeHeap) Len() int { return len(h) }
@@ -40,7 +40,7 @@
 	return t
 }
 
-// schedule sets when t may be tried again.
+// schedule sets the time of t's next probe.
 func (h *probeHeap) schedule(t *target, at time.Time) {
 	t.probeAt = at
 	if t.probeIndex == notPlaced {
@@ -56,7 +56,7 @@
 	}
 }
 
-// probe returns a doubtful target that q is to try out, or nil.
+// probe returns a slow, suspect or ejected target that q is to probe, or nil.
 func (b *Balancer) probe(now time.Time, q Query) *target {
 	b.sinceProbe++
 	if len(b.probes) == 0 {
@@ -78,10 +78,10 @@
 	return t
 }
 
-// probeAllowed spaces probes, because each risks its request's latency; a
-// non-idempotent request is risked only when the probe is late. A suspect
-// target is proven at once by any request: it goes over a new connection,
-// whose opening shows that the target is there.
+// isProbeAllowed spaces probes, because each may cost its request latency. A
+// non-idempotent request is used only when the probe is late. Any request may
+// probe a suspect target at once: it uses a new connection, and opening it
+// shows that the target is reachable.
 func (b *Balancer) probeAllowed(now time.Time, t *target, q Query) bool {
 	switch {
 	case t.state == Suspect:
@@ -94,12 +94,13 @@
 	return b.sinceProbe >= probeSpacing
 }
 
-// busyProbeDivisor divides the first rest: that soon a probe that found no free slot
-// is tried again.
+// busyProbeDivisor divides BaseProbeDelay to give the delay after which a probe
+// that found no free slot is repeated.
 const busyProbeDivisor = 16
 
-// suspectHeadStart puts suspect targets before all others in the heap, or they
-// would wait behind slow ones that are due but spaced.
+// suspectHeadStart sorts suspect targets before all others in the heap;
+// otherwise they would wait behind slow targets whose probes are due but
+// limited by probeSpacing.
 const suspectHeadStart = time.Hour
 
 // probeDelay is how long a target waits for its next probe.
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -6,16 +6,17 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Target is one instance of the service as the entry may use it.
+// Target is one instance of the service, with the share of it that this entry
+// may use.
 type Target struct {
 	Address string
 	Task    model.AttemptKey
 	Worker  model.WorkerID
 	Zone    model.Zone
-	// Leaving targets get nothing new; requests in flight finish.
+	// Leaving targets receive no new requests; requests in flight finish.
 	Leaving bool
-	// Slots and Connections are this entry's share of the instance.
-	// Connections of 0 means that they are not limited.
+	// Slots and Connections are this entry's share of the instance. Connections
+	// of 0 means no limit.
 	Slots       int
 	Connections int
 }
@@ -25,47 +26,48 @@
 
 // The outcomes of an exchange.
 const (
-	// OK: a whole answer came.
+	// OK: a complete response was received.
 	OK Outcome = iota
-	// Failed: the target answered with an error of its own, or broke the
+	// Failed: the target responded with an error of its own, or broke off the
 	// exchange.
 	Failed
-	// Refused: the target, or its host, said that it did not start.
+	// Refused: the target, or its host, reported that it did not start the
+	// request.
 	Refused
-	// Silent: no answer came in the time given; the connection may be dead
-	// while the target is well.
+	// Silent: no response arrived in time. The connection may be dead although
+	// the target is healthy.
 	Silent
-	// Canceled: the entry gave up for a reason that says nothing of the
+	// Canceled: the entry abandoned the exchange for a reason unrelated to the
 	// target.
 	Canceled
 )
 
-// Result is how an exchange ended and how long it took.
+// Result is the outcome of an exchange and its duration.
 type Result struct {
 	Latency time.Duration
 	Outcome Outcome
 }
 
-// Query is what a request asks of its target.
+// Query describes the request for which a target is chosen.
 type Query struct {
-	// Avoid lists addresses that the request has already tried.
+	// Avoid lists the addresses that the request has already tried.
 	Avoid []string
-	// NonIdempotent requests prefer targets that answered lately, and are not
-	// used to try out doubtful ones.
+	// NonIdempotent requests prefer targets that responded recently. They do
+	// not probe slow or ejected targets unless the probe is long overdue.
 	NonIdempotent bool
-	// Ahead is how many requests are expected to get a slot before this one
-	// if it gets none now. The more, the slower or farther a target may be
-	// taken rather than waiting for a better one.
+	// Ahead is how many requests are expected to get a slot before this one if
+	// it gets none now. The larger it is, the slower or farther a target may be
+	// taken instead of waiting for a better one.
 	Ahead int
 }
 
-// Choice is a slot taken on a target. It is valid until Done, which makes it
-// available for another request.
+// Choice is a slot taken on a target. It is valid until Done, which recycles it
+// for another request.
 type Choice struct {
 	b *Balancer
 	t *target
-	// address and task are copied when the choice is made: the target's record
-	// is replaced under the balancer's lock while traffic reads them.
+	// address and task are copied when the choice is made, because the target's
+	// record is replaced under the balancer's lock while callers read them.
 	address      string
 	task         model.AttemptKey
 	started      time.Time
@@ -74,7 +76,8 @@
 	trustSince   time.Time
 	fresh        bool
 	overdue      bool
-	// released choices no longer take a slot, though their exchange goes on.
+	// A released choice no longer takes a slot, though its exchange may still
+	// be in flight.
 	released bool
 	hold     *heldSlot
 }
@@ -82,38 +85,42 @@
 // Address returns the target's address.
 func (c *Choice) Address() string { return c.address }
 
-// Task returns the attempt that the target runs.
+// Task returns the task attempt that runs the target.
 func (c *Choice) Task() model.AttemptKey { return c.task }
 
-// RequiresNewConnection reports that the request must go over a new connection: an earlier
-// one to this target went silent, and only a new one can tell whether the
-// target or the connection is at fault.
+// RequiresNewConnection reports that the request must use a new connection: an
+// earlier connection to this target became silent, and only a new one shows
+// whether the target or the connection is at fault.
 func (c *Choice) RequiresNewConnection() bool { return c.fresh }
 
-// TrustSince returns the time since when a connection must have carried an
-// answer, or have been opened, to be used: older ones may have gone silent
-// together with one that did. A zero time trusts all.
+// TrustSince returns the start of the period in which a connection must have
+// delivered a response, or been opened, to be used. Older connections may have
+// become silent together with one that did. A zero time allows all connections.
 func (c *Choice) TrustSince() time.Time { return c.trustSince }
 
-// OverdueAfter returns how long the exchange may stay unanswered before it is
-// unusual, in about one of a hundred cases. Overdue is to be called then.
+// OverdueAfter returns how long the exchange may stay without a response before
+// that is unusual, which happens to about one exchange in a hundred. The caller
+// then calls ReportOverdue.
 func (c *Choice) OverdueAfter() time.Duration { return c.overdueAfter }
 
-// SilenceAfter returns how long the exchange may stay unanswered before it is
-// more likely silent than slow. Overdue is to be called then, too. A request
-// that may be sent again is then given up here, with Done and Silent, and sent
-// elsewhere; one that may not goes on waiting for its answer.
+// SilenceAfter returns how long the exchange may stay without a response before
+// it is more likely silent than slow. The caller then calls ReportOverdue
+// again. A request that may be retried is abandoned at this time, with Done and
+// Silent, and sent elsewhere; any other request continues to wait for its
+// response.
 func (c *Choice) SilenceAfter() time.Duration { return c.silenceAfter }
 
-// ReportOverdue tells that the exchange is still unanswered after OverdueAfter, and
-// again after SilenceAfter. The first makes the entry open new connections to
-// the target, which costs little. The second also gives the slot back after a
-// while, though the request may go on waiting, and, unless the target answers
-// others, tries it with one request at a time. Done is still to be called.
+// ReportOverdue reports that the exchange has no response after OverdueAfter,
+// and again after SilenceAfter. The first call makes the entry open new
+// connections to the target, which is cheap. The second call also schedules the
+// release of the slot, though the request may continue to wait, and marks the
+// target suspect unless it responds to other requests. Done must still be
+// called.
 func (c *Choice) ReportOverdue(now time.Time) { c.b.reportOverdue(c, now) }
 
-// Done gives the slot back and learns from the result. Call it exactly once;
-// a second call before the choice is used again does nothing.
+// Done returns the slot and updates the target's statistics from the result. It
+// must be called exactly once; a second call before the choice is reused has no
+// effect.
 func (c *Choice) Done(now time.Time, r Result) {
 	c.b.done(c, now, r)
 }
--- a/core/routing/target.go
+++ b/core/routing/target.go
@@ -4,19 +4,20 @@
 	"time"
 )
 
-// State says how a target is treated.
+// State says how the balancer treats a target.
 type State uint8
 
 // The states of a target.
 const (
 	// Healthy targets are chosen freely, up to their allowance.
 	Healthy State = iota
-	// Slow targets are chosen when waiting for a better one takes longer.
+	// Slow targets are chosen when waiting for a better one is expected to take
+	// longer.
 	Slow
-	// Suspect targets had an exchange go silent: one request at a time, over
-	// a new connection, until one is answered.
+	// Suspect targets had a silent exchange. They receive one request at a
+	// time, over a new connection, until they respond to one.
 	Suspect
-	// Ejected targets get nothing but probes.
+	// Ejected targets receive only probes, unless they are the last resort.
 	Ejected
 )
 
@@ -30,7 +31,7 @@
 	return stateNames[s]
 }
 
-// tier orders the kinds of targets that have a free slot, best first.
+// tier classifies the targets that have a free slot, best first.
 type tier int8
 
 const (
@@ -42,47 +43,49 @@
 	noTier tier = -1
 )
 
-// notPlaced is the position of a target that is in no list or heap.
+// notPlaced is the position of a target that is in no list and no heap.
 const notPlaced = -1
 
-// target is what the balancer knows of one instance.
+// target is the balancer's record of one instance.
 type target struct {
 	Target
 	group *group
 	state State
-	// gone targets are no longer listed; they stay until their last exchange
-	// ends.
+	// gone targets are no longer listed. Their record is kept until their last
+	// exchange ends.
 	gone bool
-	// lastResort targets should rest, but too many others do.
+	// lastResort targets qualify for ejection, but too many others are out of
+	// rotation.
 	lastResort bool
-	inflight   int // slots taken, the held ones included
-	held       int // slots in limbo
-	// allowance is how many slots may be used now: it doubles from 1 with the
-	// answers of a target that is new or back from a rest.
+	inflight   int // slots taken, including held ones
+	held       int // slots of exchanges abandoned as silent
+	// allowance is how many slots may be used now. For a target that is new or
+	// was restored after an ejection, it starts at 1 and doubles with the
+	// target's responses.
 	allowance int
-	responses int // since the allowance last changed
+	responses int // responses since the allowance last doubled
 
-	shortAverage, longAverage float64 // latency averages, nanoseconds
+	shortAverage, longAverage float64 // latency averages, in nanoseconds
 	samples                   int
-	failureRate               float64 // rate
-	failuresInRow             int     // in a row
-	goodResponses             int     // good answers in a row while slow or resting
-	probeDoublings            int     // of the rest
+	failureRate               float64 // decaying average of failed exchanges, from 0 to 1
+	failuresInRow             int     // consecutive failed exchanges
+	goodResponses             int     // consecutive good responses while slow or ejected
+	probeDoublings            int     // doublings of the probe delay
 	probeAt                   time.Time
-	silentAt                  time.Time // when the last silence was told; zero when answered since
+	silentAt                  time.Time // time of the last silence; zero after a later response
 	respondedAt               time.Time
 	trustSince                time.Time
 
-	tier         tier // of the list that holds it, or noTier
+	tier         tier // whose list contains the target, or noTier
 	position     int  // in that list
-	countedTier  tier // of the sums that count it, or noTier
-	countedSlots int  // allowance in those sums
+	countedTier  tier // whose sums include the target, or noTier
+	countedSlots int  // usable slots in those sums
 	countedFree  int  // free slots in those sums
 	probeIndex   int  // in the probe heap
 	groupMember  int  // index in its group
 }
 
-// limit is how many requests may be in flight at the target.
+// limit is the maximum number of requests in flight at the target.
 func (t *target) limit() int {
 	limit := t.Slots
 	if t.Connections > 0 {
@@ -91,7 +94,8 @@
 	return limit
 }
 
-// usableSlots is how many requests may be in flight now.
+// usableSlots is how many requests may be in flight at the target in its
+// current state. Probes are not subject to it.
 func (t *target) usableSlots() int {
 	switch {
 	case t.gone || t.Leaving:
@@ -102,7 +106,7 @@
 	return min(t.allowance, t.limit())
 }
 
-// usableTier is the tier that the target belongs to when it has a free slot.
+// usableTier is the tier to which the target belongs when it has a free slot.
 func (t *target) usableTier() tier {
 	switch {
 	case t.usableSlots() == 0:
@@ -117,9 +121,9 @@
 	return tierFar
 }
 
-// latency is the expected latency of a request, in nanoseconds. Of a target
-// with few answers it is a little below usual: with anything above, a target
-// that once answered would be preferred to those that never had a chance to.
+// latency is the expected latency of a request, in nanoseconds. For a target
+// with few responses it is slightly below the reference: otherwise a target
+// that responded once would be preferred to those that were never tried.
 func (t *target) latency(usual float64) float64 {
 	if t.samples >= minSamples {
 		return t.shortAverage
@@ -130,12 +134,12 @@
 	return unprovenFactor * usual
 }
 
-// unprovenFactor is the part of the usual latency that is expected of a target
-// with few answers.
+// unprovenFactor is the fraction of the reference latency that is expected of a
+// target with few responses.
 const unprovenFactor = 0.9
 
-// ratio compares the target's latency with a reference; 1 when there is too
-// little to compare.
+// ratio is the target's latency divided by the reference. It is 1 when there is
+// too little data to compare.
 func (t *target) ratio(reference float64) float64 {
 	if reference <= 0 {
 		return 1
@@ -146,17 +150,17 @@
 	return t.shortAverage / reference
 }
 
-// unprovenSlowRatio is how many times its peers' latency an answer must have taken
-// to be held against a target with few answers.
+// unprovenSlowRatio is the multiple of its peers' latency from which a target
+// with few responses is compared with them.
 const unprovenSlowRatio = 8.0
 
-// learnLatency takes an answer's latency into the averages.
+// learnLatency adds a response's latency to the averages.
 func (t *target) learnLatency(ns float64) {
 	if t.samples == 0 {
 		t.shortAverage, t.longAverage = ns, ns
 	}
-	// The first answers weigh as in a plain mean, or the very first would
-	// stay dominant for long.
+	// The first responses are weighted as in an arithmetic mean; otherwise the
+	// very first one would dominate the average for long.
 	gain := max(shortGain, 1/float64(t.samples+1))
 	t.shortAverage += gain * (ns - t.shortAverage)
 	gain = max(longGain, 1/float64(t.samples+1))
@@ -164,12 +168,13 @@
 	t.samples++
 }
 
-// lengthenProbeDelay doubles the next rest.
+// lengthenProbeDelay doubles the delay until the next probe, up to
+// maxProbeDoublings times.
 func (t *target) lengthenProbeDelay() {
 	t.probeDoublings = min(t.probeDoublings+1, maxProbeDoublings)
 }
 
-// grow raises the allowance after an answer.
+// grow doubles the allowance after as many responses as the current allowance.
 func (t *target) grow() {
 	if t.allowance >= t.limit() {
 		return
--- a/core/routing/tiers.go
+++ b/core/routing/tiers.go
@@ -1,18 +1,18 @@
 package routing
 
-// tiers holds the targets that have a free slot, by tier, and what each tier
-// can do as a whole. Every change is in constant time.
+// tiers holds the targets that have a free slot, by tier, and the slots and
+// latency of each tier as a whole. Every update takes constant time.
 type tiers struct {
 	free [numTiers][]*target
-	// slots sums the allowances of all targets of a class, free or not.
+	// slots sums, per tier, the usable slots of all targets, free or not.
 	slots [numTiers]int
 	// freeSlots sums the free slots of all targets.
 	freeSlots int
-	// latency is the average of each class's answers, nanoseconds.
+	// latency is the average latency of each tier's responses, in nanoseconds.
 	latency [numTiers]float64
 }
 
-// place puts t where its state and free slots say.
+// place moves t to the list and sums that match its state and free slots.
 func (s *tiers) place(t *target) {
 	class := t.usableTier()
 	s.count(t, class)
@@ -44,7 +44,7 @@
 	t.position = notPlaced
 }
 
-// count moves t's allowance and free slots to the sums of class.
+// count moves t's usable and free slots to the sums of class.
 func (s *tiers) count(t *target, class tier) {
 	if t.countedTier != noTier {
 		s.slots[t.countedTier] -= t.countedSlots
@@ -59,7 +59,7 @@
 	}
 }
 
-// total returns the allowances of all tiers.
+// total returns the usable slots of all tiers.
 func (s *tiers) total() int {
 	sum := 0
 	for _, n := range s.slots {
@@ -68,7 +68,7 @@
 	return sum
 }
 
-// learn takes an answer's latency into the class average.
+// learn adds a response's latency to the average of its tier.
 func (s *tiers) learn(class tier, ns float64) {
 	if class == noTier {
 		return
@@ -81,18 +81,21 @@
 }
 
 const (
-	// acceptableSlowdown is how many times the usual latency a slot may cost and be
-	// taken without asking whether waiting is better: a request that waits
-	// also delays all that come after it.
+	// acceptableSlowdown is the multiple of the usual latency up to which a
+	// slot is taken without comparing it with waiting: a request that waits
+	// also delays all requests behind it.
 	acceptableSlowdown = 1.5
-	// maxDefer is the longest wait for a better slot, in usual latencies.
-	// Beyond it a slow answer is better than the shedding that would follow.
+	// maxDefer is the longest expected wait for a better slot, as a multiple of
+	// the usual latency. Beyond it a slow response is better than the load
+	// shedding that would follow.
 	maxDefer = 1.0
 )
 
-// beatsWaiting reports whether taking a slot of the given tier with the expected
-// latency beats waiting for one of the better tiers, whose slots come free at
-// a known rate: with n requests ahead, in about (n+1)/rate.
+// beatsWaiting reports whether taking a slot of the given tier with the
+// expected latency is at least as good as waiting for a slot of a better tier.
+// Slots of the better tiers become free at a known rate; with n requests ahead
+// the expected wait is about (n+1)/rate. initial is the latency assumed of
+// tiers without responses.
 func (s *tiers) beatsWaiting(of tier, latency float64, ahead int, initial float64) bool {
 	slots, rate := 0, 0.0
 	for better := tierNear; better < of; better++ {
