--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -7,21 +7,20 @@
 	"github.com/guavarill/guavarill/core/fate"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultRatio       = 0.1
 	DefaultBurst       = 10
 	DefaultMaxAttempts = 3
 )
 
-// Options bounds the retries of one service. Zero fields take the defaults.
+// Options limits the retries of one service. Zero fields take the defaults.
 type Options struct {
-	// Ratio is how many retries each first attempt earns.
+	// Ratio is how many retries each first attempt adds to the budget.
 	Ratio float64
-	// Burst is the most retries that can be saved up, and what a new budget
-	// starts with.
+	// Burst is the capacity of the budget in retries. A new budget is full.
 	Burst float64
-	// MaxAttempts bounds the exchanges of one request, the first included.
+	// MaxAttempts limits the exchanges of one request, including the first.
 	MaxAttempts int
 }
 
@@ -32,8 +31,7 @@
 	return o
 }
 
-// Budget is the retry allowance of one service. It is not safe for concurrent
-// use.
+// Budget is the retry budget of one service. It is not safe for concurrent use.
 type Budget struct {
 	o      Options
 	tokens float64
@@ -45,43 +43,47 @@
 	return &Budget{o: o, tokens: o.Burst}
 }
 
-// Deposit records a first attempt.
+// Deposit records a first attempt and adds Ratio retries to the budget, up to
+// Burst.
 func (b *Budget) Deposit() {
 	b.tokens = min(b.tokens+b.o.Ratio, b.o.Burst)
 }
 
-// Tokens returns how many retries are saved up.
+// Tokens returns how many retries the budget allows at present.
 func (b *Budget) Tokens() float64 { return b.tokens }
 
-// Failure is a failed exchange as Decide looks at it.
+// Failure describes a failed exchange.
 type Failure struct {
-	// Fate is that of the failed exchange alone.
+	// Fate is the fate of the failed exchange alone, without earlier exchanges
+	// of the request.
 	Fate       fate.Fate
 	Idempotent bool
 	// Attempts is how many exchanges the request has had.
 	Attempts int
 	Deadline time.Time
-	// Expected is how long an answer usually takes.
+	// Expected is how long a response usually takes.
 	Expected time.Duration
 }
 
-// Verdict says whether to send again, and when not, which rule forbade it.
+// Verdict says whether to send the request again, and if not, which rule
+// forbids it.
 type Verdict uint8
 
-// The verdicts.
+// The verdicts of Decide and Check.
 const (
-	// Send: send it to another target; one retry was taken from the budget.
+	// Send: the request is sent again, to another target. Decide has taken one
+	// retry from the budget.
 	Send Verdict = iota
-	// Unsafe: it may have been run and is not idempotent.
+	// Unsafe: the request may have run and is not idempotent.
 	Unsafe
-	// TooManyAttempts: the request had all its exchanges.
+	// TooManyAttempts: the request has had MaxAttempts exchanges.
 	TooManyAttempts
-	// TooLate: the deadline comes before an answer could.
+	// TooLate: no response can be expected before the deadline.
 	TooLate
-	// OverBudget: the service spent its retries.
+	// OverBudget: the service's retry budget is exhausted.
 	OverBudget
 
-	// NumVerdicts is how many verdicts there are.
+	// NumVerdicts is the number of verdicts.
 	NumVerdicts = int(OverBudget) + 1
 )
 
@@ -95,8 +97,8 @@
 	return verdictNames[v]
 }
 
-// Decide applies the rules to a failure and, when they allow a retry, takes it
-// from the budget.
+// Decide applies the rules to a failure and takes a retry from the budget when
+// they allow one.
 func (b *Budget) Decide(now time.Time, f Failure) Verdict {
 	v := b.Check(now, f)
 	if v == Send {
@@ -105,7 +107,8 @@
 	return v
 }
 
-// Check returns what Decide would, and takes nothing from the budget.
+// Check returns the verdict that Decide would return, without taking a retry
+// from the budget.
 func (b *Budget) Check(now time.Time, f Failure) Verdict {
 	switch {
 	case f.Fate != fate.NotRun && !f.Idempotent:
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// Symptom: a service of which every exchange fails is sent a multiple of its
-// load. The bound is that of the package comment, over any run of requests.
+// A service whose exchanges all fail must not be sent a multiple of its load:
+// the bound of the package comment holds over any sequence of requests.
 func TestRetriesAreBounded(t *testing.T) {
 	o := retry.Options{Ratio: 0.2, Burst: 7, MaxAttempts: 4}
 	b := retry.NewBudget(o)
@@ -64,7 +64,7 @@
 			f.Attempts++
 		}
 		if rnd.IntN(100) == 0 {
-			b.Deposit() // a quiet time without failures
+			b.Deposit() // a first attempt that succeeds
 			firsts++
 		}
 		if most := float64(firsts)*o.Ratio + o.Burst + 1e-6; float64(retries) > most {
