--- a/core/admission/load.go
+++ b/core/admission/load.go
@@ -22,49 +22,49 @@
 
 // load learns how long a request takes and how many arrive.
 type load struct {
-	service time.Duration
-	// recent counts arrivals by priority, decaying over arrivalMemory.
-	recent  [model.NumPriorities]float64
-	counted time.Time
+	serviceTime time.Duration
+	// arrivals counts arrivals by priority, decaying over arrivalMemory.
+	arrivals  [model.NumPriorities]float64
+	decayedAt time.Time
 }
 
-func newLoad(service time.Duration) load { return load{service: service} }
+func newLoad(service time.Duration) load { return load{serviceTime: service} }
 
 func (l *load) observe(service time.Duration) {
 	if service <= 0 {
 		return
 	}
-	l.service += time.Duration(serviceGain * float64(service-l.service))
+	l.serviceTime += time.Duration(serviceGain * float64(service-l.serviceTime))
 }
 
 func (l *load) arrived(now time.Time, p model.Priority) {
-	if elapsed := now.Sub(l.counted); elapsed > 0 {
+	if elapsed := now.Sub(l.decayedAt); elapsed > 0 {
 		keep := math.Exp(-float64(elapsed) / float64(arrivalMemory))
-		for i := range l.recent {
-			l.recent[i] *= keep
+		for i := range l.arrivals {
+			l.arrivals[i] *= keep
 		}
-		l.counted = now
+		l.decayedAt = now
 	}
-	l.recent[p]++
+	l.arrivals[p]++
 }
 
 func (l *load) urgentSeen() bool {
-	return l.recent[model.PriorityUrgent] > urgentSeenAbove
+	return l.arrivals[model.PriorityUrgent] > urgentSeenAbove
 }
 
-// usedAbove returns the fraction of slots that arrivals above p use.
-func (l *load) usedAbove(p model.Priority, slots int) float64 {
+// higherPriorityLoad returns the fraction of slots that arrivals above p use.
+func (l *load) higherPriorityLoad(p model.Priority, slots int) float64 {
 	arrivals := 0.0
 	for higher := p + 1; int(higher) < model.NumPriorities; higher++ {
-		arrivals += l.recent[higher]
+		arrivals += l.arrivals[higher]
 	}
 	return min(l.demand(arrivals, slots), maxHigherLoad)
 }
 
-// ratio returns how many times the slots' capacity arrives.
-func (l *load) ratio(slots int) float64 {
+// utilization returns how many times the slots' capacity arrives.
+func (l *load) utilization(slots int) float64 {
 	arrivals := 0.0
-	for _, n := range l.recent {
+	for _, n := range l.arrivals {
 		arrivals += n
 	}
 	return l.demand(arrivals, slots)
@@ -72,7 +72,7 @@
 
 func (l *load) demand(arrivals float64, slots int) float64 {
 	perSecond := arrivals / arrivalMemory.Seconds()
-	return perSecond * l.service.Seconds() / float64(max(slots, 1))
+	return perSecond * l.serviceTime.Seconds() / float64(max(slots, 1))
 }
 
 // predictedWait returns how long a ticket of priority p that arrives now is
@@ -88,8 +88,8 @@
 		return 0
 	}
 	turns := float64(ahead - max(free, 0) + 1)
-	each := float64(q.load.service) / float64(q.total)
-	return time.Duration(turns * each / (1 - q.load.usedAbove(p, q.total)))
+	each := float64(q.load.serviceTime) / float64(q.total)
+	return time.Duration(turns * each / (1 - q.load.higherPriorityLoad(p, q.total)))
 }
 
 // before returns how many tickets wait that are as urgent as p or more.
--- a/core/admission/overload.go
+++ b/core/admission/overload.go
@@ -8,10 +8,10 @@
 func (q *Queue) updateOverload(now time.Time) {
 	if len(q.waiting) == 0 {
 		q.standingSince = time.Time{}
-		if q.calmSince.IsZero() {
-			q.calmSince = now
+		if q.emptySince.IsZero() {
+			q.emptySince = now
 		}
-		if now.Sub(q.calmSince) >= q.o.StandingInterval {
+		if now.Sub(q.emptySince) >= q.o.StandingInterval {
 			q.overloaded = false
 		}
 		return
@@ -21,7 +21,7 @@
 		q.standingSince = now
 		return
 	}
-	q.calmSince = time.Time{}
+	q.emptySince = time.Time{}
 	if !q.standingSince.IsZero() && now.Sub(q.standingSince) >= q.o.StandingInterval {
 		q.overloaded = true
 	}
@@ -45,17 +45,17 @@
 	base := q.o.MinRetryAfter
 	if q.total > 0 {
 		base += 2 * q.predictedWait(t.Priority)
-		base = time.Duration(float64(base) * max(1, q.load.ratio(q.total)))
+		base = time.Duration(float64(base) * max(1, q.load.utilization(q.total)))
 	} else {
 		base *= 4
 	}
-	spread := float64(scatter(t.ID)>>40) / (1 << 24)
+	spread := float64(mix64(t.ID)>>40) / (1 << 24)
 	d := time.Duration(float64(base) * (0.5 + spread))
 	return min(max(d, q.o.MinRetryAfter), q.o.MaxRetryAfter)
 }
 
-// scatter is the finaliser of splitmix64, so that consecutive ids differ.
-func scatter(x uint64) uint64 {
+// mix64 is the finaliser of splitmix64, so that consecutive ids differ.
+func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
 	x = (x ^ x>>27) * 0x94d049bb133111eb
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -19,8 +19,8 @@
 	// standingSince is since when tickets have waited without a break; zero
 	// when none waits.
 	standingSince time.Time
-	// calmSince is since when the queue has been empty after an overload.
-	calmSince  time.Time
+	// emptySince is since when the queue has been empty after an overload.
+	emptySince time.Time
 	overloaded bool
 }
 
@@ -81,7 +81,7 @@
 		return ReasonNoCapacity
 	}
 	wait := q.predictedWait(t.Priority)
-	if !t.Deadline.IsZero() && now.Add(wait+q.load.service).After(t.Deadline) {
+	if !t.Deadline.IsZero() && now.Add(wait+q.load.serviceTime).After(t.Deadline) {
 		return ReasonDeadline
 	}
 	if q.overloaded && t.Priority < model.PriorityUrgent && wait > q.targetWait() {
@@ -91,7 +91,7 @@
 }
 
 func (q *Queue) targetWait() time.Duration {
-	return time.Duration(q.o.TargetWait * float64(q.load.service))
+	return time.Duration(q.o.TargetWait * float64(q.load.serviceTime))
 }
 
 // victim returns the newest waiter of the lowest priority below p, or nil.
@@ -193,7 +193,7 @@
 // wait before it, and those of higher priority that arrive meanwhile.
 func (q *Queue) Ahead(p model.Priority) int {
 	p = clamp(p)
-	return int(float64(q.before(p)) / (1 - q.load.usedAbove(p, q.total)))
+	return int(float64(q.before(p)) / (1 - q.load.higherPriorityLoad(p, q.total)))
 }
 
 // Cancel removes a waiting ticket. False: it does not wait here.
@@ -212,7 +212,7 @@
 	var expired []Ticket
 	for len(q.expiry) > 0 {
 		w := q.expiry[0]
-		if !now.Add(q.load.service).After(w.ticket.Deadline) {
+		if !now.Add(q.load.serviceTime).After(w.ticket.Deadline) {
 			break
 		}
 		q.remove(w)
@@ -227,7 +227,7 @@
 	if len(q.expiry) == 0 {
 		return time.Time{}, false
 	}
-	return q.expiry[0].ticket.Deadline.Add(-q.load.service), true
+	return q.expiry[0].ticket.Deadline.Add(-q.load.serviceTime), true
 }
 
 // Len returns how many tickets wait.
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -57,7 +57,7 @@
 // request did not run. Sequence: the queue is long; a request joins it whose
 // turn comes after its deadline. Cause: a queue that admits what it cannot
 // serve in time.
-func TestShedAtOnceWhatCannotMakeItsDeadline(t *testing.T) {
+func TestRequestThatCannotMeetItsDeadlineIsShed(t *testing.T) {
 	q := full(Options{InitialServiceTime: 100 * time.Millisecond, TargetWait: 100}, 4)
 	for id := uint64(1); id <= 100; id++ {
 		v := q.Offer(start, ticket(id, model.PriorityNormal))
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestExpiredLeaveWithoutASlot(t *testing.T) {
+func TestExpiredTicketsLeaveWithoutASlot(t *testing.T) {
 	q := full(Options{}, 8)
 	short := ticket(1, model.PriorityNormal)
 	short.Deadline = at(50)
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestReturnKeepsTheTurn(t *testing.T) {
+func TestRequeueKeepsThePosition(t *testing.T) {
 	q := full(Options{}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityNormal), ticket(2, model.PriorityNormal))
 	q.SetSlots(1, 8)
@@ -219,7 +219,7 @@
 // Symptom: low-priority requests that came early run out of time while later
 // ones are served. Sequence: slow slots go to the last in line; new ones of
 // low priority keep coming. Cause: the newest is always taken for the last.
-func TestLastIsTheOneThatIsOvertaken(t *testing.T) {
+func TestLastIsTheTicketThatOthersOvertake(t *testing.T) {
 	q := full(Options{}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow), ticket(2, model.PriorityLow))
 	if last, _ := q.Last(); last.ID != 2 {
