--- a/core/dedup/homes.go
+++ b/core/dedup/homes.go
@@ -34,12 +34,12 @@
 type key struct{ high, low uint64 }
 
 type record struct {
-	holder  uint64
-	payload uint64
-	claimed time.Time
+	claimant uint64
+	payload  uint64
+	claimed  time.Time
 }
 
-type expiry struct {
+type expiryEntry struct {
 	key     key
 	claimed time.Time
 }
@@ -50,10 +50,10 @@
 	o       Options
 	booted  time.Time
 	records map[key]record
-	// order holds the records oldest first; those released or claimed again
+	// expiryQueue holds the records oldest first; those released or claimed again
 	// since are skipped when they come up.
-	order []expiry
-	first int
+	expiryQueue []expiryEntry
+	head        int
 }
 
 // NewClaimStore returns the empty record of an entry that booted at booted.
@@ -76,14 +76,14 @@
 	if held, ok := h.records[k]; ok {
 		return held.verdict(r)
 	}
-	if !h.knows(now, r.Issued) {
+	if !h.isCertainlyUnclaimed(now, r.Issued) {
 		return Unsure
 	}
 	if h.isFull() {
 		return Full
 	}
-	h.records[k] = record{holder: holderOf(r), payload: r.Payload, claimed: now}
-	h.order = append(h.order, expiry{key: k, claimed: now})
+	h.records[k] = record{claimant: claimantOf(r), payload: r.Payload, claimed: now}
+	h.expiryQueue = append(h.expiryQueue, expiryEntry{key: k, claimed: now})
 	return Granted
 }
 
@@ -93,7 +93,7 @@
 func (h *ClaimStore) Release(now time.Time, r Request) {
 	h.expire(now)
 	k := keyOf(r)
-	if held, ok := h.records[k]; ok && held.holder == holderOf(r) {
+	if held, ok := h.records[k]; ok && held.claimant == claimantOf(r) {
 		delete(h.records, k)
 	}
 }
@@ -102,15 +102,15 @@
 	switch {
 	case r.payload != req.Payload:
 		return Mismatch
-	case r.holder == holderOf(req):
+	case r.claimant == claimantOf(req):
 		return Granted
 	}
 	return Held
 }
 
-// knows reports whether an id that is not recorded was certainly not claimed
+// isCertainlyUnclaimed reports whether an id that is not recorded was certainly not claimed
 // here within the promise.
-func (h *ClaimStore) knows(now, issued time.Time) bool {
+func (h *ClaimStore) isCertainlyUnclaimed(now, issued time.Time) bool {
 	tells := !issued.IsZero() && !issued.After(now.Add(h.o.MaxClockSkew))
 	if tells && issued.Before(now.Add(h.o.MaxClockSkew-h.o.Retention)) {
 		return false
@@ -124,24 +124,24 @@
 // isFull counts the order too, so that a burst of claims that are released
 // again cannot grow it without bound.
 func (h *ClaimStore) isFull() bool {
-	return len(h.records) >= h.o.MaxRecords || len(h.order)-h.first >= 2*h.o.MaxRecords
+	return len(h.records) >= h.o.MaxRecords || len(h.expiryQueue)-h.head >= 2*h.o.MaxRecords
 }
 
 func (h *ClaimStore) expire(now time.Time) {
-	for h.first < len(h.order) {
-		oldest := h.order[h.first]
+	for h.head < len(h.expiryQueue) {
+		oldest := h.expiryQueue[h.head]
 		if now.Sub(oldest.claimed) < h.o.Retention {
 			break
 		}
 		if h.records[oldest.key].claimed.Equal(oldest.claimed) {
 			delete(h.records, oldest.key)
 		}
-		h.first++
+		h.head++
 	}
-	if h.first > len(h.order)/2 {
-		n := copy(h.order, h.order[h.first:])
-		h.order = h.order[:n]
-		h.first = 0
+	if h.head > len(h.expiryQueue)/2 {
+		n := copy(h.expiryQueue, h.expiryQueue[h.head:])
+		h.expiryQueue = h.expiryQueue[:n]
+		h.head = 0
 	}
 }
 
@@ -159,7 +159,7 @@
 // keySeed makes the high half of a key independent of the low half.
 const keySeed = 0x9e3779b97f4a7c15
 
-func holderOf(r Request) uint64 {
+func claimantOf(r Request) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(r.Incarnation)
 	writeField(&d, r.Claimant)
--- a/core/dedup/homes_test.go
+++ b/core/dedup/homes_test.go
@@ -26,8 +26,8 @@
 	return dedup.Request{Service: "s", ID: id, Claimant: claimant, Incarnation: 1, Payload: 7}
 }
 
-// oldHomes returns a record that knows everything at start.
-func oldHomes() *dedup.ClaimStore {
+// oldClaims returns a record that knows everything at start.
+func oldClaims() *dedup.ClaimStore {
 	return dedup.NewClaimStore(start.Add(-options.Retention), options)
 }
 
@@ -39,7 +39,7 @@
 }
 
 func TestClaimIsHeldForItsClaimant(t *testing.T) {
-	h := oldHomes()
+	h := oldClaims()
 	checkClaim(t, h, start, request("r", "a/1"), dedup.Granted)
 	checkClaim(t, h, start, request("r", "a/1"), dedup.Granted)
 	checkClaim(t, h, start, request("r", "a/2"), dedup.Held)
@@ -55,8 +55,8 @@
 	checkClaim(t, h, start, reborn, dedup.Held)
 }
 
-func TestReleaseIsForItsOwnClaimAlone(t *testing.T) {
-	h := oldHomes()
+func TestReleaseAffectsOnlyItsOwnClaim(t *testing.T) {
+	h := oldClaims()
 	checkClaim(t, h, start, request("r", "a/1"), dedup.Granted)
 	h.Release(start, request("r", "b/1"))
 	checkClaim(t, h, start, request("r", "b/1"), dedup.Held)
@@ -68,7 +68,7 @@
 }
 
 func TestRecordsEndWithRetention(t *testing.T) {
-	h := oldHomes()
+	h := oldClaims()
 	checkClaim(t, h, start, request("r", "a/1"), dedup.Granted)
 	checkClaim(t, h, start.Add(options.Retention-1), request("r", "b/1"), dedup.Held)
 	checkClaim(t, h, start.Add(options.Retention), request("r", "b/1"), dedup.Granted)
@@ -77,7 +77,7 @@
 // Symptom: the memory of an entry grows with the rate of requests. Cause:
 // records, or the list by which they expire, without a bound.
 func TestRecordIsBounded(t *testing.T) {
-	h := oldHomes()
+	h := oldClaims()
 	for i := range options.MaxRecords {
 		checkClaim(t, h, start, request(fmt.Sprint(i), "a/1"), dedup.Granted)
 	}
@@ -102,7 +102,7 @@
 
 // Symptom: a request runs twice when a home restarts between it and its
 // repeat. Cause: the home took what it had forgotten for new.
-func TestYoungHomeIsUnsure(t *testing.T) {
+func TestRecentlyBootedHomeIsUnsure(t *testing.T) {
 	h := dedup.NewClaimStore(start, options)
 	now := start.Add(time.Minute)
 	checkClaim(t, h, now, request("opaque", "a/1"), dedup.Unsure)
@@ -121,8 +121,8 @@
 
 // Symptom: a repeat that comes after its record has expired runs again. Cause:
 // the id itself says that it is older than the record reaches.
-func TestOldIdIsUnsure(t *testing.T) {
-	h := oldHomes()
+func TestOldIDIsUnsure(t *testing.T) {
+	h := oldClaims()
 	r := request("old", "a/1")
 	r.Issued = start.Add(options.MaxClockSkew - options.Retention - time.Millisecond)
 	checkClaim(t, h, start, r, dedup.Unsure)
@@ -241,7 +241,7 @@
 // although the remaining home has never heard of the id.
 func TestLostHomesMakeARepeatUnsure(t *testing.T) {
 	members := []model.DaemonID{"a", "b", "c"}
-	homes := map[model.DaemonID]*dedup.ClaimStore{"a": oldHomes(), "b": oldHomes(), "c": oldHomes()}
+	homes := map[model.DaemonID]*dedup.ClaimStore{"a": oldClaims(), "b": oldClaims(), "c": oldClaims()}
 	claim := func(claimant string, away model.DaemonID) dedup.Outcome {
 		c := dedup.NewClaim(dedup.HomesFor("s", "r", members))
 		for _, m := range members {
--- a/core/dedup/property_test.go
+++ b/core/dedup/property_test.go
@@ -15,10 +15,10 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// The world of the property: entries that come, die and restart, callers that
+// The cluster of the property: entries that come, die and restart, callers that
 // repeat, and messages that are late or lost, all within the bounds that the
 // package comment states.
-type world struct {
+type cluster struct {
 	rnd     *rand.Rand
 	o       dedup.Options
 	now     time.Time
@@ -67,8 +67,8 @@
 	opaqueEvery  = 3
 )
 
-func newWorld(seed uint64) *world {
-	w := &world{
+func newCluster(seed uint64) *cluster {
+	w := &cluster{
 		rnd: rand.New(rand.NewPCG(seed, seed)),
 		o:   dedup.Options{Retention: time.Minute, MembershipDelay: 5 * time.Second, MaxClockSkew: 2 * time.Second, MaxRecords: 50},
 		now: start,
@@ -80,11 +80,11 @@
 	return w
 }
 
-func (w *world) duration(most time.Duration) time.Duration {
+func (w *cluster) duration(most time.Duration) time.Duration {
 	return time.Duration(w.rnd.Int64N(int64(most) + 1))
 }
 
-func (w *world) bootNew() {
+func (w *cluster) bootNew() {
 	w.names++
 	e := &entry{id: model.DaemonID(fmt.Sprintf("e%d", w.names))}
 	w.entries = append(w.entries, e)
@@ -92,7 +92,7 @@
 }
 
 // boot starts an entry with nothing in memory.
-func (w *world) boot(e *entry) {
+func (w *cluster) boot(e *entry) {
 	e.before = e.died
 	e.up = true
 	e.booted = w.now
@@ -102,7 +102,7 @@
 	e.seenAfter = make(map[model.DaemonID]time.Duration)
 }
 
-func (w *world) die(e *entry) {
+func (w *cluster) die(e *entry) {
 	e.up = false
 	e.died = w.now
 	if w.rnd.IntN(2) == 0 {
@@ -111,7 +111,7 @@
 }
 
 // members is what viewer knows of the entries now.
-func (w *world) members(viewer *entry) []dedup.Member {
+func (w *cluster) members(viewer *entry) []dedup.Member {
 	var known []dedup.Member
 	for _, e := range w.entries {
 		if !w.sees(viewer, e) {
@@ -127,7 +127,7 @@
 	return known
 }
 
-func (w *world) sees(viewer, e *entry) bool {
+func (w *cluster) sees(viewer, e *entry) bool {
 	if viewer == e {
 		return true
 	}
@@ -144,7 +144,7 @@
 
 // newUse makes an id, by the clock of a caller that is off by up to half of
 // the skew.
-func (w *world) newUse() *use {
+func (w *cluster) newUse() *use {
 	u := &use{id: fmt.Sprintf("r%d", len(w.uses))}
 	if w.rnd.IntN(opaqueEvery) > 0 {
 		u.issued = w.now.Add(w.duration(w.o.MaxClockSkew) - w.o.MaxClockSkew/2).Truncate(time.Millisecond)
@@ -155,7 +155,7 @@
 
 // anyUse is a new request or the repeat of an old one, as far as repeats are
 // promised anything.
-func (w *world) anyUse() *use {
+func (w *cluster) anyUse() *use {
 	if len(w.uses) == 0 || w.rnd.IntN(4) == 0 {
 		return w.newUse()
 	}
@@ -167,7 +167,7 @@
 	return u
 }
 
-func (w *world) begin() {
+func (w *cluster) begin() {
 	e := w.entries[w.rnd.IntN(len(w.entries))]
 	if !e.up || w.now.Sub(e.booted) < w.o.MembershipDelay {
 		return
@@ -191,7 +191,7 @@
 
 // deliver carries one message of a claim to its home and the verdict back,
 // unless either is lost.
-func (w *world) deliver() {
+func (w *cluster) deliver() {
 	if len(w.claims) == 0 {
 		return
 	}
@@ -216,7 +216,7 @@
 }
 
 // conclude sends the request once its claim allows it.
-func (w *world) conclude(c *pendingClaim) {
+func (w *cluster) conclude(c *pendingClaim) {
 	outcome := c.claim.Outcome()
 	if c.over || outcome == dedup.Undecided {
 		return
@@ -240,7 +240,7 @@
 	}
 }
 
-func (w *world) entry(id model.DaemonID) *entry {
+func (w *cluster) entry(id model.DaemonID) *entry {
 	for _, e := range w.entries {
 		if e.id == id {
 			return e
@@ -249,7 +249,7 @@
 	return nil
 }
 
-func (w *world) step() {
+func (w *cluster) step() {
 	switch n := w.rnd.IntN(100); {
 	case n < 30:
 		w.begin()
@@ -270,7 +270,7 @@
 	}
 }
 
-func (w *world) doubled() (string, bool) {
+func (w *cluster) ranTwice() (string, bool) {
 	for _, u := range w.uses {
 		if u.runs > 1 {
 			return u.id, true
@@ -289,14 +289,14 @@
 	properties := gopter.NewProperties(parameters)
 	sent, uses := 0, 0
 	properties.Property("at most once", prop.ForAll(func(seed uint64) (bool, error) {
-		w := newWorld(seed)
+		w := newCluster(seed)
 		for range steps {
 			w.step()
 		}
 		sent += w.sent
 		uses += len(w.uses)
-		if id, doubled := w.doubled(); doubled {
-			return false, &doubledError{id: id}
+		if id, doubled := w.ranTwice(); doubled {
+			return false, &ranTwiceError{id: id}
 		}
 		return true, nil
 	}, gen.UInt64()))
@@ -307,6 +307,6 @@
 	t.Logf("%d ids, %d sent", uses, sent)
 }
 
-type doubledError struct{ id string }
+type ranTwiceError struct{ id string }
 
-func (e *doubledError) Error() string { return e.id + " ran twice" }
+func (e *ranTwiceError) Error() string { return e.id + " ran twice" }
