--- a/core/routing/balancer_test.go
+++ b/core/routing/balancer_test.go
@@ -26,24 +26,24 @@
 	return list
 }
 
-// bench drives a balancer with a clock of its own.
-type bench struct {
+// fixture drives a balancer with a clock of its own.
+type fixture struct {
 	t   testing.TB
 	b   *Balancer
 	now time.Time
 	rnd *rand.Rand
 }
 
-func newBench(t testing.TB, list []Target) *bench {
-	x := &bench{t: t, b: New("near", Options{}), now: start, rnd: rand.New(rand.NewPCG(1, 1))}
+func newFixture(t testing.TB, list []Target) *fixture {
+	x := &fixture{t: t, b: New("near", Options{}), now: start, rnd: rand.New(rand.NewPCG(1, 1))}
 	x.b.Update(x.now, list)
 	return x
 }
 
-func (x *bench) pick(q Query) (*Choice, bool) { return x.b.Pick(x.now, x.rnd.Uint64(), q) }
+func (x *fixture) pick(q Query) (*Choice, bool) { return x.b.Pick(x.now, x.rnd.Uint64(), q) }
 
 // serve lets n requests pass one after another, each as long as take says.
-func (x *bench) serve(n int, take func(address string) Result) map[string]int {
+func (x *fixture) serve(n int, take func(address string) Result) map[string]int {
 	x.t.Helper()
 	served := make(map[string]int)
 	for range n {
@@ -61,7 +61,7 @@
 
 func quick(string) Result { return Result{Latency: usual} }
 
-func (x *bench) state(address string) TargetState {
+func (x *fixture) state(address string) TargetState {
 	for _, s := range x.b.Snapshot() {
 		if s.Address == address {
 			return s
@@ -83,7 +83,7 @@
 }
 
 func TestNewTargetsStartWithOneRequest(t *testing.T) {
-	x := newBench(t, targets(2, 4))
+	x := newFixture(t, targets(2, 4))
 	first, _ := x.pick(Query{})
 	second, _ := x.pick(Query{})
 	if _, ok := x.pick(Query{}); ok || first.Address() == second.Address() {
@@ -101,7 +101,7 @@
 // hours. Sequence: one answers quicker than what is assumed of those that were
 // never asked. Cause: the assumption is never put to the test.
 func TestUnprovenTargetsAreTried(t *testing.T) {
-	x := newBench(t, targets(4, 4))
+	x := newFixture(t, targets(4, 4))
 	served := x.serve(100, func(string) Result { return Result{Latency: time.Millisecond / 4} })
 	for _, target := range targets(4, 4) {
 		if served[target.Address] < minSamples {
@@ -114,7 +114,7 @@
 // says that it leaves; the list of targets, which lags, still shows it.
 // Cause: the list is believed over the sign.
 func TestLeavingGetsNothingNew(t *testing.T) {
-	x := newBench(t, targets(2, 2))
+	x := newFixture(t, targets(2, 2))
 	x.serve(20, quick)
 	running, _ := x.pick(Query{})
 	leaving := running.Address()
@@ -138,7 +138,7 @@
 }
 
 func TestUnlistedGetsNothingNew(t *testing.T) {
-	x := newBench(t, targets(2, 2))
+	x := newFixture(t, targets(2, 2))
 	c, _ := x.pick(Query{})
 	x.b.Update(x.now, nil)
 	if _, ok := x.pick(Query{Ahead: 1000}); ok || x.b.Slots() != 0 {
@@ -154,8 +154,8 @@
 // Symptom: one slow instance sets the tail of the whole service. Sequence: it
 // turns ten times slower; then it is well again. Cause: targets are chosen by
 // free slots alone, or are never tried again.
-func TestSlowTargetIsLeftEarlyAndComesBack(t *testing.T) {
-	x := newBench(t, targets(8, 2))
+func TestSlowTargetIsAvoidedAndRestored(t *testing.T) {
+	x := newFixture(t, targets(8, 2))
 	x.serve(400, quick)
 	slow := x.serve(800, onBad(Result{Latency: 10 * usual}))
 	if slow[bad] > 12 {
@@ -176,7 +176,7 @@
 // A slot on a slow target is worth more than a long wait, and less than a
 // short one.
 func TestSlowTargetServesALongQueue(t *testing.T) {
-	x := newBench(t, targets(8, 1))
+	x := newFixture(t, targets(8, 1))
 	x.serve(400, quick)
 	for range 7 {
 		if _, ok := x.pick(Query{Avoid: []string{bad}}); !ok {
@@ -195,8 +195,8 @@
 	}
 }
 
-func TestFailingTargetRests(t *testing.T) {
-	x := newBench(t, targets(8, 2))
+func TestFailingTargetIsEjected(t *testing.T) {
+	x := newFixture(t, targets(8, 2))
 	x.serve(200, quick)
 	if n := x.serve(400, onBad(Result{Latency: time.Millisecond, Outcome: Failed}))[bad]; n > 8 {
 		t.Errorf("%d of 400 requests went to the failing target", n)
@@ -209,9 +209,9 @@
 // Symptom: every request is refused here though half of the instances would
 // serve it. Sequence: all targets fail, or only look so from here. Cause:
 // every target that looks bad is left.
-func TestNeverAllRest(t *testing.T) {
+func TestNotAllTargetsAreEjected(t *testing.T) {
 	for _, outcome := range []Outcome{Failed, Refused, Silent} {
-		x := newBench(t, targets(10, 2))
+		x := newFixture(t, targets(10, 2))
 		x.serve(200, quick)
 		x.serve(400, func(string) Result { return Result{Latency: usual, Outcome: outcome} })
 		resting := 0
@@ -231,7 +231,7 @@
 // exchange stays unanswered; a new connection to the same target works; older
 // ones do not. Cause: the target is blamed for its connection.
 func TestSilenceBlamesTheConnectionFirst(t *testing.T) {
-	x := newBench(t, targets(1, 2))
+	x := newFixture(t, targets(1, 2))
 	x.serve(50, quick)
 	lost, _ := x.pick(Query{NonIdempotent: true})
 	x.now = x.now.Add(lost.OverdueAfter())
@@ -266,7 +266,7 @@
 }
 
 func TestSilenceOfOneConnectionAmongMany(t *testing.T) {
-	x := newBench(t, targets(1, 2))
+	x := newFixture(t, targets(1, 2))
 	x.serve(50, quick)
 	lost, _ := x.pick(Query{})
 	x.serve(20, quick)
@@ -282,7 +282,7 @@
 // the slot goes to another request; the instance works on both. Cause: giving
 // up an exchange does not end it.
 func TestSlotOfASilentExchangeStaysTakenForAWhile(t *testing.T) {
-	x := newBench(t, targets(1, 1))
+	x := newFixture(t, targets(1, 1))
 	x.serve(50, quick)
 	lost, _ := x.pick(Query{})
 	x.now = x.now.Add(lost.SilenceAfter())
@@ -297,7 +297,7 @@
 }
 
 func TestSecondSilenceBlamesTheTarget(t *testing.T) {
-	x := newBench(t, targets(8, 2))
+	x := newFixture(t, targets(8, 2))
 	x.serve(200, quick)
 	x.serve(200, onBad(Result{Latency: 10 * usual, Outcome: Silent}))
 	if s := x.state(bad).State; s != Ejected {
@@ -305,8 +305,8 @@
 	}
 }
 
-func TestManyOverdueDoubtAllConnections(t *testing.T) {
-	x := newBench(t, targets(20, 1))
+func TestManyOverdueExchangesDistrustAllConnections(t *testing.T) {
+	x := newFixture(t, targets(20, 1))
 	x.serve(400, quick)
 	var lost []*Choice
 	for range 10 {
@@ -324,7 +324,7 @@
 }
 
 func TestNonIdempotentPrefersProvenTargets(t *testing.T) {
-	x := newBench(t, targets(2, 2))
+	x := newFixture(t, targets(2, 2))
 	x.serve(50, quick)
 	x.now = x.now.Add(time.Minute)
 	c, _ := x.pick(Query{})
@@ -342,7 +342,7 @@
 func TestAvoidAndNearFirst(t *testing.T) {
 	list := targets(3, 1)
 	list[0].Zone, list[1].Zone = "far", "far"
-	x := newBench(t, list)
+	x := newFixture(t, list)
 	if n := x.serve(20, quick)[list[2].Address]; n != 20 {
 		t.Errorf("%d of 20 requests went to the near target", n)
 	}
@@ -357,7 +357,7 @@
 	parameters.MinSuccessfulTests = 100
 	properties := gopter.NewProperties(parameters)
 	properties.Property("in flight stays within slots, and all slots come back", prop.ForAll(func(seed uint64) string {
-		x := newBench(t, targets(6, 3))
+		x := newFixture(t, targets(6, 3))
 		x.rnd = rand.New(rand.NewPCG(seed, 7))
 		var held []*Choice
 		for range 2000 {
@@ -431,7 +431,7 @@
 }
 
 func TestPickDoesNotAllocate(t *testing.T) {
-	x := newBench(t, manyTargets(200))
+	x := newFixture(t, manyTargets(200))
 	x.serve(5000, quick)
 	allocations := testing.AllocsPerRun(1000, func() {
 		c, _ := x.pick(Query{NonIdempotent: true})
@@ -446,7 +446,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{50, 26000} {
 		b.Run(fmt.Sprint(n, "targets"), func(b *testing.B) {
-			x := newBench(b, manyTargets(n))
+			x := newFixture(b, manyTargets(n))
 			x.serve(20*n, quick)
 			held := make([]*Choice, n*8/3)
 			for i := range held {
--- a/core/routing/policies_test.go
+++ b/core/routing/policies_test.go
@@ -77,11 +77,11 @@
 
 // variant is the product's policy with something left out or set otherwise.
 type variant struct {
-	admission admission.Options
-	routing   routing.Options
-	blind     bool // shares without regard to zones
-	equal     bool // shares do not follow demand
-	eager     bool // never waits for a better slot
+	admission   admission.Options
+	routing     routing.Options
+	ignoreZones bool // shares without regard to zones
+	equalShares bool // shares do not follow demand
+	neverWait   bool // never waits for a better slot
 }
 
 // limited is the product's policy: shares, admission and routing.
@@ -98,7 +98,7 @@
 	inflight int
 }
 
-func product(v variant) func(*site, *entry) policy {
+func production(v variant) func(*site, *entry) policy {
 	return func(s *site, e *entry) policy {
 		v.admission.MaxQueued = 512
 		l := &limited{
@@ -112,8 +112,8 @@
 		for _, i := range s.instances {
 			l.byName[i.address] = i
 		}
-		l.view(s.time().Add(-growDelay), s.members())
-		l.view(s.time(), s.members())
+		l.applyView(s.time().Add(-growDelay), s.members())
+		l.applyView(s.time(), s.members())
 		s.every(time.Second, l.publish)
 		s.every(100*time.Millisecond, func() { l.demand.Observe(s.time(), l.inflight, l.queue.Len()) })
 		return l
@@ -126,24 +126,24 @@
 	members := l.s.members()
 	published := make(map[model.DaemonID]uint32)
 	for _, e := range l.s.entries {
-		if other, ok := e.policy.(*limited); ok && !l.v.equal {
+		if other, ok := e.policy.(*limited); ok && !l.v.equalShares {
 			published[e.id] = other.demand.Publish(allSlots, len(members))
 		}
 	}
 	l.s.after(viewDelay, func() {
-		l.view(l.s.time(), shares.WeightByDemand(members, published, allSlots))
+		l.applyView(l.s.time(), shares.WeightByDemand(members, published, allSlots))
 		l.pump()
 	})
 }
 
-func (l *limited) view(now time.Time, members []shares.Entry) {
+func (l *limited) applyView(now time.Time, members []shares.Entry) {
 	var capacity []shares.Capacity
 	for _, i := range l.s.instances {
 		capacity = append(capacity, shares.Capacity{
 			Address: i.address, Zone: zoneName(i.zone), Slots: siteSlots, Connections: 60,
 		})
 	}
-	if l.v.blind {
+	if l.v.ignoreZones {
 		for n := range capacity {
 			capacity[n].Zone = ""
 		}
@@ -212,7 +212,7 @@
 
 func (l *limited) try(t admission.Ticket, ahead int) bool {
 	r := l.waiting[t.ID]
-	if l.v.eager {
+	if l.v.neverWait {
 		ahead = math.MaxInt32
 	}
 	choice, ok := l.balancer.Pick(l.s.time(), l.s.rnd.Uint64(), routing.Query{
--- a/core/routing/requests_bench_test.go
+++ b/core/routing/requests_bench_test.go
@@ -38,7 +38,7 @@
 		}
 	}},
 	{"zone", func(s *site) {
-		s.after(runStart, func() { s.loseZone(siteZones - 1) })
+		s.after(runStart, func() { s.failZone(siteZones - 1) })
 	}},
 	{"silent", func(s *site) {
 		for n := range 3 {
@@ -72,21 +72,21 @@
 	{"leastinflight", baseline(leastInFlight)},
 }
 
-var chosen = namedPolicy{"guavarill", product(variant{})}
+var current = namedPolicy{"guavarill", production(variant{})}
 
 // variants are what was tried and is not used.
 var variants = []namedPolicy{
-	chosen,
-	{"equal", product(variant{equal: true})},
-	{"blind", product(variant{blind: true})},
-	{"eager", product(variant{eager: true})},
-	{"choices2", product(variant{routing: routing.Options{Choices: 2}})},
-	{"choices64", product(variant{routing: routing.Options{Choices: 64}})},
-	{"noslow", product(variant{routing: routing.Options{SlowRatio: 1000, EjectRatio: 1000}})},
-	{"target2", product(variant{admission: admission.Options{TargetWait: 2}})},
-	{"notarget", product(variant{admission: admission.Options{TargetWait: 1000}})},
-	{"reserve2", product(variant{admission: admission.Options{UrgentReserve: 0.02}})},
-	{"reserve8", product(variant{admission: admission.Options{UrgentReserve: 0.08}})},
+	current,
+	{"equal", production(variant{equalShares: true})},
+	{"blind", production(variant{ignoreZones: true})},
+	{"eager", production(variant{neverWait: true})},
+	{"choices2", production(variant{routing: routing.Options{Choices: 2}})},
+	{"choices64", production(variant{routing: routing.Options{Choices: 64}})},
+	{"noslow", production(variant{routing: routing.Options{SlowRatio: 1000, EjectRatio: 1000}})},
+	{"target2", production(variant{admission: admission.Options{TargetWait: 2}})},
+	{"notarget", production(variant{admission: admission.Options{TargetWait: 1000}})},
+	{"reserve2", production(variant{admission: admission.Options{UrgentReserve: 0.02}})},
+	{"reserve8", production(variant{admission: admission.Options{UrgentReserve: 0.08}})},
 }
 
 // BenchmarkRequests reports, for each fault, load and policy, the latency
@@ -94,7 +94,7 @@
 // the time after which they were given up), the parts of the offered requests
 // that were answered and shed, and the same for urgent ones.
 func BenchmarkRequests(b *testing.B) {
-	policies := append(slices.Clone(baselines), chosen)
+	policies := append(slices.Clone(baselines), current)
 	measure(b, faults, []float64{0.5, 0.8, 0.95, 1, 1.2}, policies, runStart, runEnd)
 }
 
@@ -106,7 +106,7 @@
 // BenchmarkLasting shows what moving shares toward demand is worth when the
 // balancer in front prefers one entry, and when a zone is slow for good.
 func BenchmarkLasting(b *testing.B) {
-	policies := []namedPolicy{baselines[2], variants[1], chosen}
+	policies := []namedPolicy{baselines[2], variants[1], current}
 	measure(b, lasting, []float64{0.5, 0.8, 0.95}, policies, 8*time.Second, 16*time.Second)
 }
 
--- a/core/routing/site_test.go
+++ b/core/routing/site_test.go
@@ -206,7 +206,7 @@
 	return model.PriorityNormal
 }
 
-func wire(a, b int) time.Duration {
+func networkDelay(a, b int) time.Duration {
 	if a == b {
 		return nearWire
 	}
@@ -218,7 +218,7 @@
 // is back, and never when the connection or the instance is silent. The
 // result gives the exchange up.
 func (s *site) exchange(e *entry, i *instance, trusted time.Duration, answered func()) (abandon func()) {
-	d := wire(e.zone, i.zone)
+	d := networkDelay(e.zone, i.zone)
 	var c *conn
 	if idle := e.idle[i]; len(idle) > 0 && idle[len(idle)-1].proven >= trusted {
 		c = idle[len(idle)-1]
@@ -235,7 +235,7 @@
 			return
 		}
 		s.serve(i, func() {
-			s.after(wire(e.zone, i.zone), func() {
+			s.after(networkDelay(e.zone, i.zone), func() {
 				if i.dead || c.silent || abandoned || e.dead {
 					return
 				}
@@ -313,7 +313,7 @@
 	}
 }
 
-func (s *site) loseZone(z int) {
+func (s *site) failZone(z int) {
 	for _, i := range s.instances {
 		i.dead = i.dead || i.zone == z
 	}
