--- a/core/admission/load.go
+++ b/core/admission/load.go
@@ -15,9 +15,9 @@
 	// maxHigherLoad caps how much of the slots higher priorities are taken to
 	// use, so that a predicted wait stays finite.
 	maxHigherLoad = 0.95
-	// urgentSeenAbove is the decayed count of urgent arrivals above which
+	// minUrgentArrivals is the decayed count of urgent arrivals above which
 	// slots are reserved for more of them.
-	urgentSeenAbove = 0.05
+	minUrgentArrivals = 0.05
 )
 
 // load learns how long a request takes and how many arrive.
@@ -48,8 +48,8 @@
 	l.arrivals[p]++
 }
 
-func (l *load) urgentSeen() bool {
-	return l.arrivals[model.PriorityUrgent] > urgentSeenAbove
+func (l *load) hasUrgentArrivals() bool {
+	return l.arrivals[model.PriorityUrgent] > minUrgentArrivals
 }
 
 // higherPriorityLoad returns the fraction of slots that arrivals above p use.
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -49,7 +49,7 @@
 
 // Offer asks for a place for t. A queued ticket may be due at once: call Next.
 func (q *Queue) Offer(now time.Time, t Ticket) Verdict {
-	t.Priority = clamp(t.Priority)
+	t.Priority = clampPriority(t.Priority)
 	q.load.arrived(now, t.Priority)
 	q.updateOverload(now)
 	if reason := q.refusal(now, t); reason != ReasonNone {
@@ -127,11 +127,11 @@
 
 // choose returns the priority whose oldest ticket is next.
 func (q *Queue) choose() (model.Priority, bool) {
-	held := q.free <= q.reserve()
+	reserved := q.free <= q.reserve()
 	best := model.Priority(-1)
 	for p := model.PriorityUrgent; p >= 0; p-- {
 		c := &q.classes[p]
-		if c.oldest == nil || (held && p < model.PriorityUrgent) {
+		if c.oldest == nil || (reserved && p < model.PriorityUrgent) {
 			continue
 		}
 		if best < 0 || c.passedOver >= maxPassedOver[p] {
@@ -154,7 +154,7 @@
 
 // reserve is how many free slots are held back for urgent tickets now.
 func (q *Queue) reserve() int {
-	if !q.overloaded || !q.load.urgentSeen() {
+	if !q.overloaded || !q.load.hasUrgentArrivals() {
 		return 0
 	}
 	return int(q.o.UrgentReserve * float64(q.total))
@@ -163,7 +163,7 @@
 // Requeue puts back, at the head of its priority, a ticket that Next gave and
 // for which no target was found. It is not counted as an arrival.
 func (q *Queue) Requeue(now time.Time, t Ticket) {
-	t.Priority = clamp(t.Priority)
+	t.Priority = clampPriority(t.Priority)
 	w := q.insert(t)
 	q.classes[t.Priority].pushOldest(w)
 	q.free++
@@ -192,7 +192,7 @@
 // of priority p that is, or would be, the newest of its priority: those that
 // wait before it, and those of higher priority that arrive meanwhile.
 func (q *Queue) Ahead(p model.Priority) int {
-	p = clamp(p)
+	p = clampPriority(p)
 	return int(float64(q.before(p)) / (1 - q.load.higherPriorityLoad(p, q.total)))
 }
 
@@ -244,6 +244,6 @@
 	q.classes[t.Priority].pushNewest(w)
 }
 
-func clamp(p model.Priority) model.Priority {
+func clampPriority(p model.Priority) model.Priority {
 	return min(max(p, model.PriorityLow), model.PriorityUrgent)
 }
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -21,8 +21,8 @@
 	return Ticket{ID: id, Priority: p, Deadline: at(1000), Enqueued: start}
 }
 
-// full returns a queue whose slots are all in use.
-func full(o Options, slots int) *Queue {
+// fullQueue returns a queue whose slots are all in use.
+func fullQueue(o Options, slots int) *Queue {
 	q := New(o)
 	q.SetSlots(0, slots)
 	return q
@@ -38,7 +38,7 @@
 }
 
 func TestHigherPriorityFirstOldestFirst(t *testing.T) {
-	q := full(Options{}, 8)
+	q := fullQueue(Options{}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow), ticket(2, model.PriorityNormal),
 		ticket(3, model.PriorityUrgent), ticket(4, model.PriorityNormal), ticket(5, model.PriorityHigh))
 	for _, want := range []uint64{3, 5, 2, 4, 1} {
@@ -58,7 +58,7 @@
 // turn comes after its deadline. Cause: a queue that admits what it cannot
 // serve in time.
 func TestRequestThatCannotMeetItsDeadlineIsShed(t *testing.T) {
-	q := full(Options{InitialServiceTime: 100 * time.Millisecond, TargetWait: 100}, 4)
+	q := fullQueue(Options{InitialServiceTime: 100 * time.Millisecond, TargetWait: 100}, 4)
 	for id := uint64(1); id <= 100; id++ {
 		v := q.Offer(start, ticket(id, model.PriorityNormal))
 		// 100 ms over 4 slots is 25 ms a turn; with 100 ms of service the
@@ -73,7 +73,7 @@
 }
 
 func TestExpiredTicketsLeaveWithoutASlot(t *testing.T) {
-	q := full(Options{}, 8)
+	q := fullQueue(Options{}, 8)
 	short := ticket(1, model.PriorityNormal)
 	short.Deadline = at(50)
 	mustQueue(t, q, start, short, ticket(2, model.PriorityNormal))
@@ -94,7 +94,7 @@
 // queue fills to its bound and stays there. Cause: a standing queue adds wait
 // and no throughput.
 func TestOverloadShedsAllButUrgent(t *testing.T) {
-	q := full(Options{TargetWait: 1}, 10)
+	q := fullQueue(Options{TargetWait: 1}, 10)
 	id := uint64(0)
 	offer := func(now time.Time, p model.Priority) Verdict {
 		id++
@@ -127,7 +127,7 @@
 }
 
 func TestUrgentEvictsNewestOfLowest(t *testing.T) {
-	q := full(Options{MaxQueued: 3}, 8)
+	q := fullQueue(Options{MaxQueued: 3}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow), ticket(2, model.PriorityLow), ticket(3, model.PriorityNormal))
 	v := q.Offer(start, ticket(4, model.PriorityUrgent))
 	if v.Outcome != Queued || v.Evicted == nil || v.Evicted.ID != 2 || v.RetryAfter <= 0 {
@@ -145,7 +145,7 @@
 // their deadline. Sequence: normal requests arrive as fast as slots come free.
 // Cause: strict priority without a bound.
 func TestLowPriorityIsNotStarved(t *testing.T) {
-	q := full(Options{TargetWait: 1000, MaxQueued: 1000}, 8)
+	q := fullQueue(Options{TargetWait: 1000, MaxQueued: 1000}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow))
 	for turn := 1; turn <= 200; turn++ {
 		mustQueue(t, q, start, ticket(uint64(1000+turn), model.PriorityNormal))
@@ -161,7 +161,7 @@
 }
 
 func TestReserveIsForUrgentUnderOverload(t *testing.T) {
-	q := full(Options{UrgentReserve: 0.25, TargetWait: 1000}, 8)
+	q := fullQueue(Options{UrgentReserve: 0.25, TargetWait: 1000}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityNormal), ticket(2, model.PriorityUrgent))
 	q.SetSlots(2, 8)
 	if !q.Overloaded(start) {
@@ -202,7 +202,7 @@
 }
 
 func TestRequeueKeepsThePosition(t *testing.T) {
-	q := full(Options{}, 8)
+	q := fullQueue(Options{}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityNormal), ticket(2, model.PriorityNormal))
 	q.SetSlots(1, 8)
 	first, _, _ := q.Next(start)
@@ -220,7 +220,7 @@
 // ones are served. Sequence: slow slots go to the last in line; new ones of
 // low priority keep coming. Cause: the newest is always taken for the last.
 func TestLastIsTheTicketThatOthersOvertake(t *testing.T) {
-	q := full(Options{}, 8)
+	q := fullQueue(Options{}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow), ticket(2, model.PriorityLow))
 	if last, _ := q.Last(); last.ID != 2 {
 		t.Errorf("of one priority the last is %d", last.ID)
@@ -232,7 +232,7 @@
 }
 
 func TestObserveMovesThePrediction(t *testing.T) {
-	q := full(Options{}, 1)
+	q := fullQueue(Options{}, 1)
 	mustQueue(t, q, start, ticket(1, model.PriorityNormal))
 	for range 1000 {
 		q.Observe(start, 400*time.Millisecond)
@@ -242,17 +242,17 @@
 	}
 }
 
-// ledger counts where tickets went.
-type ledger struct {
-	inside map[uint64]bool
+// accounting counts where tickets went.
+type accounting struct {
+	queued map[uint64]bool
 	err    string
 }
 
-func (l *ledger) leave(how string, id uint64) {
-	if !l.inside[id] {
+func (l *accounting) leave(how string, id uint64) {
+	if !l.queued[id] {
 		l.err = fmt.Sprintf("ticket %d left by %s though it was not inside", id, how)
 	}
-	delete(l.inside, id)
+	delete(l.queued, id)
 }
 
 func TestEveryQueuedTicketLeavesOnce(t *testing.T) {
@@ -262,28 +262,28 @@
 	properties.Property("tickets are conserved and bounded", prop.ForAll(func(seed uint64) string {
 		rnd := rand.New(rand.NewPCG(seed, 5))
 		q := New(Options{MaxQueued: 20, UrgentReserve: 0.2})
-		l := &ledger{inside: make(map[uint64]bool)}
+		l := &accounting{queued: make(map[uint64]bool)}
 		ms, total := 0, 10
 		for id := uint64(1); id <= 400 && l.err == ""; id++ {
 			ms += rnd.IntN(8)
 			q.SetSlots(rnd.IntN(3), total)
 			step(q, l, rnd, id, ms)
-			if q.Len() != len(l.inside) || q.Len() > 20 {
-				return fmt.Sprintf("%d wait, %d are inside", q.Len(), len(l.inside))
+			if q.Len() != len(l.queued) || q.Len() > 20 {
+				return fmt.Sprintf("%d wait, %d are inside", q.Len(), len(l.queued))
 			}
 		}
 		for _, tk := range q.Expire(at(100000)) {
 			l.leave("expiry", tk.ID)
 		}
-		if l.err == "" && len(l.inside) > 0 {
-			return fmt.Sprintf("%d never left", len(l.inside))
+		if l.err == "" && len(l.queued) > 0 {
+			return fmt.Sprintf("%d never left", len(l.queued))
 		}
 		return l.err
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-func step(q *Queue, l *ledger, rnd *rand.Rand, id uint64, ms int) {
+func step(q *Queue, l *accounting, rnd *rand.Rand, id uint64, ms int) {
 	switch rnd.IntN(6) {
 	case 0:
 		cancelled := uint64(rnd.IntN(int(id)))
@@ -310,7 +310,7 @@
 			}
 		}
 		if v.Outcome == Queued {
-			l.inside[id] = true
+			l.queued[id] = true
 		}
 	}
 }
