--- a/core/dedup/homes.go
+++ b/core/dedup/homes.go
@@ -73,8 +73,8 @@
 func (h *ClaimStore) Claim(now time.Time, r Request) Verdict {
 	h.expire(now)
 	k := keyOf(r)
-	if held, ok := h.records[k]; ok {
-		return held.verdict(r)
+	if existing, ok := h.records[k]; ok {
+		return existing.verdict(r)
 	}
 	if !h.isCertainlyUnclaimed(now, r.Issued) {
 		return Unsure
@@ -93,7 +93,7 @@
 func (h *ClaimStore) Release(now time.Time, r Request) {
 	h.expire(now)
 	k := keyOf(r)
-	if held, ok := h.records[k]; ok && held.claimant == claimantOf(r) {
+	if existing, ok := h.records[k]; ok && existing.claimant == claimantOf(r) {
 		delete(h.records, k)
 	}
 }
@@ -111,14 +111,14 @@
 // isCertainlyUnclaimed reports whether an id that is not recorded was certainly not claimed
 // here within the promise.
 func (h *ClaimStore) isCertainlyUnclaimed(now, issued time.Time) bool {
-	tells := !issued.IsZero() && !issued.After(now.Add(h.o.MaxClockSkew))
-	if tells && issued.Before(now.Add(h.o.MaxClockSkew-h.o.Retention)) {
+	hasIssueTime := !issued.IsZero() && !issued.After(now.Add(h.o.MaxClockSkew))
+	if hasIssueTime && issued.Before(now.Add(h.o.MaxClockSkew-h.o.Retention)) {
 		return false
 	}
 	if now.Sub(h.booted) >= h.o.Retention {
 		return true
 	}
-	return tells && issued.After(h.booted.Add(h.o.MembershipDelay+h.o.MaxClockSkew))
+	return hasIssueTime && issued.After(h.booted.Add(h.o.MembershipDelay+h.o.MaxClockSkew))
 }
 
 // isFull counts the order too, so that a burst of claims that are released
--- a/core/dedup/property_test.go
+++ b/core/dedup/property_test.go
@@ -33,7 +33,7 @@
 	id     model.DaemonID
 	up     bool
 	booted time.Time
-	died   time.Time
+	failed time.Time
 	gone   time.Time
 	homes  *dedup.ClaimStore
 	// seenAfter is how long after this boot each other entry sees it.
@@ -93,18 +93,18 @@
 
 // boot starts an entry with nothing in memory.
 func (w *cluster) boot(e *entry) {
-	e.before = e.died
+	e.before = e.failed
 	e.up = true
 	e.booted = w.now
-	e.died = time.Time{}
+	e.failed = time.Time{}
 	e.gone = time.Time{}
 	e.homes = dedup.NewClaimStore(w.now, w.o)
 	e.seenAfter = make(map[model.DaemonID]time.Duration)
 }
 
-func (w *cluster) die(e *entry) {
+func (w *cluster) fail(e *entry) {
 	e.up = false
-	e.died = w.now
+	e.failed = w.now
 	if w.rnd.IntN(2) == 0 {
 		e.gone = w.now
 	}
@@ -119,7 +119,7 @@
 		}
 		m := dedup.Member{ID: e.id}
 		if !e.up {
-			m.LastSeen = e.died
+			m.LastSeen = e.failed
 			m.RemovedAt = e.gone
 		}
 		known = append(known, m)
@@ -153,9 +153,9 @@
 	return u
 }
 
-// anyUse is a new request or the repeat of an old one, as far as repeats are
+// newOrRepeatedUse is a new request or the repeat of an old one, as far as repeats are
 // promised anything.
-func (w *cluster) anyUse() *use {
+func (w *cluster) newOrRepeatedUse() *use {
 	if len(w.uses) == 0 || w.rnd.IntN(4) == 0 {
 		return w.newUse()
 	}
@@ -172,7 +172,7 @@
 	if !e.up || w.now.Sub(e.booted) < w.o.MembershipDelay {
 		return
 	}
-	u := w.anyUse()
+	u := w.newOrRepeatedUse()
 	if u.first.IsZero() {
 		u.first = w.now
 	}
@@ -259,7 +259,7 @@
 		w.now = w.now.Add(w.duration(w.o.Retention / 6))
 	case n < 96:
 		if e := w.entries[w.rnd.IntN(len(w.entries))]; e.up {
-			w.die(e)
+			w.fail(e)
 		}
 	case n < 98:
 		if e := w.entries[w.rnd.IntN(len(w.entries))]; !e.up && e.gone.IsZero() {
