--- a/core/routing/balancer.go
+++ b/core/routing/balancer.go
@@ -30,13 +30,13 @@
 	// silenceFactor multiplies OverdueAfter and SilenceAfter. It grows with
 	// each silence, so that a class of slow but rare responses is not abandoned
 	// again and again.
-	silenceFactor float64
-	patientAt     time.Time
+	silenceFactor         float64
+	silenceFactorRaisedAt time.Time
 	// overdueRate is the recent fraction of exchanges that become overdue.
 	// trustSince applies to all targets and advances when that rate is high.
 	overdueRate float64
 	trustSince  time.Time
-	unused      []*Choice
+	recycled    []*Choice
 	heldSlots   []*heldSlot
 	nextHoldEnd time.Time // when the first of heldSlots ends
 }
--- a/core/routing/balancer_test.go
+++ b/core/routing/balancer_test.go
@@ -59,7 +59,7 @@
 	return served
 }
 
-func quick(string) Result { return Result{Latency: usual} }
+func usualResult(string) Result { return Result{Latency: usual} }
 
 func (x *fixture) state(address string) TargetState {
 	for _, s := range x.b.Snapshot() {
@@ -73,12 +73,12 @@
 
 const bad = "10.0.0.3:80"
 
-func onBad(r Result) func(string) Result {
+func resultOnBad(r Result) func(string) Result {
 	return func(address string) Result {
 		if address == bad {
 			return r
 		}
-		return quick(address)
+		return usualResult(address)
 	}
 }
 
@@ -91,7 +91,7 @@
 	}
 	first.Done(x.now, Result{Latency: usual})
 	second.Done(x.now, Result{Latency: usual})
-	x.serve(20, quick)
+	x.serve(20, usualResult)
 	if free := x.b.Free(); free != 8 {
 		t.Errorf("%d of 8 slots are free after 20 answers", free)
 	}
@@ -115,16 +115,16 @@
 // Cause: the list is believed over the sign.
 func TestLeavingGetsNothingNew(t *testing.T) {
 	x := newFixture(t, targets(2, 2))
-	x.serve(20, quick)
+	x.serve(20, usualResult)
 	running, _ := x.pick(Query{})
 	leaving := running.Address()
 	x.b.MarkLeaving(leaving)
-	if n := x.serve(50, quick)[leaving]; n != 0 {
+	if n := x.serve(50, usualResult)[leaving]; n != 0 {
 		t.Errorf("%d requests went to a leaving target", n)
 	}
 	running.Done(x.now, Result{Latency: usual})
 	x.b.Update(x.now, targets(2, 2))
-	if n := x.serve(50, quick)[leaving]; n != 0 {
+	if n := x.serve(50, usualResult)[leaving]; n != 0 {
 		t.Errorf("%d requests went to a leaving target once the list came", n)
 	}
 	replaced := targets(2, 2)
@@ -132,7 +132,7 @@
 		replaced[i].Task.Attempt = 2
 	}
 	x.b.Update(x.now, replaced)
-	if n := x.serve(50, quick)[leaving]; n == 0 {
+	if n := x.serve(50, usualResult)[leaving]; n == 0 {
 		t.Error("the next attempt at the address gets nothing")
 	}
 }
@@ -156,19 +156,19 @@
 // free slots alone, or are never tried again.
 func TestSlowTargetIsAvoidedAndRestored(t *testing.T) {
 	x := newFixture(t, targets(8, 2))
-	x.serve(400, quick)
-	slow := x.serve(800, onBad(Result{Latency: 10 * usual}))
+	x.serve(400, usualResult)
+	slow := x.serve(800, resultOnBad(Result{Latency: 10 * usual}))
 	if slow[bad] > 12 {
 		t.Errorf("%d of 800 requests went to the slow target", slow[bad])
 	}
 	if s := x.state(bad).State; s == Healthy {
 		t.Fatalf("the slow target is %v", s)
 	}
-	x.serve(6000, quick)
+	x.serve(6000, usualResult)
 	if s := x.state(bad).State; s != Healthy {
 		t.Errorf("the target is %v long after it recovered", s)
 	}
-	if n := x.serve(800, quick)[bad]; n < 20 {
+	if n := x.serve(800, usualResult)[bad]; n < 20 {
 		t.Errorf("%d of 800 requests went to the recovered target", n)
 	}
 }
@@ -177,13 +177,13 @@
 // short one.
 func TestSlowTargetServesALongQueue(t *testing.T) {
 	x := newFixture(t, targets(8, 1))
-	x.serve(400, quick)
+	x.serve(400, usualResult)
 	for range 7 {
 		if _, ok := x.pick(Query{Avoid: []string{bad}}); !ok {
 			t.Fatal("no quick target is free")
 		}
 	}
-	x.serve(20, onBad(Result{Latency: 4 * usual}))
+	x.serve(20, resultOnBad(Result{Latency: 4 * usual}))
 	if s := x.state(bad).State; s != Slow {
 		t.Fatalf("the target is %v", s)
 	}
@@ -197,8 +197,8 @@
 
 func TestFailingTargetIsEjected(t *testing.T) {
 	x := newFixture(t, targets(8, 2))
-	x.serve(200, quick)
-	if n := x.serve(400, onBad(Result{Latency: time.Millisecond, Outcome: Failed}))[bad]; n > 8 {
+	x.serve(200, usualResult)
+	if n := x.serve(400, resultOnBad(Result{Latency: time.Millisecond, Outcome: Failed}))[bad]; n > 8 {
 		t.Errorf("%d of 400 requests went to the failing target", n)
 	}
 	if s := x.state(bad).State; s != Ejected {
@@ -212,7 +212,7 @@
 func TestNotAllTargetsAreEjected(t *testing.T) {
 	for _, outcome := range []Outcome{Failed, Refused, Silent} {
 		x := newFixture(t, targets(10, 2))
-		x.serve(200, quick)
+		x.serve(200, usualResult)
 		x.serve(400, func(string) Result { return Result{Latency: usual, Outcome: outcome} })
 		resting := 0
 		for _, s := range x.b.Snapshot() {
@@ -232,7 +232,7 @@
 // ones do not. Cause: the target is blamed for its connection.
 func TestSilenceBlamesTheConnectionFirst(t *testing.T) {
 	x := newFixture(t, targets(1, 2))
-	x.serve(50, quick)
+	x.serve(50, usualResult)
 	lost, _ := x.pick(Query{NonIdempotent: true})
 	x.now = x.now.Add(lost.OverdueAfter())
 	lost.ReportOverdue(x.now)
@@ -267,9 +267,9 @@
 
 func TestSilenceOfOneConnectionAmongMany(t *testing.T) {
 	x := newFixture(t, targets(1, 2))
-	x.serve(50, quick)
+	x.serve(50, usualResult)
 	lost, _ := x.pick(Query{})
-	x.serve(20, quick)
+	x.serve(20, usualResult)
 	x.now = x.now.Add(lost.SilenceAfter())
 	lost.Done(x.now, Result{Outcome: Silent})
 	if s := x.state("10.0.0.0:80").State; s != Healthy {
@@ -283,7 +283,7 @@
 // up an exchange does not end it.
 func TestSlotOfASilentExchangeStaysTakenForAWhile(t *testing.T) {
 	x := newFixture(t, targets(1, 1))
-	x.serve(50, quick)
+	x.serve(50, usualResult)
 	lost, _ := x.pick(Query{})
 	x.now = x.now.Add(lost.SilenceAfter())
 	lost.Done(x.now, Result{Outcome: Silent})
@@ -298,8 +298,8 @@
 
 func TestSecondSilenceBlamesTheTarget(t *testing.T) {
 	x := newFixture(t, targets(8, 2))
-	x.serve(200, quick)
-	x.serve(200, onBad(Result{Latency: 10 * usual, Outcome: Silent}))
+	x.serve(200, usualResult)
+	x.serve(200, resultOnBad(Result{Latency: 10 * usual, Outcome: Silent}))
 	if s := x.state(bad).State; s != Ejected {
 		t.Errorf("a target that is silent over new connections is %v", s)
 	}
@@ -307,7 +307,7 @@
 
 func TestManyOverdueExchangesDistrustAllConnections(t *testing.T) {
 	x := newFixture(t, targets(20, 1))
-	x.serve(400, quick)
+	x.serve(400, usualResult)
 	var lost []*Choice
 	for range 10 {
 		c, _ := x.pick(Query{})
@@ -325,7 +325,7 @@
 
 func TestNonIdempotentPrefersProvenTargets(t *testing.T) {
 	x := newFixture(t, targets(2, 2))
-	x.serve(50, quick)
+	x.serve(50, usualResult)
 	x.now = x.now.Add(time.Minute)
 	c, _ := x.pick(Query{})
 	proven := c.Address()
@@ -343,7 +343,7 @@
 	list := targets(3, 1)
 	list[0].Zone, list[1].Zone = "far", "far"
 	x := newFixture(t, list)
-	if n := x.serve(20, quick)[list[2].Address]; n != 20 {
+	if n := x.serve(20, usualResult)[list[2].Address]; n != 20 {
 		t.Errorf("%d of 20 requests went to the near target", n)
 	}
 	c, ok := x.pick(Query{Avoid: []string{list[2].Address, list[1].Address}})
@@ -432,7 +432,7 @@
 
 func TestPickDoesNotAllocate(t *testing.T) {
 	x := newFixture(t, manyTargets(200))
-	x.serve(5000, quick)
+	x.serve(5000, usualResult)
 	allocations := testing.AllocsPerRun(1000, func() {
 		c, _ := x.pick(Query{NonIdempotent: true})
 		c.Done(x.now, Result{Latency: usual})
@@ -447,7 +447,7 @@
 	for _, n := range []int{50, 26000} {
 		b.Run(fmt.Sprint(n, "targets"), func(b *testing.B) {
 			x := newFixture(b, manyTargets(n))
-			x.serve(20*n, quick)
+			x.serve(20*n, usualResult)
 			held := make([]*Choice, n*8/3)
 			for i := range held {
 				held[i], _ = x.pick(Query{Ahead: 1000})
--- a/core/routing/learn.go
+++ b/core/routing/learn.go
@@ -67,7 +67,7 @@
 	}
 	b.tiers.place(t)
 	c.t = nil
-	b.unused = append(b.unused, c)
+	b.recycled = append(b.recycled, c)
 }
 
 func (b *Balancer) learn(c *Choice, now time.Time, r Result) {
@@ -293,10 +293,10 @@
 
 // raiseSilenceFactor increases the time after which exchanges count as silent.
 func (b *Balancer) raiseSilenceFactor(now time.Time) {
-	if now.Sub(b.patientAt) < silenceFactorSpacing {
+	if now.Sub(b.silenceFactorRaisedAt) < silenceFactorSpacing {
 		return
 	}
-	b.patientAt = now
+	b.silenceFactorRaisedAt = now
 	b.silenceFactor = min(b.silenceFactor*silenceFactorGrowth, maxSilenceFactor)
 }
 
--- a/core/routing/pick.go
+++ b/core/routing/pick.go
@@ -39,7 +39,7 @@
 	for range b.o.Choices {
 		rnd = mix64(rnd)
 		t := list[boundedRandom(rnd, len(list))]
-		if !avoided(q, t) && b.better(now, t, best, q) {
+		if !isAvoided(q, t) && b.isBetter(now, t, best, q) {
 			best = t
 		}
 	}
@@ -57,7 +57,7 @@
 	first := boundedRandom(mix64(rnd), len(list))
 	for i := range min(len(list), maxScan) {
 		t := list[(first+i)%len(list)]
-		if !avoided(q, t) && b.better(now, t, best, q) {
+		if !isAvoided(q, t) && b.isBetter(now, t, best, q) {
 			best = t
 		}
 	}
@@ -68,7 +68,7 @@
 // avoided.
 const maxScan = 32
 
-func (b *Balancer) better(now time.Time, t, than *target, q Query) bool {
+func (b *Balancer) isBetter(now time.Time, t, than *target, q Query) bool {
 	if than == nil {
 		return true
 	}
@@ -97,7 +97,7 @@
 	return float64(b.o.InitialLatency)
 }
 
-func avoided(q Query, t *target) bool {
+func isAvoided(q Query, t *target) bool {
 	for _, address := range q.Avoid {
 		if address == t.Address {
 			return true
@@ -112,28 +112,28 @@
 	t.inflight++
 	b.tiers.place(t)
 	var c *Choice
-	if n := len(b.unused); n > 0 {
-		c = b.unused[n-1]
-		b.unused = b.unused[:n-1]
+	if n := len(b.recycled); n > 0 {
+		c = b.recycled[n-1]
+		b.recycled = b.recycled[:n-1]
 	} else {
 		c = &Choice{}
 	}
 	*c = Choice{
-		b:       b,
-		t:       t,
-		address: t.Address,
-		task:    t.Task,
-		started: now,
-		fresh:   !t.silentAt.IsZero(),
+		b:                     b,
+		t:                     t,
+		address:               t.Address,
+		task:                  t.Task,
+		started:               now,
+		requiresNewConnection: !t.silentAt.IsZero(),
 
 		overdueAfter: b.latencyBound(t, overdueDeviations),
 		silenceAfter: max(b.latencyBound(t, silenceDeviations), b.o.MinSilence),
-		trustSince:   later(t.trustSince, b.trustSince),
+		trustSince:   laterOf(t.trustSince, b.trustSince),
 	}
 	return c
 }
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/core/routing/probe.go
+++ b/core/routing/probe.go
@@ -66,10 +66,10 @@
 	if now.Before(t.probeAt) {
 		return nil
 	}
-	if !b.probeAllowed(now, t, q) {
+	if !b.isProbeAllowed(now, t, q) {
 		return nil
 	}
-	if t.limit() == 0 || t.inflight >= t.limit() || avoided(q, t) {
+	if t.limit() == 0 || t.inflight >= t.limit() || isAvoided(q, t) {
 		b.probes.schedule(t, now.Add(b.o.BaseProbeDelay/busyProbeDivisor))
 		return nil
 	}
@@ -82,7 +82,7 @@
 // non-idempotent request is used only when the probe is late. Any request may
 // probe a suspect target at once: it uses a new connection, and opening it
 // shows that the target is reachable.
-func (b *Balancer) probeAllowed(now time.Time, t *target, q Query) bool {
+func (b *Balancer) isProbeAllowed(now time.Time, t *target, q Query) bool {
 	switch {
 	case t.state == Suspect:
 		return true
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -68,14 +68,14 @@
 	t *target
 	// address and task are copied when the choice is made, because the target's
 	// record is replaced under the balancer's lock while callers read them.
-	address      string
-	task         model.AttemptKey
-	started      time.Time
-	overdueAfter time.Duration
-	silenceAfter time.Duration
-	trustSince   time.Time
-	fresh        bool
-	overdue      bool
+	address               string
+	task                  model.AttemptKey
+	started               time.Time
+	overdueAfter          time.Duration
+	silenceAfter          time.Duration
+	trustSince            time.Time
+	requiresNewConnection bool
+	overdue               bool
 	// A released choice no longer takes a slot, though its exchange may still
 	// be in flight.
 	released bool
@@ -91,7 +91,7 @@
 // RequiresNewConnection reports that the request must use a new connection: an
 // earlier connection to this target became silent, and only a new one shows
 // whether the target or the connection is at fault.
-func (c *Choice) RequiresNewConnection() bool { return c.fresh }
+func (c *Choice) RequiresNewConnection() bool { return c.requiresNewConnection }
 
 // TrustSince returns the start of the period in which a connection must have
 // delivered a response, or been opened, to be used. Older connections may have
