--- a/core/admission/admission.go
+++ b/core/admission/admission.go
@@ -6,45 +6,47 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Ticket is one request that asks for a slot.
+// Ticket is one request that needs a slot.
 type Ticket struct {
-	// ID is the caller's, unique within a queue while the ticket waits.
+	// ID is assigned by the caller and is unique within a queue while the
+	// ticket waits.
 	ID       uint64
 	Priority model.Priority
-	// Deadline is when the caller gives up. A zero deadline is none.
+	// Deadline is when the caller gives up. A zero deadline means none.
 	Deadline time.Time
 	// Enqueued is when the request arrived.
 	Enqueued time.Time
 }
 
-// Outcome says what became of an offered ticket.
+// Outcome is the result of offering a ticket.
 type Outcome uint8
 
 // The outcomes of Offer.
 const (
-	// Queued: the ticket waits; it leaves by Next, Cancel or eviction.
+	// Queued: the ticket waits. It leaves the queue by Next, expiry, Cancel or
+	// eviction.
 	Queued Outcome = iota
-	// Shed: the ticket was refused and is not held.
+	// Shed: the ticket was refused and is not in the queue.
 	Shed
 )
 
-// ShedReason says why a ticket was refused or dropped.
+// ShedReason says why a ticket was refused or evicted.
 type ShedReason uint8
 
-// The reasons.
+// The reasons for shedding a ticket.
 const (
 	ReasonNone ShedReason = iota
 	// ReasonFull: MaxQueued tickets of the same or a higher priority wait.
 	ReasonFull
-	// ReasonDeadline: the predicted wait and service time end past the
+	// ReasonDeadline: the predicted wait and service time end after the
 	// deadline.
 	ReasonDeadline
-	// ReasonOverload: the queue has stood for an interval, and the predicted
-	// wait is above the target that then holds.
+	// ReasonOverload: the queue has not been empty for StandingInterval, and
+	// the predicted wait exceeds TargetWait.
 	ReasonOverload
-	// ReasonNoCapacity: the service has no slots here.
+	// ReasonNoCapacity: the service has no slots at this entry.
 	ReasonNoCapacity
-	// ReasonEvicted: a request of higher priority took the place.
+	// ReasonEvicted: a request of higher priority took the ticket's place.
 	ReasonEvicted
 )
 
@@ -58,14 +60,16 @@
 	return reasonNames[r]
 }
 
-// Verdict is the answer to Offer.
+// Verdict is the result of Offer.
 type Verdict struct {
 	Outcome Outcome
 	// Reason and RetryAfter are set when the ticket was shed. RetryAfter is
-	// also what an evicted ticket's caller is told.
+	// also set when another ticket was evicted, for the response to that
+	// ticket's caller.
 	Reason     ShedReason
 	RetryAfter time.Duration
 	// Evicted, when not nil, is a waiting ticket of lower priority that was
-	// shed to make room; its caller is to be answered now, with RetryAfter.
+	// shed to make room. Its caller must now be sent a response with
+	// RetryAfter.
 	Evicted *Ticket
 }
--- a/core/admission/load.go
+++ b/core/admission/load.go
@@ -10,20 +10,22 @@
 const (
 	// serviceGain is the weight of one observation in the mean service time.
 	serviceGain = 1.0 / 64
-	// arrivalMemory is the time constant over which arrivals are counted.
+	// arrivalMemory is the time constant of the exponential decay of arrival
+	// counts.
 	arrivalMemory = time.Second
-	// maxHigherLoad caps how much of the slots higher priorities are taken to
-	// use, so that a predicted wait stays finite.
+	// maxHigherLoad caps the fraction of the slots that higher priorities are
+	// assumed to use, so that a predicted wait stays finite.
 	maxHigherLoad = 0.95
 	// minUrgentArrivals is the decayed count of urgent arrivals above which
-	// slots are reserved for more of them.
+	// slots are reserved for further urgent requests.
 	minUrgentArrivals = 0.05
 )
 
-// load learns how long a request takes and how many arrive.
+// load tracks how long a request takes and how many arrive.
 type load struct {
 	serviceTime time.Duration
-	// arrivals counts arrivals by priority, decaying over arrivalMemory.
+	// arrivals counts arrivals by priority, decaying with time constant
+	// arrivalMemory.
 	arrivals  [model.NumPriorities]float64
 	decayedAt time.Time
 }
@@ -52,7 +54,8 @@
 	return l.arrivals[model.PriorityUrgent] > minUrgentArrivals
 }
 
-// higherPriorityLoad returns the fraction of slots that arrivals above p use.
+// higherPriorityLoad returns the fraction of the slots that arrivals of higher
+// priority than p use, at most maxHigherLoad.
 func (l *load) higherPriorityLoad(p model.Priority, slots int) float64 {
 	arrivals := 0.0
 	for higher := p + 1; int(higher) < model.NumPriorities; higher++ {
@@ -61,7 +64,8 @@
 	return min(l.demand(arrivals, slots), maxHigherLoad)
 }
 
-// utilization returns how many times the slots' capacity arrives.
+// utilization returns the recent arrivals as a multiple of the capacity of the
+// slots. It exceeds 1 under overload.
 func (l *load) utilization(slots int) float64 {
 	arrivals := 0.0
 	for _, n := range l.arrivals {
@@ -76,8 +80,9 @@
 }
 
 // predictedWait returns how long a ticket of priority p that arrives now is
-// expected to wait: as many slots must come free as tickets wait before it,
-// less those taken by higher priorities that arrive meanwhile.
+// expected to wait: as many slots must become free as tickets wait ahead of it,
+// corrected for the slots that later arrivals of higher priority take in the
+// meantime.
 func (q *Queue) predictedWait(p model.Priority) time.Duration {
 	ahead := q.before(p)
 	free := q.free
@@ -92,7 +97,7 @@
 	return time.Duration(turns * each / (1 - q.load.higherPriorityLoad(p, q.total)))
 }
 
-// before returns how many tickets wait that are as urgent as p or more.
+// before returns how many waiting tickets have priority p or higher.
 func (q *Queue) before(p model.Priority) int {
 	n := 0
 	for higher := p; int(higher) < model.NumPriorities; higher++ {
--- a/core/admission/options.go
+++ b/core/admission/options.go
@@ -8,27 +8,30 @@
 
 // Options sets the limits of a Queue. Zero fields take the defaults.
 type Options struct {
-	// MaxQueued bounds the waiting tickets of all priorities together.
+	// MaxQueued limits the waiting tickets of all priorities together.
 	MaxQueued int
 	// UrgentReserve is the fraction of slots, rounded down, that only urgent
 	// tickets may take while the queue is overloaded and urgent ones arrive.
-	// None by default: with strict priority an urgent ticket waits for one
-	// slot of many to come free, and the reserve costs the others its size.
+	// The default is none: with strict priority an urgent ticket waits only
+	// until one of many slots becomes free, whereas the reserve takes its size
+	// from the other priorities.
 	UrgentReserve float64
-	// StandingInterval is how long the queue must have stood without becoming
-	// empty before it counts as overloaded, and how long it must have been
-	// empty before it no longer does.
+	// StandingInterval is how long the queue must have been non-empty before it
+	// counts as overloaded, and how long it must have been empty before it no
+	// longer does.
 	StandingInterval time.Duration
-	// TargetWait is the longest predicted wait that a ticket below urgent is
-	// admitted to while the queue is overloaded, in mean service times.
+	// TargetWait is the longest predicted wait, in mean service times, with
+	// which a ticket below urgent is admitted while the queue is overloaded.
 	TargetWait float64
-	// InitialServiceTime is the service time assumed before any was observed.
+	// InitialServiceTime is the service time assumed before the first
+	// observation.
 	InitialServiceTime time.Duration
-	// MinRetryAfter and MaxRetryAfter bound what callers are told.
+	// MinRetryAfter and MaxRetryAfter bound the retry delay returned to
+	// callers.
 	MinRetryAfter, MaxRetryAfter time.Duration
 }
 
-// The defaults of Options.
+// Default values of Options.
 const (
 	DefaultMaxQueued          = 1024
 	DefaultStandingInterval   = 100 * time.Millisecond
@@ -38,13 +41,14 @@
 	DefaultMaxRetryAfter      = 30 * time.Second
 )
 
-// maxUrgentReserve leaves lower priorities half of the slots.
+// maxUrgentReserve limits UrgentReserve, so that lower priorities keep half of
+// the slots.
 const maxUrgentReserve = 0.5
 
-// maxPassedOver is how many slots in a row may go to higher priorities while
-// a ticket of this one waits. Without a bound a steady stream of higher
-// priority would let the lower wait until its deadline and then refuse it,
-// which is the worst of both.
+// maxPassedOver is how many slots in a row may go to higher priorities while a
+// ticket of this priority waits. Without a limit, a steady stream of higher
+// priority would make lower priorities wait until their deadlines and then be
+// refused, which costs their callers both the wait and the result.
 var maxPassedOver = [model.NumPriorities]int{
 	model.PriorityLow:    64,
 	model.PriorityNormal: 24,
--- a/core/admission/overload.go
+++ b/core/admission/overload.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// updateOverload follows whether tickets have waited without a break. Being
-// empty for a moment does not end an overload: at just above capacity the
-// queue touches empty now and then, and each touch would let a full queue in.
+// updateOverload tracks whether tickets have waited without interruption. An
+// empty moment does not end an overload: at slightly more than capacity the
+// queue is empty now and then, and ending the overload each time would let the
+// queue fill up again.
 func (q *Queue) updateOverload(now time.Time) {
 	if len(q.waiting) == 0 {
 		q.standingSince = time.Time{}
@@ -17,7 +18,7 @@
 		return
 	}
 	if q.free > q.reserve() {
-		// What waits does so by choice, for a better slot than the free ones.
+		// Slots are free, so the tickets wait for a better slot than those.
 		q.standingSince = now
 		return
 	}
@@ -27,7 +28,8 @@
 	}
 }
 
-// Overloaded reports whether the queue has stood for StandingInterval.
+// Overloaded reports whether the queue is overloaded: it has not been empty for
+// StandingInterval, nor has it been empty for that long since.
 func (q *Queue) Overloaded(now time.Time) bool {
 	q.updateOverload(now)
 	return q.overloaded
@@ -37,10 +39,11 @@
 	return Verdict{Outcome: Shed, Reason: reason, RetryAfter: q.retryAfter(now, t)}
 }
 
-// retryAfter is the time in which the queue should have room: what waits must
-// drain, and the more arrives beyond capacity the longer the shed callers are
-// spread out. Callers shed together are told different times, from half to one
-// and a half of it, or they would return together and be shed again.
+// retryAfter is the time after which the queue should have room again: the
+// waiting tickets must drain, and the more arrivals exceed capacity, the longer
+// the period over which retries are spread. Callers shed at the same time
+// receive different delays, from half to one and a half times the base, so that
+// they do not return together and get shed again.
 func (q *Queue) retryAfter(_ time.Time, t Ticket) time.Duration {
 	base := q.o.MinRetryAfter
 	if q.total > 0 {
@@ -54,7 +57,8 @@
 	return min(max(d, q.o.MinRetryAfter), q.o.MaxRetryAfter)
 }
 
-// mix64 is the finaliser of splitmix64, so that consecutive ids differ.
+// mix64 is the finalizer of splitmix64, which makes the results for consecutive
+// IDs independent.
 func mix64(x uint64) uint64 {
 	x += 0x9e3779b97f4a7c15
 	x = (x ^ x>>30) * 0xbf58476d1ce4e5b9
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -6,20 +6,21 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Queue holds the requests of one service that wait for a slot. It is not
-// safe for concurrent use.
+// Queue holds the requests of one service that wait for a slot. It is not safe
+// for concurrent use.
 type Queue struct {
 	o       Options
 	classes [model.NumPriorities]class
 	waiting map[uint64]*waiter
 	expiry  expiryHeap
 	load    load
-	// free and total are what SetSlots said last.
+	// free and total are the values of the last call of SetSlots; Next and
+	// Requeue adjust free.
 	free, total int
-	// standingSince is since when tickets have waited without a break; zero
-	// when none waits.
+	// standingSince is the time since which tickets have waited without
+	// interruption; zero when none waits.
 	standingSince time.Time
-	// emptySince is since when the queue has been empty after an overload.
+	// emptySince is the time since which the queue has been empty.
 	emptySince time.Time
 	overloaded bool
 }
@@ -34,20 +35,22 @@
 	}
 }
 
-// SetSlots tells the queue how many slots the service has here and how many
-// of them are free. Call it before Offer and Next whenever either changed.
+// SetSlots sets how many slots the service has at this entry and how many of
+// them are free. It must be called before Offer and Next whenever either number
+// changed.
 func (q *Queue) SetSlots(free, total int) {
 	q.free = max(free, 0)
 	q.total = max(total, 0)
 }
 
-// Observe learns the service time of a request that was answered, measured
-// from taking the slot to giving it back.
+// Observe records the service time of an answered request, measured from taking
+// the slot to freeing it.
 func (q *Queue) Observe(_ time.Time, service time.Duration) {
 	q.load.observe(service)
 }
 
-// Offer asks for a place for t. A queued ticket may be due at once: call Next.
+// Offer asks for a place in the queue for t. A queued ticket may be due
+// immediately, so Offer should be followed by Next.
 func (q *Queue) Offer(now time.Time, t Ticket) Verdict {
 	t.Priority = clampPriority(t.Priority)
 	q.load.arrived(now, t.Priority)
@@ -75,7 +78,7 @@
 	return v
 }
 
-// refusal says why t is not to be queued even if there is room.
+// refusal returns why t must be shed even if the queue has room, or ReasonNone.
 func (q *Queue) refusal(now time.Time, t Ticket) ShedReason {
 	if q.total == 0 {
 		return ReasonNoCapacity
@@ -104,10 +107,10 @@
 	return nil
 }
 
-// Next takes the ticket that is to have the next free slot. The second result
-// is false when none waits or when the free slots are held back for urgent
-// ones. The list holds tickets that can no longer make their deadline: they
-// have left the queue, and their callers are to be told that they did not run.
+// Next takes the ticket that gets the next free slot. The second result is
+// false when no ticket waits or when the free slots are reserved for urgent
+// ones. The list contains tickets that can no longer meet their deadline: they
+// have left the queue, and the caller must report them as not run.
 func (q *Queue) Next(now time.Time) (Ticket, bool, []Ticket) {
 	expired := q.Expire(now)
 	if q.free <= 0 {
@@ -141,8 +144,8 @@
 	return best, best >= 0
 }
 
-// passOver counts the slot given to priority p against the lower ones that
-// wait.
+// passOver counts the slot given to priority p as a pass-over of each lower
+// priority with waiting tickets.
 func (q *Queue) passOver(p model.Priority) {
 	for lower := range p {
 		if q.classes[lower].oldest != nil {
@@ -152,7 +155,7 @@
 	q.classes[p].passedOver = 0
 }
 
-// reserve is how many free slots are held back for urgent tickets now.
+// reserve is how many free slots are currently reserved for urgent tickets.
 func (q *Queue) reserve() int {
 	if !q.overloaded || !q.load.hasUrgentArrivals() {
 		return 0
@@ -160,8 +163,8 @@
 	return int(q.o.UrgentReserve * float64(q.total))
 }
 
-// Requeue puts back, at the head of its priority, a ticket that Next gave and
-// for which no target was found. It is not counted as an arrival.
+// Requeue puts a ticket returned by Next back at the head of its priority,
+// because no target was found for it. It is not counted as an arrival.
 func (q *Queue) Requeue(now time.Time, t Ticket) {
 	t.Priority = clampPriority(t.Priority)
 	w := q.insert(t)
@@ -172,11 +175,12 @@
 	}
 }
 
-// Last returns the waiting ticket that is to wait the longest and leaves it in
-// the queue; Cancel takes it out. A slot that is not good enough for those
-// next in line can be of use to it. That is the newest ticket when all have
-// one priority. Else it is the oldest of the lowest: those of higher priority
-// overtake all of the lowest, and the newest would overtake the rest.
+// Last returns the waiting ticket that is expected to wait longest and leaves
+// it in the queue; Cancel removes it. A slot that is not good enough for the
+// next tickets can still shorten its wait. When all tickets have the same
+// priority, that is the newest one. Otherwise it is the oldest ticket of the
+// lowest priority: all higher priorities overtake it, and serving the newest
+// instead would let that one overtake the other tickets of the lowest priority.
 func (q *Queue) Last() (Ticket, bool) {
 	w := q.victim(model.PriorityUrgent + 1)
 	if w == nil {
@@ -188,15 +192,16 @@
 	return w.ticket, true
 }
 
-// Ahead returns how many slots are expected to go to others before a ticket
-// of priority p that is, or would be, the newest of its priority: those that
-// wait before it, and those of higher priority that arrive meanwhile.
+// Ahead returns how many slots are expected to go to others before a ticket of
+// priority p that is, or would be, the newest of its priority: those of the
+// tickets waiting ahead of it, and those of later arrivals of higher priority.
 func (q *Queue) Ahead(p model.Priority) int {
 	p = clampPriority(p)
 	return int(float64(q.before(p)) / (1 - q.load.higherPriorityLoad(p, q.total)))
 }
 
-// Cancel removes a waiting ticket. False: it does not wait here.
+// Cancel removes a waiting ticket. It returns false if the ticket is not in the
+// queue.
 func (q *Queue) Cancel(id uint64) bool {
 	w, ok := q.waiting[id]
 	if !ok {
@@ -206,8 +211,8 @@
 	return true
 }
 
-// Expire removes and returns the tickets that can no longer make their
-// deadline, by deadline.
+// Expire removes and returns the tickets that can no longer meet their
+// deadline, sorted by deadline.
 func (q *Queue) Expire(now time.Time) []Ticket {
 	var expired []Ticket
 	for len(q.expiry) > 0 {
@@ -221,8 +226,8 @@
 	return expired
 }
 
-// NextExpiry returns when Expire will next have something to return; false when
-// no waiting ticket has a deadline.
+// NextExpiry returns when Expire will next return a ticket; false when no
+// waiting ticket has a deadline.
 func (q *Queue) NextExpiry() (time.Time, bool) {
 	if len(q.expiry) == 0 {
 		return time.Time{}, false
@@ -233,8 +238,8 @@
 // Len returns how many tickets wait.
 func (q *Queue) Len() int { return len(q.waiting) }
 
-// RetryAfter returns what a caller whose ticket t leaves the queue now without
-// having run is to be told.
+// RetryAfter returns the retry delay for the caller of ticket t, which leaves
+// the queue now without having run.
 func (q *Queue) RetryAfter(now time.Time, t Ticket) time.Duration {
 	return q.retryAfter(now, t)
 }
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -21,7 +21,7 @@
 	return Ticket{ID: id, Priority: p, Deadline: at(1000), Enqueued: start}
 }
 
-// fullQueue returns a queue whose slots are all in use.
+// full returns a queue whose slots are all in use.
 func fullQueue(o Options, slots int) *Queue {
 	q := New(o)
 	q.SetSlots(0, slots)
@@ -53,16 +53,15 @@
 	}
 }
 
-// Symptom: callers wait for their whole deadline and are then told that their
-// request did not run. Sequence: the queue is long; a request joins it whose
-// turn comes after its deadline. Cause: a queue that admits what it cannot
-// serve in time.
+// A request that cannot be served before its deadline must be shed when it is
+// offered; otherwise its caller waits until the deadline and then learns that
+// the request did not run.
 func TestRequestThatCannotMeetItsDeadlineIsShed(t *testing.T) {
 	q := fullQueue(Options{InitialServiceTime: 100 * time.Millisecond, TargetWait: 100}, 4)
 	for id := uint64(1); id <= 100; id++ {
 		v := q.Offer(start, ticket(id, model.PriorityNormal))
-		// 100 ms over 4 slots is 25 ms a turn; with 100 ms of service the
-		// 36th turn still ends in time.
+		// 100 ms of service over 4 slots is 25 ms a turn; with its own 100 ms
+		// of service, the 36th ticket still ends within 1 s.
 		if want := id <= 36; (v.Outcome == Queued) != want {
 			t.Fatalf("ticket %d: %+v", id, v)
 		}
@@ -89,10 +88,9 @@
 	}
 }
 
-// Symptom: under overload every request takes the length of the queue longer,
-// for as long as the overload lasts. Sequence: arrivals exceed the slots; the
-// queue fills to its bound and stays there. Cause: a standing queue adds wait
-// and no throughput.
+// A standing queue adds its length to the latency of every request for as long
+// as an overload lasts, without raising throughput. During an overload, all but
+// urgent requests are therefore shed above the target wait.
 func TestOverloadShedsAllButUrgent(t *testing.T) {
 	q := fullQueue(Options{TargetWait: 1}, 10)
 	id := uint64(0)
@@ -102,7 +100,7 @@
 	}
 	for range 30 {
 		if v := offer(start, model.PriorityNormal); v.Outcome != Queued {
-			t.Fatalf("a burst is shed: %+v", v)
+			t.Fatalf("a burst was shed: %+v", v)
 		}
 	}
 	now := at(150)
@@ -119,10 +117,10 @@
 		q.Next(now)
 	}
 	if !q.Overloaded(now) {
-		t.Error("one empty moment ended the overload")
+		t.Error("an empty moment ended the overload")
 	}
 	if q.Overloaded(at(150 + 101)) {
-		t.Error("still overloaded after a calm interval")
+		t.Error("still overloaded after an empty interval")
 	}
 }
 
@@ -137,13 +135,13 @@
 		t.Fatalf("verdict %+v", v)
 	}
 	if q.Len() != 3 {
-		t.Errorf("%d wait of at most 3", q.Len())
+		t.Errorf("%d tickets wait, want at most 3", q.Len())
 	}
 }
 
-// Symptom: low-priority requests are queued, never run, and are refused at
-// their deadline. Sequence: normal requests arrive as fast as slots come free.
-// Cause: strict priority without a bound.
+// With strict priority and no limit, normal requests that arrive as fast as
+// slots become free would leave low-priority requests queued until their
+// deadline.
 func TestLowPriorityIsNotStarved(t *testing.T) {
 	q := fullQueue(Options{TargetWait: 1000, MaxQueued: 1000}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow))
@@ -184,8 +182,8 @@
 	}
 }
 
-// Symptom: shed callers return in waves that are shed again. Sequence: many
-// are shed within a moment and told the same time. Cause: equal RetryAfter.
+// Callers that are shed at the same moment and receive equal retry delays
+// return in waves that are shed again.
 func TestRetryAfterIsSpread(t *testing.T) {
 	q := New(Options{})
 	seen := make(map[time.Duration]bool)
@@ -197,7 +195,7 @@
 		seen[v.RetryAfter.Round(10*time.Millisecond)] = true
 	}
 	if len(seen) < 30 {
-		t.Errorf("100 callers were told %d different times", len(seen))
+		t.Errorf("100 callers received %d different retry delays", len(seen))
 	}
 }
 
@@ -216,18 +214,17 @@
 	}
 }
 
-// Symptom: low-priority requests that came early run out of time while later
-// ones are served. Sequence: slow slots go to the last in line; new ones of
-// low priority keep coming. Cause: the newest is always taken for the last.
+// When slow slots always go to the newest waiting request, early requests of
+// low priority expire while later ones are served.
 func TestLastIsTheTicketThatOthersOvertake(t *testing.T) {
 	q := fullQueue(Options{}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow), ticket(2, model.PriorityLow))
 	if last, _ := q.Last(); last.ID != 2 {
-		t.Errorf("of one priority the last is %d", last.ID)
+		t.Errorf("among tickets of one priority the last is %d", last.ID)
 	}
 	mustQueue(t, q, start, ticket(3, model.PriorityNormal))
 	if last, _ := q.Last(); last.ID != 1 {
-		t.Errorf("with higher ones waiting the last is %d", last.ID)
+		t.Errorf("with higher priorities waiting the last is %d", last.ID)
 	}
 }
 
@@ -242,7 +239,7 @@
 	}
 }
 
-// accounting counts where tickets went.
+// ledger records which tickets are in the queue and the first inconsistency.
 type accounting struct {
 	queued map[uint64]bool
 	err    string
@@ -250,7 +247,7 @@
 
 func (l *accounting) leave(how string, id uint64) {
 	if !l.queued[id] {
-		l.err = fmt.Sprintf("ticket %d left by %s though it was not inside", id, how)
+		l.err = fmt.Sprintf("ticket %d left by %s though it was not in the queue", id, how)
 	}
 	delete(l.queued, id)
 }
@@ -269,14 +266,14 @@
 			q.SetSlots(rnd.IntN(3), total)
 			step(q, l, rnd, id, ms)
 			if q.Len() != len(l.queued) || q.Len() > 20 {
-				return fmt.Sprintf("%d wait, %d are inside", q.Len(), len(l.queued))
+				return fmt.Sprintf("%d tickets wait, %d are expected", q.Len(), len(l.queued))
 			}
 		}
 		for _, tk := range q.Expire(at(100000)) {
 			l.leave("expiry", tk.ID)
 		}
 		if l.err == "" && len(l.queued) > 0 {
-			return fmt.Sprintf("%d never left", len(l.queued))
+			return fmt.Sprintf("%d tickets never left the queue", len(l.queued))
 		}
 		return l.err
 	}, gen.UInt64()))
--- a/core/admission/waiters.go
+++ b/core/admission/waiters.go
@@ -13,12 +13,12 @@
 // notInHeap is the heap index of a waiter without a deadline.
 const notInHeap = -1
 
-// class is the tickets of one priority, oldest first.
+// class is the tickets of one priority, linked from the oldest to the newest.
 type class struct {
 	oldest, newest *waiter
 	count          int
-	// passedOver counts the slots given to higher priorities since this one
-	// last had one or was empty.
+	// passedOver counts the slots given to higher priorities since this
+	// priority last received one or was empty.
 	passedOver int
 }
 
@@ -62,7 +62,8 @@
 	}
 }
 
-// insert makes the waiter of t known by id and deadline.
+// insert creates the waiter of t and indexes it by ID and deadline. The caller
+// links it into its class.
 func (q *Queue) insert(t Ticket) *waiter {
 	w := &waiter{ticket: t, heapIndex: notInHeap}
 	q.waiting[t.ID] = w
@@ -80,7 +81,7 @@
 	}
 }
 
-// expiryHeap orders waiters by deadline, then id.
+// expiryHeap orders waiters by deadline, then ID.
 type expiryHeap []*waiter
 
 func (h expiryHeap) Len() int { return len(h) }
