--- a/core/dedup/claim.go
+++ b/core/dedup/claim.go
@@ -6,23 +6,24 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Outcome is what a claimant may conclude from the verdicts.
+// Outcome is what the verdicts so far allow the claimant to do.
 type Outcome uint8
 
-// The outcomes.
+// The outcomes of a claim.
 const (
 	// Undecided: more verdicts are needed.
 	Undecided Outcome = iota
 	// Proceed: the claim is recorded at a majority; the request may be sent.
 	Proceed
-	// RefusedFull: the id was never used, but there is no room to record it.
+	// RefusedFull: the ID was never used, but there is no room to record it.
 	// Nothing was sent and nothing ran.
 	RefusedFull
-	// RefusedHeld: another attempt under the id may have been sent.
+	// RefusedHeld: another attempt with the same ID may have been sent.
 	RefusedHeld
-	// RefusedMismatch: the id belongs to another payload.
+	// RefusedMismatch: the ID was used with another payload.
 	RefusedMismatch
-	// RefusedUnsure: too many homes were away or could not know.
+	// RefusedUnsure: too many homes were unavailable or may have forgotten the
+	// ID.
 	RefusedUnsure
 )
 
@@ -36,7 +37,7 @@
 	return outcomeNames[o]
 }
 
-// Claim combines the verdicts of an id's homes. It is not safe for concurrent
+// Claim combines the verdicts of an ID's homes. It is not safe for concurrent
 // use.
 type Claim struct {
 	homes    []model.DaemonID
@@ -44,7 +45,7 @@
 	answered []bool
 }
 
-// NewClaim begins a claim at homes, as HomesFor returned them.
+// NewClaim begins a claim at homes, as returned by HomesFor.
 func NewClaim(homes []model.DaemonID) *Claim {
 	return &Claim{
 		homes:    homes,
@@ -53,8 +54,8 @@
 	}
 }
 
-// Add records the verdict of one home. A home that could not be reached, or
-// whose answer was lost, counts as Unsure.
+// Add records the verdict of one home. A home that was unreachable, or whose
+// response was lost, must be recorded as Unsure.
 func (c *Claim) Add(home model.DaemonID, v Verdict) {
 	for i, h := range c.homes {
 		if h == home {
@@ -65,8 +66,8 @@
 }
 
 // Outcome returns what follows from the verdicts so far. A verdict of Held or
-// Mismatch forbids sending even beside a majority of grants: it may be what is
-// left of an older claim whose other homes were lost.
+// Mismatch forbids sending even with a majority of grants: it may be the
+// remains of an older claim whose other homes were lost.
 func (c *Claim) Outcome() Outcome {
 	granted := c.count(Granted)
 	full := c.count(Full)
@@ -88,8 +89,8 @@
 	return RefusedUnsure
 }
 
-// Granted returns the homes that granted the claim, which are to be told when
-// it is released.
+// Granted returns the homes that granted the claim. They must be notified when
+// the claim is released.
 func (c *Claim) Granted() []model.DaemonID {
 	var homes []model.DaemonID
 	for i, h := range c.homes {
@@ -120,23 +121,23 @@
 	return n
 }
 
-// Member is an entry as Eligible looks at it.
+// Member is an entry as a candidate for the homes of an ID.
 type Member struct {
 	ID model.DaemonID
-	// LastSeen is when the entry was last known to be up, by any sign; it is
-	// zero while the entry is up, suspect or leaving.
+	// LastSeen is when the entry was last known to be up, by any evidence; zero
+	// while the entry is up, suspect or leaving.
 	LastSeen time.Time
-	// RemovedAt is when the platform's list stopped naming the entry's VM; zero
-	// while it is listed. Silence alone never sets it: a silent entry may
-	// still be granting claims to others.
+	// RemovedAt is when the entry's VM disappeared from the platform's list;
+	// zero while it is listed. Silence alone never sets it: a silent entry may
+	// still grant claims to others.
 	RemovedAt time.Time
 }
 
-// Eligible returns the entries from which the homes of an id are taken. An
-// entry that is no longer up stays among them for Retention, because claims
-// that it granted must not be forgotten by choosing another home in its
-// place. Only an id that was made after the platform had taken the VM away
-// does without it.
+// Eligible returns the entries from which the homes of an ID are chosen. An
+// entry that is no longer up remains eligible for Retention, because choosing
+// another home in its place would lose the claims that it granted. It is
+// omitted only for an ID that was created after the platform had removed its
+// VM.
 func Eligible(now, issued time.Time, members []Member, o Options) []model.DaemonID {
 	o = o.WithDefaults()
 	eligible := make([]model.DaemonID, 0, len(members))
--- a/core/dedup/homes.go
+++ b/core/dedup/claimstore.go
@@ -6,10 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Verdict is a home's answer to a claim.
+// Verdict is a home's response to a claim.
 type Verdict uint8
 
-// The verdicts; the package comment says what each means.
+// The verdicts. The package comment describes each of them.
 const (
 	Unsure Verdict = iota
 	Granted
@@ -28,9 +28,9 @@
 	return verdictNames[v]
 }
 
-// key is a 128-bit hash of service and id. Two ids with the same key, which
-// would need some 10^16 ids for a likelihood of 1 in a million, count as one:
-// the later one is refused, not run twice.
+// key is a 128-bit hash of service and ID. Two IDs with the same key are
+// treated as one: the later one is refused, not run twice. A collision has a
+// probability of about 1 in a million among 10^16 IDs.
 type key struct{ high, low uint64 }
 
 type record struct {
@@ -44,19 +44,20 @@
 	claimed time.Time
 }
 
-// ClaimStore is the record that one entry keeps of the ids it is a home of. It is
-// not safe for concurrent use.
+// ClaimStore is the record of claims that one entry keeps of the IDs of which
+// it is a home. It is not safe for concurrent use.
 type ClaimStore struct {
 	o       Options
 	booted  time.Time
 	records map[key]record
-	// expiryQueue holds the records oldest first; those released or claimed again
-	// since are skipped when they come up.
+	// expiryQueue holds the records from the oldest to the newest, starting at
+	// head. Entries whose record was released or claimed again since are
+	// skipped on expiry.
 	expiryQueue []expiryEntry
 	head        int
 }
 
-// NewClaimStore returns the empty record of an entry that booted at booted.
+// NewClaimStore returns the empty store of an entry that booted at booted.
 func NewClaimStore(booted time.Time, o Options) *ClaimStore {
 	return &ClaimStore{
 		o:       o.WithDefaults(),
@@ -65,11 +66,12 @@
 	}
 }
 
-// Len returns how many claims are remembered.
+// Len returns how many claims are recorded.
 func (h *ClaimStore) Len() int { return len(h.records) }
 
-// Claim answers a claim, and records it when it is granted. The same claimant
-// asking twice is answered alike, so a repeated message does no harm.
+// Claim returns the verdict on a claim, and records the claim when it is
+// granted. A repeated claim by the same claimant gets the same verdict, so that
+// a duplicate message does no harm.
 func (h *ClaimStore) Claim(now time.Time, r Request) Verdict {
 	h.expire(now)
 	k := keyOf(r)
@@ -87,9 +89,9 @@
 	return Granted
 }
 
-// Release forgets the claim of exactly this claimant, whose request was
-// certainly not run. A release that overtook its claim or comes after another
-// claim was made changes nothing.
+// Release deletes the claim of exactly this claimant, whose request certainly
+// did not run. A release that arrives before its claim, or after another claim
+// was recorded, changes nothing.
 func (h *ClaimStore) Release(now time.Time, r Request) {
 	h.expire(now)
 	k := keyOf(r)
@@ -108,8 +110,8 @@
 	return Held
 }
 
-// isCertainlyUnclaimed reports whether an id that is not recorded was certainly not claimed
-// here within the promise.
+// isCertainlyUnclaimed reports whether an unrecorded ID has certainly not been
+// claimed at this home within Retention.
 func (h *ClaimStore) isCertainlyUnclaimed(now, issued time.Time) bool {
 	hasIssueTime := !issued.IsZero() && !issued.After(now.Add(h.o.MaxClockSkew))
 	if hasIssueTime && issued.Before(now.Add(h.o.MaxClockSkew-h.o.Retention)) {
@@ -121,8 +123,8 @@
 	return hasIssueTime && issued.After(h.booted.Add(h.o.MembershipDelay+h.o.MaxClockSkew))
 }
 
-// isFull counts the order too, so that a burst of claims that are released
-// again cannot grow it without bound.
+// isFull also limits the expiry queue, because a burst of claims that are
+// released again would otherwise grow it without bound.
 func (h *ClaimStore) isFull() bool {
 	return len(h.records) >= h.o.MaxRecords || len(h.expiryQueue)-h.head >= 2*h.o.MaxRecords
 }
--- a/core/dedup/homes_bench_test.go
+++ b/core/dedup/homes_bench_test.go
@@ -11,7 +11,7 @@
 )
 
 // BenchmarkClaim measures one claim at a home, and the memory that a record
-// holds on to.
+// retains.
 func BenchmarkClaim(b *testing.B) {
 	h := dedup.NewClaimStore(start.Add(-time.Hour), dedup.Options{MaxRecords: 1 << 30})
 	ids := make([]string, b.N)
--- a/core/dedup/homes_test.go
+++ b/core/dedup/homes_test.go
@@ -26,7 +26,8 @@
 	return dedup.Request{Service: "s", ID: id, Claimant: claimant, Incarnation: 1, Payload: 7}
 }
 
-// oldClaims returns a record that knows everything at start.
+// oldClaims returns a store that at start has been running for Retention, so
+// that it knows every claim that matters.
 func oldClaims() *dedup.ClaimStore {
 	return dedup.NewClaimStore(start.Add(-options.Retention), options)
 }
@@ -62,7 +63,7 @@
 	checkClaim(t, h, start, request("r", "b/1"), dedup.Held)
 	h.Release(start, request("r", "a/1"))
 	checkClaim(t, h, start, request("r", "b/1"), dedup.Granted)
-	// The first claimant's release comes a second time, late.
+	// A delayed duplicate of the first claimant's release arrives.
 	h.Release(start, request("r", "a/1"))
 	checkClaim(t, h, start, request("r", "c/1"), dedup.Held)
 }
@@ -74,8 +75,8 @@
 	checkClaim(t, h, start.Add(options.Retention), request("r", "b/1"), dedup.Granted)
 }
 
-// Symptom: the memory of an entry grows with the rate of requests. Cause:
-// records, or the list by which they expire, without a bound.
+// Neither the records nor the queue by which they expire may grow with the rate
+// of requests without a bound.
 func TestRecordIsBounded(t *testing.T) {
 	h := oldClaims()
 	for i := range options.MaxRecords {
@@ -100,8 +101,8 @@
 	}
 }
 
-// Symptom: a request runs twice when a home restarts between it and its
-// repeat. Cause: the home took what it had forgotten for new.
+// A home that restarts between a request and its repeat must not treat the
+// forgotten ID as new, or the request runs twice.
 func TestRecentlyBootedHomeIsUnsure(t *testing.T) {
 	h := dedup.NewClaimStore(start, options)
 	now := start.Add(time.Minute)
@@ -114,13 +115,13 @@
 	settled := start.Add(options.MembershipDelay + options.MaxClockSkew)
 	checkClaim(t, h, now, issued(settled), dedup.Unsure)
 	checkClaim(t, h, now, issued(settled.Add(time.Millisecond)), dedup.Granted)
-	// An id from the future says nothing of when it was made.
+	// An ID with a time in the future contains no usable creation time.
 	checkClaim(t, h, now, issued(now.Add(options.MaxClockSkew+time.Millisecond)), dedup.Unsure)
 	checkClaim(t, h, start.Add(options.Retention), request("opaque", "a/1"), dedup.Granted)
 }
 
-// Symptom: a repeat that comes after its record has expired runs again. Cause:
-// the id itself says that it is older than the record reaches.
+// A repeat that arrives after its record has expired must not run again when
+// the ID itself shows that it is older than Retention.
 func TestOldIDIsUnsure(t *testing.T) {
 	h := oldClaims()
 	r := request("old", "a/1")
@@ -136,7 +137,7 @@
 	}
 	for _, other := range []string{"", "order-17", uuid.New().String()} {
 		if _, ok := dedup.IssuedAt(other); ok {
-			t.Errorf("%q tells a time", other)
+			t.Errorf("%q contains a time", other)
 		}
 	}
 }
@@ -160,9 +161,9 @@
 		backwards := slices.Clone(known)
 		slices.Reverse(backwards)
 		if got := dedup.HomesFor("s", id, backwards); !slices.Equal(got, homes) {
-			t.Fatalf("order matters: %v and %v", got, homes)
+			t.Fatalf("homes depend on the order of members: %v and %v", got, homes)
 		}
-		// Without the first, the others move up and one more follows.
+		// Without the first home, the others move up and one more follows.
 		without := slices.DeleteFunc(slices.Clone(known), func(m model.DaemonID) bool { return m == homes[0] })
 		if got := dedup.HomesFor("s", id, without); !slices.Equal(got[:2], homes[1:]) {
 			t.Fatalf("homes changed: %v, then %v", homes, got)
@@ -235,10 +236,9 @@
 	}
 }
 
-// What is not promised is not guessed either. Symptom it guards against: two
-// of an id's three homes restart, and a repeat of the request runs again.
-// Here the repeat is refused as unsure, which callers are told as unknown,
-// although the remaining home has never heard of the id.
+// When two of an ID's three homes restart, a repeat of the request must not run
+// again. It is refused as unsure, which is reported to callers as unknown,
+// although the remaining home has no record of the ID.
 func TestLostHomesMakeARepeatUnsure(t *testing.T) {
 	members := []model.DaemonID{"a", "b", "c"}
 	homes := map[model.DaemonID]*dedup.ClaimStore{"a": oldClaims(), "b": oldClaims(), "c": oldClaims()}
--- a/core/dedup/options.go
+++ b/core/dedup/options.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of Options.
+// Default values of Options.
 const (
 	DefaultRetention       = 10 * time.Minute
 	DefaultMembershipDelay = 5 * time.Second
@@ -13,25 +13,25 @@
 	DefaultMaxRecords      = 200_000
 )
 
-// Options sets the times of the protocol; all entries of a cluster must have
-// the same ones. Zero fields take the defaults.
+// Options sets the times of the protocol. All entries of a cluster must use the
+// same values. Zero fields take the defaults.
 type Options struct {
-	// Retention is how long a home remembers a claim.
+	// Retention is how long a home keeps a claim.
 	Retention time.Duration
-	// MembershipDelay is how long after its boot an entry is in every other entry's
-	// view of the members.
+	// MembershipDelay is the time after its boot within which an entry is in
+	// every other entry's view of the members.
 	MembershipDelay time.Duration
 	// MaxClockSkew bounds the difference between any two clocks involved.
 	MaxClockSkew time.Duration
-	// MaxRecords bounds the claims that a home remembers, at about
-	// RecordBytes of memory each.
+	// MaxRecords limits the claims that a home keeps, at about RecordBytes of
+	// memory each.
 	MaxRecords int
 }
 
-// RecordBytes is about how much memory a remembered claim takes.
+// RecordBytes is the approximate memory, in bytes, of one recorded claim.
 const RecordBytes = 128
 
-// WithDefaults returns o with its zero fields set.
+// WithDefaults returns o with its zero fields set to the defaults.
 func (o Options) WithDefaults() Options {
 	o.Retention = cmp.Or(o.Retention, DefaultRetention)
 	o.MembershipDelay = cmp.Or(o.MembershipDelay, DefaultMembershipDelay)
@@ -40,7 +40,8 @@
 	return o
 }
 
-// ClaimValid is how long after its claim was begun an entry may still send.
-// Half of Retention leaves the other half for the exchange itself, so that no
-// home has forgotten the id while a target may still be running the request.
+// ClaimValid is how long after the start of its claim an entry may still send
+// the request. Half of Retention leaves the other half for the exchange itself,
+// so that no home has forgotten the ID while a target may still be running the
+// request.
 func (o Options) ClaimValid() time.Duration { return o.Retention / 2 }
--- a/core/dedup/property_test.go
+++ b/core/dedup/property_test.go
@@ -15,18 +15,18 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// The cluster of the property: entries that come, die and restart, callers that
-// repeat, and messages that are late or lost, all within the bounds that the
+// cluster simulates entries that join, fail and restart, callers that repeat
+// requests, and messages that are late or lost, all within the bounds that the
 // package comment states.
 type cluster struct {
 	rnd     *rand.Rand
 	o       dedup.Options
 	now     time.Time
 	names   int
-	entries []*entry // every entry that ever was, in the order of first boot
+	entries []*entry // all entries ever booted, in the order of first boot
 	uses    []*use
 	claims  []*pendingClaim
-	sent    int // claims that went on
+	sent    int // claims that proceeded
 }
 
 type entry struct {
@@ -36,16 +36,16 @@
 	failed time.Time
 	gone   time.Time
 	homes  *dedup.ClaimStore
-	// seenAfter is how long after this boot each other entry sees it.
+	// seenAfter is the delay after this boot until each other entry sees it.
 	seenAfter map[model.DaemonID]time.Duration
-	// before is when an earlier boot under this name ended; zero without one.
+	// before is when an earlier run under this name ended; zero without one.
 	before time.Time
 }
 
-// use is one request id with its true history.
+// use is one request ID with its actual history.
 type use struct {
 	id     string
-	issued time.Time // as the id tells it
+	issued time.Time // as the ID states it
 	first  time.Time // of the first claim
 	runs   int
 }
@@ -91,7 +91,7 @@
 	w.boot(e)
 }
 
-// boot starts an entry with nothing in memory.
+// boot starts an entry with empty memory.
 func (w *cluster) boot(e *entry) {
 	e.before = e.failed
 	e.up = true
@@ -110,7 +110,7 @@
 	}
 }
 
-// members is what viewer knows of the entries now.
+// members is viewer's view of the entries now.
 func (w *cluster) members(viewer *entry) []dedup.Member {
 	var known []dedup.Member
 	for _, e := range w.entries {
@@ -142,8 +142,8 @@
 	return !w.now.Before(e.booted.Add(after))
 }
 
-// newUse makes an id, by the clock of a caller that is off by up to half of
-// the skew.
+// newUse creates an ID, by the clock of a caller that is off by up to half of
+// MaxClockSkew.
 func (w *cluster) newUse() *use {
 	u := &use{id: fmt.Sprintf("r%d", len(w.uses))}
 	if w.rnd.IntN(opaqueEvery) > 0 {
@@ -153,8 +153,8 @@
 	return u
 }
 
-// newOrRepeatedUse is a new request or the repeat of an old one, as far as repeats are
-// promised anything.
+// anyUse returns a new request or the repeat of an old one that the guarantee
+// covers.
 func (w *cluster) newOrRepeatedUse() *use {
 	if len(w.uses) == 0 || w.rnd.IntN(4) == 0 {
 		return w.newUse()
@@ -189,8 +189,8 @@
 	w.claims = append(w.claims, c)
 }
 
-// deliver carries one message of a claim to its home and the verdict back,
-// unless either is lost.
+// deliver sends one message of a claim to its home and returns the verdict,
+// unless either message is lost.
 func (w *cluster) deliver() {
 	if len(w.claims) == 0 {
 		return
@@ -208,7 +208,7 @@
 	if home.up && w.rnd.IntN(10) > 0 {
 		v = home.homes.Claim(w.now, c.request)
 		if w.rnd.IntN(10) == 0 {
-			v = dedup.Unsure // the answer is lost
+			v = dedup.Unsure // the response is lost
 		}
 	}
 	c.claim.Add(home.id, v)
@@ -231,8 +231,8 @@
 		c.use.runs++
 		return
 	}
-	// The target did not start it: the claim is released, as far as the
-	// messages arrive.
+	// The target did not start the request: the claim is released, as far as
+	// the messages arrive.
 	for _, id := range c.claim.Granted() {
 		if home := w.entry(id); home.up && w.rnd.IntN(4) > 0 {
 			home.homes.Release(w.now, c.request)
@@ -279,10 +279,9 @@
 	return "", false
 }
 
-// Symptom: a request that must not run twice does. Events: any order of
-// deaths, restarts, joins, lost and late messages, and repeats through any
-// entry, within the bounds of the package comment. Cause: whatever rule of the
-// protocol is broken.
+// A non-idempotent ID must run at most once under any sequence of failures,
+// restarts, joins, lost and late messages, and repeats through any entry,
+// within the bounds of the package comment.
 func TestNoIdRunsTwice(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 3000
@@ -302,7 +301,7 @@
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 	if sent < uses/4 {
-		t.Errorf("only %d of %d ids were ever sent: the property says nothing", sent, uses)
+		t.Errorf("only %d of %d ids were sent: too few for the property to be meaningful", sent, uses)
 	}
 	t.Logf("%d ids, %d sent", uses, sent)
 }
--- a/core/dedup/identity.go
+++ b/core/dedup/request.go
@@ -9,26 +9,28 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// NumHomes is how many entries keep the record of one request id.
+// NumHomes is how many entries keep the record of one request ID.
 const NumHomes = 3
 
-// Request is what a claim is made for.
+// Request identifies the request for which a claim is made, and its claimant.
 type Request struct {
 	Service string
 	ID      string
-	// Claimant names the one attempt to get the claim: the entry and a number
-	// that it never uses again during its incarnation. Two requests with the
-	// same id through one entry are two claimants.
+	// Claimant identifies the attempt that gets the claim: the entry and a
+	// number that the entry uses only once during its incarnation. Two requests
+	// with the same ID through one entry are two claimants.
 	Claimant    string
 	Incarnation uint64
-	// Issued is when the caller made the id, zero when the id does not tell.
+	// Issued is when the caller created the ID; zero when the ID does not
+	// contain that time.
 	Issued time.Time
-	// Payload tells a repeat from another request under the same id.
+	// Payload is a hash of the payload, which distinguishes a repeat from
+	// another request with the same ID.
 	Payload uint64
 }
 
-// IssuedAt returns the time that a UUIDv7 carries. The second result is false
-// for ids of any other form.
+// IssuedAt returns the creation time contained in a UUIDv7. The second result
+// is false for IDs of any other form.
 func IssuedAt(id string) (time.Time, bool) {
 	u, err := uuid.Parse(id)
 	if err != nil || u.Version() != 7 || u.Variant() != uuid.RFC4122 {
@@ -41,9 +43,9 @@
 	return time.UnixMilli(millis), true
 }
 
-// HomesFor returns the homes of a request id: the NumHomes members of known
+// HomesFor returns the homes of a request ID: the NumHomes members of known
 // that rank highest for it, best first, or all of them when there are fewer.
-// Known must be what Eligible returned.
+// known must be the result of Eligible.
 func HomesFor(service, id string, known []model.DaemonID) []model.DaemonID {
 	var top [NumHomes]ranked
 	n := 0
@@ -80,7 +82,7 @@
 	return r.member < o.member
 }
 
-// seedOf hashes what the ranks of all members have in common.
+// seedOf hashes service and id, the input that the ranks of all members share.
 func seedOf(service, id string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -96,8 +98,8 @@
 	return d.Sum64()
 }
 
-// writeField hashes s with its length, so that the fields of different
-// requests cannot run together to the same bytes.
+// writeField hashes s with its length, so that different sequences of fields
+// cannot concatenate to the same bytes.
 func writeField(d *xxhash.Digest, s string) {
 	n := uint32(len(s))
 	d.Write([]byte{byte(n), byte(n >> 8), byte(n >> 16), byte(n >> 24)}) //nolint:errcheck // never fails
