--- a/core/routing/balancer_test.go
+++ b/core/routing/balancer_test.go
@@ -26,7 +26,7 @@
 	return list
 }
 
-// fixture drives a balancer with a clock of its own.
+// fixture drives a balancer with its own clock.
 type fixture struct {
 	t   testing.TB
 	b   *Balancer
@@ -42,14 +42,15 @@
 
 func (x *fixture) pick(q Query) (*Choice, bool) { return x.b.Pick(x.now, x.rnd.Uint64(), q) }
 
-// serve lets n requests pass one after another, each as long as take says.
+// serve runs n requests one after another, each with the result that take
+// returns.
 func (x *fixture) serve(n int, take func(address string) Result) map[string]int {
 	x.t.Helper()
 	served := make(map[string]int)
 	for range n {
 		c, ok := x.pick(Query{Ahead: 1000})
 		if !ok {
-			x.t.Fatal("nothing to pick")
+			x.t.Fatal("no target was picked")
 		}
 		served[c.Address()]++
 		r := take(c.Address())
@@ -87,19 +88,19 @@
 	first, _ := x.pick(Query{})
 	second, _ := x.pick(Query{})
 	if _, ok := x.pick(Query{}); ok || first.Address() == second.Address() {
-		t.Fatal("an unproven target got a second request")
+		t.Fatal("a new target got a second request before its first response")
 	}
 	first.Done(x.now, Result{Latency: usual})
 	second.Done(x.now, Result{Latency: usual})
 	x.serve(20, usualResult)
 	if free := x.b.Free(); free != 8 {
-		t.Errorf("%d of 8 slots are free after 20 answers", free)
+		t.Errorf("%d of 8 slots are free after 20 responses", free)
 	}
 }
 
-// Symptom: at low load one instance gets everything, and others nothing for
-// hours. Sequence: one answers quicker than what is assumed of those that were
-// never asked. Cause: the assumption is never put to the test.
+// If the latency assumed of untried targets were above the measured ones, at
+// low load one instance that responds quickly would receive all requests and
+// the others none, and the assumption would never be tested.
 func TestUnprovenTargetsAreTried(t *testing.T) {
 	x := newFixture(t, targets(4, 4))
 	served := x.serve(100, func(string) Result { return Result{Latency: time.Millisecond / 4} })
@@ -110,9 +111,9 @@
 	}
 }
 
-// Symptom: requests reach an instance that is shutting down. Sequence: a sign
-// says that it leaves; the list of targets, which lags, still shows it.
-// Cause: the list is believed over the sign.
+// The list of targets may be outdated and still show an instance that is known
+// to be shutting down. A target marked as leaving must receive no new requests,
+// whatever the list shows for the same attempt.
 func TestLeavingGetsNothingNew(t *testing.T) {
 	x := newFixture(t, targets(2, 2))
 	x.serve(20, usualResult)
@@ -125,7 +126,7 @@
 	running.Done(x.now, Result{Latency: usual})
 	x.b.Update(x.now, targets(2, 2))
 	if n := x.serve(50, usualResult)[leaving]; n != 0 {
-		t.Errorf("%d requests went to a leaving target once the list came", n)
+		t.Errorf("%d requests went to a leaving target after an update", n)
 	}
 	replaced := targets(2, 2)
 	for i := range replaced {
@@ -133,7 +134,7 @@
 	}
 	x.b.Update(x.now, replaced)
 	if n := x.serve(50, usualResult)[leaving]; n == 0 {
-		t.Error("the next attempt at the address gets nothing")
+		t.Error("the next attempt at the address got no requests")
 	}
 }
 
@@ -147,13 +148,13 @@
 	c.Done(x.now, Result{Latency: usual})
 	c.Done(x.now, Result{Latency: usual})
 	if n := x.b.Free(); n != 0 {
-		t.Errorf("%d slots are free on no target", n)
+		t.Errorf("%d slots are free without a target", n)
 	}
 }
 
-// Symptom: one slow instance sets the tail of the whole service. Sequence: it
-// turns ten times slower; then it is well again. Cause: targets are chosen by
-// free slots alone, or are never tried again.
+// A target that becomes ten times slower must not determine the tail latency of
+// the service, which happens when targets are chosen by free slots alone. Once
+// it is fast again it must be used again.
 func TestSlowTargetIsAvoidedAndRestored(t *testing.T) {
 	x := newFixture(t, targets(8, 2))
 	x.serve(400, usualResult)
@@ -173,8 +174,8 @@
 	}
 }
 
-// A slot on a slow target is worth more than a long wait, and less than a
-// short one.
+// A slot on a slow target is better than a long wait and worse than a short
+// one.
 func TestSlowTargetServesALongQueue(t *testing.T) {
 	x := newFixture(t, targets(8, 1))
 	x.serve(400, usualResult)
@@ -188,10 +189,10 @@
 		t.Fatalf("the target is %v", s)
 	}
 	if _, ok := x.pick(Query{}); ok {
-		t.Error("the slow target was taken though a quick one is free soon")
+		t.Error("the slow target was picked though a fast one is free soon")
 	}
 	if c, ok := x.pick(Query{Ahead: 10}); !ok || c.Address() != bad {
-		t.Error("the slow target was not taken for a long queue")
+		t.Error("the slow target was not picked for a long queue")
 	}
 }
 
@@ -206,9 +207,9 @@
 	}
 }
 
-// Symptom: every request is refused here though half of the instances would
-// serve it. Sequence: all targets fail, or only look so from here. Cause:
-// every target that looks bad is left.
+// When all targets fail, or only appear to fail from this entry, ejecting every
+// one of them would refuse all requests although some instances would serve
+// them.
 func TestNotAllTargetsAreEjected(t *testing.T) {
 	for _, outcome := range []Outcome{Failed, Refused, Silent} {
 		x := newFixture(t, targets(10, 2))
@@ -221,15 +222,15 @@
 			}
 		}
 		if resting > 5 {
-			t.Errorf("outcome %d: %d of 10 targets get nothing", outcome, resting)
+			t.Errorf("outcome %d: %d of 10 targets are ejected", outcome, resting)
 		}
 	}
 }
 
-// Symptom: after a middlebox lost its flows, well instances are left for
-// minutes, or every old connection costs one more request. Sequence: an
-// exchange stays unanswered; a new connection to the same target works; older
-// ones do not. Cause: the target is blamed for its connection.
+// When a middlebox drops its flows, exchanges on old connections stay
+// unanswered while new connections to the same target work. The target must not
+// be ejected for its connection, and not every old connection may cost another
+// request.
 func TestSilenceBlamesTheConnectionFirst(t *testing.T) {
 	x := newFixture(t, targets(1, 2))
 	x.serve(50, usualResult)
@@ -249,19 +250,19 @@
 	}
 	proof, ok := x.pick(Query{NonIdempotent: true})
 	if !ok || !proof.RequiresNewConnection() {
-		t.Fatal("the suspect target is not tried over a new connection")
+		t.Fatal("the suspect target was not probed over a new connection")
 	}
 	if _, ok := x.pick(Query{Ahead: 1000}); ok {
 		t.Fatal("the suspect target got a second request")
 	}
 	proof.Done(x.now, Result{Latency: usual})
 	if s := x.state("10.0.0.0:80").State; s != Healthy {
-		t.Errorf("the target that answered is %v", s)
+		t.Errorf("the target that responded is %v", s)
 	}
 	x.now = x.now.Add(maxHold)
 	lost.Done(x.now, Result{Outcome: Silent})
 	if s := x.state("10.0.0.0:80"); s.State != Healthy || s.InFlight+s.Held != 0 {
-		t.Errorf("the end of the lost exchange was held against the target: %+v", s)
+		t.Errorf("the end of the lost exchange changed the target's state: %+v", s)
 	}
 }
 
@@ -273,14 +274,13 @@
 	x.now = x.now.Add(lost.SilenceAfter())
 	lost.Done(x.now, Result{Outcome: Silent})
 	if s := x.state("10.0.0.0:80").State; s != Healthy {
-		t.Errorf("a target that answers other requests is %v", s)
+		t.Errorf("a target that responds to other requests is %v", s)
 	}
 }
 
-// Symptom: an instance refuses requests, or queues them, as sent beyond its
-// slots. Sequence: an answer is late, its exchange is given up as silent, and
-// the slot goes to another request; the instance works on both. Cause: giving
-// up an exchange does not end it.
+// Abandoning an exchange does not end it: the instance may still process the
+// request. If the slot went to another request immediately, the instance would
+// receive more than its slots allow.
 func TestSlotOfASilentExchangeStaysTakenForAWhile(t *testing.T) {
 	x := newFixture(t, targets(1, 1))
 	x.serve(50, usualResult)
@@ -288,11 +288,11 @@
 	x.now = x.now.Add(lost.SilenceAfter())
 	lost.Done(x.now, Result{Outcome: Silent})
 	if _, ok := x.pick(Query{Ahead: 1000}); ok {
-		t.Fatal("the slot was given again at once")
+		t.Fatal("the slot of the silent exchange was reused immediately")
 	}
 	x.now = x.now.Add(maxHold)
 	if _, ok := x.pick(Query{Ahead: 1000}); !ok {
-		t.Error("the slot never came back")
+		t.Error("the slot of the silent exchange was not released")
 	}
 }
 
@@ -319,7 +319,7 @@
 	}
 	c, _ := x.pick(Query{})
 	if !c.TrustSince().After(start) {
-		t.Error("connections to other targets are trusted as before")
+		t.Error("connections to other targets are still trusted")
 	}
 }
 
@@ -333,7 +333,7 @@
 	for range 20 {
 		c, _ := x.pick(Query{NonIdempotent: true})
 		if c.Address() != proven {
-			t.Fatalf("%s was picked; only %s answered lately", c.Address(), proven)
+			t.Fatalf("%s was picked; only %s responded recently", c.Address(), proven)
 		}
 		c.Done(x.now, Result{Outcome: Canceled})
 	}
@@ -348,7 +348,7 @@
 	}
 	c, ok := x.pick(Query{Avoid: []string{list[2].Address, list[1].Address}})
 	if !ok || c.Address() != list[0].Address {
-		t.Error("the one target that is not avoided was not picked")
+		t.Error("the only target that is not avoided was not picked")
 	}
 }
 
@@ -356,7 +356,7 @@
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 100
 	properties := gopter.NewProperties(parameters)
-	properties.Property("in flight stays within slots, and all slots come back", prop.ForAll(func(seed uint64) string {
+	properties.Property("requests in flight stay within slots, and all slots are released", prop.ForAll(func(seed uint64) string {
 		x := newFixture(t, targets(6, 3))
 		x.rnd = rand.New(rand.NewPCG(seed, 7))
 		var held []*Choice
@@ -442,7 +442,8 @@
 	}
 }
 
-// BenchmarkDecision is one Pick and its Done, with a third of the slots in use.
+// BenchmarkDecision measures one Pick and its Done, with a third of the slots
+// in use.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{50, 26000} {
 		b.Run(fmt.Sprint(n, "targets"), func(b *testing.B) {
--- a/core/routing/policies_test.go
+++ b/core/routing/policies_test.go
@@ -10,8 +10,8 @@
 	"github.com/guavarill/guavarill/core/shares"
 )
 
-// unlimited sends each request at once to the instance that choose names, and
-// gives it up at its deadline.
+// unlimited sends each request immediately to the instance that choose returns,
+// and abandons it at its deadline.
 type unlimited struct {
 	s        *site
 	e        *entry
@@ -75,16 +75,17 @@
 	return best
 }
 
-// variant is the product's policy with something left out or set otherwise.
+// variant is the production policy with one part disabled or configured
+// differently.
 type variant struct {
 	admission   admission.Options
 	routing     routing.Options
-	ignoreZones bool // shares without regard to zones
-	equalShares bool // shares do not follow demand
+	ignoreZones bool // shares ignore availability zones
+	equalShares bool // shares ignore demand
 	neverWait   bool // never waits for a better slot
 }
 
-// limited is the product's policy: shares, admission and routing.
+// limited is the production policy: shares, admission and routing.
 type limited struct {
 	s        *site
 	e        *entry
@@ -120,8 +121,8 @@
 	}
 }
 
-// publish lets this entry see, after viewDelay, which entries live now and
-// what they publish.
+// publish lets this entry observe, after viewDelay, which entries are alive and
+// the demand that they publish.
 func (l *limited) publish() {
 	members := l.s.members()
 	published := make(map[model.DaemonID]uint32)
@@ -186,8 +187,8 @@
 	return r
 }
 
-// pump gives good slots to the first in line, and those that the first had
-// better not take to the last.
+// pump gives good slots to the first tickets in the queue, and slots that the
+// first ticket should decline to the last one.
 func (l *limited) pump() {
 	for l.queue.Len() > 0 {
 		l.queue.SetSlots(l.balancer.Free(), l.balancer.Slots())
--- a/core/routing/requests_bench_test.go
+++ b/core/routing/requests_bench_test.go
@@ -47,8 +47,8 @@
 	}},
 }
 
-// lasting are conditions that hold all the time; they are measured after the
-// shares have moved.
+// lasting are conditions that hold throughout the run; they are measured after
+// the shares have adapted.
 var lasting = []fault{
 	{"even", func(*site) {}},
 	{"skewed", func(s *site) { s.skew = 3 }},
@@ -74,7 +74,8 @@
 
 var current = namedPolicy{"guavarill", production(variant{})}
 
-// variants are what was tried and is not used.
+// variants are alternative configurations that are compared with the one in
+// use.
 var variants = []namedPolicy{
 	current,
 	{"equal", production(variant{equalShares: true})},
@@ -90,21 +91,22 @@
 }
 
 // BenchmarkRequests reports, for each fault, load and policy, the latency
-// quantiles of the requests that were sent (those without an answer count with
-// the time after which they were given up), the parts of the offered requests
-// that were answered and shed, and the same for urgent ones.
+// quantiles of the requests that were sent (a request without a response counts
+// with the time after which it was abandoned), the fractions of the offered
+// requests that were answered and shed, and the same for urgent requests.
 func BenchmarkRequests(b *testing.B) {
 	policies := append(slices.Clone(baselines), current)
 	measure(b, faults, []float64{0.5, 0.8, 0.95, 1, 1.2}, policies, runStart, runEnd)
 }
 
-// BenchmarkVariants compares what was chosen with what was not.
+// BenchmarkVariants compares the policy in use with its variants.
 func BenchmarkVariants(b *testing.B) {
 	measure(b, faults, []float64{0.5, 0.8, 0.95, 1.2}, variants, runStart, runEnd)
 }
 
-// BenchmarkLasting shows what moving shares toward demand is worth when the
-// balancer in front prefers one entry, and when a zone is slow for good.
+// BenchmarkLasting measures the benefit of moving shares toward demand when the
+// load balancer in front prefers one entry, and when an availability zone is
+// permanently slow.
 func BenchmarkLasting(b *testing.B) {
 	policies := []namedPolicy{baselines[2], variants[1], current}
 	measure(b, lasting, []float64{0.5, 0.8, 0.95}, policies, 8*time.Second, 16*time.Second)
--- a/core/routing/routing_capacity_test.go
+++ b/core/routing/routing_capacity_test.go
@@ -10,7 +10,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// capacityTargets are n instances of one service as an entry gets them.
+// capacityTargets returns n instances of one service as an entry receives them.
 func capacityTargets(n int) []Target {
 	targets := make([]Target, n)
 	for i := range targets {
@@ -26,9 +26,9 @@
 	return targets
 }
 
-// BenchmarkCapacityTarget is the memory of a target in a service's balancer,
-// with the strings that it holds on to, and the time of an update that changes
-// nothing.
+// BenchmarkCapacityTarget reports the memory of a target in a service's
+// balancer, including the strings that it retains, and the time of an update
+// that changes nothing.
 func BenchmarkCapacityTarget(b *testing.B) {
 	const targets = 700
 	now := time.Unix(1_800_000_000, 0)
@@ -48,8 +48,8 @@
 	runtime.KeepAlive(balancer)
 }
 
-// BenchmarkCapacityService is the memory of a service's balancer besides its
-// targets.
+// BenchmarkCapacityService reports the memory of a service's balancer without
+// its targets.
 func BenchmarkCapacityService(b *testing.B) {
 	const services = 2000
 	balancers := make([]*Balancer, services)
--- a/core/routing/site_test.go
+++ b/core/routing/site_test.go
@@ -12,7 +12,7 @@
 	"github.com/guavarill/guavarill/core/shares"
 )
 
-// The site of the measurement.
+// The simulated site.
 const (
 	siteZones     = 3
 	siteInstances = 50
@@ -26,7 +26,7 @@
 	deadline      = time.Second
 	runStart      = 2 * time.Second // of the fault and of the measurement
 	runEnd        = 8 * time.Second
-	viewDelay     = 2 * time.Second // until entries know of a change of another
+	viewDelay     = 2 * time.Second // until an entry observes a change of another
 	growDelay     = 3 * time.Second
 )
 
@@ -101,12 +101,12 @@
 	entries    []*entry
 	conns      []*conn
 	start, end time.Duration // of the measurement
-	skew       int           // how many times the others' requests entry 0 gets
+	skew       int           // how many times the requests of any other entry entry 0 receives
 
 	latencies, urgent         []float64 // milliseconds
 	offered, answered, shed   int
 	urgentOffered, urgentDone int
-	queued                    int // requests that found all slots of an instance taken
+	queued                    int // requests that arrived at an instance without a free slot
 }
 
 func newSite(seed uint64, make func(s *site, e *entry) policy) *site {
@@ -132,7 +132,7 @@
 	heap.Push(&s.events, event{s.now + d, s.seq, do})
 }
 
-// every calls do each period until the end of the measurement.
+// every calls do once per period until the end of the measurement.
 func (s *site) every(period time.Duration, do func()) {
 	do()
 	if s.now+period < s.end {
@@ -142,7 +142,7 @@
 
 func (s *site) time() time.Time { return epoch.Add(s.now) }
 
-// members returns the living entries.
+// members returns the entries that are alive.
 func (s *site) members() []shares.Entry {
 	var list []shares.Entry
 	for _, e := range s.entries {
@@ -155,7 +155,8 @@
 
 func zoneName(z int) model.Zone { return model.Zone(fmt.Sprintf("z%d", z)) }
 
-// run offers load, a fraction of what the instances can serve, until the end.
+// run offers load, as a fraction of what the instances can serve, until the
+// end.
 func (s *site) run(load float64) {
 	gap := float64(meanService) / (load * allSlots)
 	id := uint64(0)
@@ -213,10 +214,10 @@
 	return farWire
 }
 
-// exchange sends a request from e to i, over a connection that carried an
-// answer since trusted or a new one. answered is called when the whole answer
-// is back, and never when the connection or the instance is silent. The
-// result gives the exchange up.
+// exchange sends a request from e to i, over a connection that delivered a
+// response since trusted or over a new one. answered is called when the
+// complete response has arrived, and never when the connection or the instance
+// is silent. The returned function abandons the exchange.
 func (s *site) exchange(e *entry, i *instance, trusted time.Duration, answered func()) (abandon func()) {
 	d := networkDelay(e.zone, i.zone)
 	var c *conn
