--- a/core/jobsched/aside.go
+++ b/core/jobsched/aside.go
@@ -8,41 +8,41 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// asideEndsMost is how many ends a worker keeps for the sake of a job that is
+// maxDeferredEnds is how many ends a worker keeps for the sake of a job that is
 // set aside. Ends are acknowledged in their order and told 500 at a time: held
 // back without a bound, one end of such a job would keep back those of all
 // others, and in the end from being heard of.
-const asideEndsMost = 50
+const maxDeferredEnds = 50
 
-// asideJob is a job whose records cannot be read. Nothing of it is started,
+// unreadableJob is a job whose records cannot be read. Nothing of it is started,
 // since it is not known what is done; what runs of it is left alone, since it may
 // be wanted.
-type asideJob struct {
+type unreadableJob struct {
 	// record is nil when it cannot be read either.
 	record *job.Accepted
-	ends   []asideEnd
+	ends   []deferredEnd
 }
 
-// asideEnd is an end of an attempt of a job that is set aside. It is settled when
+// deferredEnd is an end of an attempt of a job that is set aside. It is settled when
 // the job's records can be read again.
-type asideEnd struct {
+type deferredEnd struct {
 	worker *worker
 	end    EndedAttempt
 }
 
-// setAside sets a job aside. One that the machine knows goes on by what it knows.
-func (m *Machine) setAside(id job.ID, record *job.Accepted) {
-	if _, over := m.final[id]; over || m.jobs.Has(id) || m.aside[id] != nil {
+// markUnreadable sets a job aside. One that the machine knows goes on by what it knows.
+func (m *Machine) markUnreadable(id job.ID, record *job.Accepted) {
+	if _, over := m.final[id]; over || m.jobs.Has(id) || m.unreadable[id] != nil {
 		return
 	}
-	m.aside[id] = &asideJob{record: record}
+	m.unreadable[id] = &unreadableJob{record: record}
 	m.emit(Note{Decision: joblog.MessageSetAside, Job: id, Reason: "its records cannot be read; nothing of it is started, and what runs is left alone"})
 }
 
-// setAsideAll sets the jobs aside whose records cannot be read at a take-over.
-func (m *Machine) setAsideAll(jobs map[job.ID]*job.Accepted) {
+// markAllUnreadable sets the jobs aside whose records cannot be read at a take-over.
+func (m *Machine) markAllUnreadable(jobs map[job.ID]*job.Accepted) {
 	for _, id := range slices.Sorted(maps.Keys(jobs)) {
-		m.setAside(id, jobs[id])
+		m.markUnreadable(id, jobs[id])
 	}
 }
 
@@ -50,14 +50,14 @@
 // first by them, then by what its attempts did meanwhile. A job whose records are
 // gone is not known any more, and what runs of it is stopped.
 func (m *Machine) jobReread(ev JobReread) {
-	aside := m.aside[ev.ID]
+	aside := m.unreadable[ev.ID]
 	if aside == nil {
 		if ev.Record != nil {
 			m.jobAccepted(JobAccepted{ID: ev.ID, Record: ev.Record})
 		}
 		return
 	}
-	delete(m.aside, ev.ID)
+	delete(m.unreadable, ev.ID)
 	running := m.releaseAttempts(ev.ID)
 	if ev.Progress != nil {
 		m.restartsRead(ev.ID, ev.Progress.Restarts)
@@ -69,7 +69,7 @@
 		m.emit(Note{Decision: joblog.MessageTakenIn, Job: ev.ID, Reason: "its records can be read again"})
 		m.recoverJob(ev.ID, ev.Record, ev.Progress)
 		if j := m.jobs.Get(ev.ID); j != nil {
-			j.reread = true
+			j.wasUnreadable = true
 		}
 	}
 	for _, e := range aside.ends {
@@ -89,7 +89,7 @@
 		for _, a := range w.attempts.All() {
 			if a.task == nil && a.key.task.Job == id && a.phase == phaseRunning {
 				w.remove(a)
-				m.unwanted--
+				m.orphans--
 				released = append(released, a)
 			}
 		}
@@ -97,21 +97,21 @@
 	return released
 }
 
-// keepEnd keeps an end of an attempt of a job that is set aside.
-func (m *Machine) keepEnd(aside *asideJob, w *worker, e *EndedAttempt) {
+// deferEnd keeps an end of an attempt of a job that is set aside.
+func (m *Machine) deferEnd(aside *unreadableJob, w *worker, e *EndedAttempt) {
 	key := attemptKey{task: e.Key, attempt: e.Attempt}
 	delete(w.lost, key)
 	if a := w.attempts.Get(key); a != nil {
 		m.noteAttempt(joblog.MessageEnded, a, string(e.Cause))
 		m.endAttempt(a, e.Cause, "")
 	}
-	aside.ends = append(aside.ends, asideEnd{worker: w, end: *e})
+	aside.ends = append(aside.ends, deferredEnd{worker: w, end: *e})
 }
 
-// awaitsRecord reports whether an end that w keeps must not be acknowledged yet,
+// isEndDeferred reports whether an end that w keeps must not be acknowledged yet,
 // because its job is set aside: the worker alone can tell the next leader of it.
 // Beyond asideEndsMost it is acknowledged all the same. This leader knows it
 // still; after another take-over a repaired job would do such a task again.
-func (m *Machine) awaitsRecord(w *worker, e takenEnd) bool {
-	return m.aside[e.task.Job] != nil && len(w.taken) < asideEndsMost
+func (m *Machine) isEndDeferred(w *worker, e takenEnd) bool {
+	return m.unreadable[e.task.Job] != nil && len(w.taken) < maxDeferredEnds
 }
--- a/core/jobsched/aside_test.go
+++ b/core/jobsched/aside_test.go
@@ -109,7 +109,7 @@
 		t.Errorf("the other job is %s", state)
 	}
 	for id, w := range c.workers {
-		if len(w.ended) > asideEndsMost {
+		if len(w.ended) > maxDeferredEnds {
 			t.Errorf("%s keeps %d ends", id, len(w.ended))
 		}
 	}
--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -701,9 +701,9 @@
 			return
 		}
 	}
-	remembered := m.misfits
-	defer func() { m.misfits = remembered }()
-	m.misfits.reset()
+	remembered := m.unplaceable
+	defer func() { m.unplaceable = remembered }()
+	m.unplaceable.reset()
 	if _, fits := m.placeGang(s); fits {
 		c.t.Errorf("%s: gang %s waits, and fits", c.now.Sub(testEpoch), s.name())
 	}
--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -151,7 +151,7 @@
 	ends := make(map[model.Incarnation]int64)
 	for id, w := range m.workers.All() {
 		for _, e := range w.taken {
-			if e.held || m.dirty.Has(e.task.Job) || m.awaitsRecord(w, e) {
+			if e.held || m.dirty.Has(e.task.Job) || m.isEndDeferred(w, e) {
 				break
 			}
 			ends[id] = e.number
--- a/core/jobsched/entry.go
+++ b/core/jobsched/entry.go
@@ -96,7 +96,7 @@
 		if _, ok := named[e.Service]; named != nil && !ok {
 			return EntryUnnamedService
 		}
-		if m.startsTold && e.StartedMs == 0 {
+		if m.startTimesReported && e.StartedMs == 0 {
 			return EntryNoStartTime
 		}
 		return EntryValid
--- a/core/jobsched/filter.go
+++ b/core/jobsched/filter.go
@@ -87,12 +87,12 @@
 }
 
 const (
-	// bestEffortPatience is how long a best-effort step keeps away from serving
+	// bestEffortMaxWait is how long a best-effort step keeps away from serving
 	// tasks that it is known to disturb, while much of the cluster is free.
-	bestEffortPatience = 1500 * time.Millisecond
-	// freeEnough is the part of the processors that may be committed for that. Above
+	bestEffortMaxWait = 1500 * time.Millisecond
+	// lowUtilizationLimit is the part of the processors that may be committed for that. Above
 	// it workers without such tasks come free by and by.
-	freeEnough = 0.6
+	lowUtilizationLimit = 0.6
 )
 
 // starving reports whether a best-effort step has waited for long though much is
@@ -101,12 +101,12 @@
 // minute with "would disturb" for all workers. It starts where it disturbs least
 // then, and is throttled for the sake of the tasks beside it.
 func (m *Machine) starving(s *step) bool {
-	return m.muchFree && !s.waitsSince.IsZero() && m.now.Sub(s.waitsSince) >= bestEffortPatience
+	return m.lowUtilization && !s.waitsSince.IsZero() && m.now.Sub(s.waitsSince) >= bestEffortMaxWait
 }
 
-// isMuchFree reports whether so little of the workers that may be used is
+// hasLowUtilization reports whether so little of the workers that may be used is
 // committed that best-effort work need not wait for better places.
-func (m *Machine) isMuchFree() bool {
+func (m *Machine) hasLowUtilization() bool {
 	var committed, capacity int64
 	for _, w := range m.workers.All() {
 		if w.usable(m.now) {
@@ -114,7 +114,7 @@
 			capacity += w.entry.Capacity.MilliCPU
 		}
 	}
-	return float64(committed) < freeEnough*float64(capacity)
+	return float64(committed) < lowUtilizationLimit*float64(capacity)
 }
 
 // filterTicket keeps the tasks of advised queues on workers with a ticket.
--- a/core/jobsched/incarnation.go
+++ b/core/jobsched/incarnation.go
@@ -69,7 +69,7 @@
 // answering returns the session with the incarnation that has answered a call to w,
 // which was started at the time given.
 func (m *Machine) answering(w *worker, startedMs int64) *worker {
-	m.startsTold = m.startsTold || startedMs != 0
+	m.startTimesReported = m.startTimesReported || startedMs != 0
 	if startedMs == 0 || startedMs == w.id.StartedMs {
 		return w
 	}
@@ -150,7 +150,7 @@
 		}
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(w.unbarred), attemptKey.compare) {
-		m.barAt(m.addUnwanted(w, &RunningAttempt{Key: key.task, Attempt: key.attempt}), next)
+		m.barAt(m.addOrphan(w, &RunningAttempt{Key: key.task, Attempt: key.attempt}), next)
 	}
 	m.workerOver(w)
 }
--- a/core/jobsched/inherit.go
+++ b/core/jobsched/inherit.go
@@ -17,7 +17,7 @@
 		w.mark.failures = w.health.failures
 	}
 	m.addSession(w)
-	m.startsTold = m.startsTold || w.id.StartedMs != 0
+	m.startTimesReported = m.startTimesReported || w.id.StartedMs != 0
 	w.leaseBound = m.earlierLeasesEnd()
 	if stands && e.LeaseLeft != nil {
 		w.leaseBound = m.recoveredAt.Add(*e.LeaseLeft - age)
@@ -49,8 +49,8 @@
 			if r.StalledFor > 0 {
 				w.still[key] = stillness{percent: r.Percent, since: m.recoveredAt.Add(-r.StalledFor)}
 			}
-		case m.aside[r.Task.Job] != nil:
-			a := m.addUnwanted(w, &RunningAttempt{Key: r.Task, Attempt: r.Attempt})
+		case m.unreadable[r.Task.Job] != nil:
+			a := m.addOrphan(w, &RunningAttempt{Key: r.Task, Attempt: r.Attempt})
 			a.phase, a.inherited = phaseDoubtful, true
 		}
 	}
--- a/core/jobsched/interference.go
+++ b/core/jobsched/interference.go
@@ -79,10 +79,10 @@
 	if !a.learnable() {
 		return
 	}
-	m.learnSerial++
+	m.lastLearnID++
 	image := a.step().spec.Image
 	a.image = m.effects.imageIndex(image)
-	a.learnKey = model.TaskKey{Workload: image, Generation: m.learnSerial}
+	a.learnKey = model.TaskKey{Workload: image, Generation: m.lastLearnID}
 	m.learner.Started(m.now, a.worker.learnID(), a.learnKey, image)
 	// Serving tasks weigh nothing: blamed for each other's tails, they would take a
 	// part of the blame from the work that disturbs.
--- a/core/jobsched/jobs.go
+++ b/core/jobsched/jobs.go
@@ -15,7 +15,7 @@
 const attemptGap = 16
 
 func (m *Machine) jobAccepted(ev JobAccepted) {
-	if _, over := m.final[ev.ID]; over || m.aside[ev.ID] != nil {
+	if _, over := m.final[ev.ID]; over || m.unreadable[ev.ID] != nil {
 		// The record of a job that is set aside comes with a JobReread.
 		return
 	}
@@ -87,17 +87,17 @@
 		}
 		m.pending.Set(s, struct{}{})
 	}
-	if m.unwanted > 0 {
-		m.claimUnwanted(o)
+	if m.orphans > 0 {
+		m.claimOrphans(o)
 	}
 	m.changed = true
 	return o
 }
 
-// claimUnwanted gives attempts to the tasks of an occurrence that has just
+// claimOrphans gives attempts to the tasks of an occurrence that has just
 // begun. They were started by an earlier leader which knew the job first, and
 // are being stopped; until they are over, their tasks must not start again.
-func (m *Machine) claimUnwanted(o *occurrence) {
+func (m *Machine) claimOrphans(o *occurrence) {
 	for _, w := range m.workers.All() {
 		for _, a := range w.attempts.All() {
 			key := a.key.task
@@ -113,7 +113,7 @@
 			t.last = max(t.last, a.key.attempt)
 			o.job.attempts++
 			m.countVictim(a, 1)
-			m.unwanted--
+			m.orphans--
 		}
 	}
 }
--- a/core/jobsched/jobstate.go
+++ b/core/jobsched/jobstate.go
@@ -21,9 +21,9 @@
 	begun bool
 	// recovered is set for a job that an earlier leader may have begun.
 	recovered bool
-	// reread is set for a job that was set aside until its records could be read:
+	// wasUnreadable is set for a job that was set aside until its records could be read:
 	// attempts of it that were given up meanwhile are not known to its tasks.
-	reread bool
+	wasUnreadable bool
 	// resumed is set once a task of a recovered job was started.
 	resumed     bool
 	occurrences map[int]*occurrence
--- a/core/jobsched/machine.go
+++ b/core/jobsched/machine.go
@@ -43,8 +43,8 @@
 	config  *job.Config
 
 	jobs ordered.Map[job.ID, *jobState]
-	// aside holds the jobs whose records cannot be read.
-	aside map[job.ID]*asideJob
+	// unreadable holds the jobs whose records cannot be read.
+	unreadable map[job.ID]*unreadableJob
 	// final holds the jobs whose state is final, with the time at which their
 	// records may go.
 	final map[job.ID]time.Time
@@ -54,9 +54,9 @@
 	workers ordered.Map[model.Incarnation, *worker]
 	// incarnations holds the sessions by the workers' ids.
 	incarnations map[model.WorkerID]*incarnations
-	// startsTold is whether workers say when they were started: an entry that does not is
+	// startTimesReported is whether workers say when they were started: an entry that does not is
 	// no worker's then.
-	startsTold bool
+	startTimesReported bool
 	// pending holds the steps that are ready and may have idle tasks.
 	pending ordered.Map[*step, struct{}]
 	// recoveredAt is when the machine took over.
@@ -84,16 +84,16 @@
 	recentCrashes []workerCrash
 	// trials holds the attempts of tasks that are watched, triedAlone counts the tasks
 	// that are tried alone.
-	trials     ordered.Map[*attempt, struct{}]
-	triedAlone int
+	trials         ordered.Map[*attempt, struct{}]
+	isolatedTrials int
 	// stops holds the attempts whose stop has not been acknowledged.
 	stops ordered.Map[*attempt, struct{}]
 	// sweptAt is when every attempt was looked at last.
 	sweptAt time.Time
 	// starting counts the attempts whose start is sent and not answered.
 	starting int
-	// unwanted counts the attempts that no task wants.
-	unwanted int
+	// orphans counts the attempts that no task wants.
+	orphans int
 
 	dirty       ordered.Map[job.ID, struct{}]
 	removals    []job.ID
@@ -102,15 +102,15 @@
 	changed     bool
 	// pass is the look at all steps that wait, crowded whether the last one left
 	// tasks over, and misfits what it found no place for.
-	pass    pass
-	crowded bool
-	misfits misfits
-	// muchFree is whether best-effort work need not wait for better places.
-	muchFree bool
+	pass        pass
+	saturated   bool
+	unplaceable unplaceable
+	// lowUtilization is whether best-effort work need not wait for better places.
+	lowUtilization bool
 
 	learner *interference.Model
-	// learnSerial numbers the attempts for the learner.
-	learnSerial uint64
+	// lastLearnID numbers the attempts for the learner.
+	lastLearnID uint64
 	// victims counts the serving tasks by the number of their image.
 	victims []int
 	effects effectCache
@@ -151,7 +151,7 @@
 func New(now time.Time, epoch model.Epoch, o Options, r Recovered) *Machine {
 	m := &Machine{
 		options: o, epoch: epoch, config: r.Config, now: now, recoveredAt: now,
-		final: make(map[job.ID]time.Time), incarnations: make(map[model.WorkerID]*incarnations), aside: make(map[job.ID]*asideJob), learner: interference.New(learnerOptions()),
+		final: make(map[job.ID]time.Time), incarnations: make(map[model.WorkerID]*incarnations), unreadable: make(map[job.ID]*unreadableJob), learner: interference.New(learnerOptions()),
 	}
 	m.options.MaxLease = cmp.Or(o.MaxLease, o.Lease)
 	m.options.RoundBudget = cmp.Or(o.RoundBudget, DefaultRoundBudget)
@@ -169,7 +169,7 @@
 			m.recoverJob(id, accepted, r.Progress[id])
 		}
 	}
-	m.setAsideAll(r.Unreadable)
+	m.markAllUnreadable(r.Unreadable)
 	switch {
 	case r.RosterLost:
 		m.loseRoster(m.earlierLeasesEnd(), "it cannot be read")
@@ -203,7 +203,7 @@
 	case JobAccepted:
 		m.jobAccepted(ev)
 	case JobUnreadable:
-		m.setAside(ev.ID, nil)
+		m.markUnreadable(ev.ID, nil)
 	case JobReread:
 		m.jobReread(ev)
 	case Renewed:
@@ -257,7 +257,7 @@
 		return
 	}
 	since := m.now.Sub(m.scheduledAt)
-	due := m.pass.open || m.changed && (!m.crowded || since >= crowdedInterval)
+	due := m.pass.open || m.changed && (!m.saturated || since >= saturatedInterval)
 	if !due && since < scheduleInterval {
 		return
 	}
@@ -270,10 +270,10 @@
 }
 
 const (
-	// crowdedInterval is the least time between two rounds of placement while
+	// saturatedInterval is the least time between two rounds of placement while
 	// tasks wait for room: each end would cause one otherwise, and look at every
 	// waiting step.
-	crowdedInterval = 30 * time.Millisecond
+	saturatedInterval = 30 * time.Millisecond
 	// sweepInterval is the time between two looks at every attempt, for those
 	// that stand still or have another share than they should. Their readings
 	// are half a second old anyway.
--- a/core/jobsched/misfit.go
+++ b/core/jobsched/misfit.go
@@ -31,8 +31,8 @@
 	longRunning, impatient bool
 }
 
-// misfits remembers what found no place in the round, by what it asked for.
-type misfits struct {
+// unplaceable remembers what found no place in the round, by what it asked for.
+type unplaceable struct {
 	placed    map[demand][]model.Resources
 	gangs     map[demand][]gangSize
 	displaced map[urgency][]model.Resources
@@ -44,7 +44,7 @@
 	count  int
 }
 
-func (f *misfits) reset() {
+func (f *unplaceable) reset() {
 	f.placed = make(map[demand][]model.Resources)
 	f.gangs = make(map[demand][]gangSize)
 	f.displaced = make(map[urgency][]model.Resources)
@@ -76,7 +76,7 @@
 // fitsNowhere reports whether it is known that no worker has room for a task of
 // the step.
 func (m *Machine) fitsNowhere(s *step) bool {
-	return anyWithin(m.misfits.placed[m.demand(s)], s.spec.Size)
+	return anyWithin(m.unplaceable.placed[m.demand(s)], s.spec.Size)
 }
 
 // noteMisfit remembers that a task was not placed, unless only its own bounds
@@ -84,7 +84,7 @@
 func (m *Machine) noteMisfit(t *task) {
 	s := t.step
 	if m.plain(s) && !t.alone() || !m.roomAnywhere(t) {
-		addSize(m.misfits.placed, m.demand(s), s.spec.Size)
+		addSize(m.unplaceable.placed, m.demand(s), s.spec.Size)
 	}
 }
 
@@ -92,7 +92,7 @@
 // larger, has found no place. Members are alike, so that it does not matter in
 // which order they are placed.
 func (m *Machine) gangFitsNowhere(s *step) bool {
-	return slices.ContainsFunc(m.misfits.gangs[m.demand(s)], func(known gangSize) bool {
+	return slices.ContainsFunc(m.unplaceable.gangs[m.demand(s)], func(known gangSize) bool {
 		return known.count <= len(s.tasks) && known.member.Fits(s.spec.Size)
 	})
 }
@@ -104,7 +104,7 @@
 		return
 	}
 	d := m.demand(s)
-	m.misfits.gangs[d] = append(m.misfits.gangs[d], gangSize{member: s.spec.Size, count: len(s.tasks)})
+	m.unplaceable.gangs[d] = append(m.unplaceable.gangs[d], gangSize{member: s.spec.Size, count: len(s.tasks)})
 }
 
 // roomAnywhere reports whether any worker has room for a task, be it allowed
@@ -122,14 +122,14 @@
 // displacesNothing reports whether it is known that no room can be made for a
 // task of the step.
 func (m *Machine) displacesNothing(s *step) bool {
-	return anyWithin(m.misfits.displaced[m.urgency(s)], s.spec.Committed())
+	return anyWithin(m.unplaceable.displaced[m.urgency(s)], s.spec.Committed())
 }
 
 // noteNothingDisplaced remembers that no room can be made for a task of the
 // step, whatever its bounds.
 func (m *Machine) noteNothingDisplaced(s *step) {
 	if !m.queue(s.job()).Advised {
-		addSize(m.misfits.displaced, m.urgency(s), s.spec.Committed())
+		addSize(m.unplaceable.displaced, m.urgency(s), s.spec.Committed())
 	}
 }
 
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -45,10 +45,10 @@
 	return a
 }
 
-// addUnwanted makes an attempt that no task wants, or of which that is not known
+// addOrphan makes an attempt that no task wants, or of which that is not known
 // because its job is set aside. The size of a task that is
 // not known is taken as the whole worker, so that nothing is started beside it.
-func (m *Machine) addUnwanted(w *worker, r *RunningAttempt) *attempt {
+func (m *Machine) addOrphan(w *worker, r *RunningAttempt) *attempt {
 	a := &attempt{
 		key: attemptKey{task: r.Key, attempt: r.Attempt}, worker: w, phase: phaseRunning,
 		size: w.entry.Capacity, advancedAt: m.now, throttle: fullSpeed,
@@ -56,7 +56,7 @@
 	if record := m.recordOf(r.Key.Job); record != nil && r.Key.Step < len(record.Spec.Steps) {
 		a.size = record.Spec.Steps[r.Key.Step].Committed()
 	}
-	m.unwanted++
+	m.orphans++
 	w.add(a)
 	return a
 }
@@ -66,7 +66,7 @@
 	if j := m.jobs.Get(id); j != nil {
 		return j.record
 	}
-	if aside := m.aside[id]; aside != nil {
+	if aside := m.unreadable[id]; aside != nil {
 		return aside.record
 	}
 	return nil
@@ -249,7 +249,7 @@
 	m.changed = true
 	t := a.task
 	if t == nil {
-		m.unwanted--
+		m.orphans--
 		return
 	}
 	j := t.step.job()
--- a/core/jobsched/pass_test.go
+++ b/core/jobsched/pass_test.go
@@ -77,9 +77,9 @@
 		c.tick()
 	}
 	number := c.machine.pass.number
-	c.run(crowdedInterval + 2*clusterTick)
+	c.run(saturatedInterval + 2*clusterTick)
 	if c.machine.pass.number == number {
-		t.Errorf("no pass began within %s of one in which something changed", crowdedInterval)
+		t.Errorf("no pass began within %s of one in which something changed", saturatedInterval)
 	}
 }
 
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -175,8 +175,8 @@
 	if e.Cause == EndExpired {
 		w.leaseEnded()
 	}
-	if aside := m.aside[e.Key.Job]; aside != nil {
-		m.keepEnd(aside, w, e)
+	if aside := m.unreadable[e.Key.Job]; aside != nil {
+		m.deferEnd(aside, w, e)
 		return
 	}
 	key := attemptKey{task: e.Key, attempt: e.Attempt}
@@ -266,12 +266,12 @@
 // lost. It is kept if its task has no other, and stopped otherwise.
 func (m *Machine) adoptRunning(w *worker, r *RunningAttempt) *attempt {
 	delete(w.lost, attemptKey{task: r.Key, attempt: r.Attempt})
-	if m.aside[r.Key.Job] != nil {
-		return m.addUnwanted(w, r)
+	if m.unreadable[r.Key.Job] != nil {
+		return m.addOrphan(w, r)
 	}
 	t := m.task(r.Key)
 	if t == nil || t.done {
-		a := m.addUnwanted(w, r)
+		a := m.addOrphan(w, r)
 		m.requestStop(a, "no task wants it")
 		return a
 	}
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -19,10 +19,10 @@
 		m.startReserved(w)
 	}
 	if m.pass.begin(m.options.RoundBudget) {
-		m.crowded = false
+		m.saturated = false
 	}
-	m.misfits.reset()
-	m.muchFree = m.isMuchFree()
+	m.unplaceable.reset()
+	m.lowUtilization = m.hasLowUtilization()
 	steps := m.pendingSteps()
 	front := m.startFront(steps)
 	m.pass.beginSecondHalf()
@@ -188,7 +188,7 @@
 	case startsCut:
 		return false
 	case startsWait:
-		m.crowded = true
+		m.saturated = true
 		m.noteWaiting(s)
 		m.askAdvice(s)
 	case startsAll:
@@ -347,7 +347,7 @@
 		for _, t := range s.tasks {
 			m.dropNamedTrial(t)
 		}
-		m.crowded = true
+		m.saturated = true
 		m.noteWaiting(s)
 		m.askAdvice(s)
 		return
--- a/core/jobsched/silence.go
+++ b/core/jobsched/silence.go
@@ -111,7 +111,7 @@
 // nothing was heard. Long-running tasks are never done.
 func (m *Machine) mayBeDone(t *task) bool {
 	j := t.step.job()
-	return !t.step.spec.LongRunning && (t.givenUp || j.reread || m.restarts.unheard && j.recovered)
+	return !t.step.spec.LongRunning && (t.givenUp || j.wasUnreadable || m.restarts.unheard && j.recovered)
 }
 
 // restartUnstored reports whether a start of the task is to be stored first.
--- a/core/jobsched/starving_test.go
+++ b/core/jobsched/starving_test.go
@@ -40,7 +40,7 @@
 			if n := c.runningOf(id); n != 0 {
 				t.Errorf("%d tasks run at first, want none", n)
 			}
-			c.run(bestEffortPatience + time.Second)
+			c.run(bestEffortMaxWait + time.Second)
 			if n := c.runningOf(id); n != test.runs {
 				t.Errorf("%d tasks run after some seconds, want %d", n, test.runs)
 			}
--- a/core/jobsched/watched.go
+++ b/core/jobsched/watched.go
@@ -75,9 +75,9 @@
 // lookAtTrials notes for the workers which of them have attempts on trial.
 func (m *Machine) lookAtTrials() {
 	for _, w := range m.workers.All() {
-		w.trials, w.triedAlone = 0, false
+		w.trials, w.hasIsolatedTrial = 0, false
 	}
-	m.triedAlone = 0
+	m.isolatedTrials = 0
 	for a := range m.trials.All() {
 		if a.task.watched() && a.onTrial() {
 			m.countTrial(a.task, a.worker)
@@ -89,8 +89,8 @@
 func (m *Machine) countTrial(t *task, w *worker) {
 	w.trials++
 	if t.alone() {
-		w.triedAlone = true
-		m.triedAlone++
+		w.hasIsolatedTrial = true
+		m.isolatedTrials++
 	}
 }
 
@@ -105,7 +105,7 @@
 // filterTrial keeps everything else off a worker on which a task is tried alone,
 // and such a task off workers with other trials.
 func filterTrial(_ *Machine, t *task, w *worker) bool {
-	return !w.triedAlone && (w.trials == 0 || !t.alone())
+	return !w.hasIsolatedTrial && (w.trials == 0 || !t.alone())
 }
 
 // mayTry reports whether the task may be started as far as crashes under it go.
@@ -114,7 +114,7 @@
 	switch {
 	case t.step.job().state.Final():
 		return false
-	case t.alone() && m.triedAlone >= max(m.workers.Len()/workersPerTrial, 1):
+	case t.alone() && m.isolatedTrials >= max(m.workers.Len()/workersPerTrial, 1):
 		return false
 	}
 	return t.step.spec.Gang || t.suspicious() == 0 || !t.step.triesAnother(t)
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -74,8 +74,8 @@
 	still map[attemptKey]stillness
 	// trials counts its attempts on trial, triedAlone is whether one of them is of a
 	// task that is tried alone.
-	trials     int
-	triedAlone bool
+	trials           int
+	hasIsolatedTrial bool
 	// closedUntil holds back new starts after a refusal.
 	closedUntil time.Time
 	// reserved is room that is being made for tasks.
