--- a/core/jobsched/aside.go
+++ b/core/jobsched/aside.go
@@ -64,7 +64,7 @@
 	}
 	switch {
 	case ev.Progress != nil && ev.Progress.State.Final():
-		m.remember(ev.ID)
+		m.retainFinal(ev.ID)
 	case ev.Record != nil:
 		m.emit(Note{Decision: joblog.MessageTakenIn, Job: ev.ID, Reason: "its records can be read again"})
 		m.recoverJob(ev.ID, ev.Record, ev.Progress)
--- a/core/jobsched/attempt.go
+++ b/core/jobsched/attempt.go
@@ -44,9 +44,9 @@
 	// which is left alone.
 	task  *task
 	phase phase
-	// before is the incarnation of its worker on which it may have been, which has
+	// previousWorker is the incarnation of its worker on which it may have been, which has
 	// ended since; nil once the one that followed has listed it.
-	before *worker
+	previousWorker *worker
 	// inherited is set while only an earlier leader's roster says that it may run:
 	// its worker has not answered this leader.
 	inherited bool
@@ -58,11 +58,11 @@
 	bestEffortCPU int64
 	longRunning   bool
 	startedAt     time.Time
-	// barredAt is when the worker acknowledged the last stop; a report asked
+	// stopAckedAt is when the worker acknowledged the last stop; a report asked
 	// for later that does not list the attempt shows that it is over.
-	barredAt   time.Time
-	stopSentAt time.Time
-	percent    int
+	stopAckedAt time.Time
+	stopSentAt  time.Time
+	percent     int
 	// advancedAt is when percent last grew.
 	advancedAt time.Time
 	// reading is the last one, taken in at readAt.
@@ -76,10 +76,10 @@
 	throttle        int
 	throttledAt     time.Time
 	throttlePending bool
-	// noteAt is when it may be noted again that its worker does not answer.
-	noteAt time.Time
-	// moveAt is when another worker may be sought for it again.
-	moveAt time.Time
+	// nextNoteAt is when it may be noted again that its worker does not answer.
+	nextNoteAt time.Time
+	// nextMoveAt is when another worker may be sought for it again.
+	nextMoveAt time.Time
 }
 
 // yields reports whether the attempt ends, or could be ended for more urgent
--- a/core/jobsched/candidates_test.go
+++ b/core/jobsched/candidates_test.go
@@ -41,7 +41,7 @@
 		id := c.submit(100+i, "urgent", step)
 		s := m.jobs.Get(id).occurrences
 		if len(s) == 0 {
-			m.begin(m.jobs.Get(id), 0)
+			m.beginOccurrence(m.jobs.Get(id), 0)
 		}
 		checkStepCandidates(t, m, m.jobs.Get(id).occurrences[0].steps[0])
 	}
--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -60,7 +60,7 @@
 // that takes 150 ms and a hundred jobs a second workers kept hundreds of ends.
 func (m *Machine) sendCommit() {
 	c := &m.commit
-	m.expire()
+	m.expireFinal()
 	if c.inFlight || m.now.Sub(c.sentAt) < commitInterval {
 		return
 	}
@@ -182,7 +182,7 @@
 	m.acknowledgeEnds(c.ends)
 	for _, id := range c.jobs {
 		if j := m.jobs.Get(id); j != nil {
-			m.dropIfOver(j)
+			m.dropIfFinal(j)
 		}
 	}
 	m.rosterStored()
--- a/core/jobsched/ended.go
+++ b/core/jobsched/ended.go
@@ -8,8 +8,8 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// remember keeps the id of a job that is over until its record may go.
-func (m *Machine) remember(id job.ID) {
+// retainFinal keeps the id of a job that is over until its record may go.
+func (m *Machine) retainFinal(id job.ID) {
 	m.final[id] = m.now.Add(m.options.KeepFinal)
 	m.expiry = append(m.expiry, id)
 }
@@ -18,10 +18,10 @@
 // kept for at least as long as promised.
 const finalClockError = 30 * time.Second
 
-// rememberRecovered keeps the ids of jobs that were over under an earlier leader until
+// retainRecoveredFinal keeps the ids of jobs that were over under an earlier leader until
 // their records may go: counted from each take-over anew, that would be never while
 // leaders follow each other quickly.
-func (m *Machine) rememberRecovered(progress map[job.ID]*job.Progress, wall time.Time) {
+func (m *Machine) retainRecoveredFinal(progress map[job.ID]*job.Progress, wall time.Time) {
 	for id, p := range progress {
 		if p.State.Final() {
 			m.final[id] = m.now.Add(m.finalLeft(p.OverAtMs, wall))
@@ -41,8 +41,8 @@
 	return max(m.options.KeepFinal-passed, 0)
 }
 
-// expire removes the records of jobs that were over long ago.
-func (m *Machine) expire() {
+// expireFinal removes the records of jobs that were over long ago.
+func (m *Machine) expireFinal() {
 	for len(m.expiry) > 0 && !m.now.Before(m.final[m.expiry[0]]) {
 		id := m.expiry[0]
 		m.expiry = m.expiry[1:]
--- a/core/jobsched/filter.go
+++ b/core/jobsched/filter.go
@@ -101,7 +101,7 @@
 // minute with "would disturb" for all workers. It starts where it disturbs least
 // then, and is throttled for the sake of the tasks beside it.
 func (m *Machine) starving(s *step) bool {
-	return m.lowUtilization && !s.waitsSince.IsZero() && m.now.Sub(s.waitsSince) >= bestEffortMaxWait
+	return m.lowUtilization && !s.waitingSince.IsZero() && m.now.Sub(s.waitingSince) >= bestEffortMaxWait
 }
 
 // hasLowUtilization reports whether so little of the workers that may be used is
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -77,10 +77,10 @@
 // workers that are well have answered by then. Without it a step that is held back
 // looks in the log like one that nobody knows of.
 func (m *Machine) noteHeld(s *step) {
-	if m.now.Sub(m.recoveredAt) < waitNoted || m.now.Before(s.noteAt) || !m.pass.mayNote() {
+	if m.now.Sub(m.recoveredAt) < waitNoteDelay || m.now.Before(s.nextNoteAt) || !m.pass.mayNote() {
 		return
 	}
-	s.noteAt = m.now.Add(waitNotedAgain)
+	s.nextNoteAt = m.now.Add(waitNoteInterval)
 	h := m.holdOnJob(s.job())
 	m.emit(Note{
 		Decision: joblog.MessageHeldBack, Job: s.job().id, Task: s.name(), Worker: h.worker,
@@ -121,14 +121,14 @@
 	if since.IsZero() && !w.answered {
 		since = m.recoveredAt
 	}
-	if since.IsZero() || m.now.Sub(since) < waitNoted {
+	if since.IsZero() || m.now.Sub(since) < waitNoteDelay {
 		return
 	}
 	for _, a := range w.attempts.All() {
-		if a.task == nil || m.now.Before(a.noteAt) {
+		if a.task == nil || m.now.Before(a.nextNoteAt) {
 			continue
 		}
-		a.noteAt = m.now.Add(waitNotedAgain)
+		a.nextNoteAt = m.now.Add(waitNoteInterval)
 		m.emit(Note{
 			Decision: joblog.MessageHeldBack, Job: a.key.task.Job, Task: a.key.task.String(), Attempt: a.key.attempt,
 			Worker: w.id, Reason: m.holdByAttempt(a).describe(m.now), Routine: !a.longRunning,
--- a/core/jobsched/incarnation.go
+++ b/core/jobsched/incarnation.go
@@ -143,7 +143,7 @@
 		case ev.Report.lists(a.key):
 			m.moveAttempt(a, next)
 		case a.phase == phaseRunning && !a.startedAt.Before(ev.SentAt):
-			a.before = w
+			a.previousWorker = w
 			m.moveAttempt(a, next)
 		case a.unanswered():
 			m.barAt(a, next)
@@ -164,13 +164,13 @@
 // is certain, or it would run in two places.
 func (m *Machine) barAt(a *attempt, next *worker) {
 	if a.phase == phaseDoubtful {
-		a.before = a.worker
+		a.previousWorker = a.worker
 	}
 	m.moveAttempt(a, next)
 	if a.phase != phaseStopping {
 		m.setPhase(a, phaseDoubtful)
 	}
-	a.barredAt, a.stopSentAt = time.Time{}, time.Time{}
+	a.stopAckedAt, a.stopSentAt = time.Time{}, time.Time{}
 	m.stops.Set(a, struct{}{})
 }
 
--- a/core/jobsched/jobs.go
+++ b/core/jobsched/jobs.go
@@ -54,7 +54,7 @@
 	}
 	if record.Spec.Schedule == nil && j.next == 0 {
 		// An earlier leader may have begun it without a record.
-		m.begin(j, attemptGap)
+		m.beginOccurrence(j, attemptGap)
 	}
 	m.concludeIfDone(j)
 }
@@ -70,14 +70,14 @@
 			j.done++
 			continue
 		}
-		o := m.begin(j, 0)
+		o := m.beginOccurrence(j, 0)
 		o.restore(recorded, attemptGap)
-		m.occurrenceDone(o)
+		m.finishOccurrence(o)
 	}
 }
 
-// begin begins the next occurrence.
-func (m *Machine) begin(j *jobState, gap int) *occurrence {
+// beginOccurrence begins the next occurrence.
+func (m *Machine) beginOccurrence(j *jobState, gap int) *occurrence {
 	o := newOccurrence(j, j.next)
 	j.occurrences[j.next] = o
 	j.next++
@@ -118,8 +118,8 @@
 	}
 }
 
-// beginDue begins what has become due.
-func (m *Machine) beginDue() {
+// beginDueOccurrences begins what has become due.
+func (m *Machine) beginDueOccurrences() {
 	for _, j := range m.jobs.All() {
 		for !j.state.Final() && j.next < j.total() && m.due(j) {
 			// A recovered job's next repetition may have begun unrecorded.
@@ -127,7 +127,7 @@
 			if j.recovered {
 				gap = attemptGap
 			}
-			m.begin(j, gap)
+			m.beginOccurrence(j, gap)
 			if j.record.Spec.Schedule != nil {
 				m.markDirty(j)
 			}
@@ -140,8 +140,8 @@
 	return s == nil || !m.wall.Before(s.Due(j.next))
 }
 
-// occurrenceDone settles an occurrence whose steps may all be done.
-func (m *Machine) occurrenceDone(o *occurrence) {
+// finishOccurrence settles an occurrence whose steps may all be done.
+func (m *Machine) finishOccurrence(o *occurrence) {
 	if o.left > 0 || o.job.occurrences[o.number] != o {
 		return
 	}
@@ -190,12 +190,12 @@
 		}
 	}
 	m.markDirty(j)
-	m.remember(j.id)
-	m.dropIfOver(j)
+	m.retainFinal(j.id)
+	m.dropIfFinal(j)
 }
 
-// dropIfOver forgets a job that is over and stored and has no attempts.
-func (m *Machine) dropIfOver(j *jobState) {
+// dropIfFinal forgets a job that is over and stored and has no attempts.
+func (m *Machine) dropIfFinal(j *jobState) {
 	dirty := m.dirty.Has(j.id)
 	if j.state.Final() && j.attempts == 0 && !dirty {
 		m.jobs.Delete(j.id)
@@ -213,7 +213,7 @@
 	}
 	for j.recovered && key.Occurrence >= j.next && key.Occurrence < j.total() {
 		// An earlier leader began it, and those before it, and did not record that.
-		m.begin(j, attemptGap)
+		m.beginOccurrence(j, attemptGap)
 	}
 	o := j.occurrences[key.Occurrence]
 	if o == nil || key.Step >= len(o.steps) || key.Index >= len(o.steps[key.Step].tasks) {
@@ -238,7 +238,7 @@
 	}
 	m.markDirty(o.job)
 	m.changed = true
-	m.occurrenceDone(o)
+	m.finishOccurrence(o)
 	m.concludeIfDone(o.job)
 }
 
--- a/core/jobsched/jobstate.go
+++ b/core/jobsched/jobstate.go
@@ -50,8 +50,8 @@
 	steps  []*step
 	// left counts the steps that are not done.
 	left int
-	// chainMs is the longest chain of estimated work, in milliseconds.
-	chainMs int64
+	// criticalPathMs is the longest chain of estimated work, in milliseconds.
+	criticalPathMs int64
 }
 
 // step is one step of an occurrence.
@@ -66,16 +66,16 @@
 	next           []*step
 	// checkpoint is the gang's last one, which is good for every member.
 	checkpoint string
-	// turn is the number of the last pass in which the step had its turn.
-	turn uint64
+	// lastPass is the number of the last pass in which the step had its lastPass.
+	lastPass uint64
 	// notBefore holds the step's next starts back after a refusal.
 	notBefore time.Time
 	// blamed is whether a worker was blamed for a failure of the step.
 	blamed bool
-	// waitsSince is since when the step finds no worker, noteAt when it may be
+	// waitingSince is since when the step finds no worker, nextNoteAt when it may be
 	// noted again that it waits or is held back.
-	waitsSince, noteAt time.Time
-	advice             advice
+	waitingSince, nextNoteAt time.Time
+	advice                   advice
 	// calm is the step's calm reading, worked out at calmAt.
 	calm   float64
 	calmAt time.Time
@@ -142,7 +142,7 @@
 			s.blocking++
 		}
 	}
-	o.chainMs = j.record.Spec.ChainMs()
+	o.criticalPathMs = j.record.Spec.ChainMs()
 	return o
 }
 
@@ -262,7 +262,7 @@
 		p.Done = string(done)
 	}
 	for i, t := range s.tasks {
-		if t.done || !t.worthRecord() {
+		if t.done || !t.needsRecord() {
 			continue
 		}
 		if p.Tasks == nil {
@@ -273,9 +273,9 @@
 	return p
 }
 
-// worthRecord reports whether more is to be stored of a task that is not done than
+// needsRecord reports whether more is to be stored of a task that is not done than
 // its first attempt: whoever takes over skips the numbers that may have been used.
-func (t *task) worthRecord() bool {
+func (t *task) needsRecord() bool {
 	return t.last > 1 || len(t.failed) > 0 || t.checkpoint != "" || len(t.crashes) > 0 || t.trial.number > 0
 }
 
--- a/core/jobsched/machine.go
+++ b/core/jobsched/machine.go
@@ -162,7 +162,7 @@
 		progress := r.Progress[id]
 		m.restartsRead(id, progress.Restarts)
 	}
-	m.rememberRecovered(r.Progress, r.Wall)
+	m.retainRecoveredFinal(r.Progress, r.Wall)
 	for _, id := range slices.Sorted(maps.Keys(r.Accepted)) {
 		accepted := r.Accepted[id]
 		if _, over := m.final[id]; !over {
@@ -236,7 +236,7 @@
 
 func (m *Machine) advance() {
 	m.expireWorkers()
-	m.beginDue()
+	m.beginDueOccurrences()
 	sweep := m.now.Sub(m.sweptAt) >= sweepInterval
 	if sweep {
 		m.sweptAt = m.now
--- a/core/jobsched/note.go
+++ b/core/jobsched/note.go
@@ -24,22 +24,22 @@
 }
 
 const (
-	// waitNoted is how long a step waits for a worker before that is noted, and
+	// waitNoteDelay is how long a step waits for a worker before that is noted, and
 	// waitNotedAgain the time until the next note on it.
-	waitNoted      = time.Second
-	waitNotedAgain = 3 * time.Second
+	waitNoteDelay    = time.Second
+	waitNoteInterval = 3 * time.Second
 )
 
 // noteWaiting notes why a step that is ready finds no worker.
 func (m *Machine) noteWaiting(s *step) {
 	switch {
-	case s.waitsSince.IsZero():
-		s.waitsSince = m.now
-	case m.now.Sub(s.waitsSince) >= waitNoted && !m.now.Before(s.noteAt) && m.pass.mayNote():
-		s.noteAt = m.now.Add(waitNotedAgain)
+	case s.waitingSince.IsZero():
+		s.waitingSince = m.now
+	case m.now.Sub(s.waitingSince) >= waitNoteDelay && !m.now.Before(s.nextNoteAt) && m.pass.mayNote():
+		s.nextNoteAt = m.now.Add(waitNoteInterval)
 		m.emit(Note{
 			Decision: joblog.MessageStepWaits, Job: s.job().id, Task: s.name(), Routine: !s.spec.LongRunning,
-			Reason: fmt.Sprintf("for %s; workers ruled out: %s", m.now.Sub(s.waitsSince).Round(time.Millisecond), m.ruledOut(s)),
+			Reason: fmt.Sprintf("for %s; workers ruled out: %s", m.now.Sub(s.waitingSince).Round(time.Millisecond), m.ruledOut(s)),
 		})
 	}
 }
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -159,15 +159,15 @@
 		return
 	}
 	m.learnStart(a)
-	m.begun(a.task)
+	m.markBegun(a.task)
 	if doubtful {
 		// A stop is on its way already.
 		m.beginStop(a)
 	}
 }
 
-// begun takes in that a task of the job has started.
-func (m *Machine) begun(t *task) {
+// markBegun takes in that a task of the job has started.
+func (m *Machine) markBegun(t *task) {
 	j := t.step.job()
 	if j.begun {
 		return
@@ -219,7 +219,7 @@
 	switch ev.Verdict {
 	case VerdictDone:
 		m.stops.Delete(a)
-		a.barredAt = m.now
+		a.stopAckedAt = m.now
 		if !w.renewing {
 			w.renewAt = m.now
 		}
@@ -256,7 +256,7 @@
 	t.attempts = slices.DeleteFunc(t.attempts, func(other *attempt) bool { return other == a })
 	j.attempts--
 	if j.state.Final() {
-		m.dropIfOver(j)
+		m.dropIfFinal(j)
 		return
 	}
 	if checkpoint != "" && !t.done {
--- a/core/jobsched/preempt.go
+++ b/core/jobsched/preempt.go
@@ -73,7 +73,7 @@
 // impatient reports whether the step's long-running tasks have waited too long
 // for room to be considerate.
 func (m *Machine) impatient(s *step) bool {
-	return !s.waitsSince.IsZero() && m.now.Sub(s.waitsSince) >= longRunningPatience
+	return !s.waitingSince.IsZero() && m.now.Sub(s.waitingSince) >= longRunningPatience
 }
 
 // preempt makes room for a task that fits nowhere by stopping what is less
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -241,8 +241,8 @@
 	for _, a := range w.attempts.All() {
 		if _, ok := listed[a.key]; !ok && a.overBefore(sentAt) {
 			m.noteAttempt(joblog.MessageNotThere, a, "not in the worker's report")
-			if a.before != nil {
-				m.crashed(a, a.before)
+			if a.previousWorker != nil {
+				m.crashed(a, a.previousWorker)
 			}
 			m.endAttempt(a, endLost, "")
 			m.prepareRestart(a.task)
@@ -257,7 +257,7 @@
 	case phaseRunning:
 		return a.startedAt.Before(sentAt)
 	case phaseDoubtful, phaseStopping:
-		return !a.barredAt.IsZero() && a.barredAt.Before(sentAt)
+		return !a.stopAckedAt.IsZero() && a.stopAckedAt.Before(sentAt)
 	}
 	return false
 }
@@ -290,14 +290,14 @@
 		m.requestStop(a, "its task has another attempt")
 		return a
 	}
-	m.begun(t)
+	m.markBegun(t)
 	m.noteAttempt(joblog.MessageAdopted, a, "an earlier leader started it")
 	return a
 }
 
 // observe takes in what a report says of an attempt.
 func (m *Machine) observe(a *attempt, r *RunningAttempt) {
-	a.before = nil
+	a.previousWorker = nil
 	if a.phase == phaseStarting || a.phase == phaseDoubtful {
 		m.attemptRuns(a)
 	}
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -27,7 +27,7 @@
 	front := m.startFront(steps)
 	m.pass.beginSecondHalf()
 	for _, p := range steps[front:] {
-		if p.turn == m.pass.number {
+		if p.lastPass == m.pass.number {
 			continue
 		}
 		if !m.takeTurn(p) {
@@ -67,7 +67,7 @@
 	case !m.startStep(s):
 		return false
 	}
-	s.turn = m.pass.number
+	s.lastPass = m.pass.number
 	return true
 }
 
@@ -145,7 +145,7 @@
 // allowanceMs returns the time from its being due that the occurrence may take.
 func (m *Machine) allowanceMs(s *step) int64 {
 	q := m.queue(s.job())
-	return int64(q.Stretch*float64(s.occurrence.chainMs)) + q.LatencyTargetMs
+	return int64(q.Stretch*float64(s.occurrence.criticalPathMs)) + q.LatencyTargetMs
 }
 
 // objectiveMs returns the time by which the occurrence should be done.
@@ -193,7 +193,7 @@
 		m.askAdvice(s)
 	case startsAll:
 		m.pending.Delete(s)
-		s.waitsSince = time.Time{}
+		s.waitingSince = time.Time{}
 	case startsUnstored:
 	}
 	return true
--- a/core/jobsched/throttle.go
+++ b/core/jobsched/throttle.go
@@ -182,11 +182,11 @@
 	if !a.step().spec.Checkpointing && a.percent >= mostLost {
 		return false
 	}
-	if *searches <= 0 || m.now.Before(a.moveAt) {
+	if *searches <= 0 || m.now.Before(a.nextMoveAt) {
 		return false
 	}
 	*searches--
-	a.moveAt = m.now.Add(moveRetry)
+	a.nextMoveAt = m.now.Add(moveRetry)
 	for _, w := range m.workers.All() {
 		if w != a.worker && m.allowed(a.task, w) {
 			return true
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -140,7 +140,7 @@
 
 func (m *Machine) loseAttempt(a *attempt, reason string) {
 	a.worker.lost[a.key] = struct{}{}
-	if a.unanswered() && a.barredAt.IsZero() {
+	if a.unanswered() && a.stopAckedAt.IsZero() {
 		a.worker.unbarred[a.key] = struct{}{}
 	}
 	if a.task != nil {
