--- a/core/jobsched/attempt.go
+++ b/core/jobsched/attempt.go
@@ -82,14 +82,14 @@
 	nextMoveAt time.Time
 }
 
-// yields reports whether the attempt ends, or could be ended for more urgent
+// isReclaimable reports whether the attempt ends, or could be ended for more urgent
 // work.
-func (a *attempt) yields() bool { return !a.longRunning || a.phase == phaseStopping }
+func (a *attempt) isReclaimable() bool { return !a.longRunning || a.phase == phaseStopping }
 
 // beginStop notes that the attempt is to stop.
 func (m *Machine) beginStop(a *attempt) {
-	if !a.yields() {
-		a.worker.yielding = a.worker.yielding.Add(a.size)
+	if !a.isReclaimable() {
+		a.worker.reclaimable = a.worker.reclaimable.Add(a.size)
 	}
 	m.setPhase(a, phaseStopping)
 }
--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -714,12 +714,12 @@
 	var committed, yielding model.Resources
 	for _, a := range w.attempts.All() {
 		committed = committed.Add(a.size)
-		if a.yields() {
+		if a.isReclaimable() {
 			yielding = yielding.Add(a.size)
 		}
 	}
-	if committed != w.committed || yielding != w.yielding {
+	if committed != w.committed || yielding != w.reclaimable {
 		c.t.Errorf("%s: %s commits %s of which %s may yield, its attempts %s and %s",
-			c.now.Sub(testEpoch), w.id, w.committed, w.yielding, committed, yielding)
+			c.now.Sub(testEpoch), w.id, w.committed, w.reclaimable, committed, yielding)
 	}
 }
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -53,7 +53,7 @@
 		key: attemptKey{task: r.Key, attempt: r.Attempt}, worker: w, phase: phaseRunning,
 		size: w.entry.Capacity, advancedAt: m.now, throttle: fullSpeed,
 	}
-	if record := m.recordOf(r.Key.Job); record != nil && r.Key.Step < len(record.Spec.Steps) {
+	if record := m.acceptedRecord(r.Key.Job); record != nil && r.Key.Step < len(record.Spec.Steps) {
 		a.size = record.Spec.Steps[r.Key.Step].Committed()
 	}
 	m.orphans++
@@ -61,8 +61,8 @@
 	return a
 }
 
-// recordOf returns the accepted record of a job, or nil when it is not known.
-func (m *Machine) recordOf(id job.ID) *job.Accepted {
+// acceptedRecord returns the accepted record of a job, or nil when it is not known.
+func (m *Machine) acceptedRecord(id job.ID) *job.Accepted {
 	if j := m.jobs.Get(id); j != nil {
 		return j.record
 	}
@@ -99,7 +99,7 @@
 
 // started takes in the answer to a start.
 func (m *Machine) started(ev Started) {
-	w, a := m.find(ev.AttemptName)
+	w, a := m.findAttempt(ev.AttemptName)
 	if a == nil {
 		return
 	}
@@ -109,7 +109,7 @@
 	}
 	switch ev.Verdict {
 	case VerdictDone, VerdictUnknown:
-		m.mayRun(a, ev.Verdict)
+		m.acceptStart(a, ev.Verdict)
 		return
 	case VerdictFenced:
 		m.depose(w)
@@ -137,21 +137,21 @@
 	m.endAttempt(a, endLost, "")
 }
 
-// mayRun takes in that a start was carried out, or that it may have been.
-func (m *Machine) mayRun(a *attempt, v Verdict) {
+// acceptStart takes in that a start was carried out, or that it may have been.
+func (m *Machine) acceptStart(a *attempt, v Verdict) {
 	switch {
 	case a.worker.over:
 		m.crashed(a, a.worker)
 		m.loseAttempt(a, "its worker has ended since")
 	case v == VerdictDone:
-		m.attemptRuns(a)
+		m.markRunning(a)
 	default:
-		m.doubt(a)
+		m.markDoubtful(a)
 	}
 }
 
-// attemptRuns takes in that a worker runs an attempt that was in question.
-func (m *Machine) attemptRuns(a *attempt) {
+// markRunning takes in that a worker runs an attempt that was in question.
+func (m *Machine) markRunning(a *attempt) {
 	doubtful := a.phase == phaseDoubtful
 	a.startedAt = m.now
 	m.setPhase(a, phaseRunning)
@@ -179,10 +179,10 @@
 	}
 }
 
-// doubt takes in that a start got no answer. It may be carried out seconds
+// markDoubtful takes in that a start got no answer. It may be carried out seconds
 // later, when the task runs elsewhere; so the worker is told to bar it, and
 // the task waits until that is certain.
-func (m *Machine) doubt(a *attempt) {
+func (m *Machine) markDoubtful(a *attempt) {
 	m.setPhase(a, phaseDoubtful)
 	m.noteAttempt(joblog.MessageUnanswered, a, "it is barred before the task starts elsewhere")
 	m.stops.Set(a, struct{}{})
@@ -212,7 +212,7 @@
 // stopped takes in the answer to a stop. The attempt is over when a report
 // shows it.
 func (m *Machine) stopped(ev Stopped) {
-	w, a := m.find(ev.AttemptName)
+	w, a := m.findAttempt(ev.AttemptName)
 	if a == nil {
 		return
 	}
@@ -230,7 +230,7 @@
 	}
 }
 
-func (m *Machine) find(name AttemptName) (*worker, *attempt) {
+func (m *Machine) findAttempt(name AttemptName) (*worker, *attempt) {
 	w := m.worker(name.Worker)
 	if w == nil {
 		return nil, nil
@@ -266,14 +266,14 @@
 		}
 	}
 	m.settleTrial(t, a, cause)
-	m.settle(t, a, cause)
+	m.applyEnd(t, a, cause)
 	if !j.state.Final() && !t.done {
 		m.pending.Set(t.step, struct{}{})
 	}
 }
 
-// settle draws the consequence of an end for its task and its worker.
-func (m *Machine) settle(t *task, a *attempt, cause EndCause) {
+// applyEnd draws the consequence of an end for its task and its worker.
+func (m *Machine) applyEnd(t *task, a *attempt, cause EndCause) {
 	switch cause {
 	case EndDone:
 		a.worker.health.succeeded()
--- a/core/jobsched/preempt.go
+++ b/core/jobsched/preempt.go
@@ -137,7 +137,7 @@
 // couldHold reports whether the task would fit if everything on the worker that
 // may yield did. It spares the search on workers that long-running tasks fill.
 func (w *worker) couldHold(t *task) bool {
-	return t.step.spec.Committed().Fits(w.roomFor(t).Add(w.yielding))
+	return t.step.spec.Committed().Fits(w.roomFor(t).Add(w.reclaimable))
 }
 
 // displaced returns attempts on w that leave enough room for the task when they
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -299,7 +299,7 @@
 func (m *Machine) observe(a *attempt, r *RunningAttempt) {
 	a.previousWorker = nil
 	if a.phase == phaseStarting || a.phase == phaseDoubtful {
-		m.attemptRuns(a)
+		m.markRunning(a)
 	}
 	if r.Percent != a.percent {
 		a.percent = r.Percent
--- a/core/jobsched/throttle.go
+++ b/core/jobsched/throttle.go
@@ -196,7 +196,7 @@
 }
 
 func (m *Machine) throttled(ev Throttled) {
-	w, a := m.find(ev.AttemptName)
+	w, a := m.findAttempt(ev.AttemptName)
 	if a == nil {
 		return
 	}
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -56,9 +56,9 @@
 	taken     []takenEnd
 	attempts  ordered.Map[attemptKey, *attempt]
 	committed model.Resources
-	// yielding is the part of committed that ends, or could be ended for more
+	// reclaimable is the part of committed that ends, or could be ended for more
 	// urgent work: all but that of long-running tasks which are not being stopped.
-	yielding model.Resources
+	reclaimable model.Resources
 	// bestEffortCPU and longRunningCPU are sums over its attempts, in
 	// thousandths of a core; only the second is committed.
 	bestEffortCPU, longRunningCPU int64
@@ -119,8 +119,8 @@
 	if a.longRunning {
 		w.longRunningCPU += a.size.MilliCPU
 	}
-	if a.yields() {
-		w.yielding = w.yielding.Add(a.size)
+	if a.isReclaimable() {
+		w.reclaimable = w.reclaimable.Add(a.size)
 	}
 }
 
@@ -133,8 +133,8 @@
 	if a.longRunning {
 		w.longRunningCPU -= a.size.MilliCPU
 	}
-	if a.yields() {
-		w.yielding = w.yielding.Sub(a.size)
+	if a.isReclaimable() {
+		w.reclaimable = w.reclaimable.Sub(a.size)
 	}
 }
 
