--- a/core/jobsched/advice.go
+++ b/core/jobsched/advice.go
@@ -71,7 +71,7 @@
 	var ask []*worker
 	for _, w := range m.workers.All() {
 		_, denied := s.advice.denied[w.id]
-		if denied || s.advice.valid(w.id, m.now) || !m.allowedButTicket(s.tasks[0], w) {
+		if denied || s.advice.valid(w.id, m.now) || !m.isFeasibleWithTicket(s.tasks[0], w) {
 			continue
 		}
 		ask = append(ask, w)
@@ -81,7 +81,7 @@
 	}
 	slices.SortFunc(ask, func(a, b *worker) int {
 		if d := m.score(s.tasks[0], b) - m.score(s.tasks[0], a); d != 0 {
-			return sign(d)
+			return signOf(d)
 		}
 		return a.id.Compare(b.id)
 	})
@@ -93,15 +93,15 @@
 	m.emit(Advise{Step: s.tasks[0].key(), Workers: ids})
 }
 
-func sign(d float64) int {
+func signOf(d float64) int {
 	if d < 0 {
 		return -1
 	}
 	return 1
 }
 
-// allowedButTicket reports whether only the ticket may be missing.
-func (m *Machine) allowedButTicket(t *task, w *worker) bool {
+// isFeasibleWithTicket reports whether only the ticket may be missing.
+func (m *Machine) isFeasibleWithTicket(t *task, w *worker) bool {
 	return m.passes(roomFilters, t, w) && m.passes(fitFilters[:len(fitFilters)-1], t, w)
 }
 
--- a/core/jobsched/candidates.go
+++ b/core/jobsched/candidates.go
@@ -48,10 +48,10 @@
 
 // newCandidates looks at all workers.
 func (m *Machine) newCandidates(t *task) *candidates {
-	m.pass.look(m.workers.Len())
+	m.pass.spend(m.workers.Len())
 	c := &candidates{m: m, task: t}
 	for _, w := range m.workers.All() {
-		if m.allowed(t, w) {
+		if m.isFeasible(t, w) {
 			c.rows = append(c.rows, candidate{w, m.score(t, w)})
 		}
 	}
@@ -70,7 +70,7 @@
 // started takes in that a task was started on the best worker.
 func (c *candidates) started() {
 	top := &c.rows[0]
-	if !c.m.allowed(c.task, top.worker) {
+	if !c.m.isFeasible(c.task, top.worker) {
 		heap.Pop(&c.rows)
 		return
 	}
@@ -78,10 +78,10 @@
 	heap.Fix(&c.rows, 0)
 }
 
-// alike reports whether the task may go where any other task of its step may, and
+// isInterchangeable reports whether the task may go where any other task of its step may, and
 // is worth as much there, whatever becomes of the others: one that has failed
 // somewhere, or has room reserved, may not, and where tasks want one rack each
 // start changes what its neighbours are worth.
-func (m *Machine) alike(t *task) bool {
+func (m *Machine) isInterchangeable(t *task) bool {
 	return t.failedOn == nil && !t.watched() && !t.step.spec.SameRack && !m.isReserved(t)
 }
--- a/core/jobsched/candidates_test.go
+++ b/core/jobsched/candidates_test.go
@@ -50,7 +50,7 @@
 func checkStepCandidates(t *testing.T, m *Machine, s *step) {
 	places := m.newCandidates(s.tasks[0])
 	for _, task := range s.tasks {
-		want, got := m.choose(task), places.best()
+		want, got := m.bestWorker(task), places.best()
 		if want != got {
 			t.Fatalf("%s goes to %v, want %v", task.key(), workerName(got), workerName(want))
 		}
--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -684,7 +684,7 @@
 				// these for each other.
 				continue
 			}
-			if w := m.choose(t); w != nil {
+			if w := m.bestWorker(t); w != nil {
 				c.t.Errorf("%s: %s waits, and fits on %s", c.now.Sub(testEpoch), t.key(), w.id)
 			}
 			break
--- a/core/jobsched/filter.go
+++ b/core/jobsched/filter.go
@@ -13,8 +13,8 @@
 	roomFilters = []placementFilter{filterRoom, filterSpread, filterTrial, filterInterference}
 )
 
-// allowed reports whether the task may go to the worker now.
-func (m *Machine) allowed(t *task, w *worker) bool {
+// isFeasible reports whether the task may go to the worker now.
+func (m *Machine) isFeasible(t *task, w *worker) bool {
 	return m.passes(roomFilters, t, w) && m.passes(fitFilters, t, w)
 }
 
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -77,7 +77,7 @@
 // workers that are well have answered by then. Without it a step that is held back
 // looks in the log like one that nobody knows of.
 func (m *Machine) noteHeld(s *step) {
-	if m.now.Sub(m.recoveredAt) < waitNoteDelay || m.now.Before(s.nextNoteAt) || !m.pass.mayNote() {
+	if m.now.Sub(m.recoveredAt) < waitNoteDelay || m.now.Before(s.nextNoteAt) || !m.pass.takeNote() {
 		return
 	}
 	s.nextNoteAt = m.now.Add(waitNoteInterval)
--- a/core/jobsched/misfit.go
+++ b/core/jobsched/misfit.go
@@ -110,7 +110,7 @@
 // roomAnywhere reports whether any worker has room for a task, be it allowed
 // there or not.
 func (m *Machine) roomAnywhere(t *task) bool {
-	m.pass.look(m.workers.Len())
+	m.pass.spend(m.workers.Len())
 	for _, w := range m.workers.All() {
 		if filterRoom(m, t, w) {
 			return true
--- a/core/jobsched/note.go
+++ b/core/jobsched/note.go
@@ -35,7 +35,7 @@
 	switch {
 	case s.waitingSince.IsZero():
 		s.waitingSince = m.now
-	case m.now.Sub(s.waitingSince) >= waitNoteDelay && !m.now.Before(s.nextNoteAt) && m.pass.mayNote():
+	case m.now.Sub(s.waitingSince) >= waitNoteDelay && !m.now.Before(s.nextNoteAt) && m.pass.takeNote():
 		s.nextNoteAt = m.now.Add(waitNoteInterval)
 		m.emit(Note{
 			Decision: joblog.MessageStepWaits, Job: s.job().id, Task: s.name(), Routine: !s.spec.LongRunning,
@@ -59,7 +59,7 @@
 
 // ruledOut counts the workers by the first reason for which they do not do.
 func (m *Machine) ruledOut(s *step) string {
-	m.pass.look(m.workers.Len())
+	m.pass.spend(m.workers.Len())
 	counts := make([]int, len(filterNames))
 	for _, w := range m.workers.All() {
 		for i, f := range filterNames {
--- a/core/jobsched/pass.go
+++ b/core/jobsched/pass.go
@@ -4,9 +4,9 @@
 // may take, for a leader with a whole core: some hundredths of a second.
 const DefaultRoundBudget = 50_000
 
-// startLooks is what a start counts as besides, in looks, for its order and its
+// startCost is what a start counts as besides, in looks, for its order and its
 // line in the log.
-const startLooks = 30
+const startCost = 30
 
 // DefaultStartsInFlight is how many starts may be sent and not answered, for a
 // leader with a whole core. Answers take some tens of milliseconds on a calm day,
@@ -39,17 +39,17 @@
 	// number is that of the pass; a step that had its turn carries it.
 	number uint64
 	open   bool
-	// looks and notes are left in the half of the round, half is its looks.
-	looks, notes, half int
+	// budget and notes are left in the halfBudget of the round, halfBudget is its budget.
+	budget, notes, halfBudget int
 }
 
-// roundNotes is how many notes on steps that wait a round may make: each looks at
+// notesPerRound is how many notes on steps that wait a round may make: each looks at
 // all workers for its reason. Hundreds of steps that begin to wait together would
 // be noted together otherwise, while orders wait.
-const roundNotes = 8
+const notesPerRound = 8
 
-// mayNote takes one of the round's notes, if there is one left.
-func (p *pass) mayNote() bool {
+// takeNote takes one of the round's notes, if there is one left.
+func (p *pass) takeNote() bool {
 	p.notes--
 	return p.notes >= 0
 }
@@ -57,8 +57,8 @@
 // begin begins the first half of a round of so many looks, and a new pass unless
 // one is open.
 func (p *pass) begin(looks int) (anew bool) {
-	p.half = max(looks/2, 1)
-	p.looks, p.notes = p.half, roundNotes
+	p.halfBudget = max(looks/2, 1)
+	p.budget, p.notes = p.halfBudget, notesPerRound
 	if p.open {
 		return false
 	}
@@ -67,11 +67,11 @@
 	return true
 }
 
-// spent reports whether the half of the round has no looks left.
-func (p *pass) spent() bool { return p.looks <= 0 }
+// isExhausted reports whether the half of the round has no looks left.
+func (p *pass) isExhausted() bool { return p.budget <= 0 }
 
 // beginSecondHalf adds the looks of the round's second half to what is left.
-func (p *pass) beginSecondHalf() { p.looks = max(p.looks, 0) + p.half }
+func (p *pass) beginSecondHalf() { p.budget = max(p.budget, 0) + p.halfBudget }
 
-// look counts a look at so many workers.
-func (p *pass) look(workers int) { p.looks -= workers }
+// spend counts a spend at so many workers.
+func (p *pass) spend(workers int) { p.budget -= workers }
--- a/core/jobsched/preempt.go
+++ b/core/jobsched/preempt.go
@@ -53,7 +53,7 @@
 func (m *Machine) startReserved(w *worker) {
 	for _, r := range slices.Clone(w.reserved) {
 		t := r.task
-		if t.idle() && t.step.ready() && !m.heldBack(t.step, m.now) && m.allowed(t, w) && m.restartStored(t) && m.mayTry(t) && m.trialStored(t, w) {
+		if t.idle() && t.step.ready() && !m.heldBack(t.step, m.now) && m.isFeasible(t, w) && m.restartStored(t) && m.mayTry(t) && m.trialStored(t, w) {
 			m.startAttempt(t, w, t.last+1)
 			// Its reservation would count beside its attempt for those that follow.
 			w.release(m.now)
@@ -111,7 +111,7 @@
 // cheapestDisplacement returns the worker on which room for a task loses least,
 // and what is to be stopped there; no worker when there is none.
 func (m *Machine) cheapestDisplacement(t *task) (*worker, []*attempt) {
-	m.pass.look(m.workers.Len())
+	m.pass.spend(m.workers.Len())
 	var best *worker
 	var victims []*attempt
 	lost, anywhere := 0.0, false
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -24,35 +24,35 @@
 	m.unplaceable.reset()
 	m.lowUtilization = m.hasLowUtilization()
 	steps := m.pendingSteps()
-	front := m.startFront(steps)
+	front := m.startMostUrgent(steps)
 	m.pass.beginSecondHalf()
 	for _, p := range steps[front:] {
 		if p.lastPass == m.pass.number {
 			continue
 		}
-		if !m.takeTurn(p) {
+		if !m.startPending(p) {
 			return
 		}
 	}
 	m.pass.open = false
 }
 
-// startFront gives the most urgent steps their turn, whether or not they had one
+// startMostUrgent gives the most urgent steps their turn, whether or not they had one
 // in the pass, as far as the looks go. It returns how many.
-func (m *Machine) startFront(steps []pendingStep) int {
+func (m *Machine) startMostUrgent(steps []pendingStep) int {
 	for i, p := range steps {
-		if !m.takeTurn(p) {
+		if !m.startPending(p) {
 			return i
 		}
 	}
 	return len(steps)
 }
 
-// takeTurn starts what fits of a step. It returns false when the round has no
+// startPending starts what fits of a step. It returns false when the round has no
 // looks left for it.
-func (m *Machine) takeTurn(p pendingStep) bool {
+func (m *Machine) startPending(p pendingStep) bool {
 	s := p.step
-	if m.pass.spent() {
+	if m.pass.isExhausted() {
 		return false
 	}
 	switch {
@@ -63,7 +63,7 @@
 	case s.spec.Gang:
 		m.startGang(s)
 	case p.interrupted:
-		return m.startTasks(s, (*task).interrupted) != startsCut
+		return m.startTasks(s, (*task).interrupted) != startBudgetSpent
 	case !m.startStep(s):
 		return false
 	}
@@ -185,66 +185,66 @@
 // the round has no looks left for the rest of them.
 func (m *Machine) startStep(s *step) bool {
 	switch m.startTasks(s, (*task).idle) {
-	case startsCut:
+	case startBudgetSpent:
 		return false
-	case startsWait:
+	case startFoundNoWorker:
 		m.saturated = true
 		m.noteWaiting(s)
 		m.askAdvice(s)
-	case startsAll:
+	case startedAll:
 		m.pending.Delete(s)
 		s.waitingSince = time.Time{}
-	case startsUnstored:
+	case startAwaitsRecord:
 	}
 	return true
 }
 
-// starts tells how far the starts of some tasks came. Later values outweigh
+// startOutcome tells how far the startOutcome of some tasks came. Later values outweigh
 // earlier ones where tasks differ.
-type starts int
+type startOutcome int
 
 const (
-	// startsAll: all were started.
-	startsAll starts = iota
-	// startsUnstored: the rest is to be stored first.
-	startsUnstored
-	// startsWait: there is no place for some.
-	startsWait
-	// startsCut: the round has no looks left, or too many starts are in flight.
-	startsCut
+	// startedAll: all were started.
+	startedAll startOutcome = iota
+	// startAwaitsRecord: the rest is to be stored first.
+	startAwaitsRecord
+	// startFoundNoWorker: there is no place for some.
+	startFoundNoWorker
+	// startBudgetSpent: the round has no looks left, or too many starts are in flight.
+	startBudgetSpent
 )
 
 // startTasks starts as many of the wanted tasks of the step as fit.
-func (m *Machine) startTasks(s *step, wanted func(*task) bool) starts {
+func (m *Machine) startTasks(s *step, wanted func(*task) bool) startOutcome {
 	full := m.fitsNowhere(s)
-	result := startsAll
+	result := startedAll
 	var places *candidates
 	for _, t := range s.tasks {
 		if !wanted(t) {
 			continue
 		}
-		if m.pass.spent() || m.starting >= m.options.StartsInFlight {
-			return startsCut
+		if m.pass.isExhausted() || m.starting >= m.options.StartsInFlight {
+			return startBudgetSpent
 		}
 		if !m.restartStored(t) {
-			result = max(result, startsUnstored)
+			result = max(result, startAwaitsRecord)
 			continue
 		}
 		if !m.mayTry(t) {
 			m.dropNamedTrial(t)
-			result = startsWait
+			result = startFoundNoWorker
 			continue
 		}
 		switch {
-		case !full && m.startSomewhere(t, &places):
+		case !full && m.startOnBest(t, &places):
 		case t.trial.awaited():
-			result = max(result, startsUnstored)
+			result = max(result, startAwaitsRecord)
 		case t.watched():
 			// It is restricted to other workers than the rest of the step.
-			result = startsWait
+			result = startFoundNoWorker
 			m.preempt(t)
 		default:
-			result, full = startsWait, true
+			result, full = startFoundNoWorker, true
 			if !m.preempt(t) {
 				return result
 			}
@@ -253,10 +253,10 @@
 	return result
 }
 
-// startSomewhere starts a task on the best worker, and returns false if there
+// startOnBest starts a task on the best worker, and returns false if there
 // is none. places are the candidates for tasks of its step, nil before the first.
-func (m *Machine) startSomewhere(t *task, places **candidates) bool {
-	m.pass.look(startLooks)
+func (m *Machine) startOnBest(t *task, places **candidates) bool {
+	m.pass.spend(startCost)
 	if t.trial.awaited() {
 		return false
 	}
@@ -266,10 +266,10 @@
 			return true
 		}
 	}
-	if !m.alike(t) {
+	if !m.isInterchangeable(t) {
 		// It changes what its worker is worth, which the candidates do not notice.
 		*places = nil
-		return m.startOn(t, m.choose(t))
+		return m.startOn(t, m.bestWorker(t))
 	}
 	if *places == nil {
 		*places = m.newCandidates(t)
@@ -295,10 +295,10 @@
 	return true
 }
 
-// choose returns the best worker for the task, or nil if there is none.
-func (m *Machine) choose(t *task) *worker {
-	m.pass.look(m.workers.Len())
-	return m.best(t, m.everyWorker())
+// bestWorker returns the best worker for the task, or nil if there is none.
+func (m *Machine) bestWorker(t *task) *worker {
+	m.pass.spend(m.workers.Len())
+	return m.bestOf(t, m.everyWorker())
 }
 
 // everyWorker iterates over the workers in one order.
@@ -312,12 +312,12 @@
 	}
 }
 
-// best returns the best of some workers for the task, or nil if there is none.
-func (m *Machine) best(t *task, workers iter.Seq[*worker]) *worker {
+// bestOf returns the bestOf of some workers for the task, or nil if there is none.
+func (m *Machine) bestOf(t *task, workers iter.Seq[*worker]) *worker {
 	var best *worker
 	bestScore := 0.0
 	for w := range workers {
-		if !m.allowed(t, w) {
+		if !m.isFeasible(t, w) {
 			continue
 		}
 		score := m.score(t, w)
@@ -369,7 +369,7 @@
 		return nil, false
 	}
 	if s.spec.SameRack {
-		m.pass.look(m.workers.Len())
+		m.pass.spend(m.workers.Len())
 		for _, rack := range m.racks() {
 			if placed, ok := m.placeGangOn(s, rack.workers); ok {
 				return placed, true
@@ -388,7 +388,7 @@
 // is counted first: trials look at all workers for each of them, which holds all
 // orders up for a gang of hundreds.
 func (m *Machine) placeGangOn(s *step, workers []*worker) ([]*worker, bool) {
-	if !m.holdsGang(s, workers) {
+	if !m.hasRoomForGang(s, workers) {
 		return nil, false
 	}
 	var placed []*worker
@@ -399,8 +399,8 @@
 		}
 	}()
 	for _, t := range s.tasks {
-		m.pass.look(len(workers))
-		w := m.best(t, slices.Values(workers))
+		m.pass.spend(len(workers))
+		w := m.bestOf(t, slices.Values(workers))
 		if w == nil {
 			return nil, false
 		}
@@ -415,15 +415,15 @@
 	return placed, true
 }
 
-// holdsGang reports whether some workers have room for all members of a gang,
+// hasRoomForGang reports whether some workers have room for all members of a gang,
 // going by what they have now.
-func (m *Machine) holdsGang(s *step, workers []*worker) bool {
-	m.pass.look(len(workers))
+func (m *Machine) hasRoomForGang(s *step, workers []*worker) bool {
+	m.pass.spend(len(workers))
 	t := s.tasks[0]
 	left := len(s.tasks)
 	for _, w := range workers {
-		if m.allowed(t, w) {
-			left -= min(w.holds(t), left)
+		if m.isFeasible(t, w) {
+			left -= min(w.countFitting(t), left)
 		}
 		if left <= 0 {
 			return true
@@ -432,8 +432,8 @@
 	return false
 }
 
-// holds returns how many tasks like t the worker has room for.
-func (w *worker) holds(t *task) int {
+// countFitting returns how many tasks like t the worker has room for.
+func (w *worker) countFitting(t *task) int {
 	spec := t.step.spec
 	n := spec.Committed().Times(w.roomFor(t))
 	if spec.BestEffort {
--- a/core/jobsched/throttle.go
+++ b/core/jobsched/throttle.go
@@ -188,7 +188,7 @@
 	*searches--
 	a.nextMoveAt = m.now.Add(moveRetry)
 	for _, w := range m.workers.All() {
-		if w != a.worker && m.allowed(a.task, w) {
+		if w != a.worker && m.isFeasible(a.task, w) {
 			return true
 		}
 	}
--- a/core/jobsched/trial.go
+++ b/core/jobsched/trial.go
@@ -145,7 +145,7 @@
 // names, and takes the trial back if it can't go there any more.
 func (m *Machine) startTrial(t *task) bool {
 	w := m.workers.Get(t.trial.worker)
-	if w == nil || !m.allowed(t, w) {
+	if w == nil || !m.isFeasible(t, w) {
 		m.dropTrial(t)
 		return false
 	}
