--- a/core/jobsched/misfit.go
+++ b/core/jobsched/misfit.go
@@ -14,8 +14,8 @@
 // Without this a round takes a good part of a second with some hundred workers and
 // waiting steps; one notices by orders, ends and cancellations that wait for it.
 
-// demand is what decides, besides its size, where a task fits.
-type demand struct {
+// placementDemand is what decides, besides its size, where a task fits.
+type placementDemand struct {
 	service, label string
 	bestEffort     bool
 	// image matters to best-effort work only, which is kept away from tasks that
@@ -24,18 +24,18 @@
 	starving bool
 }
 
-// urgency is what decides, besides its size, for whom room can be made.
-type urgency struct {
-	service, label         string
-	priority               int
-	longRunning, impatient bool
+// preemptionDemand is what decides, besides its size, for whom room can be made.
+type preemptionDemand struct {
+	service, label          string
+	priority                int
+	longRunning, waitedLong bool
 }
 
 // unplaceable remembers what found no place in the round, by what it asked for.
 type unplaceable struct {
-	placed    map[demand][]model.Resources
-	gangs     map[demand][]gangSize
-	displaced map[urgency][]model.Resources
+	tasks       map[placementDemand][]model.Resources
+	gangs       map[placementDemand][]gangSize
+	preemptions map[preemptionDemand][]model.Resources
 }
 
 // gangSize is the size of a gang's members, and their number.
@@ -45,65 +45,65 @@
 }
 
 func (f *unplaceable) reset() {
-	f.placed = make(map[demand][]model.Resources)
-	f.gangs = make(map[demand][]gangSize)
-	f.displaced = make(map[urgency][]model.Resources)
+	f.tasks = make(map[placementDemand][]model.Resources)
+	f.gangs = make(map[placementDemand][]gangSize)
+	f.preemptions = make(map[preemptionDemand][]model.Resources)
 }
 
-// plain reports whether nothing but its demand and its size restricts where the
+// isUnrestricted reports whether nothing but its demand and its size restricts where the
 // step's tasks fit. What a step with a bound on its tasks on one worker, or with
 // tickets for some, fails to find may be there for another.
-func (m *Machine) plain(s *step) bool {
+func (m *Machine) isUnrestricted(s *step) bool {
 	return s.spec.MaxPerWorker == 0 && !m.queue(s.job()).Advised
 }
 
-func (m *Machine) demand(s *step) demand {
-	d := demand{service: m.queue(s.job()).Service, label: s.spec.Label, bestEffort: s.spec.BestEffort}
+func (m *Machine) placementDemand(s *step) placementDemand {
+	d := placementDemand{service: m.queue(s.job()).Service, label: s.spec.Label, bestEffort: s.spec.BestEffort}
 	if d.bestEffort {
 		d.image, d.starving = s.spec.Image, m.starving(s)
 	}
 	return d
 }
 
-func (m *Machine) urgency(s *step) urgency {
+func (m *Machine) preemptionDemand(s *step) preemptionDemand {
 	q := m.queue(s.job())
-	return urgency{
+	return preemptionDemand{
 		service: q.Service, label: s.spec.Label, priority: q.Priority,
-		longRunning: s.spec.LongRunning, impatient: m.impatient(s),
+		longRunning: s.spec.LongRunning, waitedLong: m.hasWaitedLong(s),
 	}
 }
 
-// fitsNowhere reports whether it is known that no worker has room for a task of
+// isUnplaceable reports whether it is known that no worker has room for a task of
 // the step.
-func (m *Machine) fitsNowhere(s *step) bool {
-	return anyWithin(m.unplaceable.placed[m.demand(s)], s.spec.Size)
+func (m *Machine) isUnplaceable(s *step) bool {
+	return anyFitsIn(m.unplaceable.tasks[m.placementDemand(s)], s.spec.Size)
 }
 
-// noteMisfit remembers that a task was not placed, unless only its own bounds
+// recordUnplaceable remembers that a task was not placed, unless only its own bounds
 // kept it from a worker that has room.
-func (m *Machine) noteMisfit(t *task) {
+func (m *Machine) recordUnplaceable(t *task) {
 	s := t.step
-	if m.plain(s) && !t.alone() || !m.roomAnywhere(t) {
-		addSize(m.unplaceable.placed, m.demand(s), s.spec.Size)
+	if m.isUnrestricted(s) && !t.alone() || !m.roomAnywhere(t) {
+		addMinimalSize(m.unplaceable.tasks, m.placementDemand(s), s.spec.Size)
 	}
 }
 
-// gangFitsNowhere reports whether a gang of no more members, which were no
+// isGangUnplaceable reports whether a gang of no more members, which were no
 // larger, has found no place. Members are alike, so that it does not matter in
 // which order they are placed.
-func (m *Machine) gangFitsNowhere(s *step) bool {
-	return slices.ContainsFunc(m.unplaceable.gangs[m.demand(s)], func(known gangSize) bool {
+func (m *Machine) isGangUnplaceable(s *step) bool {
+	return slices.ContainsFunc(m.unplaceable.gangs[m.placementDemand(s)], func(known gangSize) bool {
 		return known.count <= len(s.tasks) && known.member.Fits(s.spec.Size)
 	})
 }
 
-// noteGangMisfit remembers that a gang found no place, unless it may be only for
+// recordUnplaceableGang remembers that a gang found no place, unless it may be only for
 // its own bounds.
-func (m *Machine) noteGangMisfit(s *step) {
-	if !m.plain(s) {
+func (m *Machine) recordUnplaceableGang(s *step) {
+	if !m.isUnrestricted(s) {
 		return
 	}
-	d := m.demand(s)
+	d := m.placementDemand(s)
 	m.unplaceable.gangs[d] = append(m.unplaceable.gangs[d], gangSize{member: s.spec.Size, count: len(s.tasks)})
 }
 
@@ -119,27 +119,27 @@
 	return false
 }
 
-// displacesNothing reports whether it is known that no room can be made for a
+// isPreemptionFutile reports whether it is known that no room can be made for a
 // task of the step.
-func (m *Machine) displacesNothing(s *step) bool {
-	return anyWithin(m.unplaceable.displaced[m.urgency(s)], s.spec.Committed())
+func (m *Machine) isPreemptionFutile(s *step) bool {
+	return anyFitsIn(m.unplaceable.preemptions[m.preemptionDemand(s)], s.spec.Committed())
 }
 
-// noteNothingDisplaced remembers that no room can be made for a task of the
+// recordFutilePreemption remembers that no room can be made for a task of the
 // step, whatever its bounds.
-func (m *Machine) noteNothingDisplaced(s *step) {
+func (m *Machine) recordFutilePreemption(s *step) {
 	if !m.queue(s.job()).Advised {
-		addSize(m.unplaceable.displaced, m.urgency(s), s.spec.Committed())
+		addMinimalSize(m.unplaceable.preemptions, m.preemptionDemand(s), s.spec.Committed())
 	}
 }
 
-// anyWithin reports whether one of the sizes is no larger than size.
-func anyWithin(sizes []model.Resources, size model.Resources) bool {
+// anyFitsIn reports whether one of the sizes is no larger than size.
+func anyFitsIn(sizes []model.Resources, size model.Resources) bool {
 	return slices.ContainsFunc(sizes, func(known model.Resources) bool { return known.Fits(size) })
 }
 
-// addSize adds a size, and drops those that it makes needless.
-func addSize[K comparable](sizes map[K][]model.Resources, key K, size model.Resources) {
+// addMinimalSize adds a size, and drops those that it makes needless.
+func addMinimalSize[K comparable](sizes map[K][]model.Resources, key K, size model.Resources) {
 	kept := slices.DeleteFunc(sizes[key], func(known model.Resources) bool { return size.Fits(known) })
 	sizes[key] = append(kept, size)
 }
--- a/core/jobsched/preempt.go
+++ b/core/jobsched/preempt.go
@@ -34,10 +34,10 @@
 	return room
 }
 
-// release ends the reservations that are over, or of a task that has started, is
+// dropReservations ends the reservations that are over, or of a task that has started, is
 // not to be tried there any more, or whose job is over. A round of placement relies
 // on it that room comes free between two of them only.
-func (w *worker) release(now time.Time) {
+func (w *worker) dropReservations(now time.Time) {
 	if len(w.reserved) == 0 {
 		return
 	}
@@ -56,7 +56,7 @@
 		if t.idle() && t.step.ready() && !m.heldBack(t.step, m.now) && m.isFeasible(t, w) && m.restartStored(t) && m.mayTry(t) && m.trialStored(t, w) {
 			m.startAttempt(t, w, t.last+1)
 			// Its reservation would count beside its attempt for those that follow.
-			w.release(m.now)
+			w.dropReservations(m.now)
 		}
 	}
 }
@@ -70,10 +70,10 @@
 	return slices.ContainsFunc(w.reserved, func(r reservation) bool { return r.task == t })
 }
 
-// impatient reports whether the step's long-running tasks have waited too long
+// hasWaitedLong reports whether the step's long-running tasks have waited too long
 // for room to be considerate.
-func (m *Machine) impatient(s *step) bool {
-	return !s.waitingSince.IsZero() && m.now.Sub(s.waitingSince) >= longRunningPatience
+func (m *Machine) hasWaitedLong(s *step) bool {
+	return !s.waitingSince.IsZero() && m.now.Sub(s.waitingSince) >= longRunningMaxWait
 }
 
 // preempt makes room for a task that fits nowhere by stopping what is less
@@ -86,10 +86,10 @@
 	if m.isReserved(t) {
 		return true
 	}
-	if m.displacesNothing(t.step) {
+	if m.isPreemptionFutile(t.step) {
 		return false
 	}
-	best, victims := m.cheapestDisplacement(t)
+	best, victims := m.cheapestPreemption(t)
 	if best == nil {
 		return false
 	}
@@ -108,18 +108,18 @@
 	})
 }
 
-// cheapestDisplacement returns the worker on which room for a task loses least,
+// cheapestPreemption returns the worker on which room for a task loses least,
 // and what is to be stopped there; no worker when there is none.
-func (m *Machine) cheapestDisplacement(t *task) (*worker, []*attempt) {
+func (m *Machine) cheapestPreemption(t *task) (*worker, []*attempt) {
 	m.pass.spend(m.workers.Len())
 	var best *worker
 	var victims []*attempt
 	lost, anywhere := 0.0, false
 	for _, w := range m.workers.All() {
-		if !w.couldHold(t) || !m.passes(fitFilters, t, w) {
+		if !w.fitsAfterPreemption(t) || !m.passes(fitFilters, t, w) {
 			continue
 		}
-		list, cost, ok := m.displaced(t, w)
+		list, cost, ok := m.preemptionVictims(t, w)
 		if !ok {
 			continue
 		}
@@ -129,20 +129,20 @@
 		}
 	}
 	if !anywhere {
-		m.noteNothingDisplaced(t.step)
+		m.recordFutilePreemption(t.step)
 	}
 	return best, victims
 }
 
-// couldHold reports whether the task would fit if everything on the worker that
+// fitsAfterPreemption reports whether the task would fit if everything on the worker that
 // may yield did. It spares the search on workers that long-running tasks fill.
-func (w *worker) couldHold(t *task) bool {
+func (w *worker) fitsAfterPreemption(t *task) bool {
 	return t.step.spec.Committed().Fits(w.roomFor(t).Add(w.reclaimable))
 }
 
-// displaced returns attempts on w that leave enough room for the task when they
+// preemptionVictims returns attempts on w that leave enough room for the task when they
 // are stopped, those first that lose least, and the work lost in seconds.
-func (m *Machine) displaced(t *task, w *worker) ([]*attempt, float64, bool) {
+func (m *Machine) preemptionVictims(t *task, w *worker) ([]*attempt, float64, bool) {
 	need := t.step.spec.Committed()
 	room := w.roomFor(t)
 	var victims []*attempt
@@ -155,7 +155,7 @@
 	if need.Fits(room) {
 		return nil, 0, true
 	}
-	for _, a := range m.lessUrgent(t, w) {
+	for _, a := range m.preemptibleAttempts(t, w) {
 		victims = append(victims, a)
 		room = room.Add(a.size)
 		cost += m.lostWork(a)
@@ -166,11 +166,11 @@
 	return nil, 0, false
 }
 
-// lessUrgent returns the attempts on w that the task may displace, those first
+// preemptibleAttempts returns the attempts on w that the task may displace, those first
 // whose stop loses least.
-func (m *Machine) lessUrgent(t *task, w *worker) []*attempt {
+func (m *Machine) preemptibleAttempts(t *task, w *worker) []*attempt {
 	var list []*attempt
-	impatient := m.impatient(t.step)
+	impatient := m.hasWaitedLong(t.step)
 	for _, a := range w.attempts.All() {
 		if a.phase != phaseRunning || a.task == nil || a.longRunning || a.step().spec.Gang {
 			continue
@@ -184,10 +184,10 @@
 	return list
 }
 
-// longRunningPatience is how long a long-running task waits for room before it
+// longRunningMaxWait is how long a long-running task waits for room before it
 // displaces short work of its own priority. Such work comes and goes, and on a
 // crowded cluster always fills the gaps that a large task would need joined.
-const longRunningPatience = time.Second
+const longRunningMaxWait = time.Second
 
 // lostWork estimates, in seconds, what the stop of an attempt loses.
 func (m *Machine) lostWork(a *attempt) float64 {
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -15,7 +15,7 @@
 func (m *Machine) schedule() {
 	m.lookAtTrials()
 	for _, w := range m.workers.All() {
-		w.release(m.now)
+		w.dropReservations(m.now)
 		m.startReserved(w)
 	}
 	if m.pass.begin(m.options.RoundBudget) {
@@ -216,7 +216,7 @@
 
 // startTasks starts as many of the wanted tasks of the step as fit.
 func (m *Machine) startTasks(s *step, wanted func(*task) bool) startOutcome {
-	full := m.fitsNowhere(s)
+	full := m.isUnplaceable(s)
 	result := startedAll
 	var places *candidates
 	for _, t := range s.tasks {
@@ -285,7 +285,7 @@
 func (m *Machine) startOn(t *task, w *worker) bool {
 	if w == nil {
 		m.dropNamedTrial(t)
-		m.noteMisfit(t)
+		m.recordUnplaceable(t)
 		return false
 	}
 	if !m.trialStored(t, w) {
@@ -365,7 +365,7 @@
 // placeGang finds a worker for each member, on one rack where that matters and
 // is possible.
 func (m *Machine) placeGang(s *step) ([]*worker, bool) {
-	if m.gangFitsNowhere(s) {
+	if m.isGangUnplaceable(s) {
 		return nil, false
 	}
 	if s.spec.SameRack {
@@ -378,7 +378,7 @@
 	}
 	placed, ok := m.placeGangOn(s, slices.Collect(m.everyWorker()))
 	if !ok {
-		m.noteGangMisfit(s)
+		m.recordUnplaceableGang(s)
 	}
 	return placed, ok
 }
