--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -671,7 +671,7 @@
 		c.checkSums(w)
 	}
 	for s := range m.pending.All() {
-		if !s.ready() || m.heldBack(s, m.now) {
+		if !s.ready() || m.startsHeldBack(s, m.now) {
 			continue
 		}
 		if s.spec.Gang {
--- a/core/jobsched/filter.go
+++ b/core/jobsched/filter.go
@@ -122,7 +122,7 @@
 	return !m.queue(t.step.job()).Advised || t.step.advice.valid(w.id, m.now)
 }
 
-// heldBack reports whether nothing of the step may start now.
-func (m *Machine) heldBack(s *step, now time.Time) bool {
-	return now.Before(s.notBefore) || m.held(s.job())
+// startsHeldBack reports whether nothing of the step may start now.
+func (m *Machine) startsHeldBack(s *step, now time.Time) bool {
+	return now.Before(s.notBefore) || m.startsHeld(s.job())
 }
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -8,9 +8,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// hold is why a start waits after a take-over: an earlier leader may have started
+// startHold is why a start waits after a take-over: an earlier leader may have started
 // the task elsewhere.
-type hold struct {
+type startHold struct {
 	// worker is the one that is waited for longest; empty where what is waited for
 	// is no worker.
 	worker model.Incarnation
@@ -24,7 +24,7 @@
 
 // describe says what is waited for, and until when. It leaves the worker's name
 // out: notes and views tell it beside the text.
-func (h hold) describe(now time.Time) string {
+func (h startHold) describe(now time.Time) string {
 	text := h.reason
 	if h.others > 0 {
 		text += fmt.Sprintf(", nor have %d others", h.others)
@@ -36,16 +36,16 @@
 }
 
 // holdOnJob returns the hold on a job that is held.
-func (m *Machine) holdOnJob(j *jobState) hold {
+func (m *Machine) holdOnJob(j *jobState) startHold {
 	switch {
 	case !m.commit.stored:
-		return hold{reason: "no commit of this leader is stored yet"}
+		return startHold{reason: "no commit of this leader is stored yet"}
 	case m.now.Before(m.rosterLostUntil):
-		return hold{until: m.rosterLostUntil, reason: "the stored roster cannot be read"}
+		return startHold{until: m.rosterLostUntil, reason: "the stored roster cannot be read"}
 	case m.unresolved.Len() == 0:
-		return hold{reason: "the list of workers has not been read yet"}
+		return startHold{reason: "the list of workers has not been read yet"}
 	}
-	h := hold{others: m.unresolved.Len() - 1, reason: "has not answered this leader and may run it"}
+	h := startHold{others: m.unresolved.Len() - 1, reason: "has not answered this leader and may run it"}
 	for id, bound := range m.unresolved.All() {
 		if bound.After(h.until) {
 			h.worker, h.until = id, bound
@@ -59,9 +59,9 @@
 
 // holdOnStep returns the hold on a task of the step that is not done, the first one
 // that is found.
-func (m *Machine) holdOnStep(s *step) (hold, bool) {
+func (m *Machine) holdOnStep(s *step) (startHold, bool) {
 	for _, t := range s.tasks {
-		if s.ready() && t.idle() && m.held(s.job()) {
+		if s.ready() && t.idle() && m.startsHeld(s.job()) {
 			return m.holdOnJob(s.job()), true
 		}
 		for _, a := range t.attempts {
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	return hold{}, false
+	return startHold{}, false
 }
 
 // noteHeld notes that a step is held back, from a second after the take-over on:
@@ -138,9 +138,9 @@
 
 // holdByAttempt returns the hold on a task whose attempt is on a worker that does
 // not answer.
-func (m *Machine) holdByAttempt(a *attempt) hold {
+func (m *Machine) holdByAttempt(a *attempt) startHold {
 	w := a.worker
-	h := hold{worker: w.id, until: w.leaseBound, reason: "does not answer and may run it"}
+	h := startHold{worker: w.id, until: w.leaseBound, reason: "does not answer and may run it"}
 	if !a.longRunning && !w.endsWithLease() {
 		h.until = w.leaseBound.Add(w.patience())
 	}
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -57,7 +57,7 @@
 	}
 	switch {
 	case s.job().state.Final():
-	case m.held(s.job()):
+	case m.startsHeld(s.job()):
 		m.noteHeld(s)
 	case m.now.Before(s.notBefore):
 	case s.spec.Gang:
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -83,12 +83,12 @@
 // rosterLostLeft returns how long the stored roster may still lack workers.
 func (m *Machine) rosterLostLeft() time.Duration { return max(m.rosterLostUntil.Sub(m.now), 0) }
 
-// held reports whether a task must wait because an earlier leader may have
+// startsHeld reports whether a task must wait because an earlier leader may have
 // started it on a worker that has not answered yet, or because the statements of
 // that leader's roster still stand: the first commit ends that. Jobs that came
 // after the take-over can have been started elsewhere only while that leader may
 // still have been at work.
-func (m *Machine) held(j *jobState) bool {
+func (m *Machine) startsHeld(j *jobState) bool {
 	if !m.commit.stored || m.now.Before(m.rosterLostUntil) {
 		return true
 	}
