--- a/core/jobsched/aside.go
+++ b/core/jobsched/aside.go
@@ -112,6 +112,6 @@
 // because its job is set aside: the worker alone can tell the next leader of it.
 // Beyond asideEndsMost it is acknowledged all the same. This leader knows it
 // still; after another take-over a repaired job would do such a task again.
-func (m *Machine) isEndDeferred(w *worker, e takenEnd) bool {
-	return m.unreadable[e.task.Job] != nil && len(w.taken) < maxDeferredEnds
+func (m *Machine) isEndDeferred(w *worker, e unackedEnd) bool {
+	return m.unreadable[e.task.Job] != nil && len(w.unackedEnds) < maxDeferredEnds
 }
--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -43,8 +43,8 @@
 	learnedAt time.Time
 }
 
-// takenEnd is the end of an attempt that was taken in and not yet acknowledged.
-type takenEnd struct {
+// unackedEnd is the end of an attempt that was taken in and not yet acknowledged.
+type unackedEnd struct {
 	number  int64
 	task    job.TaskKey
 	attempt int
@@ -150,7 +150,7 @@
 func (m *Machine) storedEnds() map[model.Incarnation]int64 {
 	ends := make(map[model.Incarnation]int64)
 	for id, w := range m.workers.All() {
-		for _, e := range w.taken {
+		for _, e := range w.unackedEnds {
 			if e.held || m.dirty.Has(e.task.Job) || m.isEndDeferred(w, e) {
 				break
 			}
@@ -163,11 +163,11 @@
 func (m *Machine) acknowledgeEnds(ends map[model.Incarnation]int64) {
 	for id, number := range ends {
 		w := m.workers.Get(id)
-		if w == nil || number <= w.ackedEnds {
+		if w == nil || number <= w.lastAckedEnd {
 			continue
 		}
-		w.ackedEnds = number
-		w.taken = slices.DeleteFunc(w.taken, func(e takenEnd) bool { return e.number <= number })
+		w.lastAckedEnd = number
+		w.unackedEnds = slices.DeleteFunc(w.unackedEnds, func(e unackedEnd) bool { return e.number <= number })
 		w.renewAt = m.now
 	}
 }
--- a/core/jobsched/commit_test.go
+++ b/core/jobsched/commit_test.go
@@ -20,7 +20,7 @@
 		c.submit(i+1, "urgent", makeStep(8, 1000, 400*time.Millisecond))
 		c.run(time.Second / jobsPerSecond)
 		for _, w := range c.machine.workers.All() {
-			most = max(most, w.seenEnds-w.ackedEnds)
+			most = max(most, w.lastSeenEnd-w.lastAckedEnd)
 		}
 	}
 	if most > mostKept {
--- a/core/jobsched/crash.go
+++ b/core/jobsched/crash.go
@@ -55,7 +55,7 @@
 	if a.startedAt.IsZero() {
 		return 0
 	}
-	return max(a.worker.heardAt.Sub(a.startedAt), 0).Round(time.Millisecond)
+	return max(a.worker.lastReportAt.Sub(a.startedAt), 0).Round(time.Millisecond)
 }
 
 // crashTime returns seenFor in milliseconds, or that it is not known when the
@@ -71,16 +71,16 @@
 // noteCrash notes that a worker has ended without having announced it, and which
 // of its attempts was started last.
 func (m *Machine) noteCrash(w *worker, reason string) {
-	text := fmt.Sprintf("%s; last heard %s ago; %d attempts were there", reason, m.now.Sub(w.heardAt).Round(time.Millisecond), w.attempts.Len())
-	if a := w.latest(); a != nil {
+	text := fmt.Sprintf("%s; last heard %s ago; %d attempts were there", reason, m.now.Sub(w.lastReportAt).Round(time.Millisecond), w.attempts.Len())
+	if a := w.latestAttempt(); a != nil {
 		text += fmt.Sprintf(", the latest %s, seen to run for %s", a.key.task, a.seenFor())
 	}
 	m.emit(Note{Decision: joblog.MessageWorkerCrashed, Worker: w.id, Reason: text})
 }
 
-// latest returns the attempt that was started last, or nil. One whose start was
+// latestAttempt returns the attempt that was started last, or nil. One whose start was
 // not answered counts as later than all others.
-func (w *worker) latest() *attempt {
+func (w *worker) latestAttempt() *attempt {
 	var latest *attempt
 	for _, a := range w.attempts.All() {
 		switch {
@@ -97,7 +97,7 @@
 // crashAttempts declares all attempts on w as lost, because w has ended; but for
 // those whose start is not answered yet: the answer tells whether they were there.
 func (m *Machine) crashAttempts(w *worker, reason string) {
-	if w.attempts.Len() > 0 && !w.over {
+	if w.attempts.Len() > 0 && !w.ended {
 		m.noteCrash(w, reason)
 		m.rememberCrash(w)
 	}
@@ -158,13 +158,15 @@
 // same time as w, and have ended or do not answer, though no attempt of the step
 // was there: the step is not what they have in common.
 func (m *Machine) crashedWithout(s *step, w *worker) bool {
-	if w.heardAt.IsZero() {
+	if w.lastReportAt.IsZero() {
 		return false
 	}
 	m.recentCrashes = slices.DeleteFunc(m.recentCrashes, func(c workerCrash) bool {
-		return m.now.Sub(c.worker.heardAt) > crashMemory
+		return m.now.Sub(c.worker.lastReportAt) > crashMemory
 	})
-	together := func(other *worker) bool { return other != w && other.heardAt.Sub(w.heardAt).Abs() <= sameMoment }
+	together := func(other *worker) bool {
+		return other != w && other.lastReportAt.Sub(w.lastReportAt).Abs() <= sameMoment
+	}
 	others := 0
 	for _, c := range m.recentCrashes {
 		if _, there := c.steps[s]; together(c.worker) && !there {
@@ -172,7 +174,7 @@
 		}
 	}
 	for _, other := range m.workers.All() {
-		silent := !other.over && !other.silentSince.IsZero() && other.attempts.Len() > 0
+		silent := !other.ended && !other.unreachableSince.IsZero() && other.attempts.Len() > 0
 		if silent && together(other) && !other.runs(s) {
 			others++
 		}
--- a/core/jobsched/entry_test.go
+++ b/core/jobsched/entry_test.go
@@ -185,7 +185,7 @@
 		if n := c.runningOf(id); n != 6 {
 			t.Errorf("%d tasks run, want 6", n)
 		}
-		if c.machine.latest("w000") != nil {
+		if c.machine.latestIncarnation("w000") != nil {
 			t.Error("a worker that is gone is still known")
 		}
 	})
--- a/core/jobsched/entrywatch.go
+++ b/core/jobsched/entrywatch.go
@@ -97,7 +97,7 @@
 	}
 	strangers := m.settleEntries(now)
 	for _, u := range unusable {
-		known := m.latest(u.ID) != nil
+		known := m.latestIncarnation(u.ID) != nil
 		switch {
 		case e.tracked.Has(u.ID):
 			e.tracked.Set(u.ID, u.Fault)
@@ -118,7 +118,7 @@
 func (m *Machine) settleEntries(unusable map[model.WorkerID]struct{}) (strangers int) {
 	e := &m.entries
 	for id, fault := range e.tracked.All() {
-		w := m.latest(id)
+		w := m.latestIncarnation(id)
 		if _, still := unusable[id]; still {
 			if w == nil {
 				strangers++
@@ -143,7 +143,7 @@
 	}
 	e.turns[turn]++
 	budget, limit := &e.strangers, strangerTurnNotes
-	if m.latest(id) != nil {
+	if m.latestIncarnation(id) != nil {
 		budget, limit = &e.workers, workerTurnNotes
 	}
 	may, leftOut := budget.take(m.now, limit)
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -65,7 +65,7 @@
 			return m.holdOnJob(s.job()), true
 		}
 		for _, a := range t.attempts {
-			if !a.worker.silentSince.IsZero() || a.inherited {
+			if !a.worker.unreachableSince.IsZero() || a.inherited {
 				return m.holdByAttempt(a), true
 			}
 		}
@@ -117,7 +117,7 @@
 // noteHoldingAttempts notes each attempt on a worker that does not answer: its task
 // is not started elsewhere before the attempt is given up.
 func (m *Machine) noteHoldingAttempts(w *worker) {
-	since := w.silentSince
+	since := w.unreachableSince
 	if since.IsZero() && !w.answered {
 		since = m.recoveredAt
 	}
--- a/core/jobsched/incarnation.go
+++ b/core/jobsched/incarnation.go
@@ -20,16 +20,16 @@
 // So each incarnation has a session of its own. A report ends the session that it was
 // asked for when another incarnation has answered, and is taken in by that one's.
 
-// incarnations are the sessions with the incarnations of one worker, in the order in
+// workerIncarnations are the sessions with the workerIncarnations of one worker, in the order in
 // which they were added.
-type incarnations struct{ sessions []*worker }
+type workerIncarnations struct{ sessions []*worker }
 
-// addSession adds the session with an incarnation. Orders to another one of its id may
+// addIncarnation adds the session with an incarnation. Orders to another one of its id may
 // have reached it, with leases up to the longest that a worker takes.
-func (m *Machine) addSession(w *worker) {
+func (m *Machine) addIncarnation(w *worker) {
 	all := m.incarnations[w.id.ID]
 	if all == nil {
-		all = new(incarnations)
+		all = new(workerIncarnations)
 		m.incarnations[w.id.ID] = all
 	} else {
 		w.leaseBound = m.now.Add(m.options.MaxLease + w.drift(m.options.MaxLease) + leaseSlack)
@@ -39,8 +39,8 @@
 	m.workers.Set(w.id, w)
 }
 
-// dropSession forgets a session.
-func (m *Machine) dropSession(w *worker) {
+// dropIncarnation forgets a session.
+func (m *Machine) dropIncarnation(w *worker) {
 	m.workers.Delete(w.id)
 	w.siblings.sessions = slices.DeleteFunc(w.siblings.sessions, func(other *worker) bool { return other == w })
 	if len(w.siblings.sessions) == 0 {
@@ -48,9 +48,9 @@
 	}
 }
 
-// latest returns the session with an incarnation of a worker that was added last, nil
+// latestIncarnation returns the session with an incarnation of a worker that was added last, nil
 // if there is none.
-func (m *Machine) latest(id model.WorkerID) *worker {
+func (m *Machine) latestIncarnation(id model.WorkerID) *worker {
 	all := m.incarnations[id]
 	if all == nil {
 		return nil
@@ -62,13 +62,13 @@
 // is not known yet which of them is there: nothing new is started on either.
 func (w *worker) contested() bool {
 	return len(w.siblings.sessions) > 1 && slices.ContainsFunc(w.siblings.sessions, func(other *worker) bool {
-		return other != w && other.answered && !other.over
+		return other != w && other.answered && !other.ended
 	})
 }
 
-// answering returns the session with the incarnation that has answered a call to w,
+// answeringIncarnation returns the session with the incarnation that has answered a call to w,
 // which was started at the time given.
-func (m *Machine) answering(w *worker, startedMs int64) *worker {
+func (m *Machine) answeringIncarnation(w *worker, startedMs int64) *worker {
 	m.startTimesReported = m.startTimesReported || startedMs != 0
 	if startedMs == 0 || startedMs == w.id.StartedMs {
 		return w
@@ -81,26 +81,26 @@
 	entry.Incarnation = id
 	next := newWorker(entry)
 	next.full = w.full
-	m.addSession(next)
+	m.addIncarnation(next)
 	m.noteFound(next)
 	return next
 }
 
-// succeed ends the session with an incarnation, as another one has answered a call to
+// handleOtherIncarnation ends the session with an incarnation, as another one has answered a call to
 // it. It returns the session that the report is to be taken in by, nil if that one's own
 // reports tell the rest, in their order.
-func (m *Machine) succeed(w, next *worker, ev Renewed) *worker {
-	if next.over {
+func (m *Machine) handleOtherIncarnation(w, next *worker, ev Renewed) *worker {
+	if next.ended {
 		// It has ended since, and what it listed with it.
-		if living := next.siblings.living(); living == nil {
-			m.workerOver(w)
+		if living := next.siblings.lastActive(); living == nil {
+			m.endIncarnation(w)
 		} else {
-			m.replaced(w, living, Renewed{SentAt: ev.SentAt})
+			m.replaceIncarnation(w, living, Renewed{SentAt: ev.SentAt})
 		}
 		return nil
 	}
 	own := next.answered || next.renewing
-	m.replaced(w, next, ev)
+	m.replaceIncarnation(w, next, ev)
 	if own {
 		next.renewAt = m.now
 		return nil
@@ -108,33 +108,33 @@
 	return next
 }
 
-// living returns the last of the sessions that has not ended, or nil.
-func (i *incarnations) living() *worker {
+// lastActive returns the last of the sessions that has not ended, or nil.
+func (i *workerIncarnations) lastActive() *worker {
 	for _, w := range slices.Backward(i.sessions) {
-		if !w.over {
+		if !w.ended {
 			return w
 		}
 	}
 	return nil
 }
 
-// endEarlier ends the sessions with all incarnations that have certainly ended, as this
+// endEarlierIncarnations ends the sessions with all incarnations that have certainly ended, as this
 // one has answered a call that was sent after their last answers had come.
-func (m *Machine) endEarlier(w *worker, ev Renewed) {
+func (m *Machine) endEarlierIncarnations(w *worker, ev Renewed) {
 	for _, other := range slices.Clone(w.siblings.sessions) {
-		ended := other.answered && !other.over && other.heardAt.Before(ev.SentAt)
+		ended := other.answered && !other.ended && other.lastReportAt.Before(ev.SentAt)
 		if other != w && ended && other.entry.Address == w.entry.Address {
-			m.replaced(other, w, ev)
+			m.replaceIncarnation(other, w, ev)
 		}
 	}
 }
 
-// replaced ends the session with an incarnation, as another one has answered a call to
+// replaceIncarnation ends the session with an incarnation, as another one has answered a call to
 // it. What the report lists, or what may have been started since it was asked for, is
 // on that one. What is on its way there is barred there.
-func (m *Machine) replaced(w, next *worker, ev Renewed) {
-	if w.id.StartedMs == 0 && !w.answered && !next.over {
-		m.identified(w, next)
+func (m *Machine) replaceIncarnation(w, next *worker, ev Renewed) {
+	if w.id.StartedMs == 0 && !w.answered && !next.ended {
+		m.identifyIncarnation(w, next)
 		return
 	}
 	m.noteReplaced(w, next, ev.Report)
@@ -146,23 +146,23 @@
 			a.previousWorker = w
 			m.moveAttempt(a, next)
 		case a.unanswered():
-			m.barAt(a, next)
+			m.blockStartAt(a, next)
 		}
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(w.unbarred), attemptKey.compare) {
-		m.barAt(m.addOrphan(w, &RunningAttempt{Key: key.task, Attempt: key.attempt}), next)
+	for _, key := range slices.SortedFunc(maps.Keys(w.pendingStarts), attemptKey.compare) {
+		m.blockStartAt(m.addOrphan(w, &RunningAttempt{Key: key.task, Attempt: key.attempt}), next)
 	}
-	m.workerOver(w)
+	m.endIncarnation(w)
 }
 
 // unanswered reports whether the attempt's start was sent by this leader and has not
 // been answered: it may be carried out yet, by whichever incarnation is there then.
 func (a *attempt) unanswered() bool { return a.startedAt.IsZero() && !a.inherited }
 
-// barAt has a start that was not answered barred at the next incarnation of its
+// blockStartAt has a start that was not answered barred at the next incarnation of its
 // worker, since what the one before was told ends with it. The task waits until that
 // is certain, or it would run in two places.
-func (m *Machine) barAt(a *attempt, next *worker) {
+func (m *Machine) blockStartAt(a *attempt, next *worker) {
 	if a.phase == phaseDoubtful {
 		a.previousWorker = a.worker
 	}
@@ -174,29 +174,29 @@
 	m.stops.Set(a, struct{}{})
 }
 
-// identified ends the session with a worker that a roster or an entry has named by its
+// identifyIncarnation ends the session with a worker that a roster or an entry has named by its
 // id alone. Whether it is the incarnation that has answered is not known: what that one
 // tells in its first report is all that is there.
-func (m *Machine) identified(w, next *worker) {
+func (m *Machine) identifyIncarnation(w, next *worker) {
 	maps.Copy(next.lost, w.lost)
-	maps.Copy(next.still, w.still)
+	maps.Copy(next.inheritedStalls, w.inheritedStalls)
 	if next.answered {
 		m.dropInherited(w)
 	}
 	for _, a := range w.attempts.All() {
 		m.moveAttempt(a, next)
 	}
-	if w.unaccounted && !next.answered {
-		next.unaccounted = true
+	if w.attemptsUnknown && !next.answered {
+		next.attemptsUnknown = true
 		m.unresolved.Set(next.id, w.leaseBound)
 	}
-	w.over, w.unaccounted = true, false
+	w.ended, w.attemptsUnknown = true, false
 	m.unresolved.Delete(w.id)
 }
 
 // noteReplaced notes that a worker that had answered has started again.
 func (m *Machine) noteReplaced(w, next *worker, r Report) {
-	if !w.answered || w.over {
+	if !w.answered || w.ended {
 		return
 	}
 	first := int64(0)
@@ -205,7 +205,7 @@
 	}
 	m.emit(Note{Decision: joblog.MessageWorkerAgain, Worker: next.id, Reason: fmt.Sprintf(
 		"the one before was started at %d; of that, ends up to %d were taken in and up to %d acknowledged; this one tells %d ends from %d on",
-		w.id.StartedMs, w.seenEnds, w.ackedEnds, len(r.Ended), first)})
+		w.id.StartedMs, w.lastSeenEnd, w.lastAckedEnd, len(r.Ended), first)})
 }
 
 // lists reports whether the report tells of an attempt, that it runs or how it ended.
@@ -223,10 +223,10 @@
 	return false
 }
 
-// sameAttempt returns an attempt that a worker tells of, if the machine has it on
+// moveFromOtherIncarnation returns an attempt that a worker tells of, if the machine has it on
 // another incarnation of the worker, to which it was sent: it is on this one then. It
 // returns nil for one that only an earlier leader's roster had there.
-func (m *Machine) sameAttempt(t *task, w *worker, number int) *attempt {
+func (m *Machine) moveFromOtherIncarnation(t *task, w *worker, number int) *attempt {
 	for _, a := range t.attempts {
 		if a.key.attempt != number || a.worker.id.ID != w.id.ID {
 			continue
--- a/core/jobsched/inherit.go
+++ b/core/jobsched/inherit.go
@@ -16,7 +16,7 @@
 		w.health = takenOver(e.Health, m.recoveredAt.Add(-age))
 		w.mark.failures = w.health.failures
 	}
-	m.addSession(w)
+	m.addIncarnation(w)
 	m.startTimesReported = m.startTimesReported || w.id.StartedMs != 0
 	w.leaseBound = m.earlierLeasesEnd()
 	if stands && e.LeaseLeft != nil {
@@ -26,7 +26,7 @@
 		m.inherit(w, e.Attempts)
 		return
 	}
-	w.unaccounted = true
+	w.attemptsUnknown = true
 	m.unresolved.Set(w.id, w.leaseBound)
 }
 
@@ -47,7 +47,7 @@
 		case t != nil && !t.done:
 			m.addAttempt(t, w, r.Attempt, phaseDoubtful).inherited = true
 			if r.StalledFor > 0 {
-				w.still[key] = stillness{percent: r.Percent, since: m.recoveredAt.Add(-r.StalledFor)}
+				w.inheritedStalls[key] = inheritedStall{percent: r.Percent, since: m.recoveredAt.Add(-r.StalledFor)}
 			}
 		case m.unreadable[r.Task.Job] != nil:
 			a := m.addOrphan(w, &RunningAttempt{Key: r.Task, Attempt: r.Attempt})
--- a/core/jobsched/inherit_test.go
+++ b/core/jobsched/inherit_test.go
@@ -38,12 +38,12 @@
 		}},
 		Queue: *c.config.Queues["batch"], ConfigVersion: 1, AtMs: c.wall.UnixMilli(),
 	}
-	c.machine.latest("w000").closedUntil = c.now.Add(600 * time.Millisecond)
-	c.machine.latest("w002").closedUntil = c.now.Add(600 * time.Millisecond)
+	c.machine.latestIncarnation("w000").noStartsUntil = c.now.Add(600 * time.Millisecond)
+	c.machine.latestIncarnation("w002").noStartsUntil = c.now.Add(600 * time.Millisecond)
 	c.machine.Handle(c.now, JobAccepted{ID: id, Record: c.accepted[id]})
 	c.run(500 * time.Millisecond)
-	c.machine.latest("w002").closedUntil = c.now.Add(2 * time.Second)
-	c.machine.latest("w001").closedUntil = c.now.Add(2 * time.Second)
+	c.machine.latestIncarnation("w002").noStartsUntil = c.now.Add(2 * time.Second)
+	c.machine.latestIncarnation("w001").noStartsUntil = c.now.Add(2 * time.Second)
 	c.run(900 * time.Millisecond)
 	for k := range 2 {
 		c.runsAt(job.TaskKey{Job: id, Occurrence: k}).cutOff = true
--- a/core/jobsched/machine.go
+++ b/core/jobsched/machine.go
@@ -53,7 +53,7 @@
 
 	workers ordered.Map[model.Incarnation, *worker]
 	// incarnations holds the sessions by the workers' ids.
-	incarnations map[model.WorkerID]*incarnations
+	incarnations map[model.WorkerID]*workerIncarnations
 	// startTimesReported is whether workers say when they were started: an entry that does not is
 	// no worker's then.
 	startTimesReported bool
@@ -151,7 +151,7 @@
 func New(now time.Time, epoch model.Epoch, o Options, r Recovered) *Machine {
 	m := &Machine{
 		options: o, epoch: epoch, config: r.Config, now: now, recoveredAt: now,
-		final: make(map[job.ID]time.Time), incarnations: make(map[model.WorkerID]*incarnations), unreadable: make(map[job.ID]*unreadableJob), learner: interference.New(learnerOptions()),
+		final: make(map[job.ID]time.Time), incarnations: make(map[model.WorkerID]*workerIncarnations), unreadable: make(map[job.ID]*unreadableJob), learner: interference.New(learnerOptions()),
 	}
 	m.options.MaxLease = cmp.Or(o.MaxLease, o.Lease)
 	m.options.RoundBudget = cmp.Or(o.RoundBudget, DefaultRoundBudget)
@@ -172,9 +172,9 @@
 	m.markAllUnreadable(r.Unreadable)
 	switch {
 	case r.RosterLost:
-		m.loseRoster(m.earlierLeasesEnd(), "it cannot be read")
+		m.markRosterLost(m.earlierLeasesEnd(), "it cannot be read")
 	case r.RosterLostLeft > 0:
-		m.loseRoster(now.Add(r.RosterLostLeft), "an earlier leader could not read it")
+		m.markRosterLost(now.Add(r.RosterLostLeft), "an earlier leader could not read it")
 	}
 	for _, entry := range r.Roster {
 		m.recoverWorker(entry, r.RosterValid, r.RosterAge)
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -115,16 +115,16 @@
 		m.depose(w)
 		return
 	case VerdictNoRoom:
-		w.closedUntil = m.now.Add(roomPause)
+		w.noStartsUntil = m.now.Add(roomPause)
 	case VerdictNotSent:
-		w.closedUntil = m.now.Add(notSentPause)
+		w.noStartsUntil = m.now.Add(notSentPause)
 	case VerdictExpired:
 		w.clockAt = time.Time{}
 		w.renewAt = m.now
 	case VerdictUnhealthy, VerdictUnreachable:
-		w.closedUntil = m.now.Add(unhealthyPause)
+		w.noStartsUntil = m.now.Add(unhealthyPause)
 	case VerdictOtherInstance:
-		defer m.workerOver(w)
+		defer m.endIncarnation(w)
 	case VerdictInvalid:
 		a.step().notBefore = m.now.Add(invalidPause)
 	case VerdictNoTicket:
@@ -140,7 +140,7 @@
 // acceptStart takes in that a start was carried out, or that it may have been.
 func (m *Machine) acceptStart(a *attempt, v Verdict) {
 	switch {
-	case a.worker.over:
+	case a.worker.ended:
 		m.crashed(a, a.worker)
 		m.loseAttempt(a, "its worker has ended since")
 	case v == VerdictDone:
@@ -186,7 +186,7 @@
 	m.setPhase(a, phaseDoubtful)
 	m.noteAttempt(joblog.MessageUnanswered, a, "it is barred before the task starts elsewhere")
 	m.stops.Set(a, struct{}{})
-	a.worker.closedUntil = m.now.Add(unhealthyPause)
+	a.worker.noStartsUntil = m.now.Add(unhealthyPause)
 }
 
 // requestStop stops an attempt.
@@ -226,7 +226,7 @@
 	case VerdictFenced:
 		m.depose(w)
 	case VerdictOtherInstance:
-		m.workerOver(w)
+		m.endIncarnation(w)
 	}
 }
 
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -32,14 +32,14 @@
 // sendRenewals looks at every worker whose turn has come.
 func (m *Machine) sendRenewals() {
 	for _, w := range m.workers.All() {
-		if w.renewing || w.over || m.now.Before(w.renewAt) {
+		if w.renewing || w.ended || m.now.Before(w.renewAt) {
 			continue
 		}
-		unstored := w.seenEnds > w.ackedEnds
-		r := Renew{Order: m.order(w), AckedEnds: w.ackedEnds}
+		unstored := w.lastSeenEnd > w.lastAckedEnd
+		r := Renew{Order: m.order(w), AckedEnds: w.lastAckedEnd}
 		// The lease of a worker that does not answer is not renewed: the call may
 		// reach it all the same, and its attempts could never be declared lost.
-		if w.attempts.Len() > 0 && w.silentSince.IsZero() {
+		if w.attempts.Len() > 0 && w.unreachableSince.IsZero() {
 			if lease := m.leaseFor(w); lease > 0 {
 				r.UntilMs = w.until(m.now, lease)
 			}
@@ -48,7 +48,7 @@
 			}
 		}
 		w.renewing = true
-		w.sentAcked = w.ackedEnds
+		w.sentAckedEnd = w.lastAckedEnd
 		m.emit(r)
 	}
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	w.renewing = false
-	if w.over {
+	if w.ended {
 		return
 	}
 	switch ev.Verdict {
@@ -86,33 +86,33 @@
 		m.depose(w)
 		return
 	case VerdictOtherInstance:
-		m.workerOver(w)
+		m.endIncarnation(w)
 		return
 	default:
-		m.silent(w, ev.SentAt)
-		pause := m.now.Sub(w.silentSince) / 2
+		m.markUnreachable(w, ev.SentAt)
+		pause := m.now.Sub(w.unreachableSince) / 2
 		w.renewAt = m.now.Add(min(max(pause, retryFirst), retryMost))
 		return
 	}
-	if next := m.answering(w, ev.Report.StartedMs); next != w {
-		if w = m.succeed(w, next, ev); w == nil {
+	if next := m.answeringIncarnation(w, ev.Report.StartedMs); next != w {
+		if w = m.handleOtherIncarnation(w, next, ev); w == nil {
 			return
 		}
 	}
-	m.endEarlier(w, ev)
+	m.endEarlierIncarnations(w, ev)
 	m.takeReport(w, ev.SentAt, ev.Report)
 }
 
 // takeReport takes in a worker's report, which was asked for at sentAt.
 func (m *Machine) takeReport(w *worker, sentAt time.Time, r Report) {
-	m.heard(w)
+	m.markReachable(w)
 	w.sampleClock(m.now, r.ClockMs)
 	m.takeEnds(w, r.Ended)
 	m.reconcile(w, sentAt, r)
 	m.learn(w)
 	m.adjustThrottle(w)
 	w.renewAt = m.nextRenewal(w)
-	if len(r.Ended) > 0 && r.Ended[0].Number <= w.sentAcked {
+	if len(r.Ended) > 0 && r.Ended[0].Number <= w.sentAckedEnd {
 		// The acknowledgement was held back, and a worker with ends to tell answers at
 		// once, each time.
 		w.renewAt = later(w.renewAt, m.now.Add(retryFirst))
@@ -128,7 +128,7 @@
 
 func (m *Machine) nextRenewal(w *worker) time.Time {
 	switch {
-	case w.seenEnds > w.ackedEnds:
+	case w.lastSeenEnd > w.lastAckedEnd:
 		return m.now.Add(unstoredInterval)
 	case w.attempts.Len() == 0:
 		return m.now.Add(idleInterval)
@@ -152,12 +152,12 @@
 func (m *Machine) takeEnds(w *worker, ends []EndedAttempt) {
 	for i := range ends {
 		e := &ends[i]
-		if e.Number <= w.seenEnds {
+		if e.Number <= w.lastSeenEnd {
 			continue
 		}
 		m.noteGap(w, e.Number)
-		w.seenEnds = e.Number
-		w.taken = append(w.taken, takenEnd{number: e.Number, task: e.Key, attempt: e.Attempt})
+		w.lastSeenEnd = e.Number
+		w.unackedEnds = append(w.unackedEnds, unackedEnd{number: e.Number, task: e.Key, attempt: e.Attempt})
 		m.takeEnd(w, e)
 	}
 }
@@ -165,9 +165,9 @@
 // noteGap notes ends that a worker numbers and has never told: something has made it
 // forget them, and what became of their attempts is not known.
 func (m *Machine) noteGap(w *worker, number int64) {
-	if w.seenEnds > 0 && number > w.seenEnds+1 {
+	if w.lastSeenEnd > 0 && number > w.lastSeenEnd+1 {
 		m.emit(Note{Decision: joblog.MessageEndsUntold, Worker: w.id, Reason: fmt.Sprintf(
-			"ends %d to %d were never told; up to %d were acknowledged", w.seenEnds+1, number-1, w.ackedEnds)})
+			"ends %d to %d were never told; up to %d were acknowledged", w.lastSeenEnd+1, number-1, w.lastAckedEnd)})
 	}
 }
 
@@ -212,7 +212,7 @@
 	if t == nil || t.done {
 		return nil
 	}
-	if a := m.sameAttempt(t, w, e.Attempt); a != nil {
+	if a := m.moveFromOtherIncarnation(t, w, e.Attempt); a != nil {
 		return a
 	}
 	m.noteAdopted(t, e.Attempt)
@@ -275,7 +275,7 @@
 		m.requestStop(a, "no task wants it")
 		return a
 	}
-	if a := m.sameAttempt(t, w, r.Attempt); a != nil {
+	if a := m.moveFromOtherIncarnation(t, w, r.Attempt); a != nil {
 		return a
 	}
 	m.dropOutdated(t, r.Attempt)
@@ -284,7 +284,7 @@
 	a := m.addAttempt(t, w, r.Attempt, phaseRunning)
 	a.startedAt = m.now
 	a.adopted = true
-	a.inheritStillness(r.Percent)
+	a.applyInheritedStall(r.Percent)
 	m.adoptTrial(t, r.Attempt, w.id)
 	if !alone {
 		m.requestStop(a, "its task has another attempt")
--- a/core/jobsched/roster.go
+++ b/core/jobsched/roster.go
@@ -141,9 +141,9 @@
 	switch {
 	case !w.answered && w.onRoster && m.now.Before(m.recoveredAt.Add(answerPatience)):
 		return w.mark
-	case w.unaccounted:
+	case w.attemptsUnknown:
 		return rosterMark{bounded: true}
-	case w.over:
+	case w.ended:
 		return rosterMark{closed: true, attempts: w.outstanding()}
 	case w.takesTasks(m.now):
 		return rosterMark{}
@@ -154,17 +154,17 @@
 // takesTasks reports whether tasks are to be started on the worker, now or as
 // soon as it answers.
 func (w *worker) takesTasks(now time.Time) bool {
-	silent := !w.silentSince.IsZero() && now.Sub(w.silentSince) >= rosterPatience
+	silent := !w.unreachableSince.IsZero() && now.Sub(w.unreachableSince) >= rosterPatience
 	return w.answered && w.listed && !w.entry.Draining && !silent
 }
 
 // outstanding counts the attempts that may run on the worker, or whose ends it may
 // still have to tell: those that rosterAttempts lists.
 func (w *worker) outstanding() int {
-	if w.over {
+	if w.ended {
 		return w.attempts.Len()
 	}
-	return w.attempts.Len() + len(w.taken) + len(w.lost)
+	return w.attempts.Len() + len(w.unackedEnds) + len(w.lost)
 }
 
 // rosterDue reports whether a roster is to be stored. It looks from time to time
@@ -260,7 +260,7 @@
 
 // lastMarkOf returns what the last roster of a leader says of a worker.
 func (m *Machine) lastMarkOf(w *worker) rosterMark {
-	if w.unaccounted {
+	if w.attemptsUnknown {
 		return rosterMark{bounded: true}
 	}
 	return rosterMark{closed: true, bounded: true, attempts: w.outstanding()}
@@ -286,7 +286,7 @@
 	lines := make([]rosterLine, 0, m.workers.Len())
 	room := rosterAttemptsMost
 	for _, w := range m.rosterOrder() {
-		if w.over && w.attempts.Len() == 0 {
+		if w.ended && w.attempts.Len() == 0 {
 			continue
 		}
 		l := rosterLine{worker: w, mark: markOf(w), entry: RosterEntry{WorkerEntry: w.entry, Health: w.health.handedOver(m.now)}}
@@ -329,10 +329,10 @@
 		}
 		list = append(list, RosterAttempt{Task: key.task, Attempt: key.attempt, StalledFor: still, Percent: percent})
 	}
-	if w.over {
+	if w.ended {
 		return list
 	}
-	for _, e := range w.taken {
+	for _, e := range w.unackedEnds {
 		list = append(list, RosterAttempt{Task: e.task, Attempt: e.attempt})
 	}
 	for _, key := range slices.SortedFunc(maps.Keys(w.lost), attemptKey.compare) {
--- a/core/jobsched/roster_test.go
+++ b/core/jobsched/roster_test.go
@@ -54,7 +54,7 @@
 	c.run(1500 * time.Millisecond)
 	c.storeDown = true
 	silent.cutOff = false
-	lease, bound := silent.lease, c.machine.latest("w001").leaseBound
+	lease, bound := silent.lease, c.machine.latestIncarnation("w001").leaseBound
 	for range 3 {
 		c.run(time.Second)
 		if silent.lease.After(bound) {
@@ -115,7 +115,7 @@
 	if !c.machine.task(key).givenUp {
 		t.Error("the next leader does not know that an attempt was given up")
 	}
-	if len(c.machine.latest("w000").lost) != 1 {
+	if len(c.machine.latestIncarnation("w000").lost) != 1 {
 		t.Error("the next leader would take a failure of that attempt for one that is not known")
 	}
 	if !c.machine.restartUnstored(c.machine.task(key)) {
@@ -157,7 +157,7 @@
 func TestWorkerWithTooManyAttemptsStaysOpen(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
-	w := c.machine.latest("w000")
+	w := c.machine.latestIncarnation("w000")
 	for i := range rosterAttemptsMost + 1 {
 		w.lost[attemptKey{task: job.TaskKey{Index: i}, attempt: 1}] = struct{}{}
 	}
--- a/core/jobsched/silence.go
+++ b/core/jobsched/silence.go
@@ -70,8 +70,8 @@
 // leaseEnded takes in that the worker's lease has ended something: what it did
 // before does not count any more, and may be acknowledged.
 func (w *worker) leaseEnded() {
-	for i := range w.taken {
-		w.taken[i].held = false
+	for i := range w.unackedEnds {
+		w.unackedEnds[i].held = false
 	}
 }
 
@@ -88,7 +88,7 @@
 // holdEnd keeps the end that was just taken in, and those after it, from being
 // acknowledged.
 func (m *Machine) holdEnd(w *worker, e *EndedAttempt) {
-	w.taken[len(w.taken)-1].held = true
+	w.unackedEnds[len(w.unackedEnds)-1].held = true
 	m.emit(Note{
 		Decision: joblog.MessageEndHeld, Job: e.Key.Job, Task: e.Key.String(), Attempt: e.Attempt, Worker: w.id,
 		Reason: "it was given up, and its task has been started again; the end is not acknowledged",
--- a/core/jobsched/takeover_test.go
+++ b/core/jobsched/takeover_test.go
@@ -338,7 +338,7 @@
 	big := longRunning(1, 4000)
 	big.Size.MemoryMB = 20000
 	id := c.submit(2, "urgent", big)
-	for len(c.machine.latest("w000").reserved) == 0 {
+	for len(c.machine.latestIncarnation("w000").reserved) == 0 {
 		c.tick()
 	}
 	c.cancel(id)
@@ -390,7 +390,7 @@
 	c.machine.Handle(c.now, Renewed{Worker: c.workers["w000"].entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: report})
 	c.submit(1, "urgent", serving)
 	c.machine.Advance(c.now, c.wall)
-	w := c.machine.latest("w000")
+	w := c.machine.latestIncarnation("w000")
 	if w.servingTasks != 1 {
 		t.Errorf("%d serving tasks are counted, want the one that is being stopped", w.servingTasks)
 	}
--- a/core/jobsched/trial.go
+++ b/core/jobsched/trial.go
@@ -86,7 +86,7 @@
 	}
 	w := m.inheritedOn(t.trial.worker)
 	named := t.trial.named()
-	if named && (w == nil || w.over) || !named && m.unseenCrash {
+	if named && (w == nil || w.ended) || !named && m.unseenCrash {
 		m.countCrash(t, job.Crash{Attempt: t.trial.number, SeenMs: job.CrashTimeUnknown, Unsure: !named})
 		return
 	}
@@ -100,7 +100,7 @@
 	if w := m.workers.Get(id); w != nil || id.StartedMs != 0 {
 		return w
 	}
-	return m.latest(id.ID)
+	return m.latestIncarnation(id.ID)
 }
 
 // trialStored reports whether the task may be started on the worker as far as the
--- a/core/jobsched/watch.go
+++ b/core/jobsched/watch.go
@@ -23,7 +23,7 @@
 		}
 		m.noteHoldingAttempts(w)
 		for _, a := range w.attempts.All() {
-			if a.phase == phaseRunning && w.silentSince.IsZero() {
+			if a.phase == phaseRunning && w.unreachableSince.IsZero() {
 				w.health.survived(a.startedAt, m.now)
 			}
 			if a.stalled(m.now) {
@@ -38,7 +38,7 @@
 // stalled reports whether the attempt has not advanced for long, although its
 // worker answers.
 func (a *attempt) stalled(now time.Time) bool {
-	if a.phase != phaseRunning || a.task == nil || !a.worker.silentSince.IsZero() {
+	if a.phase != phaseRunning || a.task == nil || !a.worker.unreachableSince.IsZero() {
 		return false
 	}
 	if a.percent >= 100 || a.throttle < fullSpeed || a.step().spec.Gang {
@@ -60,16 +60,16 @@
 	return a.advancedAt
 }
 
-// stillness is what an earlier leader saw of an attempt that stands still.
-type stillness struct {
+// inheritedStall is what an earlier leader saw of an attempt that stands still.
+type inheritedStall struct {
 	percent int
 	since   time.Time
 }
 
-// inheritStillness counts the time without progress on that an earlier leader saw.
-func (a *attempt) inheritStillness(percent int) {
-	still, ok := a.worker.still[a.key]
-	delete(a.worker.still, a.key)
+// applyInheritedStall counts the time without progress on that an earlier leader saw.
+func (a *attempt) applyInheritedStall(percent int) {
+	still, ok := a.worker.inheritedStalls[a.key]
+	delete(a.worker.inheritedStalls, a.key)
 	if ok && still.percent == percent {
 		a.startedAt, a.advancedAt, a.percent = still.since, still.since, percent
 	}
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -13,7 +13,7 @@
 	id    model.Incarnation
 	entry WorkerEntry
 	// siblings are the sessions with all incarnations of its id.
-	siblings *incarnations
+	siblings *workerIncarnations
 	// full is the largest capacity that is known of its VM, in each dimension: what
 	// it shows may shrink for a while.
 	full model.Resources
@@ -26,11 +26,11 @@
 	// closed and bounded are set while a roster of this leader that is stored, or
 	// may be, says that nothing is started there, and when leases there end.
 	closed, bounded bool
-	// unaccounted is set while the machine does not know what an earlier leader may
+	// attemptsUnknown is set while the machine does not know what an earlier leader may
 	// have started there.
-	unaccounted bool
-	// over is set once another incarnation has answered at its address.
-	over bool
+	attemptsUnknown bool
+	// ended is set once another incarnation has answered at its address.
+	ended bool
 	// answered is whether it has answered under the machine's epoch; before
 	// that nothing is started on it.
 	answered bool
@@ -40,22 +40,22 @@
 	// leaseBound is when all that runs there has certainly lost its lease,
 	// unless the lease is renewed.
 	leaseBound time.Time
-	// silentSince is when the first of the unanswered calls was sent; zero when
+	// unreachableSince is when the first of the unanswered calls was sent; zero when
 	// the last was answered.
-	silentSince time.Time
-	// heardAt is when it answered a renewal last.
-	heardAt  time.Time
-	renewing bool
-	renewAt  time.Time
-	// seenEnds numbers the last end taken in, ackedEnds the last one that the
+	unreachableSince time.Time
+	// lastReportAt is when it answered a renewal last.
+	lastReportAt time.Time
+	renewing     bool
+	renewAt      time.Time
+	// lastSeenEnd numbers the last end taken in, ackedEnds the last one that the
 	// worker may forget; taken lists those between.
-	seenEnds  int64
-	ackedEnds int64
-	// sentAcked is what the last renewal acknowledged.
-	sentAcked int64
-	taken     []takenEnd
-	attempts  ordered.Map[attemptKey, *attempt]
-	committed model.Resources
+	lastSeenEnd  int64
+	lastAckedEnd int64
+	// sentAckedEnd is what the last renewal acknowledged.
+	sentAckedEnd int64
+	unackedEnds  []unackedEnd
+	attempts     ordered.Map[attemptKey, *attempt]
+	committed    model.Resources
 	// reclaimable is the part of committed that ends, or could be ended for more
 	// urgent work: all but that of long-running tasks which are not being stopped.
 	reclaimable model.Resources
@@ -68,16 +68,16 @@
 	// lost are attempts that were declared lost with their lease. Their later
 	// ends say nothing.
 	lost map[attemptKey]struct{}
-	// unbarred are those of them whose start was neither answered nor barred.
-	unbarred map[attemptKey]struct{}
-	// still tells which attempts an earlier leader saw standing still.
-	still map[attemptKey]stillness
+	// pendingStarts are those of them whose start was neither answered nor barred.
+	pendingStarts map[attemptKey]struct{}
+	// inheritedStalls tells which attempts an earlier leader saw standing inheritedStalls.
+	inheritedStalls map[attemptKey]inheritedStall
 	// trials counts its attempts on trial, triedAlone is whether one of them is of a
 	// task that is tried alone.
 	trials           int
 	hasIsolatedTrial bool
-	// closedUntil holds back new starts after a refusal.
-	closedUntil time.Time
+	// noStartsUntil holds back new starts after a refusal.
+	noStartsUntil time.Time
 	// reserved is room that is being made for tasks.
 	reserved []reservation
 	health   health
@@ -87,7 +87,7 @@
 
 func newWorker(e WorkerEntry) *worker {
 	return &worker{
-		id: e.Incarnation, entry: e, full: e.Capacity, lost: make(map[attemptKey]struct{}), unbarred: make(map[attemptKey]struct{}), still: make(map[attemptKey]stillness), throttle: throttleState{percent: fullSpeed, others: fullSpeed},
+		id: e.Incarnation, entry: e, full: e.Capacity, lost: make(map[attemptKey]struct{}), pendingStarts: make(map[attemptKey]struct{}), inheritedStalls: make(map[attemptKey]inheritedStall), throttle: throttleState{percent: fullSpeed, others: fullSpeed},
 	}
 }
 
@@ -182,7 +182,7 @@
 
 // usable reports whether new tasks may go there at all.
 func (w *worker) usable(now time.Time) bool {
-	allowed := w.listed && w.onRoster && !w.closed && !w.bounded && !w.entry.Draining && !w.over && !w.contested()
-	well := w.answered && w.silentSince.IsZero() && !w.clockAt.IsZero() && len(w.taken) < mostUnacked
-	return allowed && well && !now.Before(w.closedUntil) && w.health.open(now)
+	allowed := w.listed && w.onRoster && !w.closed && !w.bounded && !w.entry.Draining && !w.ended && !w.contested()
+	well := w.answered && w.unreachableSince.IsZero() && !w.clockAt.IsZero() && len(w.unackedEnds) < mostUnacked
+	return allowed && well && !now.Before(w.noStartsUntil) && w.health.open(now)
 }
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -24,7 +24,7 @@
 		if w == nil {
 			w = newWorker(e)
 			w.full = w.full.Max(sizes[e.Machine])
-			m.addSession(w)
+			m.addIncarnation(w)
 			m.noteFound(w)
 		}
 		m.updateEntry(w, e)
@@ -67,12 +67,12 @@
 	return bound.Add(time.Duration(float64(m.options.Lease)*clockDrift) + leaseSlack)
 }
 
-// loseRoster notes that the stored roster could not be read. Attempts may run on
+// markRosterLost notes that the stored roster could not be read. Attempts may run on
 // any worker until the time given, also on one that the platform's list lacks, so
 // nothing is started before. Leases are renewed on workers that are on a roster
 // of this leader or a later one, and each commit says for how long that roster may
 // lack others: the next leader waits no longer than this one.
-func (m *Machine) loseRoster(until time.Time, reason string) {
+func (m *Machine) markRosterLost(until time.Time, reason string) {
 	m.rosterLostUntil = until
 	m.restarts.unheard = true
 	m.roster.outdated = true
@@ -109,7 +109,7 @@
 		}
 	}
 	for _, w := range m.workers.All() {
-		heard := w.answered && w.silentSince.IsZero() && !w.over
+		heard := w.answered && w.unreachableSince.IsZero() && !w.ended
 		if !heard && !m.now.Before(w.leaseBound) {
 			m.giveUp(w)
 		}
@@ -128,11 +128,11 @@
 	if !m.listed || w.listed || w.attempts.Len() > 0 {
 		return false
 	}
-	if w.over {
+	if w.ended {
 		return true
 	}
-	silent := !w.silentSince.IsZero()
-	if !w.unaccounted && w.outstanding() == 0 {
+	silent := !w.unreachableSince.IsZero()
+	if !w.attemptsUnknown && w.outstanding() == 0 {
 		return silent || w.entry.Draining
 	}
 	return silent && !m.now.Before(w.leaseBound)
@@ -141,7 +141,7 @@
 func (m *Machine) loseAttempt(a *attempt, reason string) {
 	a.worker.lost[a.key] = struct{}{}
 	if a.unanswered() && a.stopAckedAt.IsZero() {
-		a.worker.unbarred[a.key] = struct{}{}
+		a.worker.pendingStarts[a.key] = struct{}{}
 	}
 	if a.task != nil {
 		a.task.givenUp = true
@@ -152,43 +152,43 @@
 }
 
 func (m *Machine) forget(w *worker) {
-	m.dropSession(w)
+	m.dropIncarnation(w)
 	m.unresolved.Delete(w.id)
 	m.roster.outdated = true
 	m.learner.DropWorker(w.learnID())
 	m.emit(Note{Decision: "worker gone", Worker: w.id, Reason: "not listed, and nothing of it is left"})
 }
 
-// workerOver takes in that the incarnation has ended, with all that ran on it.
-func (m *Machine) workerOver(w *worker) {
-	if w.unaccounted {
+// endIncarnation takes in that the incarnation has ended, with all that ran on it.
+func (m *Machine) endIncarnation(w *worker) {
+	if w.attemptsUnknown {
 		m.unseenCrash = true
 	}
 	m.crashAttempts(w, "another incarnation answers at its address")
-	w.over = true
-	w.unaccounted = false
+	w.ended = true
+	w.attemptsUnknown = false
 	m.unresolved.Delete(w.id)
 }
 
-// silent notes that a call to w got no answer.
-func (m *Machine) silent(w *worker, sentAt time.Time) {
-	if w.silentSince.IsZero() {
-		w.silentSince = sentAt
+// markUnreachable notes that a call to w got no answer.
+func (m *Machine) markUnreachable(w *worker, sentAt time.Time) {
+	if w.unreachableSince.IsZero() {
+		w.unreachableSince = sentAt
 		m.emit(Note{Decision: joblog.MessageWorkerSilent, Worker: w.id, Reason: "no answer"})
 	}
 }
 
-// heard notes that w has answered a Renew.
-func (m *Machine) heard(w *worker) {
-	if !w.silentSince.IsZero() {
+// markReachable notes that w has answered a Renew.
+func (m *Machine) markReachable(w *worker) {
+	if !w.unreachableSince.IsZero() {
 		m.emit(Note{Decision: "worker answers again", Worker: w.id,
-			Reason: "after " + m.now.Sub(w.silentSince).Round(time.Millisecond).String()})
+			Reason: "after " + m.now.Sub(w.unreachableSince).Round(time.Millisecond).String()})
 	}
-	w.silentSince = time.Time{}
-	w.heardAt = m.now
+	w.unreachableSince = time.Time{}
+	w.lastReportAt = m.now
 	if !w.answered {
 		w.answered = true
-		w.unaccounted = false
+		w.attemptsUnknown = false
 		m.dropInherited(w)
 		m.changed = true
 	}
