--- a/core/jobsched/aside.go
+++ b/core/jobsched/aside.go
@@ -60,7 +60,7 @@
 	delete(m.unreadable, ev.ID)
 	running := m.releaseAttempts(ev.ID)
 	if ev.Progress != nil {
-		m.restartsRead(ev.ID, ev.Progress.Restarts)
+		m.loadRestarts(ev.ID, ev.Progress.Restarts)
 	}
 	switch {
 	case ev.Progress != nil && ev.Progress.State.Final():
--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -679,7 +679,7 @@
 			continue
 		}
 		for _, t := range s.tasks {
-			if !t.idle() || m.restartUnstored(t) || m.waitsForTrial(t) {
+			if !t.idle() || m.needsRestartRecord(t) || m.waitsForTrial(t) {
 				// What may have been done unheard waits for the store, as do trials, and
 				// these for each other.
 				continue
@@ -697,7 +697,7 @@
 func (c *cluster) checkGang(s *step) {
 	m := c.machine
 	for _, t := range s.tasks {
-		if len(t.attempts) > 0 || m.restartUnstored(t) || m.waitsForTrial(t) {
+		if len(t.attempts) > 0 || m.needsRestartRecord(t) || m.waitsForTrial(t) {
 			return
 		}
 	}
--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -188,7 +188,7 @@
 	m.rosterStored()
 	m.trialsStored(c.trials)
 	for id, stored := range c.restarts {
-		add(&m.restarts.stored, id, stored)
+		mergeRestarts(&m.restarts.stored, id, stored)
 		m.changed = true
 	}
 	c.ends, c.jobs, c.restarts, c.trials = nil, nil, nil, nil
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -142,7 +142,7 @@
 	w := a.worker
 	h := startHold{worker: w.id, until: w.leaseBound, reason: "does not answer and may run it"}
 	if !a.longRunning && !w.endsWithLease() {
-		h.until = w.leaseBound.Add(w.patience())
+		h.until = w.leaseBound.Add(w.lossGrace())
 	}
 	return h
 }
--- a/core/jobsched/inherit.go
+++ b/core/jobsched/inherit.go
@@ -42,7 +42,7 @@
 		case r.Lost:
 			w.lost[key] = struct{}{}
 			if t != nil {
-				t.givenUp = true
+				t.attemptLost = true
 			}
 		case t != nil && !t.done:
 			m.addAttempt(t, w, r.Attempt, phaseDoubtful).inherited = true
--- a/core/jobsched/jobstate.go
+++ b/core/jobsched/jobstate.go
@@ -99,8 +99,8 @@
 	// failed lists the attempts that failed.
 	failed     []int
 	checkpoint string
-	// givenUp is set once an attempt was given up without news of it.
-	givenUp bool
+	// attemptLost is set once an attempt was given up without news of it.
+	attemptLost bool
 	// crashes lists the attempts that ended with their worker since one ran for long.
 	crashes []job.Crash
 	trial   trial
@@ -219,7 +219,7 @@
 // progressOf returns the job's record.
 func (m *Machine) progressOf(j *jobState) *job.Progress {
 	p := j.progress()
-	p.Restarts = maps.Clone(m.restarts.of[j.id])
+	p.Restarts = maps.Clone(m.restarts.requested[j.id])
 	return p
 }
 
--- a/core/jobsched/machine.go
+++ b/core/jobsched/machine.go
@@ -160,7 +160,7 @@
 	m.learner.Import(now, r.Learned)
 	for _, id := range slices.Sorted(maps.Keys(r.Progress)) {
 		progress := r.Progress[id]
-		m.restartsRead(id, progress.Restarts)
+		m.loadRestarts(id, progress.Restarts)
 	}
 	m.retainRecoveredFinal(r.Progress, r.Wall)
 	for _, id := range slices.Sorted(maps.Keys(r.Accepted)) {
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -173,7 +173,7 @@
 
 func (m *Machine) takeEnd(w *worker, e *EndedAttempt) {
 	if e.Cause == EndExpired {
-		w.leaseEnded()
+		w.releaseWithheldEnds()
 	}
 	if aside := m.unreadable[e.Key.Job]; aside != nil {
 		m.deferEnd(aside, w, e)
@@ -182,8 +182,8 @@
 	key := attemptKey{task: e.Key, attempt: e.Attempt}
 	_, declared := w.lost[key]
 	delete(w.lost, key)
-	if e.Cause == EndDone && m.startedAfter(e) {
-		m.holdEnd(w, e)
+	if e.Cause == EndDone && m.restartedAfter(e) {
+		m.withholdEnd(w, e)
 		return
 	}
 	if declared && e.Cause != EndDone {
@@ -215,7 +215,7 @@
 	if a := m.moveFromOtherIncarnation(t, w, e.Attempt); a != nil {
 		return a
 	}
-	m.noteAdopted(t, e.Attempt)
+	m.recordAdopted(t, e.Attempt)
 	m.dropOutdated(t, e.Attempt)
 	return m.addAttempt(t, w, e.Attempt, phaseRunning)
 }
@@ -280,7 +280,7 @@
 	}
 	m.dropOutdated(t, r.Attempt)
 	alone := t.idle()
-	m.noteAdopted(t, r.Attempt)
+	m.recordAdopted(t, r.Attempt)
 	a := m.addAttempt(t, w, r.Attempt, phaseRunning)
 	a.startedAt = m.now
 	a.adopted = true
--- a/core/jobsched/roster_test.go
+++ b/core/jobsched/roster_test.go
@@ -112,13 +112,13 @@
 	c.run(20 * time.Second)
 	c.handOver()
 	key := job.TaskKey{Job: id}
-	if !c.machine.task(key).givenUp {
+	if !c.machine.task(key).attemptLost {
 		t.Error("the next leader does not know that an attempt was given up")
 	}
 	if len(c.machine.latestIncarnation("w000").lost) != 1 {
 		t.Error("the next leader would take a failure of that attempt for one that is not known")
 	}
-	if !c.machine.restartUnstored(c.machine.task(key)) {
+	if !c.machine.needsRestartRecord(c.machine.task(key)) {
 		t.Error("the next leader would start the task again without storing that first")
 	}
 }
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -226,7 +226,7 @@
 		if m.pass.isExhausted() || m.starting >= m.options.StartsInFlight {
 			return startBudgetSpent
 		}
-		if !m.restartStored(t) {
+		if !m.ensureRestartStored(t) {
 			result = max(result, startAwaitsRecord)
 			continue
 		}
@@ -339,7 +339,7 @@
 		}
 		number = max(number, t.last)
 	}
-	if !m.restartsStored(s) || !m.gangMayTry(s) {
+	if !m.ensureRestartsStored(s) || !m.gangMayTry(s) {
 		return
 	}
 	placed, ok := m.placeGang(s)
--- a/core/jobsched/silence.go
+++ b/core/jobsched/silence.go
@@ -19,23 +19,23 @@
 // its task has been started again.
 
 const (
-	// silentPatience is how long the attempts on a listed worker wait for news
+	// listedLossGrace is how long the attempts on a listed worker wait for news
 	// beyond its lease: it writes its entry, so that it lives and is cut off from
 	// the daemons, which it seldom is for longer.
-	silentPatience = 10 * time.Second
-	// unlistedPatience is the same for a worker that has left the list: its entry
+	listedLossGrace = 10 * time.Second
+	// unlistedLossGrace is the same for a worker that has left the list: its entry
 	// is back within 2 s of an outage of the store if it lives.
-	unlistedPatience = 2 * time.Second
-	// mostUnacked is how many ends a worker may keep before it gets no more tasks.
+	unlistedLossGrace = 2 * time.Second
+	// maxUnackedEnds is how many ends a worker may keep before it gets no more tasks.
 	// It reports 500 at a time, and an end beyond them would not be heard of.
-	mostUnacked = 400
+	maxUnackedEnds = 400
 )
 
-// giveUp declares attempts on a silent worker lost whose lease has ended: all of
+// loseUnreachable declares attempts on a silent worker lost whose lease has ended: all of
 // them where nothing that was done there can count, or nobody can wait any longer;
 // else those that are never done.
-func (m *Machine) giveUp(w *worker) {
-	all := w.endsWithLease() || !m.now.Before(w.leaseBound.Add(w.patience()))
+func (m *Machine) loseUnreachable(w *worker) {
+	all := w.endsWithLease() || !m.now.Before(w.leaseBound.Add(w.lossGrace()))
 	for _, a := range w.attempts.All() {
 		if !all && !a.longRunning && a.task != nil {
 			continue
@@ -47,13 +47,13 @@
 	}
 }
 
-// patience returns how long attempts wait for news of a silent worker beyond its
+// lossGrace returns how long attempts wait for news of a silent worker beyond its
 // lease.
-func (w *worker) patience() time.Duration {
+func (w *worker) lossGrace() time.Duration {
 	if w.listed {
-		return silentPatience
+		return listedLossGrace
 	}
-	return unlistedPatience
+	return unlistedLossGrace
 }
 
 // endsWithLease reports whether something certainly runs on the worker that the
@@ -67,27 +67,27 @@
 	return false
 }
 
-// leaseEnded takes in that the worker's lease has ended something: what it did
+// releaseWithheldEnds takes in that the worker's lease has ended something: what it did
 // before does not count any more, and may be acknowledged.
-func (w *worker) leaseEnded() {
+func (w *worker) releaseWithheldEnds() {
 	for i := range w.unackedEnds {
 		w.unackedEnds[i].held = false
 	}
 }
 
-// startedAfter reports whether the task of an end was started again after the
+// restartedAfter reports whether the task of an end was started again after the
 // attempt that ended had been given up.
-func (m *Machine) startedAfter(e *EndedAttempt) bool {
-	if m.restarts.of[e.Key.Job][e.Key] > e.Attempt {
+func (m *Machine) restartedAfter(e *EndedAttempt) bool {
+	if m.restarts.requested[e.Key.Job][e.Key] > e.Attempt {
 		return true
 	}
 	t := m.task(e.Key)
 	return t != nil && slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.key.attempt > e.Attempt })
 }
 
-// holdEnd keeps the end that was just taken in, and those after it, from being
+// withholdEnd keeps the end that was just taken in, and those after it, from being
 // acknowledged.
-func (m *Machine) holdEnd(w *worker, e *EndedAttempt) {
+func (m *Machine) withholdEnd(w *worker, e *EndedAttempt) {
 	w.unackedEnds[len(w.unackedEnds)-1].held = true
 	m.emit(Note{
 		Decision: joblog.MessageEndHeld, Job: e.Key.Job, Task: e.Key.String(), Attempt: e.Attempt, Worker: w.id,
@@ -100,74 +100,74 @@
 // jobs before they are made: the leader to whom the worker answers may be another
 // one, and the worker of the later attempt may be gone by then.
 type restarts struct {
-	// unheard is set when a worker did not answer in the time in which an earlier
+	// leaseExpiredUnanswered is set when a worker did not answer in the time in which an earlier
 	// leader's attempts may run there.
-	unheard bool
-	// of holds the number of the last such start, stored what is stored of it.
-	of, stored map[job.ID]job.Restarts
+	leaseExpiredUnanswered bool
+	// requested holds the number requested the last such start, stored what is stored requested it.
+	requested, stored map[job.ID]job.Restarts
 }
 
 // mayBeDone reports whether the task may have been done by an attempt of which
 // nothing was heard. Long-running tasks are never done.
 func (m *Machine) mayBeDone(t *task) bool {
 	j := t.step.job()
-	return !t.step.spec.LongRunning && (t.givenUp || j.wasUnreadable || m.restarts.unheard && j.recovered)
+	return !t.step.spec.LongRunning && (t.attemptLost || j.wasUnreadable || m.restarts.leaseExpiredUnanswered && j.recovered)
 }
 
-// restartUnstored reports whether a start of the task is to be stored first.
-func (m *Machine) restartUnstored(t *task) bool {
+// needsRestartRecord reports whether a start of the task is to be stored first.
+func (m *Machine) needsRestartRecord(t *task) bool {
 	return m.mayBeDone(t) && m.restarts.stored[t.step.job().id][t.key()] <= t.last
 }
 
-// restartStored reports whether the task may be started as far as the memory of
+// ensureRestartStored reports whether the task may be started as far as the memory of
 // restarts goes, and has its start stored if not.
-func (m *Machine) restartStored(t *task) bool {
-	if !m.restartUnstored(t) {
+func (m *Machine) ensureRestartStored(t *task) bool {
+	if !m.needsRestartRecord(t) {
 		return true
 	}
-	if m.restarts.of[t.step.job().id][t.key()] <= t.last {
+	if m.restarts.requested[t.step.job().id][t.key()] <= t.last {
 		// Earlier leaders may have used numbers that no record tells. An end under
 		// the number of the restart would be taken for that of the restart.
 		t.last += attemptGap
 	}
-	m.setRestart(t, t.last+1)
+	m.requestRestart(t, t.last+1)
 	return false
 }
 
-// restartsStored is restartStored for all tasks of a step.
-func (m *Machine) restartsStored(s *step) bool {
+// ensureRestartsStored is restartStored for all tasks of a step.
+func (m *Machine) ensureRestartsStored(s *step) bool {
 	all := true
 	for _, t := range s.tasks {
-		all = m.restartStored(t) && all
+		all = m.ensureRestartStored(t) && all
 	}
 	return all
 }
 
-// noteAdopted takes in an attempt that an earlier leader started. Whether that
+// recordAdopted takes in an attempt that an earlier leader started. Whether that
 // leader had heard of those before, and stored that it had not, is not known.
-func (m *Machine) noteAdopted(t *task, number int) {
+func (m *Machine) recordAdopted(t *task, number int) {
 	if number > 1 && !t.step.spec.LongRunning {
-		m.setRestart(t, number)
+		m.requestRestart(t, number)
 	}
 }
 
-func (m *Machine) setRestart(t *task, number int) {
+func (m *Machine) requestRestart(t *task, number int) {
 	j := t.step.job()
-	if m.restarts.of[j.id][t.key()] >= number {
+	if m.restarts.requested[j.id][t.key()] >= number {
 		return
 	}
-	add(&m.restarts.of, j.id, job.Restarts{t.key(): number})
+	mergeRestarts(&m.restarts.requested, j.id, job.Restarts{t.key(): number})
 	m.markDirty(j)
 }
 
-// restartsRead takes in what is stored of a job.
-func (m *Machine) restartsRead(id job.ID, stored job.Restarts) {
-	add(&m.restarts.of, id, stored)
-	add(&m.restarts.stored, id, stored)
+// loadRestarts takes in what is stored of a job.
+func (m *Machine) loadRestarts(id job.ID, stored job.Restarts) {
+	mergeRestarts(&m.restarts.requested, id, stored)
+	mergeRestarts(&m.restarts.stored, id, stored)
 }
 
-// add adds restarts of a job.
-func add(all *map[job.ID]job.Restarts, id job.ID, more job.Restarts) {
+// mergeRestarts adds restarts of a job.
+func mergeRestarts(all *map[job.ID]job.Restarts, id job.ID, more job.Restarts) {
 	if len(more) == 0 {
 		return
 	}
@@ -182,6 +182,6 @@
 
 // forget forgets a job whose records are removed.
 func (r *restarts) forget(id job.ID) {
-	delete(r.of, id)
+	delete(r.requested, id)
 	delete(r.stored, id)
 }
--- a/core/jobsched/trial.go
+++ b/core/jobsched/trial.go
@@ -46,16 +46,16 @@
 // suspect reports whether starts of the task are trials: a worker has crashed under
 // it, or one may have without anybody having seen it.
 func (m *Machine) suspect(t *task) bool {
-	if len(t.crashes) > 0 || t.givenUp {
+	if len(t.crashes) > 0 || t.attemptLost {
 		return true
 	}
-	return !t.known && t.step.job().recovered && (m.unseenCrash || m.restarts.unheard)
+	return !t.known && t.step.job().recovered && (m.unseenCrash || m.restarts.leaseExpiredUnanswered)
 }
 
 // crashUnseen reports whether a task that waits may have been on a worker that
 // ended unseen, and ends unseenCrash if none may.
 func (m *Machine) crashUnseen() bool {
-	if !m.unseenCrash && !m.restarts.unheard {
+	if !m.unseenCrash && !m.restarts.leaseExpiredUnanswered {
 		return false
 	}
 	for s := range m.pending.All() {
@@ -135,7 +135,7 @@
 	if t == nil || !t.idle() || t.step.job().state.Final() {
 		return
 	}
-	m.restartStored(t)
+	m.ensureRestartStored(t)
 	if !t.watched() && t.trial.number == 0 && m.suspect(t) {
 		m.announceTrial(t, model.Incarnation{})
 	}
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -183,6 +183,6 @@
 // usable reports whether new tasks may go there at all.
 func (w *worker) usable(now time.Time) bool {
 	allowed := w.listed && w.onRoster && !w.closed && !w.bounded && !w.entry.Draining && !w.ended && !w.contested()
-	well := w.answered && w.unreachableSince.IsZero() && !w.clockAt.IsZero() && len(w.unackedEnds) < mostUnacked
+	well := w.answered && w.unreachableSince.IsZero() && !w.clockAt.IsZero() && len(w.unackedEnds) < maxUnackedEnds
 	return allowed && well && !now.Before(w.noStartsUntil) && w.health.open(now)
 }
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -74,7 +74,7 @@
 // lack others: the next leader waits no longer than this one.
 func (m *Machine) markRosterLost(until time.Time, reason string) {
 	m.rosterLostUntil = until
-	m.restarts.unheard = true
+	m.restarts.leaseExpiredUnanswered = true
 	m.roster.outdated = true
 	m.emit(Note{Decision: joblog.MessageRosterLost, Reason: reason + "; nothing is started until " +
 		m.rosterLostUntil.Sub(m.now).String() + " from now, when all earlier leases have ended"})
@@ -104,14 +104,14 @@
 	for id, bound := range m.unresolved.All() {
 		if !m.now.Before(bound) {
 			m.unresolved.Delete(id)
-			m.restarts.unheard = true
+			m.restarts.leaseExpiredUnanswered = true
 			m.changed = true
 		}
 	}
 	for _, w := range m.workers.All() {
 		heard := w.answered && w.unreachableSince.IsZero() && !w.ended
 		if !heard && !m.now.Before(w.leaseBound) {
-			m.giveUp(w)
+			m.loseUnreachable(w)
 		}
 		if m.departed(w) {
 			m.forget(w)
@@ -144,7 +144,7 @@
 		a.worker.pendingStarts[a.key] = struct{}{}
 	}
 	if a.task != nil {
-		a.task.givenUp = true
+		a.task.attemptLost = true
 	}
 	m.noteAttempt(joblog.MessageLost, a, reason)
 	m.endAttempt(a, endLost, "")
