--- a/core/jobsched/candidates.go
+++ b/core/jobsched/candidates.go
@@ -83,5 +83,5 @@
 // somewhere, or has room reserved, may not, and where tasks want one rack each
 // start changes what its neighbours are worth.
 func (m *Machine) isInterchangeable(t *task) bool {
-	return t.failedOn == nil && !t.watched() && !t.step.spec.SameRack && !m.isReserved(t)
+	return t.failedOn == nil && !t.isSuspect() && !t.step.spec.SameRack && !m.isReserved(t)
 }
--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -100,7 +100,7 @@
 // newCommit returns the next commit, with as many records as it has room for.
 func (m *Machine) newCommit() Commit {
 	commit := Commit{
-		Number: m.commit.number + 1, Summary: m.summary(), UnseenCrash: m.crashUnseen(), RosterLostLeft: m.rosterLostLeft(),
+		Number: m.commit.number + 1, Summary: m.summary(), UnseenCrash: m.checkUnseenCrash(), RosterLostLeft: m.rosterLostLeft(),
 	}
 	m.commit.jobs = m.fillCommit(&commit)
 	return commit
@@ -186,7 +186,7 @@
 		}
 	}
 	m.rosterStored()
-	m.trialsStored(c.trials)
+	m.markTrialsStored(c.trials)
 	for id, stored := range c.restarts {
 		mergeRestarts(&m.restarts.stored, id, stored)
 		m.changed = true
--- a/core/jobsched/crash.go
+++ b/core/jobsched/crash.go
@@ -20,49 +20,49 @@
 // of a run, often to several workers at once, and seldom to the same task again.
 
 const (
-	// crashesMost is how many workers may crash under a task. The platform's
+	// maxCrashes is how many workers may crash under a task. The platform's
 	// contract bears two more starts after the third.
-	crashesMost = 5
-	// crashesUnexplained is the same where a crash may not have been counted, or the
+	maxCrashes = 5
+	// maxUnexplainedCrashes is the same where a crash may not have been counted, or the
 	// task alone explains all of them.
-	crashesUnexplained = 4
-	// crashesAlike is the same for crashes that came at the same time of a run.
-	crashesAlike = 3
-	// sureCrashes is how many attempts of a task must have run for certain when their
+	maxUnexplainedCrashes = 4
+	// maxSameTimeCrashes is the same for crashes that came at the same time of a run.
+	maxSameTimeCrashes = 3
+	// minCertainCrashes is how many attempts of a task must have run for certain when their
 	// workers crashed, unless there are crashesMost.
-	sureCrashes = 2
-	// longRun is how long an attempt must have run for its end not to be put down
+	minCertainCrashes = 2
+	// stableRunTime is how long an attempt must have run for its end not to be put down
 	// to its start.
-	longRun = 4 * time.Second
-	// reportAge is how much longer an attempt may have run than it was seen to: the
+	stableRunTime = 4 * time.Second
+	// reportDelay is how much longer an attempt may have run than it was seen to: the
 	// time between two reports, and a little for their way.
-	reportAge = renewWait + 100*time.Millisecond
-	// seenLeast is the least time at which crashes count as alike by their times:
+	reportDelay = renewWait + 100*time.Millisecond
+	// minComparableRunTime is the least time at which crashes count as alike by their times:
 	// most tasks are shorter, and two of their crashes are always near each other.
-	seenLeast = time.Second
-	// sameMoment is how near in time crashes of several workers count as one event,
+	minComparableRunTime = time.Second
+	// massCrashWindow is how near in time crashes of several workers count as one event,
 	// sameMomentWorkers how many others make it one.
-	sameMoment        = time.Second
-	sameMomentWorkers = 3
-	// crashMemory is how long the crash of a worker is remembered for that: workers
+	massCrashWindow  = time.Second
+	massCrashWorkers = 3
+	// crashRetention is how long the crash of a worker is remembered for that: workers
 	// come back, by which their crash is known, within some seconds.
-	crashMemory = 15 * time.Second
+	crashRetention = 15 * time.Second
 )
 
-// seenFor returns for how long the attempt was seen to run, by the last answer of
+// observedRunTime returns for how long the attempt was seen to run, by the last answer of
 // its worker; 0 for one that the worker has not listed yet.
-func (a *attempt) seenFor() time.Duration {
+func (a *attempt) observedRunTime() time.Duration {
 	if a.startedAt.IsZero() {
 		return 0
 	}
 	return max(a.worker.lastReportAt.Sub(a.startedAt), 0).Round(time.Millisecond)
 }
 
-// crashTime returns seenFor in milliseconds, or that it is not known when the
+// observedRunTimeMs returns seenFor in milliseconds, or that it is not known when the
 // attempt began.
-func (a *attempt) crashTime() int64 {
-	seen := a.seenFor()
-	if a.inherited || a.adopted && seen < longRun {
+func (a *attempt) observedRunTimeMs() int64 {
+	seen := a.observedRunTime()
+	if a.inherited || a.adopted && seen < stableRunTime {
 		return job.CrashTimeUnknown
 	}
 	return seen.Milliseconds()
@@ -73,7 +73,7 @@
 func (m *Machine) noteCrash(w *worker, reason string) {
 	text := fmt.Sprintf("%s; last heard %s ago; %d attempts were there", reason, m.now.Sub(w.lastReportAt).Round(time.Millisecond), w.attempts.Len())
 	if a := w.latestAttempt(); a != nil {
-		text += fmt.Sprintf(", the latest %s, seen to run for %s", a.key.task, a.seenFor())
+		text += fmt.Sprintf(", the latest %s, seen to run for %s", a.key.task, a.observedRunTime())
 	}
 	m.emit(Note{Decision: joblog.MessageWorkerCrashed, Worker: w.id, Reason: text})
 }
@@ -94,25 +94,25 @@
 	return latest
 }
 
-// crashAttempts declares all attempts on w as lost, because w has ended; but for
+// loseAttemptsInCrash declares all attempts on w as lost, because w has ended; but for
 // those whose start is not answered yet: the answer tells whether they were there.
-func (m *Machine) crashAttempts(w *worker, reason string) {
+func (m *Machine) loseAttemptsInCrash(w *worker, reason string) {
 	if w.attempts.Len() > 0 && !w.ended {
 		m.noteCrash(w, reason)
-		m.rememberCrash(w)
+		m.recordWorkerCrash(w)
 	}
 	for _, a := range w.attempts.All() {
 		if a.phase == phaseStarting {
 			continue
 		}
-		m.crashed(a, w)
+		m.countAttemptCrash(a, w)
 		m.loseAttempt(a, reason)
 	}
 }
 
-// succeeded reports whether another incarnation of the worker's VM is on the
+// hasSuccessorOnVM reports whether another incarnation of the worker's VM is on the
 // platform's list and the worker is not.
-func (m *Machine) succeeded(w *worker) bool {
+func (m *Machine) hasSuccessorOnVM(w *worker) bool {
 	if w.listed || w.entry.Machine == "" {
 		return false
 	}
@@ -124,16 +124,16 @@
 	return false
 }
 
-// crashed counts the end of an attempt with a worker against its task. A worker
+// countAttemptCrash counts the end of an attempt with a worker against its task. A worker
 // that had announced its end has left, unless a task on trial was there, which may
 // have ended it sooner.
-func (m *Machine) crashed(a *attempt, on *worker) {
+func (m *Machine) countAttemptCrash(a *attempt, on *worker) {
 	leaves := on.entry.Draining
 	if a.task == nil || a.task.done || leaves && a.task.trial.number == 0 {
 		return
 	}
 	m.countCrash(a.task, job.Crash{
-		Attempt: a.key.attempt, SeenMs: a.crashTime(), Several: m.crashedWithout(a.step(), on),
+		Attempt: a.key.attempt, SeenMs: a.observedRunTimeMs(), Several: m.isMassCrash(a.step(), on),
 		Unsure: a.startedAt.IsZero() && !a.inherited || leaves,
 	})
 }
@@ -145,8 +145,8 @@
 	steps map[*step]struct{}
 }
 
-// rememberCrash remembers the crash of a worker with what runs there.
-func (m *Machine) rememberCrash(w *worker) {
+// recordWorkerCrash remembers the crash of a worker with what runs there.
+func (m *Machine) recordWorkerCrash(w *worker) {
 	steps := make(map[*step]struct{})
 	for _, a := range w.attempts.All() {
 		steps[a.step()] = struct{}{}
@@ -154,18 +154,18 @@
 	m.recentCrashes = append(m.recentCrashes, workerCrash{worker: w, steps: steps})
 }
 
-// crashedWithout reports whether several other workers were last heard of at the
+// isMassCrash reports whether several other workers were last heard of at the
 // same time as w, and have ended or do not answer, though no attempt of the step
 // was there: the step is not what they have in common.
-func (m *Machine) crashedWithout(s *step, w *worker) bool {
+func (m *Machine) isMassCrash(s *step, w *worker) bool {
 	if w.lastReportAt.IsZero() {
 		return false
 	}
 	m.recentCrashes = slices.DeleteFunc(m.recentCrashes, func(c workerCrash) bool {
-		return m.now.Sub(c.worker.lastReportAt) > crashMemory
+		return m.now.Sub(c.worker.lastReportAt) > crashRetention
 	})
 	together := func(other *worker) bool {
-		return other != w && other.lastReportAt.Sub(w.lastReportAt).Abs() <= sameMoment
+		return other != w && other.lastReportAt.Sub(w.lastReportAt).Abs() <= massCrashWindow
 	}
 	others := 0
 	for _, c := range m.recentCrashes {
@@ -175,15 +175,15 @@
 	}
 	for _, other := range m.workers.All() {
 		silent := !other.ended && !other.unreachableSince.IsZero() && other.attempts.Len() > 0
-		if silent && together(other) && !other.runs(s) {
+		if silent && together(other) && !other.mayRunStep(s) {
 			others++
 		}
 	}
-	return others >= sameMomentWorkers
+	return others >= massCrashWorkers
 }
 
-// runs reports whether an attempt of the step may run on the worker.
-func (w *worker) runs(s *step) bool {
+// mayRunStep reports whether an attempt of the step may run on the worker.
+func (w *worker) mayRunStep(s *step) bool {
 	for _, a := range w.attempts.All() {
 		if a.step() == s {
 			return true
@@ -218,8 +218,8 @@
 		return []job.Crash{c}
 	}
 	last := crashes[len(crashes)-1]
-	long := max(last.SeenMs, c.SeenMs) >= longRun.Milliseconds()
-	if long && !alike(last, c) {
+	long := max(last.SeenMs, c.SeenMs) >= stableRunTime.Milliseconds()
+	if long && !atSameRunTime(last, c) {
 		return []job.Crash{c}
 	}
 	return append(slices.Clone(crashes), c)
@@ -236,38 +236,40 @@
 		}
 	}
 	switch {
-	case n >= crashesMost:
+	case n >= maxCrashes:
 		return true
-	case sure < sureCrashes:
+	case sure < minCertainCrashes:
 		return false
-	case n >= crashesUnexplained:
-		return mayLack(crashes) || !slices.ContainsFunc(crashes, explained)
-	case n >= crashesAlike:
-		return allAlike(crashes[n-crashesAlike:])
+	case n >= maxUnexplainedCrashes:
+		return mayMissCrash(crashes) || !slices.ContainsFunc(crashes, hasOtherCause)
+	case n >= maxSameTimeCrashes:
+		return allAtSameRunTime(crashes[n-maxSameTimeCrashes:])
 	}
 	return false
 }
 
-// mayLack reports whether a crash under the task may not have been counted: only a
+// mayMissCrash reports whether a crash under the task may not have been counted: only a
 // first attempt has none before it, and a crash of which a later leader heard may
 // have followed on others.
-func mayLack(crashes []job.Crash) bool {
+func mayMissCrash(crashes []job.Crash) bool {
 	unknown := func(c job.Crash) bool { return c.SeenMs == job.CrashTimeUnknown }
 	return crashes[0].Attempt > 1 || slices.ContainsFunc(crashes, unknown)
 }
 
-// explained reports whether something else than the task may have been the cause.
-func explained(c job.Crash) bool { return c.Several }
+// hasOtherCause reports whether something else than the task may have been the cause.
+func hasOtherCause(c job.Crash) bool { return c.Several }
 
-// suspicious reports whether the start of the task may have been the cause.
-func suspicious(c job.Crash) bool { return !explained(c) && c.SeenMs < longRun.Milliseconds() }
+// isSuspicious reports whether the start of the task may have been the cause.
+func isSuspicious(c job.Crash) bool {
+	return !hasOtherCause(c) && c.SeenMs < stableRunTime.Milliseconds()
+}
 
-// allAlike reports whether all crashes came at the same time of a run, with nothing
+// allAtSameRunTime reports whether all crashes came at the same time of a run, with nothing
 // else to explain them.
-func allAlike(crashes []job.Crash) bool {
+func allAtSameRunTime(crashes []job.Crash) bool {
 	for _, c := range crashes {
 		for _, other := range crashes {
-			if explained(c) || !alike(c, other) {
+			if hasOtherCause(c) || !atSameRunTime(c, other) {
 				return false
 			}
 		}
@@ -275,14 +277,14 @@
 	return true
 }
 
-// alike reports whether two crashes came at the same time of a run, as far as
+// atSameRunTime reports whether two crashes came at the same time of a run, as far as
 // reports tell: before any of them, or late enough and near each other.
-func alike(a, b job.Crash) bool {
+func atSameRunTime(a, b job.Crash) bool {
 	if a.SeenMs == 0 && b.SeenMs == 0 {
 		return true
 	}
-	near := max(a.SeenMs, b.SeenMs)-min(a.SeenMs, b.SeenMs) <= reportAge.Milliseconds()
-	return near && min(a.SeenMs, b.SeenMs) >= seenLeast.Milliseconds()
+	near := max(a.SeenMs, b.SeenMs)-min(a.SeenMs, b.SeenMs) <= reportDelay.Milliseconds()
+	return near && min(a.SeenMs, b.SeenMs) >= minComparableRunTime.Milliseconds()
 }
 
 // describeCrashes lists crashes with their attempts and times.
--- a/core/jobsched/crasher_test.go
+++ b/core/jobsched/crasher_test.go
@@ -55,7 +55,7 @@
 
 // waitsForTrial reports whether the task may wait for its trial to be stored, or for
 // another one.
-func (m *Machine) waitsForTrial(t *task) bool { return m.suspect(t) || t.trial.number > 0 }
+func (m *Machine) waitsForTrial(t *task) bool { return m.needsTrial(t) || t.trial.number > 0 }
 
 // crashedTwice reports whether two workers have crashed under a task of the job,
 // so that the job may be given up.
--- a/core/jobsched/misfit.go
+++ b/core/jobsched/misfit.go
@@ -83,7 +83,7 @@
 // kept it from a worker that has room.
 func (m *Machine) recordUnplaceable(t *task) {
 	s := t.step
-	if m.isUnrestricted(s) && !t.alone() || !m.roomAnywhere(t) {
+	if m.isUnrestricted(s) && !t.needsIsolation() || !m.roomAnywhere(t) {
 		addMinimalSize(m.unplaceable.tasks, m.placementDemand(s), s.spec.Size)
 	}
 }
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -141,7 +141,7 @@
 func (m *Machine) acceptStart(a *attempt, v Verdict) {
 	switch {
 	case a.worker.ended:
-		m.crashed(a, a.worker)
+		m.countAttemptCrash(a, a.worker)
 		m.loseAttempt(a, "its worker has ended since")
 	case v == VerdictDone:
 		m.markRunning(a)
@@ -265,7 +265,7 @@
 			t.step.checkpoint = checkpoint
 		}
 	}
-	m.settleTrial(t, a, cause)
+	m.endTrial(t, a, cause)
 	m.applyEnd(t, a, cause)
 	if !j.state.Final() && !t.done {
 		m.pending.Set(t.step, struct{}{})
--- a/core/jobsched/preempt.go
+++ b/core/jobsched/preempt.go
@@ -53,7 +53,7 @@
 func (m *Machine) startReserved(w *worker) {
 	for _, r := range slices.Clone(w.reserved) {
 		t := r.task
-		if t.idle() && t.step.ready() && !m.startsHeldBack(t.step, m.now) && m.isFeasible(t, w) && m.ensureRestartStored(t) && m.mayTry(t) && m.trialStored(t, w) {
+		if t.idle() && t.step.ready() && !m.startsHeldBack(t.step, m.now) && m.isFeasible(t, w) && m.ensureRestartStored(t) && m.mayStartAfterCrashes(t) && m.ensureTrialStored(t, w) {
 			m.startAttempt(t, w, t.last+1)
 			// Its reservation would count beside its attempt for those that follow.
 			w.dropReservations(m.now)
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -242,7 +242,7 @@
 		if _, ok := listed[a.key]; !ok && a.overBefore(sentAt) {
 			m.noteAttempt(joblog.MessageNotThere, a, "not in the worker's report")
 			if a.previousWorker != nil {
-				m.crashed(a, a.previousWorker)
+				m.countAttemptCrash(a, a.previousWorker)
 			}
 			m.endAttempt(a, endLost, "")
 			m.prepareRestart(a.task)
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -13,7 +13,7 @@
 // schedule starts what is ready and fits, the most urgent first, until all steps
 // had their turn or the round has no looks left.
 func (m *Machine) schedule() {
-	m.lookAtTrials()
+	m.countTrials()
 	for _, w := range m.workers.All() {
 		w.dropReservations(m.now)
 		m.startReserved(w)
@@ -230,16 +230,16 @@
 			result = max(result, startAwaitsRecord)
 			continue
 		}
-		if !m.mayTry(t) {
-			m.dropNamedTrial(t)
+		if !m.mayStartAfterCrashes(t) {
+			m.dropTrialOnWorker(t)
 			result = startFoundNoWorker
 			continue
 		}
 		switch {
 		case !full && m.startOnBest(t, &places):
-		case t.trial.awaited():
+		case t.trial.isAwaitingRecord():
 			result = max(result, startAwaitsRecord)
-		case t.watched():
+		case t.isSuspect():
 			// It is restricted to other workers than the rest of the step.
 			result = startFoundNoWorker
 			m.preempt(t)
@@ -257,10 +257,10 @@
 // is none. places are the candidates for tasks of its step, nil before the first.
 func (m *Machine) startOnBest(t *task, places **candidates) bool {
 	m.pass.spend(startCost)
-	if t.trial.awaited() {
+	if t.trial.isAwaitingRecord() {
 		return false
 	}
-	if t.trial.stored && t.trial.named() {
+	if t.trial.stored && t.trial.namesWorker() {
 		*places = nil
 		if m.startTrial(t) {
 			return true
@@ -284,11 +284,11 @@
 // startOn starts a task on the worker that was found for it, if one was.
 func (m *Machine) startOn(t *task, w *worker) bool {
 	if w == nil {
-		m.dropNamedTrial(t)
+		m.dropTrialOnWorker(t)
 		m.recordUnplaceable(t)
 		return false
 	}
-	if !m.trialStored(t, w) {
+	if !m.ensureTrialStored(t, w) {
 		return false
 	}
 	m.startAttempt(t, w, t.last+1)
@@ -339,20 +339,20 @@
 		}
 		number = max(number, t.last)
 	}
-	if !m.ensureRestartsStored(s) || !m.gangMayTry(s) {
+	if !m.ensureRestartsStored(s) || !m.mayStartGangAfterCrashes(s) {
 		return
 	}
 	placed, ok := m.placeGang(s)
 	if !ok {
 		for _, t := range s.tasks {
-			m.dropNamedTrial(t)
+			m.dropTrialOnWorker(t)
 		}
 		m.saturated = true
 		m.noteWaiting(s)
 		m.askAdvice(s)
 		return
 	}
-	if !m.trialsOfGangStored(s, placed) {
+	if !m.ensureGangTrialsStored(s, placed) {
 		return
 	}
 	for i, t := range s.tasks {
--- a/core/jobsched/score.go
+++ b/core/jobsched/score.go
@@ -81,7 +81,7 @@
 }
 
 func scoreTrials(_ *Machine, t *task, w *worker) float64 {
-	if !t.watched() {
+	if !t.isSuspect() {
 		return 0
 	}
 	return trialScore * float64(w.trials)
--- a/core/jobsched/silence.go
+++ b/core/jobsched/silence.go
@@ -40,8 +40,8 @@
 		if !all && !a.longRunning && a.task != nil {
 			continue
 		}
-		if a.mayHaveCrashed() || m.succeeded(w) {
-			m.crashed(a, w)
+		if a.mayHaveCrashed() || m.hasSuccessorOnVM(w) {
+			m.countAttemptCrash(a, w)
 		}
 		m.loseAttempt(a, "its lease ran out without an answer")
 	}
--- a/core/jobsched/trial.go
+++ b/core/jobsched/trial.go
@@ -33,33 +33,33 @@
 	return &job.Trial{Attempt: t.number, Worker: t.worker.ID, StartedMs: t.worker.StartedMs}
 }
 
-// named reports whether the trial is to be on a certain worker.
-func (t trial) named() bool { return t.worker.ID != "" }
+// namesWorker reports whether the trial is to be on a certain worker.
+func (t trial) namesWorker() bool { return t.worker.ID != "" }
 
-// awaited reports whether the trial is to be stored before it may begin.
-func (t trial) awaited() bool { return t.number > 0 && !t.stored && !t.inherited }
+// isAwaitingRecord reports whether the trial is to be stored before it may begin.
+func (t trial) isAwaitingRecord() bool { return t.number > 0 && !t.stored && !t.inherited }
 
-// trialWait is how long room is kept for a trial that is being stored. Without it
+// trialReservationTime is how long room is kept for a trial that is being stored. Without it
 // the room goes to others meanwhile, and in a full cluster the task never starts.
-const trialWait = 500 * time.Millisecond
+const trialReservationTime = 500 * time.Millisecond
 
-// suspect reports whether starts of the task are trials: a worker has crashed under
+// needsTrial reports whether starts of the task are trials: a worker has crashed under
 // it, or one may have without anybody having seen it.
-func (m *Machine) suspect(t *task) bool {
+func (m *Machine) needsTrial(t *task) bool {
 	if len(t.crashes) > 0 || t.attemptLost {
 		return true
 	}
 	return !t.known && t.step.job().recovered && (m.unseenCrash || m.restarts.leaseExpiredUnanswered)
 }
 
-// crashUnseen reports whether a task that waits may have been on a worker that
+// checkUnseenCrash reports whether a task that waits may have been on a worker that
 // ended unseen, and ends unseenCrash if none may.
-func (m *Machine) crashUnseen() bool {
+func (m *Machine) checkUnseenCrash() bool {
 	if !m.unseenCrash && !m.restarts.leaseExpiredUnanswered {
 		return false
 	}
 	for s := range m.pending.All() {
-		if s.ready() && s.job().recovered && slices.ContainsFunc(s.tasks, (*task).unknown) {
+		if s.ready() && s.job().recovered && slices.ContainsFunc(s.tasks, (*task).maybeStartedEarlier) {
 			return true
 		}
 	}
@@ -67,25 +67,25 @@
 	return false
 }
 
-// unknown reports whether the task waits, and may have been started by earlier
+// maybeStartedEarlier reports whether the task waits, and may have been started by earlier
 // leaders only.
-func (t *task) unknown() bool { return t.idle() && !t.known }
+func (t *task) maybeStartedEarlier() bool { return t.idle() && !t.known }
 
 // mayHaveCrashed reports whether an attempt of which nothing is heard any more is to
 // count as ended with its worker: a trial shortly after its start.
 func (a *attempt) mayHaveCrashed() bool {
-	return a.task != nil && a.task.trial.number > 0 && a.seenFor() < longRun
+	return a.task != nil && a.task.trial.number > 0 && a.observedRunTime() < stableRunTime
 }
 
-// settleInherited settles a trial of an earlier leader of which no worker tells,
+// resolveInheritedTrial settles a trial of an earlier leader of which no worker tells,
 // though nothing is waited for any more. If its worker has ended, it has ended with
 // it. One that names no worker may have, if any worker has ended unseen.
-func (m *Machine) settleInherited(t *task) {
+func (m *Machine) resolveInheritedTrial(t *task) {
 	if !t.trial.inherited {
 		return
 	}
-	w := m.inheritedOn(t.trial.worker)
-	named := t.trial.named()
+	w := m.trialIncarnation(t.trial.worker)
+	named := t.trial.namesWorker()
 	if named && (w == nil || w.ended) || !named && m.unseenCrash {
 		m.countCrash(t, job.Crash{Attempt: t.trial.number, SeenMs: job.CrashTimeUnknown, Unsure: !named})
 		return
@@ -94,37 +94,37 @@
 	m.markDirty(t.step.job())
 }
 
-// inheritedOn returns the session with the worker that a record names: with the latest
+// trialIncarnation returns the session with the worker that a record names: with the latest
 // of its id if the record does not say which incarnation it was.
-func (m *Machine) inheritedOn(id model.Incarnation) *worker {
+func (m *Machine) trialIncarnation(id model.Incarnation) *worker {
 	if w := m.workers.Get(id); w != nil || id.StartedMs != 0 {
 		return w
 	}
 	return m.latestIncarnation(id.ID)
 }
 
-// trialStored reports whether the task may be started on the worker as far as the
+// ensureTrialStored reports whether the task may be started on the worker as far as the
 // record of its trial goes, and has it stored if not. The record names the worker of
 // a task that is watched, and room is kept there meanwhile.
-func (m *Machine) trialStored(t *task, w *worker) bool {
+func (m *Machine) ensureTrialStored(t *task, w *worker) bool {
 	switch {
-	case !m.suspect(t):
+	case !m.needsTrial(t):
 		return true
-	case t.watched() && t.trial.worker != w.id:
-		m.announceTrial(t, w.id)
+	case t.isSuspect() && t.trial.worker != w.id:
+		m.requestTrial(t, w.id)
 		m.countTrial(t, w)
 		if !t.step.spec.Gang {
-			m.reserve(t, w, trialWait, true)
+			m.reserve(t, w, trialReservationTime, true)
 		}
 	case t.trial.number == 0:
-		m.announceTrial(t, model.Incarnation{})
+		m.requestTrial(t, model.Incarnation{})
 	}
 	return t.trial.stored
 }
 
-// announceTrial has it stored that the task is about to be started, on the worker
+// requestTrial has it stored that the task is about to be started, on the worker
 // that is named or on any.
-func (m *Machine) announceTrial(t *task, on model.Incarnation) {
+func (m *Machine) requestTrial(t *task, on model.Incarnation) {
 	t.trial = trial{number: t.last + 1, worker: on}
 	m.markDirty(t.step.job())
 }
@@ -136,8 +136,8 @@
 		return
 	}
 	m.ensureRestartStored(t)
-	if !t.watched() && t.trial.number == 0 && m.suspect(t) {
-		m.announceTrial(t, model.Incarnation{})
+	if !t.isSuspect() && t.trial.number == 0 && m.needsTrial(t) {
+		m.requestTrial(t, model.Incarnation{})
 	}
 }
 
@@ -153,11 +153,11 @@
 	return true
 }
 
-// trialsOfGangStored is trialStored for all members of a gang and their workers.
-func (m *Machine) trialsOfGangStored(s *step, placed []*worker) bool {
+// ensureGangTrialsStored is trialStored for all members of a gang and their workers.
+func (m *Machine) ensureGangTrialsStored(s *step, placed []*worker) bool {
 	all := true
 	for i, t := range s.tasks {
-		all = m.trialStored(t, placed[i]) && all
+		all = m.ensureTrialStored(t, placed[i]) && all
 	}
 	return all
 }
@@ -171,10 +171,10 @@
 	m.markDirty(t.step.job())
 }
 
-// dropNamedTrial is dropTrial for a trial that names its worker: one that does not
+// dropTrialOnWorker is dropTrial for a trial that names its worker: one that does not
 // is as good elsewhere.
-func (m *Machine) dropNamedTrial(t *task) {
-	if t.trial.named() {
+func (m *Machine) dropTrialOnWorker(t *task) {
+	if t.trial.namesWorker() {
 		m.dropTrial(t)
 	}
 }
@@ -190,18 +190,18 @@
 
 // adoptTrial takes in that an attempt which an earlier leader started runs.
 func (m *Machine) adoptTrial(t *task, attempt int, on model.Incarnation) {
-	if m.suspect(t) {
+	if m.needsTrial(t) {
 		t.trial = trial{number: attempt, worker: on, stored: t.trial.inherited}
 		m.markDirty(t.step.job())
 	}
 	t.known = true
 }
 
-// settleTrial takes in that an attempt has ended: otherwise than with its worker,
+// endTrial takes in that an attempt has ended: otherwise than with its worker,
 // or its crash is counted already.
-func (m *Machine) settleTrial(t *task, a *attempt, cause EndCause) {
+func (m *Machine) endTrial(t *task, a *attempt, cause EndCause) {
 	ofTrial := t.trial.number > 0 && a.key.attempt >= t.trial.number
-	cleared := cause != endLost && len(t.crashes) > 0 && a.seenFor() >= longRun
+	cleared := cause != endLost && len(t.crashes) > 0 && a.observedRunTime() >= stableRunTime
 	if ofTrial {
 		t.trial = trial{}
 	}
@@ -230,8 +230,8 @@
 	return found
 }
 
-// trialsStored takes in that trials are stored.
-func (m *Machine) trialsStored(stored map[job.TaskKey]job.Trial) {
+// markTrialsStored takes in that trials are stored.
+func (m *Machine) markTrialsStored(stored map[job.TaskKey]job.Trial) {
 	for key, record := range stored {
 		if t := m.task(key); t != nil && t.trial.number == record.Attempt && t.trial.worker == record.On() {
 			t.trial.stored = true
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -164,7 +164,7 @@
 	if w.attemptsUnknown {
 		m.unseenCrash = true
 	}
-	m.crashAttempts(w, "another incarnation answers at its address")
+	m.loseAttemptsInCrash(w, "another incarnation answers at its address")
 	w.ended = true
 	w.attemptsUnknown = false
 	m.unresolved.Delete(w.id)
