--- a/core/jobsched/counters_test.go
+++ b/core/jobsched/counters_test.go
@@ -65,7 +65,7 @@
 func TestFailingWorkerStaysClosedOverChangesOfTheLead(t *testing.T) {
 	alone := failuresAt(t, nil, 0)
 	for name, change := range map[string]func(*cluster){"planned": (*cluster).handOver, "lost": (*cluster).lead} {
-		if n := failuresAt(t, change, 2*time.Second); n > alone+failuresToClose {
+		if n := failuresAt(t, change, 2*time.Second); n > alone+quarantineAfter {
 			t.Errorf("%s: %d attempts fail there, %d while one daemon leads", name, n, alone)
 		}
 	}
--- a/core/jobsched/filter.go
+++ b/core/jobsched/filter.go
@@ -8,7 +8,7 @@
 // The filters are asked in this order, the cheap and selective first.
 var (
 	// fitFilters hold for a worker whatever runs on it now.
-	fitFilters = []placementFilter{filterUsable, filterService, filterLabel, filterProbing, filterTicket}
+	fitFilters = []placementFilter{filterUsable, filterService, filterLabel, filterProbation, filterTicket}
 	// roomFilters depend on what runs there.
 	roomFilters = []placementFilter{filterRoom, filterSpread, filterTrial, filterInterference}
 )
@@ -66,9 +66,9 @@
 	return count < s.spec.MaxPerWorker
 }
 
-// filterProbing gives a worker under suspicion one new task at a time.
-func filterProbing(m *Machine, t *task, w *worker) bool {
-	if !w.health.probing(m.now) {
+// filterProbation gives a worker under suspicion one new task at a time.
+func filterProbation(m *Machine, t *task, w *worker) bool {
+	if !w.health.isOnProbation(m.now) {
 		return true
 	}
 	for _, a := range w.attempts.All() {
--- a/core/jobsched/health.go
+++ b/core/jobsched/health.go
@@ -8,61 +8,61 @@
 // other. So after a few failures in a row the worker gets no tasks for a while,
 // and then a single one at a time until one is done.
 type health struct {
-	failures  int
-	failedAt  time.Time
-	closedTil time.Time
+	failures         int
+	failedAt         time.Time
+	quarantinedUntil time.Time
 }
 
 const (
-	// failuresToClose is how many failures in a row of different tasks close a
+	// quarantineAfter is how many failures in a row of different tasks close a
 	// worker: tasks fail by themselves in a few of a hundred attempts, so that
 	// two in a row are rare on a sound worker.
-	failuresToClose = 2
-	// closedFirst is the first closure; it doubles up to closedMost. Grey
+	quarantineAfter = 2
+	// firstQuarantine is the first closure; it doubles up to closedMost. Grey
 	// workers of the users' reports recover after 4 to 8 s.
-	closedFirst = 2 * time.Second
-	closedMost  = 8 * time.Second
-	// probeTime is how long an attempt must have run since the last failure to
+	firstQuarantine = 2 * time.Second
+	maxQuarantine   = 8 * time.Second
+	// probationRunTime is how long an attempt must have run since the last failure to
 	// count as a success. Long-running tasks never end, and without it a worker
 	// that has only such would stay closed for good; what a failing worker
 	// starts fails within its run time, mostly less than a second.
-	probeTime = 2500 * time.Millisecond
-	// failureMemory is how long a failure counts, from the worker's being open.
+	probationRunTime = 2500 * time.Millisecond
+	// failureRetention is how long a failure counts, from the worker's being open.
 	// Long-running tasks fail by themselves now and then; on a worker that has
 	// little else nothing is done in between, and two such failures, minutes
 	// apart, would close it.
-	failureMemory = 4 * time.Second
+	failureRetention = 4 * time.Second
 )
 
-func (h *health) succeeded() { *h = health{} }
+func (h *health) recordSuccess() { *h = health{} }
 
-func (h *health) failed(now time.Time) {
+func (h *health) recordFailure(now time.Time) {
 	h.forget(now)
 	h.failures++
 	h.failedAt = now
-	if h.failures < failuresToClose {
+	if h.failures < quarantineAfter {
 		return
 	}
-	pause := closedFirst << min(h.failures-failuresToClose, 4)
-	h.closedTil = now.Add(min(pause, closedMost))
+	pause := firstQuarantine << min(h.failures-quarantineAfter, 4)
+	h.quarantinedUntil = now.Add(min(pause, maxQuarantine))
 }
 
-func (h *health) open(now time.Time) bool { return !now.Before(h.closedTil) }
+func (h *health) isAvailable(now time.Time) bool { return !now.Before(h.quarantinedUntil) }
 
-// survived takes in that an attempt runs since startedAt.
-func (h *health) survived(startedAt, now time.Time) {
-	if h.failures > 0 && startedAt.After(h.failedAt) && now.Sub(startedAt) > probeTime {
-		h.succeeded()
+// recordSurvival takes in that an attempt runs since startedAt.
+func (h *health) recordSurvival(startedAt, now time.Time) {
+	if h.failures > 0 && startedAt.After(h.failedAt) && now.Sub(startedAt) > probationRunTime {
+		h.recordSuccess()
 	}
 }
 
 // forget forgets failures of long ago.
 func (h *health) forget(now time.Time) {
 	last := h.failedAt
-	if h.closedTil.After(last) {
-		last = h.closedTil
+	if h.quarantinedUntil.After(last) {
+		last = h.quarantinedUntil
 	}
-	if now.Sub(last) > failureMemory {
+	if now.Sub(last) > failureRetention {
 		*h = health{}
 	}
 }
@@ -77,26 +77,26 @@
 	ClosedFor time.Duration `json:"closedFor,omitempty"`
 }
 
-// handedOver returns what the next leader should know, nil for nothing.
-func (h *health) handedOver(now time.Time) *WorkerHealth {
-	if !h.probing(now) {
+// handoverRecord returns what the next leader should know, nil for nothing.
+func (h *health) handoverRecord(now time.Time) *WorkerHealth {
+	if !h.isOnProbation(now) {
 		return nil
 	}
 	return &WorkerHealth{
-		Failures: h.failures, FailedAgo: now.Sub(h.failedAt), ClosedFor: max(h.closedTil.Sub(now), 0),
+		Failures: h.failures, FailedAgo: now.Sub(h.failedAt), ClosedFor: max(h.quarantinedUntil.Sub(now), 0),
 	}
 }
 
-// takenOver returns what an earlier leader handed over at a time.
-func takenOver(w *WorkerHealth, at time.Time) health {
+// recoveredHealth returns what an earlier leader handed over at a time.
+func recoveredHealth(w *WorkerHealth, at time.Time) health {
 	if w == nil {
 		return health{}
 	}
-	return health{failures: w.Failures, failedAt: at.Add(-w.FailedAgo), closedTil: at.Add(w.ClosedFor)}
+	return health{failures: w.Failures, failedAt: at.Add(-w.FailedAgo), quarantinedUntil: at.Add(w.ClosedFor)}
 }
 
-// probing reports whether the worker gets one task at a time.
-func (h *health) probing(now time.Time) bool {
+// isOnProbation reports whether the worker gets one task at a time.
+func (h *health) isOnProbation(now time.Time) bool {
 	h.forget(now)
-	return h.failures >= failuresToClose
+	return h.failures >= quarantineAfter
 }
--- a/core/jobsched/health_test.go
+++ b/core/jobsched/health_test.go
@@ -13,10 +13,10 @@
 // done there, and nothing ever was.
 func TestFailuresFarApartDoNotCloseAWorker(t *testing.T) {
 	var h health
-	h.failed(testEpoch)
+	h.recordFailure(testEpoch)
 	later := testEpoch.Add(30 * time.Second)
-	h.failed(later)
-	if !h.open(later) || h.probing(later) {
+	h.recordFailure(later)
+	if !h.isAvailable(later) || h.isOnProbation(later) {
 		t.Error("the worker is closed")
 	}
 }
@@ -26,16 +26,16 @@
 func TestFailingWorkerIsClosedLongerEachTime(t *testing.T) {
 	var h health
 	now := testEpoch
-	h.failed(now)
-	h.failed(now)
-	for _, pause := range []time.Duration{closedFirst, 2 * closedFirst, 4 * closedFirst, closedMost} {
-		if h.open(now.Add(pause-time.Millisecond)) || !h.open(now.Add(pause)) {
+	h.recordFailure(now)
+	h.recordFailure(now)
+	for _, pause := range []time.Duration{firstQuarantine, 2 * firstQuarantine, 4 * firstQuarantine, maxQuarantine} {
+		if h.isAvailable(now.Add(pause-time.Millisecond)) || !h.isAvailable(now.Add(pause)) {
 			t.Errorf("not closed for %s", pause)
 		}
 		now = now.Add(pause + time.Second)
-		if !h.probing(now) {
+		if !h.isOnProbation(now) {
 			t.Error("not on probation")
 		}
-		h.failed(now)
+		h.recordFailure(now)
 	}
 }
--- a/core/jobsched/inherit.go
+++ b/core/jobsched/inherit.go
@@ -13,7 +13,7 @@
 	w.full = e.FullCapacity()
 	w.onRoster = true
 	if stands {
-		w.health = takenOver(e.Health, m.recoveredAt.Add(-age))
+		w.health = recoveredHealth(e.Health, m.recoveredAt.Add(-age))
 		w.mark.failures = w.health.failures
 	}
 	m.addIncarnation(w)
--- a/core/jobsched/note.go
+++ b/core/jobsched/note.go
@@ -53,7 +53,7 @@
 // filterNames name the reasons for which placement rules a worker out.
 var filterNames = []namedFilter{
 	{"not usable", filterUsable}, {"other service", filterService}, {"label", filterLabel},
-	{"on probation", filterProbing}, {"no ticket", filterTicket}, {"no room", filterRoom},
+	{"on probation", filterProbation}, {"no ticket", filterTicket}, {"no room", filterRoom},
 	{"spread", filterSpread}, {"on trial", filterTrial}, {"would disturb", filterInterference},
 }
 
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -276,7 +276,7 @@
 func (m *Machine) applyEnd(t *task, a *attempt, cause EndCause) {
 	switch cause {
 	case EndDone:
-		a.worker.health.succeeded()
+		a.worker.health.recordSuccess()
 		m.taskEndedDone(t)
 	case EndFailed:
 		m.blame(t.step, a.worker)
@@ -296,7 +296,7 @@
 func (m *Machine) blame(s *step, w *worker) {
 	if !s.blamed {
 		s.blamed = true
-		w.health.failed(m.now)
+		w.health.recordFailure(m.now)
 	}
 }
 
--- a/core/jobsched/roster.go
+++ b/core/jobsched/roster.go
@@ -130,7 +130,7 @@
 func (m *Machine) markOf(w *worker) rosterMark {
 	mark := m.startsMarkOf(w)
 	mark.failures = 0
-	if w.health.probing(m.now) {
+	if w.health.isOnProbation(m.now) {
 		mark.failures = w.health.failures
 	}
 	return mark
@@ -289,7 +289,7 @@
 		if w.ended && w.attempts.Len() == 0 {
 			continue
 		}
-		l := rosterLine{worker: w, mark: markOf(w), entry: RosterEntry{WorkerEntry: w.entry, Health: w.health.handedOver(m.now)}}
+		l := rosterLine{worker: w, mark: markOf(w), entry: RosterEntry{WorkerEntry: w.entry, Health: w.health.handoverRecord(m.now)}}
 		if w.full != w.entry.Capacity {
 			l.entry.Full = w.full
 		}
--- a/core/jobsched/takeover_test.go
+++ b/core/jobsched/takeover_test.go
@@ -297,7 +297,7 @@
 	}
 	closed := 0
 	for _, w := range c.machine.workers.All() {
-		if !w.health.open(c.now) {
+		if !w.health.isAvailable(c.now) {
 			closed++
 		}
 	}
--- a/core/jobsched/watch.go
+++ b/core/jobsched/watch.go
@@ -24,10 +24,10 @@
 		m.noteHoldingAttempts(w)
 		for _, a := range w.attempts.All() {
 			if a.phase == phaseRunning && w.unreachableSince.IsZero() {
-				w.health.survived(a.startedAt, m.now)
+				w.health.recordSurvival(a.startedAt, m.now)
 			}
 			if a.stalled(m.now) {
-				w.health.failed(m.now)
+				w.health.recordFailure(m.now)
 				a.task.failedOn = w
 				m.requestStop(a, fmt.Sprintf("stands still at %d%%", a.percent))
 			}
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -184,5 +184,5 @@
 func (w *worker) usable(now time.Time) bool {
 	allowed := w.listed && w.onRoster && !w.closed && !w.bounded && !w.entry.Draining && !w.ended && !w.contested()
 	well := w.answered && w.unreachableSince.IsZero() && !w.clockAt.IsZero() && len(w.unackedEnds) < maxUnackedEnds
-	return allowed && well && !now.Before(w.noStartsUntil) && w.health.open(now)
+	return allowed && well && !now.Before(w.noStartsUntil) && w.health.isAvailable(now)
 }
