--- a/core/jobsched/bench_test.go
+++ b/core/jobsched/bench_test.go
@@ -144,7 +144,7 @@
 	c.run(5 * time.Second)
 	b.Run("look", func(b *testing.B) {
 		for b.Loop() {
-			c.machine.roster.lookedAt = time.Time{}
+			c.machine.roster.checkedAt = time.Time{}
 			c.machine.rosterDue()
 		}
 	})
--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -185,7 +185,7 @@
 			m.dropIfFinal(j)
 		}
 	}
-	m.rosterStored()
+	m.applyStoredRoster()
 	m.markTrialsStored(c.trials)
 	for id, stored := range c.restarts {
 		mergeRestarts(&m.restarts.stored, id, stored)
--- a/core/jobsched/inherit.go
+++ b/core/jobsched/inherit.go
@@ -14,7 +14,7 @@
 	w.onRoster = true
 	if stands {
 		w.health = recoveredHealth(e.Health, m.recoveredAt.Add(-age))
-		w.mark.failures = w.health.failures
+		w.rosterStatus.failures = w.health.failures
 	}
 	m.addIncarnation(w)
 	m.startTimesReported = m.startTimesReported || w.id.StartedMs != 0
@@ -66,10 +66,10 @@
 	}
 }
 
-// dropOutdated forgets inherited attempts of a task with a lower number than the
+// dropSuperseded forgets inherited attempts of a task with a lower number than the
 // given one. The leader that started that one knew the others to be over, and the
 // roster that lists them was written before.
-func (m *Machine) dropOutdated(t *task, number int) {
+func (m *Machine) dropSuperseded(t *task, number int) {
 	for _, a := range slices.Clone(t.attempts) {
 		if a.inherited && a.key.attempt < number {
 			m.endAttempt(a, endLost, "")
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -216,7 +216,7 @@
 		return a
 	}
 	m.recordAdopted(t, e.Attempt)
-	m.dropOutdated(t, e.Attempt)
+	m.dropSuperseded(t, e.Attempt)
 	return m.addAttempt(t, w, e.Attempt, phaseRunning)
 }
 
@@ -278,7 +278,7 @@
 	if a := m.moveFromOtherIncarnation(t, w, r.Attempt); a != nil {
 		return a
 	}
-	m.dropOutdated(t, r.Attempt)
+	m.dropSuperseded(t, r.Attempt)
 	alone := t.idle()
 	m.recordAdopted(t, r.Attempt)
 	a := m.addAttempt(t, w, r.Attempt, phaseRunning)
--- a/core/jobsched/roster.go
+++ b/core/jobsched/roster.go
@@ -63,9 +63,9 @@
 	Percent    int           `json:"percent,omitempty"`
 }
 
-// rosterMark is what a roster should say of a worker, in short. A roster is due
+// rosterStatus is what a roster should say of a worker, in short. A roster is due
 // when a worker's mark is another one than when the stored roster was written.
-type rosterMark struct {
+type rosterStatus struct {
 	// closed is whether RosterEntry.Closed should be set, bounded whether there
 	// should be a LeaseLeft.
 	closed, bounded bool
@@ -80,55 +80,55 @@
 	// outdated is set when a roster is due whatever the marks are: a worker was
 	// forgotten, or the stored roster could not be read.
 	outdated bool
-	// lookedAt is when the workers' marks were compared with what is stored.
-	lookedAt time.Time
-	// stands is whether the machine itself has stored a roster: its first commit
+	// checkedAt is when the workers' marks were compared with what is stored.
+	checkedAt time.Time
+	// valid is whether the machine itself has stored a roster: its first commit
 	// ends what an earlier leader's roster says.
-	stands bool
+	valid bool
 	// sentAt is when the roster that was sent last was written.
 	sentAt time.Time
-	// sent is the roster that is being stored.
-	sent []rosterLine
+	// inFlight is the roster that is being stored.
+	inFlight []rosterLine
 }
 
 // rosterLine is a worker's part of a roster: mark is what should be said, entry
 // what is said. The two differ where there is no room for all attempts.
 type rosterLine struct {
 	worker *worker
-	mark   rosterMark
+	status rosterStatus
 	entry  RosterEntry
 }
 
 const (
-	// rosterPatience is how long a worker may be silent before the roster says that
+	// rosterUnreachableAfter is how long a worker may be silent before the roster says that
 	// nothing is started there: a lost answer is followed by another within 0.5 s.
-	rosterPatience = time.Second
-	// answerPatience is how long after a take-over the roster says nothing yet of
+	rosterUnreachableAfter = time.Second
+	// firstAnswerTime is how long after a take-over the roster says nothing yet of
 	// workers that have not answered: those that are well answer within 0.5 s. If the
 	// leader is lost meanwhile, after its first commit, anything may run there to
 	// its successor.
-	answerPatience = 500 * time.Millisecond
+	firstAnswerTime = 500 * time.Millisecond
 	// rosterInterval is the time between two looks at whether a roster is due, and
 	// rosterIntervalEach what each worker adds to it: a roster of 1,100 workers has
 	// 0.3 MB, and is stored at most once in 0.65 s.
-	rosterInterval     = 100 * time.Millisecond
-	rosterIntervalEach = 500 * time.Microsecond
-	// rosterAttemptsMost is how many attempts a roster lists at most, 45 bytes each:
+	rosterInterval          = 100 * time.Millisecond
+	rosterIntervalPerWorker = 500 * time.Microsecond
+	// maxRosterAttempts is how many attempts a roster lists at most, 45 bytes each:
 	// a value of the store has room for 1 MiB.
-	rosterAttemptsMost = 10_000
+	maxRosterAttempts = 10_000
 	// rosterAgeInterval is the time between two commits, each with the age of the
 	// roster, while all older jobs wait for a worker. The next leader counts the
 	// bounds on from the last of them: up to this much longer is waited with each
 	// leader that is lost.
 	rosterAgeInterval = 250 * time.Millisecond
-	// leaseLeftLeast is the least LeaseLeft that is told. It is beyond
+	// minLeaseLeft is the least LeaseLeft that is told. It is beyond
 	// silentPatience, the longest that a worker is waited for after its leases.
-	leaseLeftLeast = -time.Minute
+	minLeaseLeft = -time.Minute
 )
 
-// markOf returns what the roster should say of a worker now.
-func (m *Machine) markOf(w *worker) rosterMark {
-	mark := m.startsMarkOf(w)
+// rosterStatusOf returns what the roster should say of a worker now.
+func (m *Machine) rosterStatusOf(w *worker) rosterStatus {
+	mark := m.startStatusOf(w)
 	mark.failures = 0
 	if w.health.isOnProbation(m.now) {
 		mark.failures = w.health.failures
@@ -136,25 +136,25 @@
 	return mark
 }
 
-// startsMarkOf returns what it should say of starts and leases there.
-func (m *Machine) startsMarkOf(w *worker) rosterMark {
+// startStatusOf returns what it should say of starts and leases there.
+func (m *Machine) startStatusOf(w *worker) rosterStatus {
 	switch {
-	case !w.answered && w.onRoster && m.now.Before(m.recoveredAt.Add(answerPatience)):
-		return w.mark
+	case !w.answered && w.onRoster && m.now.Before(m.recoveredAt.Add(firstAnswerTime)):
+		return w.rosterStatus
 	case w.attemptsUnknown:
-		return rosterMark{bounded: true}
+		return rosterStatus{bounded: true}
 	case w.ended:
-		return rosterMark{closed: true, attempts: w.outstanding()}
-	case w.takesTasks(m.now):
-		return rosterMark{}
+		return rosterStatus{closed: true, attempts: w.outstanding()}
+	case w.acceptsTasks(m.now):
+		return rosterStatus{}
 	}
-	return rosterMark{closed: true, bounded: !w.answered, attempts: w.outstanding()}
+	return rosterStatus{closed: true, bounded: !w.answered, attempts: w.outstanding()}
 }
 
-// takesTasks reports whether tasks are to be started on the worker, now or as
+// acceptsTasks reports whether tasks are to be started on the worker, now or as
 // soon as it answers.
-func (w *worker) takesTasks(now time.Time) bool {
-	silent := !w.unreachableSince.IsZero() && now.Sub(w.unreachableSince) >= rosterPatience
+func (w *worker) acceptsTasks(now time.Time) bool {
+	silent := !w.unreachableSince.IsZero() && now.Sub(w.unreachableSince) >= rosterUnreachableAfter
 	return w.answered && w.listed && !w.entry.Draining && !silent
 }
 
@@ -171,16 +171,16 @@
 // only.
 func (m *Machine) rosterDue() bool {
 	r := &m.roster
-	interval := rosterInterval + time.Duration(m.workers.Len())*rosterIntervalEach
-	if m.now.Sub(r.lookedAt) < interval {
+	interval := rosterInterval + time.Duration(m.workers.Len())*rosterIntervalPerWorker
+	if m.now.Sub(r.checkedAt) < interval {
 		return false
 	}
-	r.lookedAt = m.now
-	if r.outdated || !r.stands && !m.now.Before(m.recoveredAt.Add(answerPatience)) {
+	r.checkedAt = m.now
+	if r.outdated || !r.valid && !m.now.Before(m.recoveredAt.Add(firstAnswerTime)) {
 		return true
 	}
 	for _, w := range m.workers.All() {
-		if !w.onRoster || w.mark != m.markOf(w) {
+		if !w.onRoster || w.rosterStatus != m.rosterStatusOf(w) {
 			return true
 		}
 	}
@@ -192,8 +192,8 @@
 // rosters the next leader reads is not known until then.
 func (m *Machine) addRoster(commit *Commit) {
 	r := &m.roster
-	lines := m.rosterLines(m.markOf)
-	r.sent = lines
+	lines := m.rosterLines(m.rosterStatusOf)
+	r.inFlight = lines
 	for _, l := range lines {
 		commit.Roster = append(commit.Roster, l.entry)
 		l.worker.closed = l.worker.closed || l.entry.Closed
@@ -206,25 +206,25 @@
 // addRosterAge adds to a commit whether the statements of the stored roster stand,
 // and how old they are.
 func (m *Machine) addRosterAge(commit *Commit) {
-	commit.RosterValid = m.roster.stands || commit.Roster != nil
+	commit.RosterValid = m.roster.valid || commit.Roster != nil
 	if commit.RosterValid {
 		commit.RosterAge = m.now.Sub(m.roster.sentAt)
 	}
 }
 
-// rosterStored takes in that the roster which was sent last is stored.
-func (m *Machine) rosterStored() {
+// applyStoredRoster takes in that the roster which was sent last is stored.
+func (m *Machine) applyStoredRoster() {
 	r := &m.roster
-	if r.sent == nil {
+	if r.inFlight == nil {
 		return
 	}
-	for _, l := range r.sent {
+	for _, l := range r.inFlight {
 		w := l.worker
 		w.onRoster = true
-		w.mark, w.closed, w.bounded = l.mark, l.entry.Closed, l.entry.LeaseLeft != nil
+		w.rosterStatus, w.closed, w.bounded = l.status, l.entry.Closed, l.entry.LeaseLeft != nil
 	}
-	r.sent = nil
-	r.stands = true
+	r.inFlight = nil
+	r.valid = true
 	m.changed = true
 }
 
@@ -238,16 +238,16 @@
 	m.dropTrials()
 	commit := m.newCommit()
 	commit.Learned = m.learner.Export()
-	for _, l := range m.rosterLines(m.lastMarkOf) {
+	for _, l := range m.rosterLines(m.handoverStatusOf) {
 		commit.Roster = append(commit.Roster, l.entry)
 	}
 	commit.RosterValid = true
 	m.deposed = true
-	return commit, m.takeNotes()
+	return commit, m.drainNotes()
 }
 
-// takeNotes returns the notes among the effects that were not carried out.
-func (m *Machine) takeNotes() []Note {
+// drainNotes returns the notes among the effects that were not carried out.
+func (m *Machine) drainNotes() []Note {
 	var notes []Note
 	for _, e := range m.out {
 		if n, ok := e.(Note); ok {
@@ -258,12 +258,12 @@
 	return notes
 }
 
-// lastMarkOf returns what the last roster of a leader says of a worker.
-func (m *Machine) lastMarkOf(w *worker) rosterMark {
+// handoverStatusOf returns what the last roster of a leader says of a worker.
+func (m *Machine) handoverStatusOf(w *worker) rosterStatus {
 	if w.attemptsUnknown {
-		return rosterMark{bounded: true}
+		return rosterStatus{bounded: true}
 	}
-	return rosterMark{closed: true, bounded: true, attempts: w.outstanding()}
+	return rosterStatus{closed: true, bounded: true, attempts: w.outstanding()}
 }
 
 // rosterOrder returns the workers in the order of the roster: those that take no
@@ -271,7 +271,7 @@
 func (m *Machine) rosterOrder() []*worker {
 	order := slices.Collect(m.everyWorker())
 	rank := func(w *worker) int {
-		if w.takesTasks(m.now) {
+		if w.acceptsTasks(m.now) {
 			return 1
 		}
 		return 0
@@ -282,22 +282,22 @@
 
 // rosterLines returns the roster with the marks given. A worker whose attempts
 // have no room on it is told as one on which anything may run.
-func (m *Machine) rosterLines(markOf func(*worker) rosterMark) []rosterLine {
+func (m *Machine) rosterLines(markOf func(*worker) rosterStatus) []rosterLine {
 	lines := make([]rosterLine, 0, m.workers.Len())
-	room := rosterAttemptsMost
+	room := maxRosterAttempts
 	for _, w := range m.rosterOrder() {
 		if w.ended && w.attempts.Len() == 0 {
 			continue
 		}
-		l := rosterLine{worker: w, mark: markOf(w), entry: RosterEntry{WorkerEntry: w.entry, Health: w.health.handoverRecord(m.now)}}
+		l := rosterLine{worker: w, status: markOf(w), entry: RosterEntry{WorkerEntry: w.entry, Health: w.health.handoverRecord(m.now)}}
 		if w.full != w.entry.Capacity {
 			l.entry.Full = w.full
 		}
-		if l.mark.bounded {
-			left := max(w.leaseBound.Sub(m.now), leaseLeftLeast)
+		if l.status.bounded {
+			left := max(w.leaseBound.Sub(m.now), minLeaseLeft)
 			l.entry.LeaseLeft = &left
 		}
-		if l.mark.closed && w.outstanding() <= room {
+		if l.status.closed && w.outstanding() <= room {
 			room -= w.outstanding()
 			l.entry.Closed, l.entry.Attempts = true, w.rosterAttempts(m.now)
 		}
@@ -306,14 +306,14 @@
 	return lines
 }
 
-// stillLeast is the least time without progress that is handed over: reports are
+// minReportedStall is the least time without progress that is handed over: reports are
 // half a second apart, and most attempts advance with each.
-const stillLeast = 750 * time.Millisecond
+const minReportedStall = 750 * time.Millisecond
 
-// stillFor returns for how long an attempt has stood still, 0 if that is not long.
-func (a *attempt) stillFor(now time.Time) time.Duration {
+// stalledFor returns for how long an attempt has stood still, 0 if that is not long.
+func (a *attempt) stalledFor(now time.Time) time.Duration {
 	still := now.Sub(a.lastAdvance())
-	if a.phase != phaseRunning || a.percent >= 100 || a.throttle < fullSpeed || still < stillLeast {
+	if a.phase != phaseRunning || a.percent >= 100 || a.throttle < fullSpeed || still < minReportedStall {
 		return 0
 	}
 	return still
@@ -323,7 +323,7 @@
 func (w *worker) rosterAttempts(now time.Time) []RosterAttempt {
 	var list []RosterAttempt
 	for key, a := range w.attempts.All() {
-		still, percent := a.stillFor(now), 0
+		still, percent := a.stalledFor(now), 0
 		if still > 0 {
 			percent = a.percent
 		}
--- a/core/jobsched/roster_test.go
+++ b/core/jobsched/roster_test.go
@@ -158,7 +158,7 @@
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	w := c.machine.latestIncarnation("w000")
-	for i := range rosterAttemptsMost + 1 {
+	for i := range maxRosterAttempts + 1 {
 		w.lost[attemptKey{task: job.TaskKey{Index: i}, attempt: 1}] = struct{}{}
 	}
 	last, _ := c.machine.HandOver(c.now, c.wall)
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -21,8 +21,8 @@
 	listed bool
 	// onRoster is whether it is on the stored roster, before which nothing is
 	// started on it; mark is what that roster should say of it.
-	onRoster bool
-	mark     rosterMark
+	onRoster     bool
+	rosterStatus rosterStatus
 	// closed and bounded are set while a roster of this leader that is stored, or
 	// may be, says that nothing is started there, and when leases there end.
 	closed, bounded bool
