--- a/core/jobsched/aside.go
+++ b/core/jobsched/aside.go
@@ -73,7 +73,7 @@
 		}
 	}
 	for _, e := range aside.ends {
-		m.takeEnd(e.worker, &e.end)
+		m.processEnd(e.worker, &e.end)
 	}
 	for _, a := range running {
 		m.adoptRunning(a.worker, &RunningAttempt{Key: a.key.task, Attempt: a.key.attempt, Percent: a.percent})
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -15,13 +15,13 @@
 	// idleInterval is the time between two looks at a worker without attempts:
 	// nothing there has a lease to renew.
 	idleInterval = 2 * time.Second
-	// unstoredInterval is the time between looks while ends wait to be stored:
+	// unackedEndsInterval is the time between looks while ends wait to be stored:
 	// a worker that has ends to tell answers at once.
-	unstoredInterval = 200 * time.Millisecond
-	// retryFirst and retryMost bound the time between calls to a worker that
+	unackedEndsInterval = 200 * time.Millisecond
+	// minRetryDelay and retryMost bound the time between calls to a worker that
 	// does not answer.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 	// notSentPause is the time before an order is tried again that was not sent:
 	// the daemon waits for its links to the carriers, or leads no longer.
 	notSentPause = 100 * time.Millisecond
@@ -91,7 +91,7 @@
 	default:
 		m.markUnreachable(w, ev.SentAt)
 		pause := m.now.Sub(w.unreachableSince) / 2
-		w.renewAt = m.now.Add(min(max(pause, retryFirst), retryMost))
+		w.renewAt = m.now.Add(min(max(pause, minRetryDelay), maxRetryDelay))
 		return
 	}
 	if next := m.answeringIncarnation(w, ev.Report.StartedMs); next != w {
@@ -100,14 +100,14 @@
 		}
 	}
 	m.endEarlierIncarnations(w, ev)
-	m.takeReport(w, ev.SentAt, ev.Report)
+	m.processReport(w, ev.SentAt, ev.Report)
 }
 
-// takeReport takes in a worker's report, which was asked for at sentAt.
-func (m *Machine) takeReport(w *worker, sentAt time.Time, r Report) {
+// processReport takes in a worker's report, which was asked for at sentAt.
+func (m *Machine) processReport(w *worker, sentAt time.Time, r Report) {
 	m.markReachable(w)
 	w.sampleClock(m.now, r.ClockMs)
-	m.takeEnds(w, r.Ended)
+	m.processEnds(w, r.Ended)
 	m.reconcile(w, sentAt, r)
 	m.learn(w)
 	m.adjustThrottle(w)
@@ -115,7 +115,7 @@
 	if len(r.Ended) > 0 && r.Ended[0].Number <= w.sentAckedEnd {
 		// The acknowledgement was held back, and a worker with ends to tell answers at
 		// once, each time.
-		w.renewAt = later(w.renewAt, m.now.Add(retryFirst))
+		w.renewAt = later(w.renewAt, m.now.Add(minRetryDelay))
 	}
 }
 
@@ -129,7 +129,7 @@
 func (m *Machine) nextRenewal(w *worker) time.Time {
 	switch {
 	case w.lastSeenEnd > w.lastAckedEnd:
-		return m.now.Add(unstoredInterval)
+		return m.now.Add(unackedEndsInterval)
 	case w.attempts.Len() == 0:
 		return m.now.Add(idleInterval)
 	}
@@ -148,8 +148,8 @@
 	m.emit(Deposed{Worker: w.id})
 }
 
-// takeEnds takes in the ends that have not been taken in before.
-func (m *Machine) takeEnds(w *worker, ends []EndedAttempt) {
+// processEnds takes in the ends that have not been taken in before.
+func (m *Machine) processEnds(w *worker, ends []EndedAttempt) {
 	for i := range ends {
 		e := &ends[i]
 		if e.Number <= w.lastSeenEnd {
@@ -158,7 +158,7 @@
 		m.noteGap(w, e.Number)
 		w.lastSeenEnd = e.Number
 		w.unackedEnds = append(w.unackedEnds, unackedEnd{number: e.Number, task: e.Key, attempt: e.Attempt})
-		m.takeEnd(w, e)
+		m.processEnd(w, e)
 	}
 }
 
@@ -171,7 +171,7 @@
 	}
 }
 
-func (m *Machine) takeEnd(w *worker, e *EndedAttempt) {
+func (m *Machine) processEnd(w *worker, e *EndedAttempt) {
 	if e.Cause == EndExpired {
 		w.releaseWithheldEnds()
 	}
@@ -239,7 +239,7 @@
 		return
 	}
 	for _, a := range w.attempts.All() {
-		if _, ok := listed[a.key]; !ok && a.overBefore(sentAt) {
+		if _, ok := listed[a.key]; !ok && a.isOverBy(sentAt) {
 			m.noteAttempt(joblog.MessageNotThere, a, "not in the worker's report")
 			if a.previousWorker != nil {
 				m.countAttemptCrash(a, a.previousWorker)
@@ -250,9 +250,9 @@
 	}
 }
 
-// overBefore reports whether an attempt that a report asked for at sentAt does
+// isOverBy reports whether an attempt that a report asked for at sentAt does
 // not list is over: it was known to run before, or to be barred.
-func (a *attempt) overBefore(sentAt time.Time) bool {
+func (a *attempt) isOverBy(sentAt time.Time) bool {
 	switch a.phase {
 	case phaseRunning:
 		return a.startedAt.Before(sentAt)
