--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -15,10 +15,10 @@
 	// summaryInterval is how often a commit is made for the sake of its summary
 	// alone; readers take a summary of 2 s as current.
 	summaryInterval = time.Second
-	// commitRecords bounds the entries of one commit. The store takes 32, of
+	// maxCommitEntries bounds the entries of one commit. The store takes 32, of
 	// which the commit itself needs five: its condition, the ledger, the roster,
 	// the fleet and what was learned.
-	commitRecords = 27
+	maxCommitEntries = 27
 	// learnedInterval is the time between two stores of what was learned.
 	learnedInterval = 3 * time.Second
 )
@@ -66,7 +66,7 @@
 	}
 	rosterDue := m.rosterDue()
 	if m.dirty.Len() == 0 && len(m.removals) == 0 && !rosterDue {
-		m.acknowledgeEnds(m.storedEnds())
+		m.acknowledgeEnds(m.ackableEnds())
 		if m.now.Sub(c.sentAt) < m.quietInterval() {
 			return
 		}
@@ -82,7 +82,7 @@
 	}
 	c.restarts = restartsIn(commit.Puts)
 	c.trials = trialsIn(commit.Puts)
-	c.ends = m.storedEnds()
+	c.ends = m.ackableEnds()
 	c.number++
 	c.inFlight = true
 	c.sentAt = m.now
@@ -109,7 +109,7 @@
 // fillCommit moves records from the dirty set into the commit, those of jobs
 // that are over first: their callers wait for them.
 func (m *Machine) fillCommit(commit *Commit) []job.ID {
-	room := commitRecords
+	room := maxCommitEntries
 	ids := m.fillRecords(commit, true, &room)
 	ids = append(ids, m.fillRecords(commit, false, &room)...)
 	n := min(room, len(m.removals))
@@ -145,9 +145,9 @@
 	return ids
 }
 
-// storedEnds returns, for each worker, the last end before any whose job has a
+// ackableEnds returns, for each worker, the last end before any whose job has a
 // record that waits to be stored.
-func (m *Machine) storedEnds() map[model.Incarnation]int64 {
+func (m *Machine) ackableEnds() map[model.Incarnation]int64 {
 	ends := make(map[model.Incarnation]int64)
 	for id, w := range m.workers.All() {
 		for _, e := range w.unackedEnds {
--- a/core/jobsched/inherit_test.go
+++ b/core/jobsched/inherit_test.go
@@ -26,7 +26,7 @@
 func TestLaterRepetitionIsInherited(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	c.run(200 * time.Millisecond)
-	for i := range 3 * commitRecords {
+	for i := range 3 * maxCommitEntries {
 		c.submit(100+i, "batch", makeStep(1, 100, 30*time.Second))
 	}
 	c.storeDown = true
--- a/core/jobsched/roster_test.go
+++ b/core/jobsched/roster_test.go
@@ -75,7 +75,7 @@
 // handed over, and the workers that had to tell of them were out of reach. They
 // must not be started again: the ends count once they are heard.
 func TestEndsThatAreNotStoredAreHandedOver(t *testing.T) {
-	const tasks = commitRecords + 8
+	const tasks = maxCommitEntries + 8
 	c := newCluster(t, 1, 5)
 	c.run(200 * time.Millisecond)
 	for i := range tasks {
