--- a/core/jobsched/entry.go
+++ b/core/jobsched/entry.go
@@ -69,10 +69,10 @@
 	Fault EntryFault
 }
 
-// judge parts the entries of workers that may be used from those that are
+// classifyEntries parts the entries of workers that may be used from those that are
 // unusable, be it by what else is known.
-func (m *Machine) judge(list WorkersListed) ([]WorkerEntry, []UnusableEntry) {
-	fault := m.entryJudge()
+func (m *Machine) classifyEntries(list WorkersListed) ([]WorkerEntry, []UnusableEntry) {
+	fault := m.entryClassifier()
 	usable, unusable := make([]WorkerEntry, 0, len(list.Workers)), slices.Clip(list.Unusable)
 	for _, e := range list.Workers {
 		if f := fault(e); f != EntryValid {
@@ -84,10 +84,10 @@
 	return usable, unusable
 }
 
-// entryJudge returns a function that tells the fault of an entry by the configuration
+// entryClassifier returns a function that tells the fault of an entry by the configuration
 // and by whether workers say when they were started. That they do is known from their
 // own reports alone: anybody may write an entry that says so.
-func (m *Machine) entryJudge() func(WorkerEntry) EntryFault {
+func (m *Machine) entryClassifier() func(WorkerEntry) EntryFault {
 	var named map[string]struct{}
 	if m.config != nil && len(m.config.Services) > 0 {
 		named = m.namedServices()
--- a/core/jobsched/entry_test.go
+++ b/core/jobsched/entry_test.go
@@ -264,18 +264,18 @@
 				strangers++
 			}
 		}
-		if n := c.machine.entries.tracked.Len(); n != trackedStrangers+1 {
-			t.Errorf("%d entries are followed, want %d", n, trackedStrangers+1)
+		if n := c.machine.entries.tracked.Len(); n != maxTrackedUnknown+1 {
+			t.Errorf("%d entries are followed, want %d", n, maxTrackedUnknown+1)
 		}
 	}
-	if strangers != strangerTurnNotes || told != 1 {
-		t.Errorf("%d notes on strangers and %d on a worker, want %d and 1", strangers, told, strangerTurnNotes)
+	if strangers != unknownNotesPerWindow || told != 1 {
+		t.Errorf("%d notes on strangers and %d on a worker, want %d and 1", strangers, told, unknownNotesPerWindow)
 	}
 	counts := c.machine.TakeEntryCounts()
 	if counts.Unusable[EntryUnreadable] != flood || counts.Unusable[EntryNoLabels] != 1 {
 		t.Errorf("counted: %v", counts.Unusable)
 	}
-	if turned, gone := counts.Changes[EntryBecameUnusable], counts.Changes[EntryGone]; turned != lists*trackedStrangers+1 || gone != (lists-1)*trackedStrangers {
+	if turned, gone := counts.Changes[EntryBecameUnusable], counts.Changes[EntryGone]; turned != lists*maxTrackedUnknown+1 || gone != (lists-1)*maxTrackedUnknown {
 		t.Errorf("%d turned unusable and %d are gone", turned, gone)
 	}
 }
--- a/core/jobsched/entrywatch.go
+++ b/core/jobsched/entrywatch.go
@@ -20,16 +20,16 @@
 )
 
 var (
-	entryTurnNames    = [...]string{"unusable", "repaired", "gone"}
-	entryTurnMessages = [...]string{joblog.MessageEntryUnusable, joblog.MessageEntryRepaired, joblog.MessageEntryGone}
+	entryChangeNames    = [...]string{"unusable", "repaired", "gone"}
+	entryChangeMessages = [...]string{joblog.MessageEntryUnusable, joblog.MessageEntryRepaired, joblog.MessageEntryGone}
 )
 
 // String returns the turn's name.
 func (t EntryChange) String() string {
-	if t < 0 || int(t) >= len(entryTurnNames) {
+	if t < 0 || int(t) >= len(entryChangeNames) {
 		return "invalid turn"
 	}
-	return entryTurnNames[t]
+	return entryChangeNames[t]
 }
 
 // EntryCounts tells how the entries of the platform's list fare.
@@ -41,23 +41,23 @@
 }
 
 const (
-	// trackedStrangers bounds the unusable entries that are followed one by one
+	// maxTrackedUnknown bounds the unusable entries that are followed one by one
 	// and name no worker which is known: a writer may leave ten thousand. Those
 	// of known workers are followed all, and are no more than the workers.
-	trackedStrangers = 64
-	// turnWindow is the time in which at most strangerTurnNotes turns of strangers'
+	maxTrackedUnknown = 64
+	// changeNoteWindow is the time in which at most strangerTurnNotes turns of strangers'
 	// entries are noted, and workerTurnNotes of those of known workers. Each has its
 	// own bound, so that many of the first hide none of the second. A worker
 	// whose entry is damaged and mended goes on, and would be noted at each list.
-	turnWindow        = 10 * time.Second
-	strangerTurnNotes = 80
-	workerTurnNotes   = 200
+	changeNoteWindow      = 10 * time.Second
+	unknownNotesPerWindow = 80
+	workerNotesPerWindow  = 200
 )
 
-// entryWatch follows the unusable entries from list to list. Without it nobody
+// entryTracker follows the unusable entries from list to list. Without it nobody
 // sees why a worker that is well gets no tasks: it answers, and its entry looks
 // all right but for a field.
-type entryWatch struct {
+type entryTracker struct {
 	tracked            ordered.Map[model.WorkerID, EntryFault]
 	unusable           map[EntryFault]int
 	turns              map[EntryChange]int
@@ -73,7 +73,7 @@
 // take reports whether a note more may be made, and how many were left out
 // since the last one.
 func (b *noteBudget) take(now time.Time, limit int) (may bool, leftOut int) {
-	if now.Sub(b.since) >= turnWindow {
+	if now.Sub(b.since) >= changeNoteWindow {
 		b.since, b.made = now, 0
 	}
 	if b.made >= limit {
@@ -86,8 +86,8 @@
 	return true, leftOut
 }
 
-// watchEntries takes in the unusable entries of a list, when the others are.
-func (m *Machine) watchEntries(unusable []UnusableEntry) {
+// trackEntries takes in the unusable entries of a list, when the others are.
+func (m *Machine) trackEntries(unusable []UnusableEntry) {
 	e := &m.entries
 	now := make(map[model.WorkerID]struct{}, len(unusable))
 	e.unusable = make(map[EntryFault]int)
@@ -95,7 +95,7 @@
 		now[u.ID] = struct{}{}
 		e.unusable[u.Fault]++
 	}
-	strangers := m.settleEntries(now)
+	strangers := m.updateTracked(now)
 	for _, u := range unusable {
 		known := m.latestIncarnation(u.ID) != nil
 		switch {
@@ -103,19 +103,19 @@
 			e.tracked.Set(u.ID, u.Fault)
 			continue
 		case known:
-		case strangers >= trackedStrangers:
+		case strangers >= maxTrackedUnknown:
 			continue
 		default:
 			strangers++
 		}
 		e.tracked.Set(u.ID, u.Fault)
-		m.entryTurned(u.ID, EntryBecameUnusable, u.Fault.String())
+		m.entryChanged(u.ID, EntryBecameUnusable, u.Fault.String())
 	}
 }
 
-// settleEntries lets go of the entries that are no longer unusable, and returns
+// updateTracked lets go of the entries that are no longer unusable, and returns
 // how many of the others name no worker that is known.
-func (m *Machine) settleEntries(unusable map[model.WorkerID]struct{}) (strangers int) {
+func (m *Machine) updateTracked(unusable map[model.WorkerID]struct{}) (strangers int) {
 	e := &m.entries
 	for id, fault := range e.tracked.All() {
 		w := m.latestIncarnation(id)
@@ -130,21 +130,21 @@
 		if w != nil && w.listed {
 			turn = EntryRepaired
 		}
-		m.entryTurned(id, turn, "was "+fault.String())
+		m.entryChanged(id, turn, "was "+fault.String())
 	}
 	return strangers
 }
 
-// entryTurned counts a turn, and notes it within bounds.
-func (m *Machine) entryTurned(id model.WorkerID, turn EntryChange, reason string) {
+// entryChanged counts a turn, and notes it within bounds.
+func (m *Machine) entryChanged(id model.WorkerID, turn EntryChange, reason string) {
 	e := &m.entries
 	if e.turns == nil {
 		e.turns = make(map[EntryChange]int)
 	}
 	e.turns[turn]++
-	budget, limit := &e.strangers, strangerTurnNotes
+	budget, limit := &e.strangers, unknownNotesPerWindow
 	if m.latestIncarnation(id) != nil {
-		budget, limit = &e.workers, workerTurnNotes
+		budget, limit = &e.workers, workerNotesPerWindow
 	}
 	may, leftOut := budget.take(m.now, limit)
 	if !may {
@@ -153,7 +153,7 @@
 	if leftOut > 0 {
 		reason += fmt.Sprintf("; %d other turns were not told", leftOut)
 	}
-	m.emit(Note{Decision: entryTurnMessages[turn], Worker: model.Incarnation{ID: id}, Reason: reason})
+	m.emit(Note{Decision: entryChangeMessages[turn], Worker: model.Incarnation{ID: id}, Reason: reason})
 }
 
 // TakeEntryCounts returns the counts, and begins those of turns anew.
--- a/core/jobsched/machine.go
+++ b/core/jobsched/machine.go
@@ -71,7 +71,7 @@
 	listed bool
 	roster rosterState
 	// entries follows the unusable entries of the platform's list.
-	entries entryWatch
+	entries entryTracker
 	deposed bool
 	// restarts holds the tasks that were started while an earlier attempt may
 	// have been done unheard.
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -17,7 +17,7 @@
 	for _, w := range m.workers.All() {
 		w.listed = false
 	}
-	usable, unusable := m.judge(list)
+	usable, unusable := m.classifyEntries(list)
 	sizes := m.fullSizes()
 	for _, e := range usable {
 		w := m.workers.Get(e.Incarnation)
@@ -29,7 +29,7 @@
 		}
 		m.updateEntry(w, e)
 	}
-	m.watchEntries(unusable)
+	m.trackEntries(unusable)
 	m.changed = true
 }
 
