--- a/core/jobsched/headroom.go
+++ b/core/jobsched/headroom.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	// startAim is the part of a latency target up to which tails are predicted when
+	// placementTailLimit is the part of a latency target up to which tails are predicted when
 	// best-effort work is placed.
-	startAim = 0.85
-	// pairPart and sumPart are the parts of the headroom up to that which one
+	placementTailLimit = 0.85
+	// taskHeadroomPart and sumPart are the parts of the headroom up to that which one
 	// best-effort task, and all on the worker together, may use. Effects vary by
 	// several times their size within seconds, so that most of it is kept.
-	pairPart = 0.12
-	sumPart  = 0.4
-	// shareAim is the part of a latency target that work which is known to disturb
+	taskHeadroomPart  = 0.12
+	totalHeadroomPart = 0.4
+	// throttledTailLimit is the part of a latency target that work which is known to disturb
 	// is slowed for.
-	shareAim = 0.7
-	// leastAdded is the slowdown, above 1, below which a task adds nothing that could
+	throttledTailLimit = 0.7
+	// minAddedSlowdown is the slowdown, above 1, below which a task adds nothing that could
 	// be told from none.
-	leastAdded = 0.01
-	// unknownStd is the standard deviation from which on an effect counts as unknown:
+	minAddedSlowdown = 0.01
+	// unknownEffectStd is the standard deviation from which on an effect counts as unknown:
 	// that of a pair which was never seen is above it, a few readings bring it below.
-	unknownStd = 0.5
-	// unknownCalm is the undisturbed tail, as a part of the target, that is assumed
+	unknownEffectStd = 0.5
+	// defaultBaselinePart is the undisturbed tail, as a part of the target, that is assumed
 	// of a step with too few readings.
-	unknownCalm = 0.5
-	// tailsAge is how old predicted tails may be: a tenth of the time that each of
+	defaultBaselinePart = 0.5
+	// maxTailAge is how old predicted tails may be: a tenth of the time that each of
 	// the readings behind them covers. A round of placement asks for them once for
 	// each kind of task that waits.
-	tailsAge = calmInterval
+	maxTailAge = baselineInterval
 )
 
 // tail is what is predicted of a worker's serving tasks of one image.
 type tail struct {
 	// image is the number of their image.
 	image int
-	// calm is the highest of their tails without neighbours, as a part of its target.
-	calm float64
+	// baseline is the highest of their tails without neighbours, as a part of its target.
+	baseline float64
 	// present is the slowdown, above 1, that all best-effort work on the worker
 	// brings at its present shares.
 	present float64
@@ -48,7 +48,7 @@
 }
 
 // headroom returns how much slowdown, above 1, the tail bears up to an aim.
-func (t *tail) headroom(aim float64) float64 { return max(aim/t.calm-1, 0) }
+func (t *tail) headroom(aim float64) float64 { return max(aim/t.baseline-1, 0) }
 
 // tailCache holds the predicted tails of a worker.
 type tailCache struct {
@@ -60,7 +60,7 @@
 // tails predicts the tails of the worker's serving tasks, image by image.
 func (m *Machine) tails(w *worker) []tail {
 	c := &w.tails
-	if !c.stale && !c.at.IsZero() && m.now.Sub(c.at) < tailsAge {
+	if !c.stale && !c.at.IsZero() && m.now.Sub(c.at) < maxTailAge {
 		return c.tails
 	}
 	c.at, c.stale = m.now, false
@@ -82,7 +82,7 @@
 		case a.bestEffortCPU > 0:
 			m.addEffect(&t, a)
 		case s.spec.LatencyTargetMs > 0 && m.effects.imageIndex(s.spec.Image) == image:
-			t.calm = max(t.calm, m.calmPart(s))
+			t.baseline = max(t.baseline, m.baselinePart(s))
 		}
 	}
 	return t
@@ -100,12 +100,12 @@
 	}
 }
 
-// calmPart returns the undisturbed tail of a step's tasks, as a part of their target.
-func (m *Machine) calmPart(s *step) float64 {
-	if calm := m.calmReading(s); calm > 0 {
+// baselinePart returns the undisturbed tail of a step's tasks, as a part of their target.
+func (m *Machine) baselinePart(s *step) float64 {
+	if calm := m.baselineReading(s); calm > 0 {
 		return calm / float64(s.spec.LatencyTargetMs)
 	}
-	return unknownCalm
+	return defaultBaselinePart
 }
 
 // withinHeadroom reports whether the tails on a worker have the headroom for one more
@@ -117,33 +117,33 @@
 	for _, t := range m.tails(w) {
 		effect := m.effect(t.image, aggressor)
 		added := effect.Mean * weight
-		if added >= leastAdded && (added > t.mostAdded(effect) || t.present+added > sumPart*t.headroom(startAim)) {
+		if added >= minAddedSlowdown && (added > t.maxAddedSlowdown(effect) || t.present+added > totalHeadroomPart*t.headroom(placementTailLimit)) {
 			return false
 		}
 	}
 	return true
 }
 
-// mostAdded returns the slowdown, above 1, that one task may add to the tail. A pair
+// maxAddedSlowdown returns the slowdown, above 1, that one task may add to the tail. A pair
 // of images of which nothing is known may be tried whatever the load: where tails
 // are never far below their target nothing would become known of it, and work of
 // that image would wait for ever.
-func (t *tail) mostAdded(effect interference.Estimate) float64 {
-	if effect.Std >= unknownStd {
+func (t *tail) maxAddedSlowdown(effect interference.Estimate) float64 {
+	if effect.Std >= unknownEffectStd {
 		return harmfulEffect
 	}
-	return pairPart * t.headroom(startAim)
+	return taskHeadroomPart * t.headroom(placementTailLimit)
 }
 
-// fittingShare returns the share, in percent, at which the best-effort work on a
+// allowedShare returns the share, in percent, at which the best-effort work on a
 // worker that is known to disturb may run so that no tail there is predicted above
 // its aim. Let up to full speed until a tail is over, it would be over again and
 // again, since readings tell of it half a second late.
-func (m *Machine) fittingShare(w *worker) int {
+func (m *Machine) allowedShare(w *worker) int {
 	share := 1.0
 	for _, t := range m.tails(w) {
 		if t.disturbing > 0 {
-			share = min(share, (t.headroom(shareAim)-t.harmless)/t.disturbing)
+			share = min(share, (t.headroom(throttledTailLimit)-t.harmless)/t.disturbing)
 		}
 	}
 	if percent := int(share * fullSpeed); percent >= throttleFloor {
--- a/core/jobsched/interference.go
+++ b/core/jobsched/interference.go
@@ -31,17 +31,17 @@
 }
 
 const (
-	// readingAge is how long ago the middle of the time was that a reading
+	// readingDelay is how long ago the middle of the time was that a reading
 	// covers, when its report arrives.
-	readingAge = 250 * time.Millisecond
-	// freshReading is how old the readings may be that are compared.
-	freshReading = 1200 * time.Millisecond
-	// leastPeers is how many tasks of a step must have readings, to tell what
+	readingDelay = 250 * time.Millisecond
+	// maxReadingAge is how old the readings may be that are compared.
+	maxReadingAge = 1200 * time.Millisecond
+	// minPeers is how many tasks of a step must have readings, to tell what
 	// they share, their load, from what disturbs one of them.
-	leastPeers = 3
-	// calmPressure bounds what is taken for the undisturbed tail of a step, as
+	minPeers = 3
+	// maxBaselinePart bounds what is taken for the undisturbed tail of a step, as
 	// a part of its target: all of its tasks may be disturbed.
-	calmPressure = 0.6
+	maxBaselinePart = 0.6
 	// harmfulEffect is the predicted slowdown, above 1, from which an attempt is
 	// taken to disturb. It is just above the prior, so that a pair that was never
 	// seen may be tried, and below what is learned of any pair that disturbs: that
@@ -56,7 +56,7 @@
 // worker's processors disturbs there, in units of effectUnit. Effects by the task
 // would make small tasks look as harmful as large ones of their image.
 func (w *worker) effectWeight(milliCPU int64) float64 {
-	return part(milliCPU, w.entry.Capacity.MilliCPU) / effectUnit
+	return fraction(milliCPU, w.entry.Capacity.MilliCPU) / effectUnit
 }
 
 // effectWeight returns how strongly the attempt disturbs at full speed: not at all
@@ -102,12 +102,12 @@
 		if !a.serving() || a.learnKey.Generation == 0 {
 			continue
 		}
-		calm := m.calmReading(a.step())
+		calm := m.baselineReading(a.step())
 		if calm == 0 {
 			continue
 		}
 		m.learner.Observe(m.now, interference.Observation{
-			Worker: w.learnID(), Victim: a.learnKey, Class: a.step().spec.Image, MeasuredAt: m.now.Add(-readingAge),
+			Worker: w.learnID(), Victim: a.learnKey, Class: a.step().spec.Image, MeasuredAt: m.now.Add(-readingDelay),
 			Slowdown: max(float64(a.reading)/calm, 1),
 		})
 	}
@@ -126,20 +126,20 @@
 	excess  float64
 }
 
-// calmInterval is how long a calm reading is used: a tenth of the time that each
+// baselineInterval is how long a calm reading is used: a tenth of the time that each
 // of the readings behind it covers. Every report of every worker would work it out
 // anew otherwise, for each of the step's tasks there.
-const calmInterval = 50 * time.Millisecond
+const baselineInterval = 50 * time.Millisecond
 
-// calmReading returns the step's calm reading, or 0 when it is not known.
-func (m *Machine) calmReading(s *step) float64 {
-	if s.calmAt.IsZero() || m.now.Sub(s.calmAt) >= calmInterval {
-		s.calm, s.calmAt = m.estimateCalm(s), m.now
+// baselineReading returns the step's calm reading, or 0 when it is not known.
+func (m *Machine) baselineReading(s *step) float64 {
+	if s.baselineAt.IsZero() || m.now.Sub(s.baselineAt) >= baselineInterval {
+		s.baseline, s.baselineAt = m.estimateBaseline(s), m.now
 	}
-	return s.calm
+	return s.baseline
 }
 
-// estimateCalm estimates the tail latency that the step's tasks would have now
+// estimateBaseline estimates the tail latency that the step's tasks would have now
 // without neighbours. They share their load, so it is one figure for all; the
 // readings of those that are predicted to be disturbed least show it. It
 // returns 0 when too few are known.
@@ -147,16 +147,16 @@
 // The lowest readings alone would not do: when most of a step's tasks are
 // disturbed it would look calm, and those who disturb it harmless. Predictions
 // only rank the tasks here; to divide by them would let an error in them grow.
-func (m *Machine) estimateCalm(s *step) float64 {
+func (m *Machine) estimateBaseline(s *step) float64 {
 	peers := make([]peer, 0, len(s.tasks))
 	for _, t := range s.tasks {
 		for _, a := range t.attempts {
-			if a.serving() && m.now.Sub(a.readAt) < freshReading {
+			if a.serving() && m.now.Sub(a.readAt) < maxReadingAge {
 				peers = append(peers, peer{a.reading, m.predictedExcess(a)})
 			}
 		}
 	}
-	if len(peers) < leastPeers {
+	if len(peers) < minPeers {
 		return 0
 	}
 	slices.SortFunc(peers, func(a, b peer) int {
@@ -165,7 +165,7 @@
 	calmest := peers[:max(len(peers)/3, 2)]
 	slices.SortFunc(calmest, func(a, b peer) int { return cmp.Compare(a.reading, b.reading) })
 	calm := float64(calmest[(len(calmest)-1)/2].reading)
-	return min(calm, calmPressure*float64(s.spec.LatencyTargetMs))
+	return min(calm, maxBaselinePart*float64(s.spec.LatencyTargetMs))
 }
 
 // predictedExcess returns the slowdown, above 1, that the best-effort work on
--- a/core/jobsched/jobstate.go
+++ b/core/jobsched/jobstate.go
@@ -76,9 +76,9 @@
 	// noted again that it waits or is held back.
 	waitingSince, nextNoteAt time.Time
 	advice                   advice
-	// calm is the step's calm reading, worked out at calmAt.
-	calm   float64
-	calmAt time.Time
+	// baseline is the step's baseline reading, worked out at calmAt.
+	baseline   float64
+	baselineAt time.Time
 }
 
 func (s *step) job() *jobState { return s.occurrence.job }
--- a/core/jobsched/score.go
+++ b/core/jobsched/score.go
@@ -5,7 +5,7 @@
 type placementScore func(m *Machine, t *task, w *worker) float64
 
 var placementScores = []placementScore{
-	scoreBalance, scoreDataRack, scoreSameRack, scoreOtherWorker, scoreTrials, scoreServing,
+	scoreBalance, scoreDataRack, scoreSameRack, scoreFailedWorker, scoreTrials, scoreServing,
 }
 
 func (m *Machine) score(t *task, w *worker) float64 {
@@ -21,9 +21,9 @@
 	// takes two to three times as long.
 	dataRackScore = 10.0
 	sameRackScore = 10.0
-	// failedThereScore keeps a task off the worker that it failed on while
+	// failedWorkerScore keeps a task off the worker that it failed on while
 	// there is any other.
-	failedThereScore = -20.0
+	failedWorkerScore = -20.0
 	// trialScore keeps tasks under which workers have crashed apart from each other:
 	// together they would all be blamed for what one of them does.
 	trialScore = -5.0
@@ -38,13 +38,13 @@
 func scoreBalance(_ *Machine, t *task, w *worker) float64 {
 	capacity := w.entry.Capacity
 	if t.step.spec.BestEffort {
-		return part(w.freeCPU(), capacity.MilliCPU)
+		return fraction(w.freeCPU(), capacity.MilliCPU)
 	}
 	room := w.room()
-	return min(part(room.MilliCPU-w.bestEffortCPU/4, capacity.MilliCPU), part(room.MemoryMB, capacity.MemoryMB))
+	return min(fraction(room.MilliCPU-w.bestEffortCPU/4, capacity.MilliCPU), fraction(room.MemoryMB, capacity.MemoryMB))
 }
 
-func part(amount, whole int64) float64 {
+func fraction(amount, whole int64) float64 {
 	if whole <= 0 {
 		return 0
 	}
@@ -73,9 +73,9 @@
 	return 0
 }
 
-func scoreOtherWorker(_ *Machine, t *task, w *worker) float64 {
+func scoreFailedWorker(_ *Machine, t *task, w *worker) float64 {
 	if t.failedOn == w {
-		return failedThereScore
+		return failedWorkerScore
 	}
 	return 0
 }
@@ -94,7 +94,7 @@
 func scoreServing(m *Machine, t *task, w *worker) float64 {
 	spec := t.step.spec
 	switch {
-	case spec.BestEffort && w.serves():
+	case spec.BestEffort && w.hasServingTasks():
 		return servingScore * (w.throttle.pressure + m.worstEffect(w, spec.Image, spec.Size.MilliCPU))
 	case spec.LatencyTargetMs > 0:
 		return sameImageScore * m.imageShare(w, spec.Image)
--- a/core/jobsched/throttle.go
+++ b/core/jobsched/throttle.go
@@ -9,9 +9,9 @@
 // for the sake of its long-running tasks. Readings are late and rough, so the
 // share is cut at once and given back slowly.
 type throttleState struct {
-	// percent is for the attempts that are known to disturb, others for the
+	// disturbingPercent is for the attempts that are known to disturb, otherPercent for the
 	// rest, which is cut only when that was not enough.
-	percent, others int
+	disturbingPercent, otherPercent int
 	// pressure is the worst reading over its target, smoothed; overSince is since
 	// when it is above the target, zero when it is not.
 	pressure            float64
@@ -28,11 +28,11 @@
 	// pressureOver is the part from which work that is not known to disturb is
 	// slowed too.
 	pressureOver = 1.15
-	// longOver is how long a task may be a little above its target before work is
+	// sustainedOverTime is how long a task may be a little above its target before work is
 	// slowed all the same: a quarter of what the platform allows, so that several
 	// cuts come in time. They aim at longOverAim then.
-	longOver    = time.Second
-	longOverAim = 0.75
+	sustainedOverTime = time.Second
+	sustainedOverAim  = 0.75
 	// throttleStep is what is given back at a time, in percent.
 	throttleStep = 25
 	// throttleFloor is the share below which work is stopped altogether: what
@@ -42,13 +42,13 @@
 	pressureWeight = 0.7
 	// moveAfter is how long work that disturbs stands still before it is moved.
 	moveAfter = 600 * time.Millisecond
-	// mostLost is how much of its work, in percent, an attempt without
+	// maxMoveLoss is how much of its work, in percent, an attempt without
 	// checkpoints may lose by being moved.
-	mostLost = 30
+	maxMoveLoss = 30
 )
 
-// serves reports whether a task with a latency target runs there.
-func (w *worker) serves() bool { return w.servingTasks > 0 }
+// hasServingTasks reports whether a task with a latency target runs there.
+func (w *worker) hasServingTasks() bool { return w.servingTasks > 0 }
 
 // measurePressure takes in the readings of a new report.
 func (w *worker) measurePressure(now time.Time) {
@@ -72,11 +72,11 @@
 	}
 }
 
-// cuts tells from which pressures on the worker's work is slowed, that which is
+// limits tells from which pressures on the worker's work is slowed, that which is
 // known to disturb and the rest, and what a cut aims at.
-func (t *throttleState) cuts(now time.Time) (high, over, aim float64) {
-	if !t.overSince.IsZero() && now.Sub(t.overSince) >= longOver {
-		return 1, 1, longOverAim
+func (t *throttleState) limits(now time.Time) (high, over, aim float64) {
+	if !t.overSince.IsZero() && now.Sub(t.overSince) >= sustainedOverTime {
+		return 1, 1, sustainedOverAim
 	}
 	return pressureHigh, pressureOver, pressureAim
 }
@@ -85,34 +85,34 @@
 func (m *Machine) adjustThrottle(w *worker) {
 	w.measurePressure(m.now)
 	t := &w.throttle
-	fitting := m.fittingShare(w)
-	t.percent = min(t.percent, fitting)
+	fitting := m.allowedShare(w)
+	t.disturbingPercent = min(t.disturbingPercent, fitting)
 	if m.now.Before(t.changeAt) {
 		return
 	}
 	before := *t
-	high, over, aim := t.cuts(m.now)
+	high, over, aim := t.limits(m.now)
 	switch {
-	case t.pressure > over && (t.percent == 0 || !m.disturbed(w)):
-		t.others = cutShare(t.others, aim/t.pressure)
+	case t.pressure > over && (t.disturbingPercent == 0 || !m.hasDisturbingWork(w)):
+		t.otherPercent = reduceShare(t.otherPercent, aim/t.pressure)
 	case t.pressure > high:
-		t.percent = cutShare(t.percent, aim/t.pressure)
-	case t.pressure < pressureLow && t.others < fullSpeed:
-		t.others = min(t.others+throttleStep, fullSpeed)
+		t.disturbingPercent = reduceShare(t.disturbingPercent, aim/t.pressure)
+	case t.pressure < pressureLow && t.otherPercent < fullSpeed:
+		t.otherPercent = min(t.otherPercent+throttleStep, fullSpeed)
 	case t.pressure < pressureLow:
-		t.percent = min(t.percent+throttleStep, fitting)
+		t.disturbingPercent = min(t.disturbingPercent+throttleStep, fitting)
 	}
-	if t.percent != before.percent || t.others != before.others {
+	if t.disturbingPercent != before.disturbingPercent || t.otherPercent != before.otherPercent {
 		// A reading covers the last half second: the next one that shows the
 		// change comes after the delay and that long.
 		t.changeAt = m.now.Add(m.options.ThrottleDelay + renewWait)
 	}
 }
 
-// cutShare returns a lower share, by the part of the pressure that is aimed at.
+// reduceShare returns a lower share, by the part of the pressure that is aimed at.
 // Tails grow faster than the disturbance, so the square of what is too much is
 // taken off.
-func cutShare(percent int, ratio float64) int {
+func reduceShare(percent int, ratio float64) int {
 	percent = int(float64(percent) * ratio * ratio)
 	if percent < throttleFloor {
 		return 0
@@ -120,8 +120,8 @@
 	return percent
 }
 
-// disturbed reports whether a best-effort attempt on w is known to disturb.
-func (m *Machine) disturbed(w *worker) bool {
+// hasDisturbingWork reports whether a best-effort attempt on w is known to disturb.
+func (m *Machine) hasDisturbingWork(w *worker) bool {
 	for _, a := range w.attempts.All() {
 		if m.disturbs(a) {
 			return true
@@ -142,15 +142,15 @@
 // wantedShare returns the share at which an attempt should work.
 func (m *Machine) wantedShare(a *attempt) int {
 	if m.disturbs(a) {
-		return a.worker.throttle.percent
+		return a.worker.throttle.disturbingPercent
 	}
-	return a.worker.throttle.others
+	return a.worker.throttle.otherPercent
 }
 
 // sendThrottles tells the workers the shares that they do not have yet, and
 // moves work that has stood still for long because it disturbs.
 func (m *Machine) sendThrottles() {
-	searches := sweepMoves
+	searches := moveSearchesPerSweep
 	for _, w := range m.workers.All() {
 		if w.bestEffortCPU == 0 {
 			continue
@@ -173,13 +173,13 @@
 // that stands still: each looks at all workers.
 const moveRetry = 500 * time.Millisecond
 
-// sweepMoves is how many such searches a sweep makes.
-const sweepMoves = 64
+// moveSearchesPerSweep is how many such searches a sweep makes.
+const moveSearchesPerSweep = 64
 
 // movable reports whether little is lost when the attempt is stopped, and
 // there is a worker that would take it. searches are what is left of the sweep's.
 func (m *Machine) movable(a *attempt, searches *int) bool {
-	if !a.step().spec.Checkpointing && a.percent >= mostLost {
+	if !a.step().spec.Checkpointing && a.percent >= maxMoveLoss {
 		return false
 	}
 	if *searches <= 0 || m.now.Before(a.nextMoveAt) {
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -87,7 +87,7 @@
 
 func newWorker(e WorkerEntry) *worker {
 	return &worker{
-		id: e.Incarnation, entry: e, full: e.Capacity, lost: make(map[attemptKey]struct{}), pendingStarts: make(map[attemptKey]struct{}), inheritedStalls: make(map[attemptKey]inheritedStall), throttle: throttleState{percent: fullSpeed, others: fullSpeed},
+		id: e.Incarnation, entry: e, full: e.Capacity, lost: make(map[attemptKey]struct{}), pendingStarts: make(map[attemptKey]struct{}), inheritedStalls: make(map[attemptKey]inheritedStall), throttle: throttleState{disturbingPercent: fullSpeed, otherPercent: fullSpeed},
 	}
 }
 
