--- a/core/jobsched/machine.go
+++ b/core/jobsched/machine.go
@@ -240,7 +240,7 @@
 	sweep := m.now.Sub(m.sweptAt) >= sweepInterval
 	if sweep {
 		m.sweptAt = m.now
-		m.watchAttempts()
+		m.checkAttempts()
 	}
 	m.sendStops()
 	m.scheduleIfDue()
--- a/core/jobsched/watch.go
+++ b/core/jobsched/watch.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// stallTime is how long an attempt may stand still, by its reports, before
+	// stallTimeout is how long an attempt may stand still, by its reports, before
 	// it is started elsewhere. Its share of done work grows by the percent, and
 	// the longest tasks of the users take some seconds for all hundred.
-	stallTime = 1500 * time.Millisecond
-	// bestEffortStallTime is the same for work that may find no processor free.
-	bestEffortStallTime = 5 * time.Second
+	stallTimeout = 1500 * time.Millisecond
+	// bestEffortStallTimeout is the same for work that may find no processor free.
+	bestEffortStallTimeout = 5 * time.Second
 )
 
-// watchAttempts stops attempts that are better run elsewhere, and notes those whose
+// checkAttempts stops attempts that are better run elsewhere, and notes those whose
 // workers do not answer.
-func (m *Machine) watchAttempts() {
+func (m *Machine) checkAttempts() {
 	for _, w := range m.workers.All() {
 		if w.entry.Draining {
 			m.evacuate(w)
@@ -44,9 +44,9 @@
 	if a.percent >= 100 || a.throttle < fullSpeed || a.step().spec.Gang {
 		return false
 	}
-	limit := stallTime
+	limit := stallTimeout
 	if a.bestEffortCPU > 0 {
-		limit = bestEffortStallTime
+		limit = bestEffortStallTimeout
 	}
 	return now.Sub(a.lastAdvance()) > limit
 }
