--- a/core/jobsched/aside.go
+++ b/core/jobsched/aside.go
@@ -50,8 +50,8 @@
 // first by them, then by what its attempts did meanwhile. A job whose records are
 // gone is not known any more, and what runs of it is stopped.
 func (m *Machine) jobReread(ev JobReread) {
-	aside := m.unreadable[ev.ID]
-	if aside == nil {
+	unreadable := m.unreadable[ev.ID]
+	if unreadable == nil {
 		if ev.Record != nil {
 			m.jobAccepted(JobAccepted{ID: ev.ID, Record: ev.Record})
 		}
@@ -72,7 +72,7 @@
 			j.wasUnreadable = true
 		}
 	}
-	for _, e := range aside.ends {
+	for _, e := range unreadable.ends {
 		m.processEnd(e.worker, &e.end)
 	}
 	for _, a := range running {
@@ -98,14 +98,14 @@
 }
 
 // deferEnd keeps an end of an attempt of a job that is set aside.
-func (m *Machine) deferEnd(aside *unreadableJob, w *worker, e *EndedAttempt) {
+func (m *Machine) deferEnd(unreadable *unreadableJob, w *worker, e *EndedAttempt) {
 	key := attemptKey{task: e.Key, attempt: e.Attempt}
 	delete(w.lost, key)
 	if a := w.attempts.Get(key); a != nil {
 		m.noteAttempt(joblog.MessageEnded, a, string(e.Cause))
 		m.endAttempt(a, e.Cause, "")
 	}
-	aside.ends = append(aside.ends, deferredEnd{worker: w, end: *e})
+	unreadable.ends = append(unreadable.ends, deferredEnd{worker: w, end: *e})
 }
 
 // isEndDeferred reports whether an end that w keeps must not be acknowledged yet,
--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -48,8 +48,8 @@
 	number  int64
 	task    job.TaskKey
 	attempt int
-	// held keeps it and what comes after it from being acknowledged.
-	held bool
+	// withheld keeps it and what comes after it from being acknowledged.
+	withheld bool
 }
 
 // sendCommit stores what has changed. A worker may forget an end only when what
@@ -151,7 +151,7 @@
 	ends := make(map[model.Incarnation]int64)
 	for id, w := range m.workers.All() {
 		for _, e := range w.unackedEnds {
-			if e.held || m.dirty.Has(e.task.Job) || m.isEndDeferred(w, e) {
+			if e.withheld || m.dirty.Has(e.task.Job) || m.isEndDeferred(w, e) {
 				break
 			}
 			ends[id] = e.number
--- a/core/jobsched/entrywatch.go
+++ b/core/jobsched/entrywatch.go
@@ -58,10 +58,10 @@
 // sees why a worker that is well gets no tasks: it answers, and its entry looks
 // all right but for a field.
 type entryTracker struct {
-	tracked            ordered.Map[model.WorkerID, EntryFault]
-	unusable           map[EntryFault]int
-	turns              map[EntryChange]int
-	strangers, workers noteBudget
+	tracked                   ordered.Map[model.WorkerID, EntryFault]
+	unusable                  map[EntryFault]int
+	changes                   map[EntryChange]int
+	unknownNotes, workerNotes noteBudget
 }
 
 // noteBudget bounds notes in a window of time.
@@ -95,7 +95,7 @@
 		now[u.ID] = struct{}{}
 		e.unusable[u.Fault]++
 	}
-	strangers := m.updateTracked(now)
+	unknown := m.updateTracked(now)
 	for _, u := range unusable {
 		known := m.latestIncarnation(u.ID) != nil
 		switch {
@@ -103,10 +103,10 @@
 			e.tracked.Set(u.ID, u.Fault)
 			continue
 		case known:
-		case strangers >= maxTrackedUnknown:
+		case unknown >= maxTrackedUnknown:
 			continue
 		default:
-			strangers++
+			unknown++
 		}
 		e.tracked.Set(u.ID, u.Fault)
 		m.entryChanged(u.ID, EntryBecameUnusable, u.Fault.String())
@@ -115,13 +115,13 @@
 
 // updateTracked lets go of the entries that are no longer unusable, and returns
 // how many of the others name no worker that is known.
-func (m *Machine) updateTracked(unusable map[model.WorkerID]struct{}) (strangers int) {
+func (m *Machine) updateTracked(unusable map[model.WorkerID]struct{}) (unknown int) {
 	e := &m.entries
 	for id, fault := range e.tracked.All() {
 		w := m.latestIncarnation(id)
-		if _, still := unusable[id]; still {
+		if _, stillUnusable := unusable[id]; stillUnusable {
 			if w == nil {
-				strangers++
+				unknown++
 			}
 			continue
 		}
@@ -132,19 +132,19 @@
 		}
 		m.entryChanged(id, turn, "was "+fault.String())
 	}
-	return strangers
+	return unknown
 }
 
 // entryChanged counts a turn, and notes it within bounds.
-func (m *Machine) entryChanged(id model.WorkerID, turn EntryChange, reason string) {
+func (m *Machine) entryChanged(id model.WorkerID, change EntryChange, reason string) {
 	e := &m.entries
-	if e.turns == nil {
-		e.turns = make(map[EntryChange]int)
+	if e.changes == nil {
+		e.changes = make(map[EntryChange]int)
 	}
-	e.turns[turn]++
-	budget, limit := &e.strangers, unknownNotesPerWindow
+	e.changes[change]++
+	budget, limit := &e.unknownNotes, unknownNotesPerWindow
 	if m.latestIncarnation(id) != nil {
-		budget, limit = &e.workers, workerNotesPerWindow
+		budget, limit = &e.workerNotes, workerNotesPerWindow
 	}
 	may, leftOut := budget.take(m.now, limit)
 	if !may {
@@ -153,12 +153,12 @@
 	if leftOut > 0 {
 		reason += fmt.Sprintf("; %d other turns were not told", leftOut)
 	}
-	m.emit(Note{Decision: entryChangeMessages[turn], Worker: model.Incarnation{ID: id}, Reason: reason})
+	m.emit(Note{Decision: entryChangeMessages[change], Worker: model.Incarnation{ID: id}, Reason: reason})
 }
 
 // TakeEntryCounts returns the counts, and begins those of turns anew.
 func (m *Machine) TakeEntryCounts() EntryCounts {
-	counts := EntryCounts{Unusable: m.entries.unusable, Changes: m.entries.turns}
-	m.entries.turns = nil
+	counts := EntryCounts{Unusable: m.entries.unusable, Changes: m.entries.changes}
+	m.entries.changes = nil
 	return counts
 }
--- a/core/jobsched/filter.go
+++ b/core/jobsched/filter.go
@@ -27,7 +27,7 @@
 	return true
 }
 
-func filterUsable(m *Machine, _ *task, w *worker) bool { return w.usable(m.now) }
+func filterUsable(m *Machine, _ *task, w *worker) bool { return w.isUsable(m.now) }
 
 // filterService keeps tasks on the workers of the service that the
 // configuration names for their queue.
@@ -109,7 +109,7 @@
 func (m *Machine) hasLowUtilization() bool {
 	var committed, capacity int64
 	for _, w := range m.workers.All() {
-		if w.usable(m.now) {
+		if w.isUsable(m.now) {
 			committed += w.committed.MilliCPU
 			capacity += w.entry.Capacity.MilliCPU
 		}
--- a/core/jobsched/incarnation.go
+++ b/core/jobsched/incarnation.go
@@ -22,7 +22,7 @@
 
 // workerIncarnations are the sessions with the workerIncarnations of one worker, in the order in
 // which they were added.
-type workerIncarnations struct{ sessions []*worker }
+type workerIncarnations struct{ all []*worker }
 
 // addIncarnation adds the session with an incarnation. Orders to another one of its id may
 // have reached it, with leases up to the longest that a worker takes.
@@ -34,7 +34,7 @@
 	} else {
 		w.leaseBound = m.now.Add(m.options.MaxLease + w.drift(m.options.MaxLease) + leaseSlack)
 	}
-	all.sessions = append(all.sessions, w)
+	all.all = append(all.all, w)
 	w.siblings = all
 	m.workers.Set(w.id, w)
 }
@@ -42,8 +42,8 @@
 // dropIncarnation forgets a session.
 func (m *Machine) dropIncarnation(w *worker) {
 	m.workers.Delete(w.id)
-	w.siblings.sessions = slices.DeleteFunc(w.siblings.sessions, func(other *worker) bool { return other == w })
-	if len(w.siblings.sessions) == 0 {
+	w.siblings.all = slices.DeleteFunc(w.siblings.all, func(other *worker) bool { return other == w })
+	if len(w.siblings.all) == 0 {
 		delete(m.incarnations, w.id.ID)
 	}
 }
@@ -55,13 +55,13 @@
 	if all == nil {
 		return nil
 	}
-	return all.sessions[len(all.sessions)-1]
+	return all.all[len(all.all)-1]
 }
 
-// contested reports whether another incarnation of the worker has answered, too, and it
+// isContested reports whether another incarnation of the worker has answered, too, and it
 // is not known yet which of them is there: nothing new is started on either.
-func (w *worker) contested() bool {
-	return len(w.siblings.sessions) > 1 && slices.ContainsFunc(w.siblings.sessions, func(other *worker) bool {
+func (w *worker) isContested() bool {
+	return len(w.siblings.all) > 1 && slices.ContainsFunc(w.siblings.all, func(other *worker) bool {
 		return other != w && other.answered && !other.ended
 	})
 }
@@ -92,16 +92,16 @@
 func (m *Machine) handleOtherIncarnation(w, next *worker, ev Renewed) *worker {
 	if next.ended {
 		// It has ended since, and what it listed with it.
-		if living := next.siblings.lastActive(); living == nil {
+		if current := next.siblings.lastActive(); current == nil {
 			m.endIncarnation(w)
 		} else {
-			m.replaceIncarnation(w, living, Renewed{SentAt: ev.SentAt})
+			m.replaceIncarnation(w, current, Renewed{SentAt: ev.SentAt})
 		}
 		return nil
 	}
-	own := next.answered || next.renewing
+	reportsItself := next.answered || next.renewing
 	m.replaceIncarnation(w, next, ev)
-	if own {
+	if reportsItself {
 		next.renewAt = m.now
 		return nil
 	}
@@ -110,7 +110,7 @@
 
 // lastActive returns the last of the sessions that has not ended, or nil.
 func (i *workerIncarnations) lastActive() *worker {
-	for _, w := range slices.Backward(i.sessions) {
+	for _, w := range slices.Backward(i.all) {
 		if !w.ended {
 			return w
 		}
@@ -121,7 +121,7 @@
 // endEarlierIncarnations ends the sessions with all incarnations that have certainly ended, as this
 // one has answered a call that was sent after their last answers had come.
 func (m *Machine) endEarlierIncarnations(w *worker, ev Renewed) {
-	for _, other := range slices.Clone(w.siblings.sessions) {
+	for _, other := range slices.Clone(w.siblings.all) {
 		ended := other.answered && !other.ended && other.lastReportAt.Before(ev.SentAt)
 		if other != w && ended && other.entry.Address == w.entry.Address {
 			m.replaceIncarnation(other, w, ev)
@@ -137,7 +137,7 @@
 		m.identifyIncarnation(w, next)
 		return
 	}
-	m.noteReplaced(w, next, ev.Report)
+	m.noteRestart(w, next, ev.Report)
 	for _, a := range w.attempts.All() {
 		switch {
 		case ev.Report.lists(a.key):
@@ -194,8 +194,8 @@
 	m.unresolved.Delete(w.id)
 }
 
-// noteReplaced notes that a worker that had answered has started again.
-func (m *Machine) noteReplaced(w, next *worker, r Report) {
+// noteRestart notes that a worker that had answered has started again.
+func (m *Machine) noteRestart(w, next *worker, r Report) {
 	if !w.answered || w.ended {
 		return
 	}
--- a/core/jobsched/inherit.go
+++ b/core/jobsched/inherit.go
@@ -8,21 +8,21 @@
 // recoverWorker takes in a worker of the roster that an earlier leader stored.
 // stands is whether its statements stand, and age how long ago it was written at
 // least.
-func (m *Machine) recoverWorker(e RosterEntry, stands bool, age time.Duration) {
+func (m *Machine) recoverWorker(e RosterEntry, valid bool, age time.Duration) {
 	w := newWorker(e.WorkerEntry)
 	w.full = e.FullCapacity()
 	w.onRoster = true
-	if stands {
+	if valid {
 		w.health = recoveredHealth(e.Health, m.recoveredAt.Add(-age))
 		w.rosterStatus.failures = w.health.failures
 	}
 	m.addIncarnation(w)
 	m.startTimesReported = m.startTimesReported || w.id.StartedMs != 0
 	w.leaseBound = m.earlierLeasesEnd()
-	if stands && e.LeaseLeft != nil {
+	if valid && e.LeaseLeft != nil {
 		w.leaseBound = m.recoveredAt.Add(*e.LeaseLeft - age)
 	}
-	if stands && e.Closed {
+	if valid && e.Closed {
 		m.inherit(w, e.Attempts)
 		return
 	}
--- a/core/jobsched/inspect.go
+++ b/core/jobsched/inspect.go
@@ -69,7 +69,7 @@
 	if j == nil {
 		return JobView{}, false
 	}
-	view := m.brief(j)
+	view := m.viewWithoutSteps(j)
 	for number := range j.next {
 		o := j.occurrences[number]
 		if o == nil {
@@ -89,7 +89,7 @@
 func (m *Machine) List(limit int) []JobView {
 	views := make([]JobView, 0, m.jobs.Len())
 	for _, j := range m.jobs.All() {
-		views = append(views, m.brief(j))
+		views = append(views, m.viewWithoutSteps(j))
 	}
 	slices.SortFunc(views, func(a, b JobView) int {
 		return cmp.Or(cmp.Compare(a.AcceptedMs, b.AcceptedMs), cmp.Compare(a.ID, b.ID))
@@ -97,7 +97,7 @@
 	return views[:min(len(views), limit)]
 }
 
-func (m *Machine) brief(j *jobState) JobView {
+func (m *Machine) viewWithoutSteps(j *jobState) JobView {
 	q := m.queue(j)
 	return JobView{
 		ID: j.id, Queue: q.Name, Priority: q.Priority, State: j.state, AcceptedMs: j.record.AtMs,
--- a/core/jobsched/interference.go
+++ b/core/jobsched/interference.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// learn takes in the readings of a worker's report.
-func (m *Machine) learn(w *worker) {
+// learnFromReport takes in the readings of a worker's report.
+func (m *Machine) learnFromReport(w *worker) {
 	for _, a := range w.attempts.All() {
 		if !a.serving() || a.learnKey.Generation == 0 {
 			continue
--- a/core/jobsched/misfit.go
+++ b/core/jobsched/misfit.go
@@ -44,10 +44,10 @@
 	count  int
 }
 
-func (f *unplaceable) reset() {
-	f.tasks = make(map[placementDemand][]model.Resources)
-	f.gangs = make(map[placementDemand][]gangSize)
-	f.preemptions = make(map[preemptionDemand][]model.Resources)
+func (u *unplaceable) reset() {
+	u.tasks = make(map[placementDemand][]model.Resources)
+	u.gangs = make(map[placementDemand][]gangSize)
+	u.preemptions = make(map[preemptionDemand][]model.Resources)
 }
 
 // isUnrestricted reports whether nothing but its demand and its size restricts where the
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -66,8 +66,8 @@
 	if j := m.jobs.Get(id); j != nil {
 		return j.record
 	}
-	if aside := m.unreadable[id]; aside != nil {
-		return aside.record
+	if unreadable := m.unreadable[id]; unreadable != nil {
+		return unreadable.record
 	}
 	return nil
 }
--- a/core/jobsched/pass.go
+++ b/core/jobsched/pass.go
@@ -56,8 +56,8 @@
 
 // begin begins the first half of a round of so many looks, and a new pass unless
 // one is open.
-func (p *pass) begin(looks int) (anew bool) {
-	p.halfBudget = max(looks/2, 1)
+func (p *pass) begin(budget int) (isNew bool) {
+	p.halfBudget = max(budget/2, 1)
 	p.budget, p.notes = p.halfBudget, notesPerRound
 	if p.open {
 		return false
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -109,7 +109,7 @@
 	w.sampleClock(m.now, r.ClockMs)
 	m.processEnds(w, r.Ended)
 	m.reconcile(w, sentAt, r)
-	m.learn(w)
+	m.learnFromReport(w)
 	m.adjustThrottle(w)
 	w.renewAt = m.nextRenewal(w)
 	if len(r.Ended) > 0 && r.Ended[0].Number <= w.sentAckedEnd {
@@ -175,8 +175,8 @@
 	if e.Cause == EndExpired {
 		w.releaseWithheldEnds()
 	}
-	if aside := m.unreadable[e.Key.Job]; aside != nil {
-		m.deferEnd(aside, w, e)
+	if unreadable := m.unreadable[e.Key.Job]; unreadable != nil {
+		m.deferEnd(unreadable, w, e)
 		return
 	}
 	key := attemptKey{task: e.Key, attempt: e.Attempt}
--- a/core/jobsched/roster.go
+++ b/core/jobsched/roster.go
@@ -128,12 +128,12 @@
 
 // rosterStatusOf returns what the roster should say of a worker now.
 func (m *Machine) rosterStatusOf(w *worker) rosterStatus {
-	mark := m.startStatusOf(w)
-	mark.failures = 0
+	status := m.startStatusOf(w)
+	status.failures = 0
 	if w.health.isOnProbation(m.now) {
-		mark.failures = w.health.failures
+		status.failures = w.health.failures
 	}
-	return mark
+	return status
 }
 
 // startStatusOf returns what it should say of starts and leases there.
@@ -282,14 +282,14 @@
 
 // rosterLines returns the roster with the marks given. A worker whose attempts
 // have no room on it is told as one on which anything may run.
-func (m *Machine) rosterLines(markOf func(*worker) rosterStatus) []rosterLine {
+func (m *Machine) rosterLines(statusOf func(*worker) rosterStatus) []rosterLine {
 	lines := make([]rosterLine, 0, m.workers.Len())
 	room := maxRosterAttempts
 	for _, w := range m.rosterOrder() {
 		if w.ended && w.attempts.Len() == 0 {
 			continue
 		}
-		l := rosterLine{worker: w, status: markOf(w), entry: RosterEntry{WorkerEntry: w.entry, Health: w.health.handoverRecord(m.now)}}
+		l := rosterLine{worker: w, status: statusOf(w), entry: RosterEntry{WorkerEntry: w.entry, Health: w.health.handoverRecord(m.now)}}
 		if w.full != w.entry.Capacity {
 			l.entry.Full = w.full
 		}
@@ -312,22 +312,22 @@
 
 // stalledFor returns for how long an attempt has stood still, 0 if that is not long.
 func (a *attempt) stalledFor(now time.Time) time.Duration {
-	still := now.Sub(a.lastAdvance())
-	if a.phase != phaseRunning || a.percent >= 100 || a.throttle < fullSpeed || still < minReportedStall {
+	stalled := now.Sub(a.lastAdvance())
+	if a.phase != phaseRunning || a.percent >= 100 || a.throttle < fullSpeed || stalled < minReportedStall {
 		return 0
 	}
-	return still
+	return stalled
 }
 
 // rosterAttempts lists what may run on the worker, and what it may still tell of.
 func (w *worker) rosterAttempts(now time.Time) []RosterAttempt {
 	var list []RosterAttempt
 	for key, a := range w.attempts.All() {
-		still, percent := a.stalledFor(now), 0
-		if still > 0 {
+		stalled, percent := a.stalledFor(now), 0
+		if stalled > 0 {
 			percent = a.percent
 		}
-		list = append(list, RosterAttempt{Task: key.task, Attempt: key.attempt, StalledFor: still, Percent: percent})
+		list = append(list, RosterAttempt{Task: key.task, Attempt: key.attempt, StalledFor: stalled, Percent: percent})
 	}
 	if w.ended {
 		return list
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -24,9 +24,9 @@
 	m.unplaceable.reset()
 	m.lowUtilization = m.hasLowUtilization()
 	steps := m.pendingSteps()
-	front := m.startMostUrgent(steps)
+	started := m.startMostUrgent(steps)
 	m.pass.beginSecondHalf()
-	for _, p := range steps[front:] {
+	for _, p := range steps[started:] {
 		if p.lastPass == m.pass.number {
 			continue
 		}
@@ -216,7 +216,7 @@
 
 // startTasks starts as many of the wanted tasks of the step as fit.
 func (m *Machine) startTasks(s *step, wanted func(*task) bool) startOutcome {
-	full := m.isUnplaceable(s)
+	unplaceable := m.isUnplaceable(s)
 	result := startedAll
 	var places *candidates
 	for _, t := range s.tasks {
@@ -236,7 +236,7 @@
 			continue
 		}
 		switch {
-		case !full && m.startOnBest(t, &places):
+		case !unplaceable && m.startOnBest(t, &places):
 		case t.trial.isAwaitingRecord():
 			result = max(result, startAwaitsRecord)
 		case t.isSuspect():
@@ -244,7 +244,7 @@
 			result = startFoundNoWorker
 			m.preempt(t)
 		default:
-			result, full = startFoundNoWorker, true
+			result, unplaceable = startFoundNoWorker, true
 			if !m.preempt(t) {
 				return result
 			}
--- a/core/jobsched/silence.go
+++ b/core/jobsched/silence.go
@@ -71,7 +71,7 @@
 // before does not count any more, and may be acknowledged.
 func (w *worker) releaseWithheldEnds() {
 	for i := range w.unackedEnds {
-		w.unackedEnds[i].held = false
+		w.unackedEnds[i].withheld = false
 	}
 }
 
@@ -88,7 +88,7 @@
 // withholdEnd keeps the end that was just taken in, and those after it, from being
 // acknowledged.
 func (m *Machine) withholdEnd(w *worker, e *EndedAttempt) {
-	w.unackedEnds[len(w.unackedEnds)-1].held = true
+	w.unackedEnds[len(w.unackedEnds)-1].withheld = true
 	m.emit(Note{
 		Decision: joblog.MessageEndHeld, Job: e.Key.Job, Task: e.Key.String(), Attempt: e.Attempt, Worker: w.id,
 		Reason: "it was given up, and its task has been started again; the end is not acknowledged",
--- a/core/jobsched/throttle.go
+++ b/core/jobsched/throttle.go
@@ -74,7 +74,7 @@
 
 // limits tells from which pressures on the worker's work is slowed, that which is
 // known to disturb and the rest, and what a cut aims at.
-func (t *throttleState) limits(now time.Time) (high, over, aim float64) {
+func (t *throttleState) limits(now time.Time) (disturbing, other, aim float64) {
 	if !t.overSince.IsZero() && now.Sub(t.overSince) >= sustainedOverTime {
 		return 1, 1, sustainedOverAim
 	}
@@ -91,11 +91,11 @@
 		return
 	}
 	before := *t
-	high, over, aim := t.limits(m.now)
+	disturbingLimit, otherLimit, aim := t.limits(m.now)
 	switch {
-	case t.pressure > over && (t.disturbingPercent == 0 || !m.hasDisturbingWork(w)):
+	case t.pressure > otherLimit && (t.disturbingPercent == 0 || !m.hasDisturbingWork(w)):
 		t.otherPercent = reduceShare(t.otherPercent, aim/t.pressure)
-	case t.pressure > high:
+	case t.pressure > disturbingLimit:
 		t.disturbingPercent = reduceShare(t.disturbingPercent, aim/t.pressure)
 	case t.pressure < pressureLow && t.otherPercent < fullSpeed:
 		t.otherPercent = min(t.otherPercent+throttleStep, fullSpeed)
--- a/core/jobsched/trial.go
+++ b/core/jobsched/trial.go
@@ -201,14 +201,14 @@
 // or its crash is counted already.
 func (m *Machine) endTrial(t *task, a *attempt, cause EndCause) {
 	ofTrial := t.trial.number > 0 && a.key.attempt >= t.trial.number
-	cleared := cause != endLost && len(t.crashes) > 0 && a.observedRunTime() >= stableRunTime
+	crashesCleared := cause != endLost && len(t.crashes) > 0 && a.observedRunTime() >= stableRunTime
 	if ofTrial {
 		t.trial = trial{}
 	}
-	if cleared {
+	if crashesCleared {
 		t.crashes = nil
 	}
-	if ofTrial || cleared {
+	if ofTrial || crashesCleared {
 		m.markDirty(t.step.job())
 	}
 }
--- a/core/jobsched/watch.go
+++ b/core/jobsched/watch.go
@@ -26,7 +26,7 @@
 			if a.phase == phaseRunning && w.unreachableSince.IsZero() {
 				w.health.recordSurvival(a.startedAt, m.now)
 			}
-			if a.stalled(m.now) {
+			if a.isStalled(m.now) {
 				w.health.recordFailure(m.now)
 				a.task.failedOn = w
 				m.requestStop(a, fmt.Sprintf("stands still at %d%%", a.percent))
@@ -35,9 +35,9 @@
 	}
 }
 
-// stalled reports whether the attempt has not advanced for long, although its
+// isStalled reports whether the attempt has not advanced for long, although its
 // worker answers.
-func (a *attempt) stalled(now time.Time) bool {
+func (a *attempt) isStalled(now time.Time) bool {
 	if a.phase != phaseRunning || a.task == nil || !a.worker.unreachableSince.IsZero() {
 		return false
 	}
@@ -68,10 +68,10 @@
 
 // applyInheritedStall counts the time without progress on that an earlier leader saw.
 func (a *attempt) applyInheritedStall(percent int) {
-	still, ok := a.worker.inheritedStalls[a.key]
+	stall, ok := a.worker.inheritedStalls[a.key]
 	delete(a.worker.inheritedStalls, a.key)
-	if ok && still.percent == percent {
-		a.startedAt, a.advancedAt, a.percent = still.since, still.since, percent
+	if ok && stall.percent == percent {
+		a.startedAt, a.advancedAt, a.percent = stall.since, stall.since, percent
 	}
 }
 
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -180,9 +180,9 @@
 	leaseSlack = 200 * time.Millisecond
 )
 
-// usable reports whether new tasks may go there at all.
-func (w *worker) usable(now time.Time) bool {
-	allowed := w.listed && w.onRoster && !w.closed && !w.bounded && !w.entry.Draining && !w.ended && !w.contested()
+// isUsable reports whether new tasks may go there at all.
+func (w *worker) isUsable(now time.Time) bool {
+	allowed := w.listed && w.onRoster && !w.closed && !w.bounded && !w.entry.Draining && !w.ended && !w.isContested()
 	well := w.answered && w.unreachableSince.IsZero() && !w.clockAt.IsZero() && len(w.unackedEnds) < maxUnackedEnds
 	return allowed && well && !now.Before(w.noStartsUntil) && w.health.isAvailable(now)
 }
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -109,22 +109,22 @@
 		}
 	}
 	for _, w := range m.workers.All() {
-		heard := w.answered && w.unreachableSince.IsZero() && !w.ended
-		if !heard && !m.now.Before(w.leaseBound) {
+		reachable := w.answered && w.unreachableSince.IsZero() && !w.ended
+		if !reachable && !m.now.Before(w.leaseBound) {
 			m.loseUnreachable(w)
 		}
-		if m.departed(w) {
+		if m.hasDeparted(w) {
 			m.forget(w)
 		}
 	}
 }
 
-// departed reports whether a worker has left: it is not on the list, and no attempt
+// hasDeparted reports whether a worker has left: it is not on the list, and no attempt
 // may run there. That is enough where another incarnation has followed it. Where no
 // end is awaited from it either, it is enough that it said it would leave, or does
 // not answer. Else, or where it is not known what ran there, it must be silent until
 // its leases have ended.
-func (m *Machine) departed(w *worker) bool {
+func (m *Machine) hasDeparted(w *worker) bool {
 	if !m.listed || w.listed || w.attempts.Len() > 0 {
 		return false
 	}
