--- a/core/job/fleet.go
+++ b/core/job/fleet.go
@@ -82,20 +82,20 @@
 	}
 	for number := range spec.Steps {
 		step := &spec.Steps[number]
-		if reason := groups.ruleOut(step); reason != "" {
+		if reason := groups.infeasibleReason(step); reason != "" {
 			return &InfeasibleError{Step: number, Reason: reason}
 		}
 	}
 	return nil
 }
 
-// ruleOut says why a step can never run, and nothing if it can.
-func (s ServiceFleet) ruleOut(step *Step) string {
+// infeasibleReason says why a step can never run, and nothing if it can.
+func (s ServiceFleet) infeasibleReason(step *Step) string {
 	group, known := s[step.Label]
 	switch {
 	case !known:
 		return fmt.Sprintf("asks for the label %q, which no worker has", step.Label)
-	case !group.holds(step.Size):
+	case !group.canFit(step.Size):
 		return fmt.Sprintf("has tasks of %s, and no worker is that large", step.Size)
 	case step.Gang && step.MaxPerWorker > 0 && step.Count > step.MaxPerWorker*group.Workers:
 		return fmt.Sprintf("has %d tasks that work only together, at most %d on one of %d workers", step.Count,
@@ -104,7 +104,7 @@
 	return ""
 }
 
-func (g WorkerGroup) holds(size model.Resources) bool {
+func (g WorkerGroup) canFit(size model.Resources) bool {
 	for _, capacity := range g.Largest {
 		if size.Fits(capacity) {
 			return true
--- a/core/job/fleet_test.go
+++ b/core/job/fleet_test.go
@@ -18,7 +18,7 @@
 // A job that no worker could ever run was taken in and waited for ever, and its
 // caller was told that it is queued. Each reason is found out when it is handed
 // in.
-func TestFleetRulesOutWhatNoWorkerCouldRun(t *testing.T) {
+func TestFleetRejectsInfeasibleSteps(t *testing.T) {
 	size := func(cpu, memory, gpus int64) model.Resources {
 		return model.Resources{MilliCPU: cpu, MemoryMB: memory, Accelerators: gpus}
 	}
@@ -50,9 +50,9 @@
 	}
 }
 
-// TestFleetSaysNothingOfWhatIsNotKnown: before the first worker of a service is
+// TestFleetAcceptsUnknownServices: before the first worker of a service is
 // known, or when no leader has written down what there is, jobs are taken in.
-func TestFleetSaysNothingOfWhatIsNotKnown(t *testing.T) {
+func TestFleetAcceptsUnknownServices(t *testing.T) {
 	spec := &Spec{Steps: []Step{{Count: 1, Size: model.Resources{MilliCPU: 1 << 40}}}}
 	for name, f := range map[string]*Fleet{"empty": new(Fleet), "another service": testFleet()} {
 		if err := f.Check("other", spec); err != nil {
--- a/core/job/record.go
+++ b/core/job/record.go
@@ -247,7 +247,7 @@
 		repetitions = spec.Schedule.Repetitions
 	}
 	for number, o := range p.Occurrences {
-		if number >= repetitions || !o.Done && !o.fits(spec) {
+		if number >= repetitions || !o.Done && !o.matches(spec) {
 			return &RecordError{Kind: kindProgress, Cause: &InvalidError{
 				Field: fmt.Sprintf("occurrence %d", number), Reason: "must have the job's steps and tasks",
 			}}
@@ -256,7 +256,7 @@
 	return nil
 }
 
-func (o *OccurrenceProgress) fits(spec *Spec) bool {
+func (o *OccurrenceProgress) matches(spec *Spec) bool {
 	if len(o.Steps) != len(spec.Steps) {
 		return false
 	}
