--- a/core/joblog/explain.go
+++ b/core/joblog/explain.go
@@ -39,9 +39,9 @@
 	// takeoverWindow is how far from a failed request a take-over is looked for:
 	// a lost leader is replaced within its lease and a few reads.
 	takeoverWindow = 5 * time.Second
-	// slowStart is how long a job may wait for its first task before that is
+	// startDelayReported is how long a job may wait for its first task before that is
 	// told as a delay: more than a round of placement and a commit take.
-	slowStart = time.Second
+	startDelayReported = time.Second
 )
 
 // The statuses of answers to callers: a refusal with nothing done, an outcome
@@ -60,7 +60,7 @@
 	e.outcome()
 	e.explainAnswers()
 	e.explainStart()
-	e.explainAside()
+	e.explainSetAside()
 	e.explainWaits()
 	e.explainHolds()
 	e.explainAttempts()
@@ -76,7 +76,7 @@
 	about []Line
 }
 
-func (e *explainer) find(format string, args ...any) {
+func (e *explainer) addFinding(format string, args ...any) {
 	e.Findings = append(e.Findings, fmt.Sprintf(format, args...))
 }
 
@@ -90,7 +90,7 @@
 	return nil
 }
 
-func (e *explainer) with(message string) []Line {
+func (e *explainer) withMessage(message string) []Line {
 	var found []Line
 	for _, l := range e.about {
 		if l.Message == message {
@@ -100,13 +100,13 @@
 	return found
 }
 
-// final returns the line of the job's final state.
-func (e *explainer) final() *Line {
+// finalLine returns the line of the job's finalLine state.
+func (e *explainer) finalLine() *Line {
 	return e.first(JobFinalMessage(job.Completed), JobFinalMessage(job.Failed), JobFinalMessage(job.Canceled))
 }
 
 func (e *explainer) outcome() {
-	final := e.final()
+	final := e.finalLine()
 	switch {
 	case final != nil:
 		e.Outcome = strings.TrimPrefix(final.Message, "job ")
@@ -118,16 +118,16 @@
 		e.Outcome = outcomeAccepted
 	case len(e.about) == 0:
 		e.Outcome = outcomeNoTrace
-		e.find("no line names the job: no daemon whose lines are here answered a request for it or decided about it")
+		e.addFinding("no line names the job: no daemon whose lines are here answered a request for it or decided about it")
 	default:
-		e.Outcome = e.answered()
+		e.Outcome = e.outcomeFromAnswers()
 	}
 }
 
-// answered returns the outcome of a job of which only answers are known.
-func (e *explainer) answered() string {
+// outcomeFromAnswers returns the outcome of a job of which only answers are known.
+func (e *explainer) outcomeFromAnswers() string {
 	worst := 0
-	for _, l := range e.with(MessageRequestRefused) {
+	for _, l := range e.withMessage(MessageRequestRefused) {
 		worst = max(worst, l.Status)
 	}
 	switch {
@@ -142,16 +142,16 @@
 // explainAnswers tells the answers to callers that were errors, equal ones
 // together, and then what was wrong when they were given.
 func (e *explainer) explainAnswers() {
-	refused := e.with(MessageRequestRefused)
+	refused := e.withMessage(MessageRequestRefused)
 	for _, group := range byAnswer(refused) {
-		e.find("%s: %s", e.answerText(group), group[0].Error)
+		e.addFinding("%s: %s", e.answerText(group), group[0].Error)
 	}
-	if at := failedBetween(refused); at != nil {
+	if at := serverErrorSpan(refused); at != nil {
 		e.explainOutage(at[0], at[1])
-		e.explainLead(at[0], at[1])
+		e.explainLeadership(at[0], at[1])
 	}
 	if l := e.first(MessageJobAccepted); l != nil {
-		e.find("%s accepted the job at %s for queue %s", l.Daemon, FormatTime(l.Time), l.Queue)
+		e.addFinding("%s accepted the job at %s for queue %s", l.Daemon, FormatTime(l.Time), l.Queue)
 	}
 }
 
@@ -198,9 +198,9 @@
 	return fmt.Sprintf("%s %s by %s", meaning, when, strings.Join(slices.Sorted(maps.Keys(daemons)), ", "))
 }
 
-// failedBetween returns the times of the first and the last answer that was for
+// serverErrorSpan returns the times of the first and the last answer that was for
 // no fault of the request; nil for none.
-func failedBetween(refused []Line) []time.Time {
+func serverErrorSpan(refused []Line) []time.Time {
 	var between []time.Time
 	for _, l := range refused {
 		if l.Status < lowestServerStatus {
@@ -216,12 +216,12 @@
 
 // explainOutage says which daemons were without the store in a time.
 func (e *explainer) explainOutage(from, to time.Time) {
-	lost := e.outages(to)
+	lost := e.lastOutages(to)
 	maps.DeleteFunc(lost, func(_ string, o outage) bool {
 		return !o.until.IsZero() && o.until.Before(from.Add(-outageWindow))
 	})
 	if len(lost) == 0 {
-		e.find("no daemon noted the loss of the store within %s before: the calls alone failed", outageWindow)
+		e.addFinding("no daemon noted the loss of the store within %s before: the calls alone failed", outageWindow)
 		return
 	}
 	var begun, ended time.Time
@@ -237,7 +237,7 @@
 	if !ended.IsZero() {
 		end = "and the last had it back, or was restarted, at " + FormatTime(ended)
 	}
-	e.find("%d of %d daemons were without the store from %s on, %s: %s",
+	e.addFinding("%d of %d daemons were without the store from %s on, %s: %s",
 		len(lost), len(e.daemons()), FormatTime(begun), end, strings.Join(slices.Sorted(maps.Keys(lost)), ", "))
 }
 
@@ -245,8 +245,8 @@
 // no line tells its end.
 type outage struct{ from, until time.Time }
 
-// outages returns the last outage of each daemon that began by a time.
-func (e *explainer) outages(by time.Time) map[string]outage {
+// lastOutages returns the last outage of each daemon that began by a time.
+func (e *explainer) lastOutages(by time.Time) map[string]outage {
 	found := make(map[string]outage)
 	for _, l := range e.all {
 		o, known := found[l.Daemon]
@@ -275,15 +275,15 @@
 	return names
 }
 
-// explainLead tells what happened to the lead in and around a time.
-func (e *explainer) explainLead(from, to time.Time) {
+// explainLeadership tells what happened to the lead in and around a time.
+func (e *explainer) explainLeadership(from, to time.Time) {
 	for _, l := range e.all {
 		if l.Time.Before(from.Add(-takeoverWindow)) || l.Time.After(to.Add(takeoverWindow)) {
 			continue
 		}
 		switch l.Message {
 		case MessageLeaseNotRenewed, MessageDeposed, MessageLeadershipReleased, MessageLeadershipAcquired, MessageLeadershipContinued:
-			e.find("%s: %s at %s", l.Daemon, l.Message, FormatTime(l.Time))
+			e.addFinding("%s: %s at %s", l.Daemon, l.Message, FormatTime(l.Time))
 		}
 	}
 }
@@ -293,19 +293,19 @@
 	started := e.first(MessageAttemptStarted)
 	switch {
 	case accepted != nil && taken == nil:
-		e.find("no leader has taken it in")
-		e.explainLead(accepted.Time, accepted.Time)
-	case taken != nil && started == nil && e.final() == nil:
-		e.find("no attempt was started; %s took it in at %s (%s)", taken.Daemon, FormatTime(taken.Time), taken.Reason)
-	case accepted != nil && started != nil && started.Time.Sub(accepted.Time) > slowStart:
-		e.find("the first attempt started %s after acceptance", span(started.Time.Sub(accepted.Time)))
+		e.addFinding("no leader has taken it in")
+		e.explainLeadership(accepted.Time, accepted.Time)
+	case taken != nil && started == nil && e.finalLine() == nil:
+		e.addFinding("no attempt was started; %s took it in at %s (%s)", taken.Daemon, FormatTime(taken.Time), taken.Reason)
+	case accepted != nil && started != nil && started.Time.Sub(accepted.Time) > startDelayReported:
+		e.addFinding("the first attempt started %s after acceptance", formatDuration(started.Time.Sub(accepted.Time)))
 	}
 }
 
-// explainAside tells when the job was set aside, at each leader that did so.
-func (e *explainer) explainAside() {
-	for _, l := range e.with(MessageJobSetAside) {
-		e.find("%s set it aside at %s: %s", l.Daemon, FormatTime(l.Time), l.Reason)
+// explainSetAside tells when the job was set aside, at each leader that did so.
+func (e *explainer) explainSetAside() {
+	for _, l := range e.withMessage(MessageJobSetAside) {
+		e.addFinding("%s set it aside at %s: %s", l.Daemon, FormatTime(l.Time), l.Reason)
 	}
 }
 
@@ -323,23 +323,23 @@
 // explainWaits tells the last wait of each step: it is the longest, and says
 // what ruled the workers out.
 func (e *explainer) explainWaits() {
-	last, _ := lastByTask(e.with(MessageStepWaits))
+	last, _ := lastByTask(e.withMessage(MessageStepWaits))
 	for _, step := range slices.Sorted(maps.Keys(last)) {
-		e.find("step %s waited at %s %s", step, FormatTime(last[step].Time), last[step].Reason)
+		e.addFinding("step %s waited at %s %s", step, FormatTime(last[step].Time), last[step].Reason)
 	}
 }
 
 // explainHolds tells, for each step or task that was held back, how often that was
 // noted and the last reason, with the worker that was waited for.
 func (e *explainer) explainHolds() {
-	last, count := lastByTask(e.with(MessageStartHeldBack))
+	last, count := lastByTask(e.withMessage(MessageStartHeldBack))
 	for _, step := range slices.Sorted(maps.Keys(last)) {
 		l := last[step]
 		worker := ""
 		if l.Worker != "" {
 			worker = " for " + l.Worker
 		}
-		e.find("step %s was held back %d time(s), the last at %s%s: %s", step, count[step], FormatTime(l.Time), worker, l.Reason)
+		e.addFinding("step %s was held back %d time(s), the last at %s%s: %s", step, count[step], FormatTime(l.Time), worker, l.Reason)
 	}
 }
 
@@ -350,17 +350,17 @@
 		MessageAttemptEnded,
 	}
 	for _, kind := range kinds {
-		lines := e.with(kind)
+		lines := e.withMessage(kind)
 		switch {
 		case len(lines) == 0:
 		case kind == MessageAttemptStarted || kind == MessageAttemptAdopted:
-			e.find("%s: %d", kind, len(lines))
+			e.addFinding("%s: %d", kind, len(lines))
 		default:
-			e.find("%s: %s", kind, byReason(lines))
+			e.addFinding("%s: %s", kind, byReason(lines))
 		}
 	}
-	e.explainFailures(e.with(MessageAttemptEnded))
-	e.explainCrashes(e.with(MessageCrashCounted))
+	e.explainFailures(e.withMessage(MessageAttemptEnded))
+	e.explainCrashes(e.withMessage(MessageCrashCounted))
 }
 
 // reasonFailed is the reason of an attempt that ended by failing.
@@ -382,7 +382,7 @@
 		failures[l.Task]++
 	}
 	for _, task := range slices.Sorted(maps.Keys(failures)) {
-		e.find("task %s failed %d time(s), on %d worker(s)", task, failures[task], len(workers[task]))
+		e.addFinding("task %s failed %d time(s), on %d worker(s)", task, failures[task], len(workers[task]))
 	}
 }
 
@@ -391,7 +391,7 @@
 func (e *explainer) explainCrashes(counted []Line) {
 	last, count := lastByTask(counted)
 	for _, task := range slices.Sorted(maps.Keys(last)) {
-		e.find("task %s ended with its worker %d time(s), the last at %s: %s", task, count[task], FormatTime(last[task].Time), last[task].Reason)
+		e.addFinding("task %s ended with its worker %d time(s), the last at %s: %s", task, count[task], FormatTime(last[task].Time), last[task].Reason)
 	}
 }
 
@@ -415,17 +415,17 @@
 	from, to := e.about[0].Time, e.about[len(e.about)-1].Time
 	for _, l := range e.all {
 		if l.Message == MessageLeadershipAcquired && l.Time.After(from) && l.Time.Before(to) {
-			e.find("%s took the lead at %s (epoch %d), while the job was not over", l.Daemon, FormatTime(l.Time), l.Epoch)
+			e.addFinding("%s took the lead at %s (epoch %d), while the job was not over", l.Daemon, FormatTime(l.Time), l.Epoch)
 		}
 	}
 }
 
 func (e *explainer) explainEnd() {
 	if l := e.first(MessageCancelRequested); l != nil {
-		e.find("its caller canceled it at %s", FormatTime(l.Time))
+		e.addFinding("its caller canceled it at %s", FormatTime(l.Time))
 	}
-	if l := e.final(); l != nil {
-		e.find("%s at %s, decided by %s in epoch %d: %s", e.Outcome, FormatTime(l.Time), l.Daemon, l.Epoch, l.Reason)
+	if l := e.finalLine(); l != nil {
+		e.addFinding("%s at %s, decided by %s in epoch %d: %s", e.Outcome, FormatTime(l.Time), l.Daemon, l.Epoch, l.Reason)
 	}
 }
 
@@ -455,5 +455,5 @@
 // FormatTime writes a time of day to the millisecond, in UTC.
 func FormatTime(t time.Time) string { return t.UTC().Format("15:04:05.000") }
 
-// span writes a duration to the millisecond.
-func span(d time.Duration) string { return d.Round(time.Millisecond).String() }
+// formatDuration writes a duration to the millisecond.
+func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- a/core/joblog/joblog_test.go
+++ b/core/joblog/joblog_test.go
@@ -16,12 +16,12 @@
 // The jobs of testdata/store-outage.log: lines of nine daemons before, in and
 // after four seconds without the store.
 const (
-	refusedJob  job.ID = "38794a2fe1bc1e9c"
-	untoldJob   job.ID = "97e4bb9b6c8427d5"
-	failedJob   job.ID = "4a3da32f0db5947d"
-	takenOver   job.ID = "9ea694efb3dbe812"
-	neverHeard  job.ID = "0123456789abcdef"
-	outageLines        = "testdata/store-outage.log"
+	refusedJob        job.ID = "38794a2fe1bc1e9c"
+	unknownOutcomeJob job.ID = "97e4bb9b6c8427d5"
+	failedJob         job.ID = "4a3da32f0db5947d"
+	takenOverJob      job.ID = "9ea694efb3dbe812"
+	unknownJob        job.ID = "0123456789abcdef"
+	outageLines              = "testdata/store-outage.log"
 )
 
 func savedLines(t *testing.T) []Line {
@@ -40,7 +40,7 @@
 func TestExplain(t *testing.T) {
 	lines := savedLines(t)
 	for name, id := range map[string]job.ID{
-		"refused": refusedJob, "untold": untoldJob, "failed": failedJob, "takenover": takenOver, "unheard": neverHeard,
+		"refused": refusedJob, "untold": unknownOutcomeJob, "failed": failedJob, "takenover": takenOverJob, "unheard": unknownJob,
 	} {
 		e := Explain(lines, id)
 		e.Lines = nil
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestParsePassesOverWhatIsNoLine(t *testing.T) {
+func TestParseSkipsOtherText(t *testing.T) {
 	log := "started by hand\n" +
 		`  7.43 host-1 {"msg":"leads","epoch":4,"time":"2026-05-01T02:07:21Z"}` + "\n\n" +
 		`{"msg":"job accepted","job":"38794a2f`
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestMergeLeavesOutWhatIsInTwoLogs(t *testing.T) {
+func TestMergeDropsDuplicates(t *testing.T) {
 	lines := savedLines(t)
 	reversed := slices.Clone(lines)
 	slices.Reverse(reversed)
@@ -101,9 +101,9 @@
 	}
 }
 
-// TestExplainTellsOfAJobSetAside: a job that waits because its records cannot be
+// TestExplainReportsJobSetAside: a job that waits because its records cannot be
 // read waits for no worker, and the operator must be told so.
-func TestExplainTellsOfAJobSetAside(t *testing.T) {
+func TestExplainReportsJobSetAside(t *testing.T) {
 	at := time.Unix(0, 0)
 	found := strings.Join(Explain([]Line{
 		{Time: at, Message: MessageJobAccepted, Job: failedJob, Daemon: "a"},
@@ -114,9 +114,9 @@
 	}
 }
 
-// TestExplainTellsOfHeldStarts: a step that is held back after a take-over waits
+// TestExplainReportsHeldStarts: a step that is held back after a take-over waits
 // for no room, and the operator must be told for which worker it waits.
-func TestExplainTellsOfHeldStarts(t *testing.T) {
+func TestExplainReportsHeldStarts(t *testing.T) {
 	at := time.Unix(0, 0)
 	step := string(failedJob) + ".0.0"
 	found := strings.Join(Explain([]Line{
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestExplainTellsOfCrashes(t *testing.T) {
+func TestExplainReportsCrashes(t *testing.T) {
 	at := time.Unix(0, 0)
 	task := string(failedJob) + ".0.0.3"
 	found := strings.Join(Explain([]Line{
@@ -142,13 +142,13 @@
 	}
 }
 
-// TestExplainTellsOfGaps: lines that were left out or dropped may have held the
+// TestExplainReportsGaps: lines that were left out or dropped may have held the
 // cause, so that an explanation without them must say so.
-func TestExplainTellsOfGaps(t *testing.T) {
+func TestExplainReportsGaps(t *testing.T) {
 	at := time.Unix(0, 0)
 	lines := []Line{
 		{Time: at, Message: MessageJobTakenIn, Job: failedJob},
-		{Time: at.Add(time.Second), Message: MessageAttemptStarted, Job: takenOver, Suppressed: 7},
+		{Time: at.Add(time.Second), Message: MessageAttemptStarted, Job: takenOverJob, Suppressed: 7},
 		{Time: at.Add(2 * time.Second), Message: MessageLinesDropped, Dropped: 3},
 		{Time: at.Add(3 * time.Second), Message: JobFinalMessage(job.Failed), Job: failedJob},
 	}
--- a/core/joblog/summary.go
+++ b/core/joblog/summary.go
@@ -40,14 +40,14 @@
 func summarize(id job.ID, about []Line) JobSummary {
 	e := &explainer{about: about}
 	e.outcome()
-	s := JobSummary{Job: id, Outcome: e.Outcome, Attempts: len(e.with(MessageAttemptStarted))}
+	s := JobSummary{Job: id, Outcome: e.Outcome, Attempts: len(e.withMessage(MessageAttemptStarted))}
 	if l := e.first(MessageJobAccepted); l != nil {
 		s.Queue, s.AcceptedAt = l.Queue, l.Time
 	}
 	if l := e.first(MessageAttemptStarted); l != nil {
 		s.StartedAt = l.Time
 	}
-	if l := e.final(); l != nil {
+	if l := e.finalLine(); l != nil {
 		s.EndedAt = l.Time
 	}
 	return s
