--- a/core/interference/export.go
+++ b/core/interference/export.go
@@ -30,21 +30,21 @@
 	return effects
 }
 
-// importDoubt is by how much imported effects are less certain: it may be some
+// importStdFactor is by how much imported effects are less certain: it may be some
 // time since they were learned.
-const importDoubt = 1.5
+const importStdFactor = 1.5
 
 // Import begins with what another model knew.
 func (m *Model) Import(now time.Time, effects []Effect) {
 	for _, e := range effects {
 		var t *term
 		if e.Victim == "" {
-			t = ensure(m.classes, e.Aggressor, now, m.options.PriorMean, m.options.ClassStd)
+			t = getOrAddTerm(m.classes, e.Aggressor, now, m.options.PriorMean, m.options.ClassStd)
 		} else {
-			t = ensure(m.pairs, pairKey{e.Victim, e.Aggressor}, now, 0, m.options.PairStd)
+			t = getOrAddTerm(m.pairs, pairKey{e.Victim, e.Aggressor}, now, 0, m.options.PairStd)
 		}
 		t.mean = e.Mean
-		t.variance = min(e.Std*e.Std*importDoubt*importDoubt, t.priorVariance)
+		t.variance = min(e.Std*e.Std*importStdFactor*importStdFactor, t.priorVariance)
 	}
 	m.version++
 }
--- a/core/interference/export_test.go
+++ b/core/interference/export_test.go
@@ -7,9 +7,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// TestWhatWasLearnedIsImported: a model that begins with what another knew
+// TestImportKeepsPredictions: a model that begins with what another knew
 // predicts the same, and is less sure.
-func TestWhatWasLearnedIsImported(t *testing.T) {
+func TestImportKeepsPredictions(t *testing.T) {
 	now := time.UnixMilli(1_700_000_000_000)
 	m := New(DefaultOptions())
 	victim, loud := model.TaskKey{Workload: "v"}, model.TaskKey{Workload: "loud"}
--- a/core/interference/model.go
+++ b/core/interference/model.go
@@ -74,7 +74,7 @@
 	pairs     map[pairKey]*term
 	buckets   map[bucketKey]*term
 	workloads map[string]*term
-	loudness  map[model.TaskKey]*term
+	intensity map[model.TaskKey]*term
 	variances *variances
 	version   uint64
 }
@@ -88,7 +88,7 @@
 		pairs:     make(map[pairKey]*term),
 		buckets:   make(map[bucketKey]*term),
 		workloads: make(map[string]*term),
-		loudness:  make(map[model.TaskKey]*term),
+		intensity: make(map[model.TaskKey]*term),
 		variances: newVariances(o.IntensityStd),
 	}
 }
@@ -107,7 +107,7 @@
 // TaskStopped records that a task is no longer on a worker.
 func (m *Model) TaskStopped(now time.Time, w model.WorkerID, key model.TaskKey) {
 	m.residency.TaskStopped(now, w, key)
-	delete(m.loudness, key)
+	delete(m.intensity, key)
 }
 
 // DropWorker forgets who was on a worker that is gone.
@@ -130,7 +130,7 @@
 	if !(o.Slowdown > 0) || math.IsInf(o.Slowdown, 0) || o.MeasuredAt.After(now) {
 		return Malformed
 	}
-	if !m.residency.fresh(o.Worker, o.Victim, o.MeasuredAt) {
+	if !m.residency.recordIfNewer(o.Worker, o.Victim, o.MeasuredAt) {
 		return NotNewer
 	}
 	residents, known := m.residency.At(o.Worker, o.MeasuredAt)
@@ -144,14 +144,14 @@
 		return NoAggressor
 	}
 	m.learn(now, o, aggressors)
-	m.spread(aggressors)
+	m.observeVariances(aggressors)
 	m.version++
 	return Learned
 }
 
-// part is a term with the weight at which it entered an observation: the
+// contribution is a term with the weight at which it entered an observation: the
 // derivative of the predicted slowdown by the term.
-type part struct {
+type contribution struct {
 	term   *term
 	weight float64
 }
@@ -159,23 +159,23 @@
 func (m *Model) learn(now time.Time, o Observation, aggressors []Resident) {
 	excess := math.Max(0, o.Slowdown-1)
 	predicted := 0.0
-	parts := make([]part, 0, 5*len(aggressors))
+	parts := make([]contribution, 0, 5*len(aggressors))
 	for _, a := range aggressors {
-		lasting := m.lasting(now, pairKey{o.Class, a.Class}, LoadBucket(o.Load), a.Key.Workload)
+		persistent := m.persistentTerms(now, pairKey{o.Class, a.Class}, LoadBucket(o.Load), a.Key.Workload)
 		effect := 0.0
-		for _, t := range lasting {
+		for _, t := range persistent {
 			effect += t.mean
 		}
 		effect = math.Max(0, effect)
-		loudness := 1.0
+		intensity := 1.0
 		if a.StillRunning {
-			own := m.loudnessOf(now, a)
-			loudness = math.Max(0, 1+own.mean)
-			parts = append(parts, part{own, a.Share * math.Max(effect, leastEffect)})
+			own := m.intensityOf(now, a)
+			intensity = math.Max(0, 1+own.mean)
+			parts = append(parts, contribution{own, a.Share * math.Max(effect, minEffect)})
 		}
-		predicted += a.Share * loudness * effect
-		for _, t := range lasting {
-			parts = addPart(parts, t, a.Share*math.Max(loudness, leastLoudness))
+		predicted += a.Share * intensity * effect
+		for _, t := range persistent {
+			parts = addContribution(parts, t, a.Share*math.Max(intensity, minIntensity))
 		}
 	}
 	m.correct(parts, excess, excess-predicted)
@@ -183,66 +183,66 @@
 
 // A term whose partner is at zero would have weight zero and never move again.
 const (
-	leastEffect   = 0.01
-	leastLoudness = 0.1
+	minEffect    = 0.01
+	minIntensity = 0.1
 )
 
-func (m *Model) correct(parts []part, excess, surprise float64) {
+func (m *Model) correct(parts []contribution, excess, residual float64) {
 	noise := m.options.NoiseStd + m.options.NoiseRatio*excess
 	total := noise * noise
 	for _, p := range parts {
 		total += p.weight * p.weight * p.term.variance
 	}
 	for _, p := range parts {
-		p.term.correct(surprise, p.weight, total)
+		p.term.correct(residual, p.weight, total)
 	}
 }
 
-func addPart(parts []part, t *term, weight float64) []part {
+func addContribution(parts []contribution, t *term, weight float64) []contribution {
 	for i := range parts {
 		if parts[i].term == t {
 			parts[i].weight += weight
 			return parts
 		}
 	}
-	return append(parts, part{t, weight})
+	return append(parts, contribution{t, weight})
 }
 
-// lasting returns the terms of an effect that outlive the task, made if need
+// persistentTerms returns the terms of an effect that outlive the task, made if need
 // be and aged to now.
-func (m *Model) lasting(now time.Time, pair pairKey, bucket int, workload string) [4]*term {
+func (m *Model) persistentTerms(now time.Time, pair pairKey, bucket int, workload string) [4]*term {
 	o := &m.options
 	terms := [4]*term{
-		ensure(m.classes, pair.aggressor, now, o.PriorMean, o.ClassStd),
-		ensure(m.pairs, pair, now, 0, o.PairStd),
-		ensure(m.buckets, bucketKey{pair, bucket}, now, 0, o.BucketStd),
-		ensure(m.workloads, workload, now, 0, o.WorkloadStd),
+		getOrAddTerm(m.classes, pair.aggressor, now, o.PriorMean, o.ClassStd),
+		getOrAddTerm(m.pairs, pair, now, 0, o.PairStd),
+		getOrAddTerm(m.buckets, bucketKey{pair, bucket}, now, 0, o.BucketStd),
+		getOrAddTerm(m.workloads, workload, now, 0, o.WorkloadStd),
 	}
 	for _, t := range terms {
-		t.age(now, o.Decay)
+		t.decay(now, o.Decay)
 	}
 	return terms
 }
 
-// loudnessOf returns by how much a task's loudness differs from 1.
-func (m *Model) loudnessOf(now time.Time, a Resident) *term {
+// intensityOf returns by how much a task's loudness differs from 1.
+func (m *Model) intensityOf(now time.Time, a Resident) *term {
 	variance := m.variances.of(a.Class, a.Key.Workload)
-	t := ensure(m.loudness, a.Key, now, 0, math.Sqrt(variance))
+	t := getOrAddTerm(m.intensity, a.Key, now, 0, math.Sqrt(variance))
 	t.priorVariance = variance
-	t.age(now, m.options.IntensityDecay)
+	t.decay(now, m.options.IntensityDecay)
 	return t
 }
 
-// spread learns from the tasks' loudness how much loudness varies.
-func (m *Model) spread(aggressors []Resident) {
+// observeVariances learns from the tasks' loudness how much loudness varies.
+func (m *Model) observeVariances(aggressors []Resident) {
 	for _, a := range aggressors {
-		if t, ok := m.loudness[a.Key]; ok {
+		if t, ok := m.intensity[a.Key]; ok {
 			m.variances.observe(a.Class, a.Key, t)
 		}
 	}
 }
 
-func ensure[K comparable](terms map[K]*term, key K, now time.Time, mean, std float64) *term {
+func getOrAddTerm[K comparable](terms map[K]*term, key K, now time.Time, mean, std float64) *term {
 	t, ok := terms[key]
 	if !ok {
 		t = newTerm(now, mean, std)
@@ -268,7 +268,7 @@
 
 // PredictTask is Predict for a task that runs now, at full speed.
 func (m *Model) PredictTask(victimClass, aggressorClass string, aggressor model.TaskKey, load float64) Estimate {
-	t, ok := m.loudness[aggressor]
+	t, ok := m.intensity[aggressor]
 	if !ok {
 		return m.PredictWorkload(victimClass, aggressorClass, aggressor.Workload, load)
 	}
@@ -278,28 +278,28 @@
 
 func (m *Model) predictWorkload(victimClass, aggressorClass, workload string, load float64) (mean, variance float64) {
 	mean, variance = m.predictPair(victimClass, aggressorClass, load)
-	ownMean, ownVariance := peek(m.workloads, workload, 0, m.options.WorkloadStd)
+	ownMean, ownVariance := termOrPrior(m.workloads, workload, 0, m.options.WorkloadStd)
 	return mean + ownMean, variance + ownVariance
 }
 
 func (m *Model) predictPair(victimClass, aggressorClass string, load float64) (mean, variance float64) {
 	o := &m.options
 	pair := pairKey{victimClass, aggressorClass}
-	mean, variance = peek(m.classes, aggressorClass, o.PriorMean, o.ClassStd)
-	pairMean, pairVariance := peek(m.pairs, pair, 0, o.PairStd)
-	bucketMean, bucketVariance := peek(m.buckets, bucketKey{pair, LoadBucket(load)}, 0, o.BucketStd)
+	mean, variance = termOrPrior(m.classes, aggressorClass, o.PriorMean, o.ClassStd)
+	pairMean, pairVariance := termOrPrior(m.pairs, pair, 0, o.PairStd)
+	bucketMean, bucketVariance := termOrPrior(m.buckets, bucketKey{pair, LoadBucket(load)}, 0, o.BucketStd)
 	return mean + pairMean + bucketMean, variance + pairVariance + bucketVariance
 }
 
 // estimate returns the product of an effect and a loudness.
-func estimate(mean, variance, loudness, loudnessVariance float64) Estimate {
+func estimate(mean, variance, intensity, intensityVariance float64) Estimate {
 	mean = math.Max(0, mean)
-	loudness = math.Max(0, loudness)
-	variance = variance*loudness*loudness + mean*mean*loudnessVariance
-	return Estimate{Mean: mean * loudness, Std: math.Sqrt(variance)}
+	intensity = math.Max(0, intensity)
+	variance = variance*intensity*intensity + mean*mean*intensityVariance
+	return Estimate{Mean: mean * intensity, Std: math.Sqrt(variance)}
 }
 
-func peek[K comparable](terms map[K]*term, key K, mean, std float64) (float64, float64) {
+func termOrPrior[K comparable](terms map[K]*term, key K, mean, std float64) (float64, float64) {
 	t, ok := terms[key]
 	if !ok {
 		return mean, std * std
--- a/core/interference/model_test.go
+++ b/core/interference/model_test.go
@@ -87,7 +87,7 @@
 
 // A pair never seen predicts what its aggressor does to others, and says that
 // it is less sure of it.
-func TestUnseenPairLeansOnItsAggressor(t *testing.T) {
+func TestUnseenPairIsPredictedFromItsAggressor(t *testing.T) {
 	m := trained(t, 0.5)
 	prior := m.Predict("orders", "unseen", 0.5)
 	other := m.Predict("fixtures", "loud", 0.5)
@@ -134,7 +134,7 @@
 // Symptom: the wrong one of several tasks is throttled. Loud phases of one of
 // three tasks must raise that one's present effect above the others', which
 // differ from it in nothing else.
-func TestLoudnessFindsTheLoudTask(t *testing.T) {
+func TestIntensityIdentifiesTheNoisyTask(t *testing.T) {
 	m := New(DefaultOptions())
 	rnd := rand.New(rand.NewPCG(1, 1))
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
@@ -165,7 +165,7 @@
 
 // A task throttled to a fifth is held responsible for a fifth of what it would
 // do at full speed.
-func TestThrottledShareIsTakenIntoAccount(t *testing.T) {
+func TestThrottledShareScalesTheEffect(t *testing.T) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
 	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
--- a/core/interference/moments.go
+++ b/core/interference/moments.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// memoryOfTasks bounds the weight of past tasks, so that a workload whose
+// maxTaskWeight bounds the weight of past tasks, so that a workload whose
 // tasks change is followed.
-const memoryOfTasks = 200
+const maxTaskWeight = 200
 
 // moments are the weight, the mean and the sum of squared deviations of values
 // of which the oldest fade.
@@ -18,8 +18,8 @@
 	delta := value - m.mean
 	m.mean += delta / m.weight
 	m.squares += delta * (value - m.mean)
-	if m.weight > memoryOfTasks {
-		keep := memoryOfTasks / m.weight
+	if m.weight > maxTaskWeight {
+		keep := maxTaskWeight / m.weight
 		m.weight *= keep
 		m.squares *= keep
 	}
--- a/core/interference/residency.go
+++ b/core/interference/residency.go
@@ -62,7 +62,7 @@
 	if !ok {
 		return
 	}
-	if i := ws.open(key); i >= 0 && ws.spans[i].Share != share {
+	if i := ws.openSpan(key); i >= 0 && ws.spans[i].Share != share {
 		r.change(now, w, Resident{Key: key, Class: ws.spans[i].Class, Share: share})
 	}
 }
@@ -73,11 +73,11 @@
 	if !ok {
 		return
 	}
-	if i := ws.open(key); i >= 0 {
+	if i := ws.openSpan(key); i >= 0 {
 		ws.spans[i].to = now
 	}
 	delete(ws.latest, key)
-	ws.forget(now.Add(-r.retain))
+	ws.prune(now.Add(-r.retain))
 }
 
 // DropWorker forgets a worker that is gone.
@@ -94,7 +94,7 @@
 	for i := range ws.spans {
 		if ws.spans[i].covers(at) {
 			presence := ws.spans[i].Resident
-			presence.StillRunning = ws.open(presence.Key) >= 0
+			presence.StillRunning = ws.openSpan(presence.Key) >= 0
 			found = append(found, presence)
 		}
 	}
@@ -113,17 +113,17 @@
 		ws = &workerSpans{since: now, latest: make(map[model.TaskKey]time.Time)}
 		r.workers[w] = ws
 	}
-	if i := ws.open(p.Key); i >= 0 {
+	if i := ws.openSpan(p.Key); i >= 0 {
 		ws.spans[i].to = now
 	}
 	ws.spans = append(ws.spans, span{Resident: p, from: now})
-	ws.forget(now.Add(-r.retain))
+	ws.prune(now.Add(-r.retain))
 }
 
-// fresh reports whether a victim's measurement is later than all before it,
+// recordIfNewer reports whether a victim's measurement is later than all before it,
 // and remembers it. A report that is delivered twice would otherwise count
 // twice and make the model surer than its evidence.
-func (r *Residency) fresh(w model.WorkerID, victim model.TaskKey, at time.Time) bool {
+func (r *Residency) recordIfNewer(w model.WorkerID, victim model.TaskKey, at time.Time) bool {
 	ws, ok := r.workers[w]
 	if !ok {
 		return true
@@ -131,13 +131,13 @@
 	if !at.After(ws.latest[victim]) {
 		return false
 	}
-	if ws.open(victim) >= 0 {
+	if ws.openSpan(victim) >= 0 {
 		ws.latest[victim] = at
 	}
 	return true
 }
 
-func (ws *workerSpans) open(key model.TaskKey) int {
+func (ws *workerSpans) openSpan(key model.TaskKey) int {
 	for i := len(ws.spans) - 1; i >= 0; i-- {
 		if ws.spans[i].Key == key && ws.spans[i].to.IsZero() {
 			return i
@@ -146,8 +146,8 @@
 	return -1
 }
 
-// forget drops spans that ended before horizon.
-func (ws *workerSpans) forget(horizon time.Time) {
+// prune drops spans that ended before horizon.
+func (ws *workerSpans) prune(horizon time.Time) {
 	ws.spans = slices.DeleteFunc(ws.spans, func(s span) bool {
 		return !s.to.IsZero() && s.to.Before(horizon)
 	})
--- a/core/interference/sizes.go
+++ b/core/interference/sizes.go
@@ -64,8 +64,8 @@
 // size: their moments over tasks, and the hold in force.
 type ratio struct {
 	moments
-	hold   float64
-	holdAt time.Time
+	inForce   float64
+	inForceAt time.Time
 }
 
 // NewSizes returns a learner that holds what is declared.
@@ -89,8 +89,8 @@
 	w.peaks[key] = next
 	w.cpu.replace(seen, old.cpu, next.cpu)
 	w.memory.replace(seen, old.memory, next.memory)
-	w.cpu.settle(now, s.wanted(&w.cpu, s.options.CPUStdFactor), s.options.ReclaimPerHour)
-	w.memory.settle(now, s.wanted(&w.memory, s.options.MemoryStdFactor), s.options.ReclaimPerHour)
+	w.cpu.adjust(now, s.desiredRatio(&w.cpu, s.options.CPUStdFactor), s.options.ReclaimPerHour)
+	w.memory.adjust(now, s.desiredRatio(&w.memory, s.options.MemoryStdFactor), s.options.ReclaimPerHour)
 }
 
 // TaskEnded drops the record of a task that is over. What its workload learned
@@ -112,8 +112,8 @@
 		return declared
 	}
 	hold := declared
-	hold.MilliCPU = scale(declared.MilliCPU, w.cpu.hold)
-	hold.MemoryMB = scale(declared.MemoryMB, w.memory.hold)
+	hold.MilliCPU = scale(declared.MilliCPU, w.cpu.inForce)
+	hold.MemoryMB = scale(declared.MemoryMB, w.memory.inForce)
 	return hold
 }
 
@@ -130,8 +130,8 @@
 		return held
 	}
 	want := held
-	want.MilliCPU = max(held.MilliCPU, s.grown(declared.MilliCPU, held.MilliCPU, seen.cpu))
-	want.MemoryMB = max(held.MemoryMB, s.grown(declared.MemoryMB, held.MemoryMB, seen.memory))
+	want.MilliCPU = max(held.MilliCPU, s.sizeForPeak(declared.MilliCPU, held.MilliCPU, seen.cpu))
+	want.MemoryMB = max(held.MemoryMB, s.sizeForPeak(declared.MemoryMB, held.MemoryMB, seen.memory))
 	return want
 }
 
@@ -142,8 +142,8 @@
 func SplitGrowth(held, want, free model.Resources) (granted, shortage model.Resources) {
 	more := want.Sub(held)
 	given := model.Resources{
-		MilliCPU:     clampInt(more.MilliCPU, free.MilliCPU),
-		MemoryMB:     clampInt(more.MemoryMB, free.MemoryMB),
+		MilliCPU:     clampGrowth(more.MilliCPU, free.MilliCPU),
+		MemoryMB:     clampGrowth(more.MemoryMB, free.MemoryMB),
 		Accelerators: 0,
 	}
 	granted = held.Add(given)
@@ -154,14 +154,14 @@
 	return granted, shortage
 }
 
-func clampInt(more, free int64) int64 { return max(0, min(more, free)) }
+func clampGrowth(more, free int64) int64 { return max(0, min(more, free)) }
 
 func (s *Sizes) workload(name string) *workloadSizes {
 	w, ok := s.workloads[name]
 	if !ok {
 		w = &workloadSizes{
-			cpu:    ratio{hold: 1},
-			memory: ratio{hold: 1},
+			cpu:    ratio{inForce: 1},
+			memory: ratio{inForce: 1},
 			peaks:  make(map[model.TaskKey]peak),
 		}
 		s.workloads[name] = w
@@ -169,16 +169,16 @@
 	return w
 }
 
-// grown returns the room for a peak with its margin, when the peak lies above
+// sizeForPeak returns the room for a peak with its margin, when the peak lies above
 // what is held.
-func (s *Sizes) grown(declared, held int64, seen float64) int64 {
+func (s *Sizes) sizeForPeak(declared, held int64, seen float64) int64 {
 	if scale(declared, seen) <= held {
 		return held
 	}
 	return scale(declared, math.Min(s.options.MaxRatio, seen*(1+s.options.Margin)))
 }
 
-func (s *Sizes) wanted(r *ratio, spread float64) float64 {
+func (s *Sizes) desiredRatio(r *ratio, spread float64) float64 {
 	o := &s.options
 	weight := r.weight + o.PriorWeight
 	mean := (r.mean*r.weight + o.PriorWeight) / weight
@@ -204,22 +204,22 @@
 	r.add(next)
 }
 
-// settle raises the hold at once and lowers it slowly. Lowering at once would
+// adjust raises the hold at once and lowers it slowly. Lowering at once would
 // let one quiet hour of a workload give away the room its busy hour needs.
-func (r *ratio) settle(now time.Time, wanted, reclaimPerHour float64) {
-	if wanted >= r.hold {
-		r.hold, r.holdAt = wanted, now
+func (r *ratio) adjust(now time.Time, wanted, reclaimPerHour float64) {
+	if wanted >= r.inForce {
+		r.inForce, r.inForceAt = wanted, now
 		return
 	}
-	if r.holdAt.IsZero() {
-		r.holdAt = now
+	if r.inForceAt.IsZero() {
+		r.inForceAt = now
 	}
-	passed := now.Sub(r.holdAt)
+	passed := now.Sub(r.inForceAt)
 	if passed <= 0 {
 		return
 	}
-	r.hold = math.Max(wanted, r.hold-reclaimPerHour*passed.Hours())
-	r.holdAt = now
+	r.inForce = math.Max(wanted, r.inForce-reclaimPerHour*passed.Hours())
+	r.inForceAt = now
 }
 
 func scale(amount int64, ratio float64) int64 {
--- a/core/interference/sizes_test.go
+++ b/core/interference/sizes_test.go
@@ -24,7 +24,7 @@
 
 // Symptom: tasks die for want of memory, attempt after attempt, because each is
 // placed with the size that was declared.
-func TestHoldGrowsAtOnce(t *testing.T) {
+func TestCommitSizeGrowsAtOnce(t *testing.T) {
 	s := NewSizes(DefaultSizeOptions())
 	if got := s.CommitSize("job", declared); got != declared {
 		t.Fatalf("before anything was seen: %v", got)
@@ -36,7 +36,7 @@
 }
 
 // Symptom: one quiet hour gives away the room that the busy hour needs.
-func TestHoldShrinksSlowlyAndNotOnFewTasks(t *testing.T) {
+func TestCommitSizeShrinksSlowlyAndNotOnFewTasks(t *testing.T) {
 	s := NewSizes(DefaultSizeOptions())
 	seen(s, at(0), 3, 0.4)
 	if got := s.CommitSize("job", declared); got != declared {
@@ -73,7 +73,7 @@
 
 // Symptom: a worker is committed beyond its capacity because a task on it
 // outgrew its declaration.
-func TestGrowNeverOvercommits(t *testing.T) {
+func TestSplitGrowthNeverOvercommits(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(20261202)
 	params.MinSuccessfulTests = 500
 	properties := gopter.NewProperties(params)
--- a/core/interference/term.go
+++ b/core/interference/term.go
@@ -23,10 +23,10 @@
 	}
 }
 
-// age lets the term fall back towards its prior. Without it a class whose
+// decay lets the term fall back towards its prior. Without it a class whose
 // behaviour changed would be judged by its past for ever: the variance would
 // shrink to nothing and new observations would move the mean no more.
-func (t *term) age(now time.Time, decay time.Duration) {
+func (t *term) decay(now time.Time, decay time.Duration) {
 	passed := now.Sub(t.at)
 	if passed <= 0 {
 		return
@@ -39,8 +39,8 @@
 
 // correct takes the term's part of a surprise. weight is how strongly the
 // term entered the prediction, total the variance of the whole prediction.
-func (t *term) correct(surprise, weight, total float64) {
+func (t *term) correct(residual, weight, total float64) {
 	gain := t.variance * weight / total
-	t.mean += gain * surprise
+	t.mean += gain * residual
 	t.variance -= gain * weight * t.variance
 }
--- a/core/interference/spread.go
+++ b/core/interference/variances.go
@@ -48,10 +48,10 @@
 	if !ok {
 		classWas = v.prior
 	}
-	v.classes[class] = follow(classWas, seen, classVarianceRate*informed)
-	v.workloads[key.Workload] = follow(was, seen, workloadVarianceRate*informed)
+	v.classes[class] = moveToward(classWas, seen, classVarianceRate*informed)
+	v.workloads[key.Workload] = moveToward(was, seen, workloadVarianceRate*informed)
 }
 
-func follow(was, seen, rate float64) float64 {
+func moveToward(was, seen, rate float64) float64 {
 	return max(minVariance, was+rate*(seen-was))
 }
