--- a/core/timeline/format.go
+++ b/core/timeline/format.go
@@ -38,7 +38,7 @@
 	out := bufio.NewWriter(w)
 	for _, row := range rows {
 		// A failed write is kept by out and returned by Flush.
-		_, _ = out.WriteString(line(row, widths))
+		_, _ = out.WriteString(formatRow(row, widths))
 	}
 	if err := out.Flush(); err != nil {
 		return &FormatError{Cause: err}
@@ -49,12 +49,12 @@
 func columns(e *Event) []string {
 	return []string{
 		e.Time.UTC().Format(timeLayout),
-		printable(e.Process),
+		quoteUnprintable(e.Process),
 		strconv.FormatUint(e.Sequence, 10),
-		printable(string(e.Kind)),
-		printable(e.Subject),
+		quoteUnprintable(string(e.Kind)),
+		quoteUnprintable(e.Subject),
 		position(e),
-		printable(e.Detail),
+		quoteUnprintable(e.Detail),
 	}
 }
 
@@ -77,16 +77,16 @@
 	return strings.Join(parts, " ")
 }
 
-// printable keeps one event on one line: text with a line break or other
+// quoteUnprintable keeps one event on one line: text with a line break or other
 // control character in it is quoted.
-func printable(s string) string {
-	if !strings.ContainsFunc(s, isControl) && utf8.ValidString(s) {
+func quoteUnprintable(s string) string {
+	if !strings.ContainsFunc(s, isUnprintable) && utf8.ValidString(s) {
 		return s
 	}
 	return strconv.Quote(s)
 }
 
-func isControl(r rune) bool { return !strconv.IsPrint(r) }
+func isUnprintable(r rune) bool { return !strconv.IsPrint(r) }
 
 func columnWidths(rows [][]string) []int {
 	var widths []int
@@ -101,7 +101,7 @@
 	return widths
 }
 
-func line(row []string, widths []int) string {
+func formatRow(row []string, widths []int) string {
 	var b strings.Builder
 	for i, cell := range row {
 		if widths[i] == 0 {
--- a/core/timeline/kind_test.go
+++ b/core/timeline/kind_test.go
@@ -12,7 +12,7 @@
 // Symptom: an operator reads a kind of event that no page explains.
 // Sequence: a kind is added or renamed; the page stays.
 // Cause: kinds are declared in one place and explained in another.
-func TestEveryKindIsExplained(t *testing.T) {
+func TestEveryKindIsDocumented(t *testing.T) {
 	source, err := os.ReadFile("kind.go")
 	if err != nil {
 		t.Fatal(err)
--- a/core/timeline/timeline_test.go
+++ b/core/timeline/timeline_test.go
@@ -37,7 +37,7 @@
 // Symptom: in the merged list a task ends before it begins.
 // Sequence: an event is appended; the wall clock is set back; another follows.
 // Cause: ordering by wall time alone, which need not grow.
-func TestOrderSurvivesAClockSetBack(t *testing.T) {
+func TestOrderIsKeptWhenTheClockIsSetBack(t *testing.T) {
 	r := NewRing("a", 8)
 	r.Append(start, Event{Kind: TaskAssigned})
 	r.Append(start.Add(-time.Hour), Event{Kind: TaskRunning})
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestEventSurvivesJSON(t *testing.T) {
+func TestEventJSONRoundTrip(t *testing.T) {
 	r := NewRing("a", 1)
 	r.Append(start, Event{Kind: ShardLost, Shard: ShardPtr(0), Epoch: 3})
 	data, err := json.Marshal(r.All())
