--- a/core/ordered/map.go
+++ b/core/ordered/map.go
@@ -11,22 +11,22 @@
 type Map[K comparable, V any] struct {
 	index   map[K]int
 	entries []entry[K, V]
-	// dead counts the entries that were deleted and still stand in entries.
-	dead int
+	// deleted counts the entries that were deleted and still stand in entries.
+	deleted int
 	// iterating counts the iterations in progress, during which entries stay
 	// where they are.
 	iterating int
 }
 
 type entry[K comparable, V any] struct {
-	key   K
-	value V
-	dead  bool
+	key     K
+	value   V
+	deleted bool
 }
 
-// compactAt is how many dead entries there must be at least before those that
+// minDeletedToCompact is how many dead entries there must be at least before those that
 // live are moved together.
-const compactAt = 16
+const minDeletedToCompact = 16
 
 // Len returns the number of keys.
 func (m *Map[K, V]) Len() int { return len(m.index) }
@@ -73,26 +73,26 @@
 		return
 	}
 	delete(m.index, key)
-	m.entries[i] = entry[K, V]{dead: true}
-	m.dead++
+	m.entries[i] = entry[K, V]{deleted: true}
+	m.deleted++
 	m.compact()
 }
 
 // compact moves the live entries together when most are dead.
 func (m *Map[K, V]) compact() {
-	if m.iterating > 0 || m.dead < compactAt || m.dead < len(m.index) {
+	if m.iterating > 0 || m.deleted < minDeletedToCompact || m.deleted < len(m.index) {
 		return
 	}
 	live := m.entries[:0]
 	for _, e := range m.entries {
-		if !e.dead {
+		if !e.deleted {
 			m.index[e.key] = len(live)
 			live = append(live, e)
 		}
 	}
 	clear(m.entries[len(live):])
 	m.entries = live
-	m.dead = 0
+	m.deleted = 0
 }
 
 // All iterates over the keys and values. Keys that are deleted meanwhile are
@@ -103,7 +103,7 @@
 		defer func() { m.iterating-- }()
 		for i := 0; i < len(m.entries); i++ {
 			e := &m.entries[i]
-			if !e.dead && !yield(e.key, e.value) {
+			if !e.deleted && !yield(e.key, e.value) {
 				return
 			}
 		}
--- a/core/ordered/map_test.go
+++ b/core/ordered/map_test.go
@@ -10,9 +10,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// TestMapAgreesWithAModel plays random changes, some of them in the middle of
+// TestMapMatchesReference plays random changes, some of them in the middle of
 // an iteration, and compares with a slice of keys in the order of their coming.
-func TestMapAgreesWithAModel(t *testing.T) {
+func TestMapMatchesReference(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("same keys, values and order", prop.ForAll(func(seed uint64) bool {
 		rnd := rand.New(rand.NewPCG(seed, 0))
@@ -62,13 +62,13 @@
 	properties.TestingRun(t)
 }
 
-func TestDeletedEntriesAreLetGo(t *testing.T) {
+func TestDeletedEntriesAreReleased(t *testing.T) {
 	var m Map[int, *int]
 	for i := range 10000 {
 		m.Set(i, &i)
 		m.Delete(i)
 	}
-	if len(m.entries) > 2*compactAt {
+	if len(m.entries) > 2*minDeletedToCompact {
 		t.Errorf("%d entries are kept for no key", len(m.entries))
 	}
 }
