--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -15,8 +15,8 @@
 	Zone model.Zone
 }
 
-// place is where a rack belongs.
-type place struct {
+// rackPlacement is where a rack belongs.
+type rackPlacement struct {
 	shard model.ShardID
 	zone  model.Zone
 }
@@ -24,14 +24,14 @@
 // Topology says to which shard each rack belongs. It is immutable; a nil
 // Topology is empty.
 type Topology struct {
-	racks map[model.Rack]place
-	// members are each shard's racks in name order, by shard.
-	members [][]model.Rack
+	racks map[model.Rack]rackPlacement
+	// shardRacks are each shard's racks in name order, by shard.
+	shardRacks [][]model.Rack
 }
 
 // Decode reads the stored form. It fails with a *InvalidError.
 func Decode(stored *ledgerv1.Topology) (*Topology, error) {
-	t := &Topology{racks: make(map[model.Rack]place, len(stored.GetRacks()))}
+	t := &Topology{racks: make(map[model.Rack]rackPlacement, len(stored.GetRacks()))}
 	for _, r := range stored.GetRacks() {
 		rack := model.Rack(r.GetRack())
 		if _, known := t.racks[rack]; known {
@@ -40,12 +40,12 @@
 		if r.GetShard() >= MaxShards {
 			return nil, &InvalidError{Rack: rack, Reason: ReasonShardTooHigh}
 		}
-		t.racks[rack] = place{
+		t.racks[rack] = rackPlacement{
 			shard: model.ShardID(r.GetShard()),
 			zone:  model.Zone(r.GetAvailabilityZone()),
 		}
 	}
-	t.index()
+	t.buildShardRacks()
 	return t, nil
 }
 
@@ -80,7 +80,7 @@
 	if t == nil {
 		return 0
 	}
-	return uint32(len(t.members))
+	return uint32(len(t.shardRacks))
 }
 
 // Racks returns a shard's racks in name order. The slice must not be changed.
@@ -88,7 +88,7 @@
 	if uint32(shard) >= t.ShardCount() {
 		return nil
 	}
-	return t.members[shard]
+	return t.shardRacks[shard]
 }
 
 // Zone returns the availability zone of a shard's racks; false when the shard
@@ -107,23 +107,23 @@
 // zone and name, so that daemons that see the same racks extend alike; racks
 // that are gone keep their place, so that no shard changes its meaning.
 func Extend(t *Topology, racks []RackInZone, maxRacksPerShard int) (*Topology, bool) {
-	added := unknownRacks(t, racks)
+	added := newRacks(t, racks)
 	if len(added) == 0 {
 		return t, false
 	}
-	next := &Topology{racks: make(map[model.Rack]place)}
+	next := &Topology{racks: make(map[model.Rack]rackPlacement)}
 	if t != nil {
 		next.racks = maps.Clone(t.racks)
 	}
-	next.index()
+	next.buildShardRacks()
 	for _, r := range added {
-		next.add(r, max(maxRacksPerShard, 1))
+		next.addRack(r, max(maxRacksPerShard, 1))
 	}
-	next.index()
+	next.buildShardRacks()
 	return next, true
 }
 
-func unknownRacks(t *Topology, racks []RackInZone) []RackInZone {
+func newRacks(t *Topology, racks []RackInZone) []RackInZone {
 	var unknown []RackInZone
 	for _, r := range racks {
 		if _, known := t.ShardOf(r.Rack); !known {
@@ -139,20 +139,20 @@
 	return slices.CompactFunc(unknown, func(a, b RackInZone) bool { return a.Rack == b.Rack })
 }
 
-func (t *Topology) add(r RackInZone, maxRacks int) {
+func (t *Topology) addRack(r RackInZone, maxRacks int) {
 	if _, known := t.racks[r.Rack]; known {
 		return
 	}
 	shard := t.shardWithRoom(r.Zone, maxRacks)
-	t.racks[r.Rack] = place{shard: shard, zone: r.Zone}
-	if int(shard) == len(t.members) {
-		t.members = append(t.members, nil)
+	t.racks[r.Rack] = rackPlacement{shard: shard, zone: r.Zone}
+	if int(shard) == len(t.shardRacks) {
+		t.shardRacks = append(t.shardRacks, nil)
 	}
-	t.members[shard] = append(t.members[shard], r.Rack)
+	t.shardRacks[shard] = append(t.shardRacks[shard], r.Rack)
 }
 
 func (t *Topology) shardWithRoom(zone model.Zone, maxRacks int) model.ShardID {
-	for i, racks := range t.members {
+	for i, racks := range t.shardRacks {
 		if len(racks) == 0 || len(racks) >= maxRacks {
 			continue
 		}
@@ -160,17 +160,17 @@
 			return model.ShardID(i)
 		}
 	}
-	return model.ShardID(len(t.members))
+	return model.ShardID(len(t.shardRacks))
 }
 
-// index rebuilds members from racks.
-func (t *Topology) index() {
-	t.members = nil
+// buildShardRacks rebuilds members from racks.
+func (t *Topology) buildShardRacks() {
+	t.shardRacks = nil
 	for _, rack := range slices.Sorted(maps.Keys(t.racks)) {
 		shard := int(t.racks[rack].shard)
-		for len(t.members) <= shard {
-			t.members = append(t.members, nil)
+		for len(t.shardRacks) <= shard {
+			t.shardRacks = append(t.shardRacks, nil)
 		}
-		t.members[shard] = append(t.members[shard], rack)
+		t.shardRacks[shard] = append(t.shardRacks[shard], rack)
 	}
 }
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -84,7 +84,7 @@
 	properties.TestingRun(t)
 }
 
-func TestDecodeRefusesNonsense(t *testing.T) {
+func TestDecodeRejectsInvalidTopologies(t *testing.T) {
 	for reason, racks := range map[topology.Reason][]*ledgerv1.RackShard{
 		topology.ReasonDuplicateRack: {{Rack: "a"}, {Rack: "a", Shard: 1}},
 		topology.ReasonShardTooHigh:  {{Rack: "a", Shard: topology.MaxShards}},
