--- a/core/job/fleet.go
+++ b/core/job/fleet.go
@@ -6,25 +6,25 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Fleet is what the workers of each service have, by which a job that none of
-// them could ever run is told from one that has to wait.
+// Fleet summarizes the labels and capacities of each service's workers. It
+// distinguishes a job that no worker could ever run from one that has to wait.
 type Fleet struct {
 	Services map[string]ServiceFleet `json:"services"`
 }
 
-// ServiceFleet holds the workers of a service by their labels; those of any label
-// are under the empty one.
+// ServiceFleet maps each label to the service's workers that have it. The empty
+// label maps to all workers of the service.
 type ServiceFleet map[string]WorkerGroup
 
-// WorkerGroup is the workers that have a label.
+// WorkerGroup summarizes the workers that have a label.
 type WorkerGroup struct {
 	Workers int `json:"workers"`
-	// Largest holds the capacities that no other one of the group exceeds in every
-	// dimension.
+	// Largest holds the capacities that fit within no other capacity of the
+	// group. A size that fits one worker of the group fits one of these.
 	Largest []model.Resources `json:"largest"`
 }
 
-// Add takes a worker in.
+// Add adds a worker of a service.
 func (f *Fleet) Add(service string, labels []string, capacity model.Resources) {
 	if f.Services == nil {
 		f.Services = make(map[string]ServiceFleet)
@@ -59,9 +59,10 @@
 	s[label] = g
 }
 
-// InfeasibleError says that no worker which is there could run a step of a job.
+// InfeasibleError reports that none of a service's known workers could ever run
+// a step of a job.
 type InfeasibleError struct {
-	// Step numbers the job's steps from 0.
+	// Step is the step's index in the job's declaration.
 	Step   int
 	Reason string
 }
@@ -69,12 +70,12 @@
 // Error implements error.
 func (e *InfeasibleError) Error() string { return fmt.Sprintf("step %d %s", e.Step, e.Reason) }
 
-// HasService reports whether anything is known of a service's workers.
+// HasService reports whether the fleet has workers of a service.
 func (f *Fleet) HasService(service string) bool { return len(f.Services[service]) > 0 }
 
-// Check returns an *UnservableError for a job whose steps the workers of the
-// service could not all run, be they ever so idle. A service of which nothing is
-// known may have workers soon.
+// Check returns an *InfeasibleError for the first step of a job that the
+// service's workers could not run even if all of them were idle. It returns nil
+// for a service without known workers, because workers may join soon.
 func (f *Fleet) Check(service string, spec *Spec) error {
 	groups, known := f.Services[service]
 	if !known {
@@ -89,7 +90,8 @@
 	return nil
 }
 
-// infeasibleReason says why a step can never run, and nothing if it can.
+// infeasibleReason returns why the workers can never run a step, or "" if they
+// can.
 func (s ServiceFleet) infeasibleReason(step *Step) string {
 	group, known := s[step.Label]
 	switch {
--- a/core/job/fleet_test.go
+++ b/core/job/fleet_test.go
@@ -15,9 +15,8 @@
 	return f
 }
 
-// A job that no worker could ever run was taken in and waited for ever, and its
-// caller was told that it is queued. Each reason is found out when it is handed
-// in.
+// A job that no worker could ever run must be rejected when it is submitted. Such
+// a job was once accepted and stayed pending forever, reported as queued.
 func TestFleetRejectsInfeasibleSteps(t *testing.T) {
 	size := func(cpu, memory, gpus int64) model.Resources {
 		return model.Resources{MilliCPU: cpu, MemoryMB: memory, Accelerators: gpus}
@@ -50,8 +49,8 @@
 	}
 }
 
-// TestFleetAcceptsUnknownServices: before the first worker of a service is
-// known, or when no leader has written down what there is, jobs are taken in.
+// Jobs must be accepted before the first worker of their service is known, and
+// when no leader has stored the fleet yet.
 func TestFleetAcceptsUnknownServices(t *testing.T) {
 	spec := &Spec{Steps: []Step{{Count: 1, Size: model.Resources{MilliCPU: 1 << 40}}}}
 	for name, f := range map[string]*Fleet{"empty": new(Fleet), "another service": testFleet()} {
--- a/core/job/fuzz_test.go
+++ b/core/job/fuzz_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzDecodeAccepted: whatever another writer has stored, reading it ends with a
-// record or an error; and a record that was read is stored again as the same.
+// FuzzDecodeAccepted checks that decoding arbitrary stored data returns a record
+// or an error, and that a decoded record is encoded to a stable form.
 func FuzzDecodeAccepted(f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		record, err := DecodeAccepted(data)
@@ -24,8 +24,9 @@
 	})
 }
 
-// FuzzDecodeProgress is FuzzDecodeAccepted for progress, and compares it with a
-// declaration besides.
+// FuzzDecodeProgress checks for records of progress what FuzzDecodeAccepted checks
+// for accepted jobs. It also checks that encoding a record does not change whether
+// it matches a declaration.
 func FuzzDecodeProgress(f *testing.F) {
 	spec := &Spec{Steps: []Step{{Count: 2}, {Count: 1}}, Schedule: &Schedule{Repetitions: 3}}
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/core/job/identity.go
+++ b/core/job/identity.go
@@ -7,13 +7,14 @@
 	"strings"
 )
 
-// ID is the name that a caller gives to a job: 16 hexadecimal digits.
+// ID is a job's identifier, chosen by its caller: 16 hexadecimal digits.
 type ID string
 
-// idLength is the number of digits of an ID.
+// idLength is the number of digits in an ID.
 const idLength = 16
 
-// ParseID reads a job's id. An error is an *InvalidError.
+// ParseID parses a job's id. It returns an *InvalidError unless s is 16
+// hexadecimal digits.
 func ParseID(s string) (ID, error) {
 	if len(s) != idLength {
 		return "", &InvalidError{Field: "id", Reason: "must have 16 hexadecimal digits"}
@@ -26,17 +27,18 @@
 	return ID(s), nil
 }
 
-// TaskKey is the identity of one task of a job.
+// TaskKey identifies one task of a job.
 type TaskKey struct {
 	Job ID
-	// Occurrence numbers the repetitions of the job from 0.
+	// Occurrence is the number of the job's repetition, counted from 0.
 	Occurrence int
-	// Step and Index number the job's steps and the step's tasks from 0.
+	// Step is the number of the step within the job, and Index the number of
+	// the task within the step; both count from 0.
 	Step, Index int
 }
 
-// String returns the key in the form id.occurrence.step.index, which is the
-// task's name towards workers.
+// String returns the key in the form id.occurrence.step.index. Workers identify
+// the task by this text.
 func (k TaskKey) String() string {
 	b := make([]byte, 0, idLength+12)
 	b = append(b, k.Job...)
@@ -47,7 +49,8 @@
 	return string(b)
 }
 
-// Compare orders keys by job, occurrence, step and index.
+// Compare compares keys by job, occurrence, step and index. Its result is that
+// of cmp.Compare.
 func (k TaskKey) Compare(other TaskKey) int {
 	return cmp.Or(
 		cmp.Compare(k.Job, other.Job), cmp.Compare(k.Occurrence, other.Occurrence),
@@ -55,10 +58,12 @@
 	)
 }
 
-// MarshalText implements encoding.TextMarshaler, for keys of stored maps.
+// MarshalText implements encoding.TextMarshaler, so that TaskKey can be the key
+// of a stored map.
 func (k TaskKey) MarshalText() ([]byte, error) { return []byte(k.String()), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler. An error is an *InvalidError.
+// UnmarshalText implements encoding.TextUnmarshaler. It returns an *InvalidError
+// if text is not in the form of TaskKey.String.
 func (k *TaskKey) UnmarshalText(text []byte) error {
 	parsed, ok := ParseTaskKey(string(text))
 	if !ok {
@@ -68,13 +73,13 @@
 	return nil
 }
 
-// StepName returns the name of the task's step, id.occurrence.step.
+// StepName returns the name of the task's step in the form id.occurrence.step.
 func (k TaskKey) StepName() string {
 	return string(k.Job) + "." + strconv.Itoa(k.Occurrence) + "." + strconv.Itoa(k.Step)
 }
 
-// ParseTaskKey reads what TaskKey.String wrote. The second result is false
-// when s is not in that form.
+// ParseTaskKey parses the form written by TaskKey.String. The second result is
+// false if s is not in that form.
 func ParseTaskKey(s string) (TaskKey, bool) {
 	parts := strings.Split(s, ".")
 	if len(parts) != 4 {
--- a/core/job/queue.go
+++ b/core/job/queue.go
@@ -5,37 +5,40 @@
 	"time"
 )
 
-// Queue is a named entrance for jobs.
+// Queue is a named endpoint at which callers submit jobs.
 type Queue struct {
 	Name string `json:"name"`
-	// Host and Prefix say which requests are for the queue.
+	// Host and Prefix select the requests for the queue by their host and the
+	// prefix of their path.
 	Host   string `json:"host,omitempty"`
 	Prefix string `json:"prefix,omitempty"`
 	// Service names the pool of workers that run the queue's tasks.
 	Service string `json:"service"`
-	// Priority 0 goes first.
+	// Priority orders queues; 0 is the highest priority.
 	Priority    int `json:"priority"`
 	MaxAttempts int `json:"maxAttempts"`
-	// Stretch and LatencyTargetMs set the objective of a job: its longest chain
-	// of work times Stretch, and LatencyTargetMs more.
+	// Stretch and LatencyTargetMs set the completion objective of a job, in
+	// milliseconds: its critical path times Stretch, plus LatencyTargetMs.
 	Stretch         float64 `json:"stretch,omitempty"`
 	LatencyTargetMs int64   `json:"latencyTargetMs,omitempty"`
-	// TimeoutMs bounds the answer to a request.
+	// TimeoutMs limits how long a request may take, in milliseconds.
 	TimeoutMs int64 `json:"timeoutMs,omitempty"`
-	// Advised queues ask the advice service which workers may run a step.
+	// Advised is whether the advice service is asked which workers may run the
+	// steps of the queue's jobs.
 	Advised bool `json:"advised,omitempty"`
 }
 
 // Service is a pool of workers.
 type Service struct {
 	Name string
-	// EnforcesCapacity is whether its workers refuse what does not fit.
+	// EnforcesCapacity is whether the service's workers refuse tasks that do not
+	// fit their free capacity.
 	EnforcesCapacity bool
-	// Spare pools are switched off.
+	// Spare is whether the pool is switched off.
 	Spare bool
 }
 
-// Limits bound the requests of callers.
+// Limits holds the limits on callers' requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -43,8 +46,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Config is one version of the operator's configuration. It is not changed
-// once it is made.
+// Config is one version of the operator's configuration. It is immutable.
 type Config struct {
 	Version  uint64
 	Queues   map[string]*Queue
@@ -52,8 +54,8 @@
 	Limits   Limits
 }
 
-// Route returns the queue whose host is host and whose prefix is the longest
-// with which path begins, or nil.
+// Route returns the queue for a request: the one for the host, ignoring case,
+// with the longest prefix of path. It returns nil if there is none.
 func (c *Config) Route(host, path string) *Queue {
 	var found *Queue
 	for _, q := range c.Queues {
--- a/core/job/record.go
+++ b/core/job/record.go
@@ -9,7 +9,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// State is what callers are told of a job.
+// State is the state of a job as callers see it.
 type State string
 
 // The states of a job.
@@ -21,10 +21,10 @@
 	Canceled  State = "canceled"
 )
 
-// Final reports whether the state never changes again.
+// Final reports whether a job in this state never changes its state again.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Canceled }
 
-// RecordError is a stored record that cannot be read.
+// RecordError reports a stored record that cannot be decoded or is not valid.
 type RecordError struct {
 	Kind  string
 	Cause error
@@ -36,114 +36,129 @@
 // Unwrap returns the cause.
 func (e *RecordError) Unwrap() error { return e.Cause }
 
-// Accepted is the record of an accepted job. It exists until the job's state
-// is final, and is written once, and once more when the job is canceled.
+// Accepted is the stored record of an accepted job. It is written when the job
+// is accepted and again if the job is canceled, and is deleted when the job's
+// state is final.
 type Accepted struct {
 	Spec Spec `json:"spec"`
-	// Queue is as it was when the job was accepted.
+	// Queue is the queue's configuration at the time of acceptance.
 	Queue Queue `json:"queue"`
-	// ConfigVersion is the version that Queue is from.
+	// ConfigVersion is the version of the configuration that Queue is from.
 	ConfigVersion uint64 `json:"configVersion"`
-	// AcceptedAtMs is when the job was accepted, in milliseconds since 1970 on the
-	// accepting daemon's clock.
+	// AcceptedAtMs is when the job was accepted, by the accepting daemon's clock,
+	// as Unix time in milliseconds.
 	AcceptedAtMs int64 `json:"atMs"`
 	Canceled     bool  `json:"canceled,omitempty"`
-	// CanceledAtMs is when it was canceled, on the clock of the daemon that was
-	// asked, in milliseconds since 1970; 0 if it was not, or that is not known.
+	// CanceledAtMs is when the job was canceled, by the clock of the daemon that
+	// received the request, as Unix time in milliseconds; 0 if the job was not
+	// canceled or the time is unknown.
 	CanceledAtMs int64 `json:"canceledAtMs,omitempty"`
 }
 
-// Progress is the record of what a job's tasks have reached. It is written by
-// the scheduling daemon alone, and outlives the job for a while.
+// Progress is the stored record of the progress of a job's tasks. Only the
+// scheduling daemon, the leader, writes it. It is kept for some time after the
+// job's state is final.
 type Progress struct {
 	State State `json:"state"`
-	// FinalAtMs is when the job came to its final state, in milliseconds since 1970 on
-	// the clock of the daemon that led; 0 if it has not, or that is not known.
+	// FinalAtMs is when the job reached its final state, by the leader's clock,
+	// as Unix time in milliseconds; 0 if the state is not final or the time is
+	// unknown.
 	FinalAtMs int64 `json:"overAtMs,omitempty"`
-	// Occurrences holds those that began, by number; empty in a final state.
+	// Occurrences holds the repetitions that have begun, by number; it is empty
+	// in a final state.
 	Occurrences map[int]OccurrenceProgress `json:"occurrences,omitempty"`
 	Restarts    Restarts                   `json:"restarts,omitempty"`
 }
 
-// Restarts holds tasks that were started again after an attempt of which nothing
-// was heard, with the number of the last such start. Should the earlier attempt
-// turn out to have been done, its end must not be acknowledged.
+// Restarts maps each task that was started again while the outcome of an earlier
+// attempt was unknown to the number of the last such attempt. If an earlier
+// attempt is later reported as done, its end must not be acknowledged.
 type Restarts map[TaskKey]int
 
-// OccurrenceProgress is what the tasks of one repetition have reached.
+// OccurrenceProgress is the progress of one repetition of a job.
 type OccurrenceProgress struct {
-	// Done is set when all tasks are; Steps is empty then.
+	// Done is whether all tasks are done; Steps is empty then.
 	Done  bool           `json:"done,omitempty"`
 	Steps []StepProgress `json:"steps,omitempty"`
 }
 
-// StepProgress is what the tasks of one step have reached.
+// StepProgress is the progress of the tasks of one step.
 type StepProgress struct {
-	// Done has a '1' for each task that is done, a '0' for the others; it is
-	// empty when none is.
+	// Done has one character for each task, in the order of their indexes: '1'
+	// for a task that is done and '0' for one that is not. It is empty if no
+	// task is done.
 	Done string `json:"done,omitempty"`
-	// Tasks holds what is to be known of tasks that are not done, by index.
+	// Tasks holds the progress of tasks that are not done, by index. Tasks
+	// without an entry have nothing to record beyond a first attempt.
 	Tasks map[int]TaskProgress `json:"tasks,omitempty"`
 }
 
-// TaskProgress is what one task has reached.
+// TaskProgress is the progress of one task that is not done.
 type TaskProgress struct {
 	// Attempts is the highest attempt number that may have been used.
 	Attempts int `json:"attempts,omitempty"`
-	// Failed lists the attempts that failed. A worker tells of a failure until
-	// it hears that it is stored, so the next leader may be told of it again,
-	// and in another order.
+	// Failed lists the numbers of the attempts that failed. A worker repeats the
+	// report of a failure until it is acknowledged, which happens after the
+	// failure is stored, so the next leader may receive the report again and in
+	// another order; the numbers keep a failure from being counted twice.
 	Failed     []int  `json:"failed,omitempty"`
 	Checkpoint string `json:"checkpoint,omitempty"`
-	// Crashes lists the attempts that ended with their worker, in the order of their
-	// numbers, from the last on that ran for long before.
+	// Crashes lists the attempts that ended when their worker crashed, in the
+	// order of their numbers. Crashes before the last long run are dropped.
 	Crashes []Crash `json:"crashes,omitempty"`
-	// Trial is set while an attempt may have been started after such an end, of which
-	// it is not stored how it ended.
+	// Trial is set while an attempt may have been started after a crash and its
+	// end is not stored yet.
 	Trial *Trial `json:"trial,omitempty"`
 }
 
-// Trial is the start of an attempt that is stored before it is made, for a task
-// under which a worker may have crashed: whoever takes over and finds that the
-// worker has ended, too, counts the attempt as ended with it.
+// Trial records an attempt of a task that may have crashed a worker. It is
+// stored before the attempt is started. A leader that takes over and finds that
+// the worker has ended as well counts the attempt as a crash.
 type Trial struct {
 	// Attempt is the attempt's number, or a lower one.
 	Attempt int `json:"n"`
-	// Worker is empty if it may be any. StartedMs is when its incarnation was started; 0 if
-	// that is not known.
+	// Worker is the worker on which the attempt is started; empty if it may be
+	// any worker. StartedMs is when the worker's incarnation was started, as in
+	// model.Incarnation; 0 if that is unknown.
 	Worker    model.WorkerID `json:"worker,omitempty"`
 	StartedMs int64          `json:"startedMs,omitempty"`
 }
 
-// Incarnation returns the incarnation that the trial names.
+// Incarnation returns the incarnation of the trial's worker.
 func (t Trial) Incarnation() model.Incarnation {
 	return model.Incarnation{ID: t.Worker, StartedMs: t.StartedMs}
 }
 
-// Crash is the end of an attempt with its worker.
+// Crash records an attempt that ended when its worker crashed.
 type Crash struct {
 	Attempt int `json:"n"`
-	// ObservedRunMs is for how long the attempt had been seen to run, in milliseconds; 0 if
-	// no report of its worker listed it, CrashTimeUnknown if that is not known.
+	// ObservedRunMs is how long the worker's reports showed the attempt running,
+	// in milliseconds; 0 if no report listed it, ObservedRunUnknown if the start
+	// of the run is unknown.
 	ObservedRunMs int64 `json:"ms"`
-	// Uncertain is set when the attempt may never have run, as its start was not
-	// answered, or its worker may have left as announced.
+	// Uncertain is whether the task may not have been involved: the attempt may
+	// never have run because its start was not acknowledged, or the worker may
+	// have left as it had announced.
 	Uncertain bool `json:"unsure,omitempty"`
-	// Correlated is whether several other workers ended at about the same time, without an
-	// attempt of the task's step.
+	// Correlated is whether several other workers that ran no attempt of the
+	// task's step ended at about the same time. The task is then not the only
+	// possible cause.
 	Correlated bool `json:"several,omitempty"`
 }
 
-// ObservedRunUnknown stands for the time of a crash of which a later leader heard.
+// ObservedRunUnknown is the value of Crash.ObservedRunMs if the leader that
+// recorded the crash does not know when the attempt began, as for an attempt
+// that an earlier leader started.
 const ObservedRunUnknown = -1
 
-// Encode returns the record's stored form.
+// Encode returns the stored form of the record.
 func (a *Accepted) Encode() []byte { return encode(a) }
 
-// Encode returns the record's stored form.
+// Encode returns the stored form of the record.
 func (p *Progress) Encode() []byte { return encode(p) }
 
-// encode marshals types of this package, whose fields all have a JSON form.
+// encode returns the JSON form of v. It panics if v cannot be encoded, which no
+// type of this package causes.
 func encode(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -152,9 +167,9 @@
 	return data
 }
 
-// DecodeRecord reads the stored form of a record into v. An error is a
-// *RecordError with the kind. What is there without content is no record: it
-// would be read as one whose fields are all zero.
+// DecodeRecord decodes the stored form of a record into v. It returns a
+// *RecordError with the given kind if that fails. It rejects null, which would
+// otherwise be decoded as a record whose fields are all zero.
 func DecodeRecord(kind string, data []byte, v any) error {
 	if bytes.Equal(bytes.TrimSpace(data), []byte("null")) {
 		return &RecordError{Kind: kind, Cause: &InvalidError{Field: "the record", Reason: "must not be null"}}
@@ -165,8 +180,9 @@
 	return nil
 }
 
-// DecodeAccepted reads a record. An error is a *RecordError: also for a job that
-// cannot have been accepted, as when another writer has replaced parts of it.
+// DecodeAccepted decodes the record of an accepted job. It returns a
+// *RecordError if the data cannot be decoded or describes a job that cannot have
+// been accepted, for example because another writer has changed parts of it.
 func DecodeAccepted(data []byte) (*Accepted, error) {
 	a := new(Accepted)
 	if err := DecodeRecord(kindAccepted, data, a); err != nil {
@@ -178,8 +194,8 @@
 	return a, nil
 }
 
-// DecodeProgress reads a record. An error is a *RecordError: also for what no
-// leader writes.
+// DecodeProgress decodes a record of progress. It returns a *RecordError if the
+// data cannot be decoded or is not a record that a leader can have written.
 func DecodeProgress(data []byte) (*Progress, error) {
 	p := new(Progress)
 	if err := DecodeRecord(kindProgress, data, p); err != nil {
@@ -191,7 +207,7 @@
 	return p, nil
 }
 
-// The kinds of records in errors.
+// The kinds of records named in errors.
 const (
 	kindAccepted = "accepted job"
 	kindProgress = "progress"
@@ -235,9 +251,9 @@
 	return nil
 }
 
-// CheckAgainst returns a *RecordError unless the progress can be that of a job with the
-// declaration: otherwise tasks that are done would be taken for tasks that are
-// not, or the other way.
+// CheckAgainst returns a *RecordError if the progress cannot belong to a job with
+// the given declaration. With such a record, tasks that are done could be run
+// again and tasks that are not done could be skipped.
 func (p *Progress) CheckAgainst(spec *Spec) error {
 	if p.State.Final() {
 		return nil
--- a/core/job/spec.go
+++ b/core/job/spec.go
@@ -7,18 +7,19 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// The limits of a declaration. They bound what one job can make a daemon hold
-// in memory; the largest jobs of the users have 5 steps of 36 tasks.
+// The limits of a declaration. They bound the memory that one job can take in a
+// daemon. The users' largest jobs have 5 steps of 36 tasks.
 const (
 	MaxPayloadBytes = 4000
 	MaxSteps        = 256
 	MaxTasks        = 20000
-	// maxMilliCPU and maxMemoryMB are beyond any worker that is sold.
+	// maxMilliCPU and maxMemoryMB exceed the capacity of any available VM type.
 	maxMilliCPU = 1024 * 1000
 	maxMemoryMB = 64 * 1024 * 1024
 )
 
-// InvalidError says which part of a declaration cannot be.
+// InvalidError reports an invalid field of a declaration or a stored record.
+// Reason completes a sentence that begins with Field.
 type InvalidError struct {
 	Field  string
 	Reason string
@@ -27,69 +28,78 @@
 // Error implements error.
 func (e *InvalidError) Error() string { return fmt.Sprintf("%s %s", e.Field, e.Reason) }
 
-// Spec declares a job.
+// Spec is the declaration of a job.
 type Spec struct {
-	// Payload is handed to every task as it is.
+	// Payload is passed to every task unchanged.
 	Payload string `json:"payload,omitempty"`
 	Steps   []Step `json:"steps"`
-	// Schedule is nil for a job that runs once, at once.
+	// Schedule is nil for a job that runs once, immediately.
 	Schedule *Schedule `json:"schedule,omitempty"`
 }
 
 // Schedule declares the repetitions of a job.
 type Schedule struct {
-	// StartMs is when the first is due, in milliseconds since 1970.
+	// StartMs is when the first repetition is due, as Unix time in milliseconds.
 	StartMs int64 `json:"startMs"`
-	// IntervalMs is the time between two, in milliseconds.
+	// IntervalMs is the time between the due times of consecutive repetitions,
+	// in milliseconds.
 	IntervalMs int64 `json:"intervalMs,omitempty"`
-	// Repetitions is how many there are.
+	// Repetitions is the number of repetitions, at least 1.
 	Repetitions int `json:"repetitions"`
 }
 
-// Due returns when repetition k is due.
+// Due returns when repetition k is due, counted from 0.
 func (s *Schedule) Due(k int) time.Time {
 	return time.UnixMilli(s.StartMs + int64(k)*s.IntervalMs)
 }
 
-// Step declares a number of equal tasks.
+// Step declares a number of identical tasks.
 type Step struct {
+	// Count is the number of tasks, at least 1.
 	Count int `json:"count"`
-	// Size is what each task is committed on its worker.
+	// Size is the part of its worker's capacity that each task needs.
 	Size model.Resources `json:"size"`
-	// EstimateMs is the caller's rough estimate of a task's run time.
+	// EstimateMs is the caller's rough estimate of a task's run time, in
+	// milliseconds.
 	EstimateMs int64 `json:"estimateMs,omitempty"`
-	// After lists the steps whose tasks must all be done first.
+	// After lists the numbers of the earlier steps whose tasks must all be done
+	// before a task of this step starts.
 	After []int `json:"after,omitempty"`
-	// Checkpointing tasks resume where they were stopped.
+	// Checkpointing is whether a task resumes from its last checkpoint after it
+	// was stopped.
 	Checkpointing bool `json:"checkpointing,omitempty"`
-	// Gang tasks work only while all of them run, under one attempt number.
+	// Gang is whether the tasks make progress only while all of them run. They
+	// are started together, under one attempt number.
 	Gang bool `json:"gang,omitempty"`
-	// SameRack tasks are slow unless they run on one rack.
+	// SameRack is whether the tasks are slow unless all of them run on one rack.
 	SameRack bool `json:"sameRack,omitempty"`
-	// Label is one that the worker must have; empty for none.
+	// Label is a label that the worker must have; empty for none.
 	Label string `json:"label,omitempty"`
-	// DataRack is the rack near the step's data; empty for none.
+	// DataRack is the rack closest to the step's data; empty for none.
 	DataRack model.Rack `json:"dataRack,omitempty"`
-	// MaxPerWorker bounds the step's tasks on one worker; 0 for no bound.
+	// MaxPerWorker limits the number of the step's tasks on one worker; 0 for no
+	// limit.
 	MaxPerWorker int `json:"maxPerWorker,omitempty"`
-	// Speculative tasks may run twice at a time.
+	// Speculative is whether a second attempt of a task may run beside the first.
 	Speculative bool `json:"speculative,omitempty"`
-	// LongRunning tasks run until the job is canceled.
+	// LongRunning is whether the tasks run until the job is canceled.
 	LongRunning bool `json:"longRunning,omitempty"`
-	// Image names the program of the tasks; equal images behave alike.
+	// Image names the program of the tasks. Tasks of the same image are assumed
+	// to interfere with other tasks in the same way.
 	Image string `json:"image,omitempty"`
-	// LatencyTargetMs bounds the tail latency of long-running tasks that serve
-	// users of their own; 0 for none.
+	// LatencyTargetMs limits the tail latency of long-running tasks that serve
+	// requests, in milliseconds; 0 for none.
 	LatencyTargetMs int64 `json:"latencyTargetMs,omitempty"`
-	// BestEffort tasks use the processor time that others leave; their share
-	// of the processor is not committed.
+	// BestEffort is whether the tasks use only processor time that other tasks
+	// leave idle. No processor capacity is committed to them.
 	BestEffort bool `json:"bestEffort,omitempty"`
-	// MaxUnavailable bounds how many of the tasks guavarill may make
-	// unavailable at a time; 0 for no bound.
+	// MaxUnavailable limits how many of the tasks guavarill may make unavailable
+	// at the same time; 0 for no limit.
 	MaxUnavailable int `json:"maxUnavailable,omitempty"`
 }
 
-// Committed returns what one task takes of a worker's capacity.
+// Committed returns the part of a worker's capacity that is committed to one
+// task.
 func (s *Step) Committed() model.Resources {
 	size := s.Size
 	if s.BestEffort {
@@ -98,7 +108,7 @@
 	return size
 }
 
-// Check returns an *InvalidError for the first part that cannot be.
+// Check returns an *InvalidError for the first invalid field of the declaration.
 func (s *Spec) Check() error {
 	if len(s.Payload) > MaxPayloadBytes {
 		return &InvalidError{Field: "payload", Reason: fmt.Sprintf("must have at most %d bytes", MaxPayloadBytes)}
@@ -122,8 +132,8 @@
 	return nil
 }
 
-// check checks step number i. A step follows earlier steps only, so that no
-// cycle can be declared.
+// check returns an *InvalidError if the step, which has number i, is not valid.
+// A step may only depend on steps with lower numbers, which rules out cycles.
 func (s *Step) check(i int) error {
 	field := fmt.Sprintf("steps[%d]", i)
 	switch size := s.Size; {
@@ -144,8 +154,8 @@
 	return nil
 }
 
-// CriticalPathMs returns the longest chain of steps that follow one another, by their
-// estimates, in milliseconds.
+// CriticalPathMs returns the length of the critical path in milliseconds: the
+// largest sum of the estimates of steps that depend on one another.
 func (s *Spec) CriticalPathMs() int64 {
 	ends := make([]int64, len(s.Steps))
 	longest := int64(0)
