--- a/core/job/fleet_test.go
+++ b/core/job/fleet_test.go
@@ -22,8 +22,8 @@
 		return model.Resources{MilliCPU: cpu, MemoryMB: memory, Accelerators: gpus}
 	}
 	tests := map[string]struct {
-		step  Step
-		ruled bool
+		step           Step
+		wantInfeasible bool
 	}{
 		"fits on the largest":                     {Step{Count: 3, Size: size(16000, 64000, 0)}, false},
 		"more processors than any worker":         {Step{Count: 1, Size: size(16001, 1, 0)}, true},
@@ -40,11 +40,11 @@
 	}
 	for name, test := range tests {
 		err := testFleet().Check("pool", &Spec{Steps: []Step{{Count: 1}, test.step}})
-		var unservable *InfeasibleError
-		if ruled := errors.As(err, &unservable); ruled != test.ruled {
-			t.Errorf("%s: %v, want ruled out %t", name, err, test.ruled)
-		} else if ruled && unservable.Step != 1 {
-			t.Errorf("%s: step %d is blamed, want 1", name, unservable.Step)
+		var infeasible *InfeasibleError
+		if isInfeasible := errors.As(err, &infeasible); isInfeasible != test.wantInfeasible {
+			t.Errorf("%s: %v, want ruled out %t", name, err, test.wantInfeasible)
+		} else if isInfeasible && infeasible.Step != 1 {
+			t.Errorf("%s: step %d is blamed, want 1", name, infeasible.Step)
 		}
 	}
 }
