--- a/core/job/fleet_test.go
+++ b/core/job/fleet_test.go
@@ -29,7 +29,7 @@
 		"more processors than any worker":         {Step{Count: 1, Size: size(16001, 1, 0)}, true},
 		"more memory than any worker":             {Step{Count: 1, Size: size(1, 128001, 0)}, true},
 		"each dimension fits, on other workers":   {Step{Count: 1, Size: size(16000, 128000, 0)}, true},
-		"accelerators that there are not":         {Step{Count: 1, Size: size(1, 1, 1)}, true},
+		"accelerators that no worker has":         {Step{Count: 1, Size: size(1, 1, 1)}, true},
 		"a label that a worker has":               {Step{Count: 1, Size: size(4000, 1, 0), Label: "r1"}, false},
 		"a label that no worker has":              {Step{Count: 1, Size: size(1, 1, 0), Label: "b"}, true},
 		"too large for the workers of a label":    {Step{Count: 1, Size: size(4001, 1, 0), Label: "r1"}, true},
@@ -42,9 +42,9 @@
 		err := testFleet().Check("pool", &Spec{Steps: []Step{{Count: 1}, test.step}})
 		var infeasible *InfeasibleError
 		if isInfeasible := errors.As(err, &infeasible); isInfeasible != test.wantInfeasible {
-			t.Errorf("%s: %v, want ruled out %t", name, err, test.wantInfeasible)
+			t.Errorf("%s: %v, want infeasible %t", name, err, test.wantInfeasible)
 		} else if isInfeasible && infeasible.Step != 1 {
-			t.Errorf("%s: step %d is blamed, want 1", name, infeasible.Step)
+			t.Errorf("%s: step %d is named, want 1", name, infeasible.Step)
 		}
 	}
 }
--- a/core/job/record.go
+++ b/core/job/record.go
@@ -241,7 +241,7 @@
 
 func (s *StepProgress) check() error {
 	if strings.Trim(s.Done, "01") != "" {
-		return &InvalidError{Field: "done", Reason: "must be of 0 and 1"}
+		return &InvalidError{Field: "done", Reason: "must consist of the digits 0 and 1"}
 	}
 	for index, t := range s.Tasks {
 		if index < 0 || t.Attempts < 0 || t.Trial != nil && t.Trial.Attempt < 1 {
