--- a/core/joblog/doc.go
+++ b/core/joblog/doc.go
@@ -1,5 +1,5 @@
-// Package joblog reads the log lines that daemons write and answers what
-// operators ask of them: what became of a job and why, which jobs there were,
-// and what happened in which order. It does no I/O: lines come from a saved log
-// or from the daemons' memory, and are the same in both.
+// Package joblog analyzes the log lines of daemons for operators: what the
+// outcome of a job was and why, which jobs there were, and which events happened
+// in which order. It does no I/O. The lines come from a saved log or from the
+// daemons' memory and have the same form in both.
 package joblog
--- a/core/joblog/explain.go
+++ b/core/joblog/explain.go
@@ -10,20 +10,22 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// Explanation is what the lines tell of one job.
+// Explanation describes the history of one job as far as the log lines show it.
 type Explanation struct {
 	Job job.ID `json:"job"`
-	// Outcome says in a word or two what became of it.
+	// Outcome is the job's state or, if the state is not known, a short text
+	// such as "no trace".
 	Outcome string `json:"outcome"`
-	// Findings are what led to it, each with what it is concluded from.
+	// Findings are the events that led to the outcome, each with the evidence
+	// from the lines.
 	Findings []string `json:"findings"`
-	// Gaps say what the lines cannot tell, because some of them are missing.
+	// Gaps lists the lines that are missing and may have been about the job.
 	Gaps []string `json:"gaps,omitempty"`
-	// Lines are those about the job, in order.
+	// Lines are the lines about the job, in the order of their times.
 	Lines []Line `json:"lines"`
 }
 
-// The outcomes that are not a job's state.
+// The outcomes that are not job states.
 const (
 	outcomeNoTrace  = "no trace"
 	outcomeRefused  = "refused"
@@ -33,27 +35,30 @@
 )
 
 const (
-	// outageWindow is how far from a failed request the outage that caused it
-	// is looked for: callers' requests wait some seconds for the store.
+	// outageWindow is how long before a failed request a store outage may have
+	// ended and still count as its cause: callers' requests wait some seconds
+	// for the store.
 	outageWindow = 5 * time.Second
-	// takeoverWindow is how far from a failed request a take-over is looked for:
-	// a lost leader is replaced within its lease and a few reads.
+	// takeoverWindow is how long before or after a failed request a change of
+	// leader is reported with it: a lost leader is replaced within the time of
+	// its lease and a few reads.
 	takeoverWindow = 5 * time.Second
-	// startDelayReported is how long a job may wait for its first task before that is
-	// told as a delay: more than a round of placement and a commit take.
+	// startDelayReported is the wait for a job's first attempt above which the
+	// wait is reported as a delay. It is longer than a round of placement and a
+	// commit take.
 	startDelayReported = time.Second
 )
 
-// The statuses of answers to callers: a refusal with nothing done, an outcome
-// that is not known, and the lowest for what is no fault of the request.
+// The HTTP statuses of answers to callers: a refusal without effect, an unknown
+// outcome, and the lowest status for failures that the request did not cause.
 const (
 	statusUnavailable  = 503
 	statusUnknown      = 504
 	lowestServerStatus = 500
 )
 
-// Explain says what became of a job and why, from the merged lines of all
-// daemons.
+// Explain returns the outcome of a job and its causes. lines are the merged lines
+// of all daemons.
 func Explain(lines []Line, id job.ID) *Explanation {
 	e := &explainer{all: lines, about: ForJob(lines, id), Explanation: Explanation{Job: id}}
 	e.Lines = e.about
@@ -70,6 +75,8 @@
 	return &e.Explanation
 }
 
+// explainer collects the explanation of one job. all holds the lines of all
+// daemons, about those of them that are about the job.
 type explainer struct {
 	Explanation
 	all   []Line
@@ -80,7 +87,7 @@
 	e.Findings = append(e.Findings, fmt.Sprintf(format, args...))
 }
 
-// first returns the first line about the job with one of the messages.
+// first returns the first line about the job with one of the messages, or nil.
 func (e *explainer) first(messages ...string) *Line {
 	for i := range e.about {
 		if slices.Contains(messages, e.about[i].Message) {
@@ -124,7 +131,8 @@
 	}
 }
 
-// outcomeFromAnswers returns the outcome of a job of which only answers are known.
+// outcomeFromAnswers returns the outcome of a job for which there are only lines
+// about answers to callers.
 func (e *explainer) outcomeFromAnswers() string {
 	worst := 0
 	for _, l := range e.withMessage(MessageRequestRefused) {
@@ -139,8 +147,9 @@
 	return outcomeInvalid
 }
 
-// explainAnswers tells the answers to callers that were errors, equal ones
-// together, and then what was wrong when they were given.
+// explainAnswers reports the error answers to callers, grouped by status and
+// error, and the store outages and changes of leader at the time of the server
+// errors among them.
 func (e *explainer) explainAnswers() {
 	refused := e.withMessage(MessageRequestRefused)
 	for _, group := range byAnswer(refused) {
@@ -155,8 +164,8 @@
 	}
 }
 
-// byAnswer groups answers of the same status and error, in the order of the
-// first of each.
+// byAnswer groups answers with the same status and error, in the order of the
+// first answer of each group.
 func byAnswer(lines []Line) [][]Line {
 	type answer struct {
 		status int
@@ -177,8 +186,8 @@
 	return groups
 }
 
-// answerText says how often an answer was given, by whom, when, and what it
-// promised.
+// answerText describes a group of equal answers: what they told the caller, how
+// many there were, when, and which daemons gave them.
 func (e *explainer) answerText(group []Line) string {
 	meaning := fmt.Sprintf("answered with %d", group[0].Status)
 	switch group[0].Status {
@@ -198,8 +207,8 @@
 	return fmt.Sprintf("%s %s by %s", meaning, when, strings.Join(slices.Sorted(maps.Keys(daemons)), ", "))
 }
 
-// serverErrorSpan returns the times of the first and the last answer that was for
-// no fault of the request; nil for none.
+// serverErrorSpan returns the times of the first and the last answer with a
+// server error, or nil if there is none.
 func serverErrorSpan(refused []Line) []time.Time {
 	var between []time.Time
 	for _, l := range refused {
@@ -214,7 +223,7 @@
 	return between
 }
 
-// explainOutage says which daemons were without the store in a time.
+// explainOutage reports which daemons were without the store between two times.
 func (e *explainer) explainOutage(from, to time.Time) {
 	lost := e.lastOutages(to)
 	maps.DeleteFunc(lost, func(_ string, o outage) bool {
@@ -241,11 +250,12 @@
 		len(lost), len(e.daemons()), FormatTime(begun), end, strings.Join(slices.Sorted(maps.Keys(lost)), ", "))
 }
 
-// outage is a time in which a daemon was without the store; until is zero when
-// no line tells its end.
+// outage is a period in which a daemon was without the store. until is zero if no
+// line reports the end of the outage.
 type outage struct{ from, until time.Time }
 
-// lastOutages returns the last outage of each daemon that began by a time.
+// lastOutages returns, for each daemon, the last outage that began no later than
+// the given time. A restart of the daemon ends an outage as well.
 func (e *explainer) lastOutages(by time.Time) map[string]outage {
 	found := make(map[string]outage)
 	for _, l := range e.all {
@@ -264,7 +274,7 @@
 	return found
 }
 
-// daemons returns the names of those that wrote lines.
+// daemons returns the names of all daemons that wrote lines.
 func (e *explainer) daemons() map[string]struct{} {
 	names := make(map[string]struct{})
 	for _, l := range e.all {
@@ -275,7 +285,8 @@
 	return names
 }
 
-// explainLeadership tells what happened to the lead in and around a time.
+// explainLeadership reports the changes of leader between two times and within
+// takeoverWindow of them.
 func (e *explainer) explainLeadership(from, to time.Time) {
 	for _, l := range e.all {
 		if l.Time.Before(from.Add(-takeoverWindow)) || l.Time.After(to.Add(takeoverWindow)) {
@@ -302,15 +313,16 @@
 	}
 }
 
-// explainSetAside tells when the job was set aside, at each leader that did so.
+// explainSetAside reports each time that a leader set the job aside because its
+// records could not be read.
 func (e *explainer) explainSetAside() {
 	for _, l := range e.withMessage(MessageJobSetAside) {
 		e.addFinding("%s set it aside at %s: %s", l.Daemon, FormatTime(l.Time), l.Reason)
 	}
 }
 
-// lastByTask returns the last of some lines about each task or step, and how many
-// there are.
+// lastByTask returns the last line about each task or step, and the number of
+// lines about it.
 func lastByTask(lines []Line) (last map[string]Line, count map[string]int) {
 	last, count = make(map[string]Line), make(map[string]int)
 	for _, l := range lines {
@@ -320,8 +332,8 @@
 	return last, count
 }
 
-// explainWaits tells the last wait of each step: it is the longest, and says
-// what ruled the workers out.
+// explainWaits reports the last line about the wait of each step, which has the
+// longest wait and the reasons that ruled out the workers.
 func (e *explainer) explainWaits() {
 	last, _ := lastByTask(e.withMessage(MessageStepWaits))
 	for _, step := range slices.Sorted(maps.Keys(last)) {
@@ -329,8 +341,8 @@
 	}
 }
 
-// explainHolds tells, for each step or task that was held back, how often that was
-// noted and the last reason, with the worker that was waited for.
+// explainHolds reports, for each step or task whose start was held back, how many
+// lines say so, and the worker and the reason in the last one.
 func (e *explainer) explainHolds() {
 	last, count := lastByTask(e.withMessage(MessageStartHeldBack))
 	for _, step := range slices.Sorted(maps.Keys(last)) {
@@ -343,7 +355,8 @@
 	}
 }
 
-// explainAttempts counts what befell the attempts, by kind and reason.
+// explainAttempts reports the number of events of the job's attempts, by message
+// and reason.
 func (e *explainer) explainAttempts() {
 	kinds := []string{
 		MessageAttemptStarted, MessageAttemptAdopted, MessageStartRefused, MessageStartUnanswered, MessageAttemptStopped, MessageAttemptLost, MessageEndNotAcknowledged, MessageAttemptMissing,
@@ -363,11 +376,12 @@
 	e.explainCrashes(e.withMessage(MessageCrashCounted))
 }
 
-// reasonFailed is the reason of an attempt that ended by failing.
+// reasonFailed is the reason in the line about an attempt that failed.
 const reasonFailed = "failed"
 
-// explainFailures says of which tasks the failed attempts were, and on how many
-// workers: a task that fails on several is at fault itself.
+// explainFailures reports the failed attempts of each task and the number of
+// workers they ran on. A task that fails on several workers is itself the likely
+// cause.
 func (e *explainer) explainFailures(ended []Line) {
 	workers := make(map[string]map[string]struct{})
 	failures := make(map[string]int)
@@ -386,8 +400,9 @@
 	}
 }
 
-// explainCrashes says of which tasks attempts ended with their workers, and what was
-// known of these ends in the end.
+// explainCrashes reports the tasks whose attempts ended when their workers
+// crashed, with the reason in the last line, which describes all crashes that
+// count at that time.
 func (e *explainer) explainCrashes(counted []Line) {
 	last, count := lastByTask(counted)
 	for _, task := range slices.Sorted(maps.Keys(last)) {
@@ -407,7 +422,8 @@
 	return strings.Join(parts, ", ")
 }
 
-// explainTakeovers tells which changes of the lead the job lived through.
+// explainTakeovers reports the changes of leader between the first and the last
+// line about the job.
 func (e *explainer) explainTakeovers() {
 	if len(e.about) == 0 {
 		return
@@ -429,7 +445,8 @@
 	}
 }
 
-// noteGaps says how many lines are missing that may have been about the job.
+// noteGaps reports how many lines that may have been about the job are missing.
+// Lines that a daemon dropped count whenever it reports them.
 func (e *explainer) noteGaps() {
 	if len(e.about) == 0 {
 		return
@@ -452,8 +469,8 @@
 	}
 }
 
-// FormatTime writes a time of day to the millisecond, in UTC.
+// FormatTime returns the time of day in UTC, with milliseconds.
 func FormatTime(t time.Time) string { return t.UTC().Format("15:04:05.000") }
 
-// formatDuration writes a duration to the millisecond.
+// formatDuration returns the text of a duration rounded to milliseconds.
 func formatDuration(d time.Duration) string { return d.Round(time.Millisecond).String() }
--- a/core/joblog/joblog_test.go
+++ b/core/joblog/joblog_test.go
@@ -13,8 +13,8 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// The jobs of testdata/store-outage.log: lines of nine daemons before, in and
-// after four seconds without the store.
+// The jobs of testdata/store-outage.log, which has the lines of nine daemons
+// before, during and after a store outage of four seconds.
 const (
 	refusedJob        job.ID = "38794a2fe1bc1e9c"
 	unknownOutcomeJob job.ID = "97e4bb9b6c8427d5"
@@ -90,19 +90,20 @@
 			leaders++
 		}
 		if d.StoreLost {
-			t.Errorf("%s is told to be without the store, which returned", d.Daemon)
+			t.Errorf("%s is reported without the store, which returned", d.Daemon)
 		}
 	}
 	if leaders != 1 {
-		t.Errorf("%d daemons lead", leaders)
+		t.Errorf("%d leaders, want 1", leaders)
 	}
 	if events := Events(lines); len(events) == 0 || slices.ContainsFunc(events, func(l Line) bool { return l.Job != "" }) {
 		t.Error("events hold lines about jobs")
 	}
 }
 
-// TestExplainReportsJobSetAside: a job that waits because its records cannot be
-// read waits for no worker, and the operator must be told so.
+// TestExplainReportsJobSetAside checks that the explanation of a job whose records
+// cannot be read names that cause. Otherwise the operator would look for missing
+// capacity.
 func TestExplainReportsJobSetAside(t *testing.T) {
 	at := time.Unix(0, 0)
 	found := strings.Join(Explain([]Line{
@@ -114,8 +115,9 @@
 	}
 }
 
-// TestExplainReportsHeldStarts: a step that is held back after a take-over waits
-// for no room, and the operator must be told for which worker it waits.
+// TestExplainReportsHeldStarts checks that the explanation of a step whose start
+// is held back after a takeover names the worker that it waits for. Such a step
+// does not wait for capacity.
 func TestExplainReportsHeldStarts(t *testing.T) {
 	at := time.Unix(0, 0)
 	step := string(failedJob) + ".0.0"
@@ -142,8 +144,8 @@
 	}
 }
 
-// TestExplainReportsGaps: lines that were left out or dropped may have held the
-// cause, so that an explanation without them must say so.
+// TestExplainReportsGaps checks that an explanation reports suppressed and dropped
+// lines, because they may have contained the cause.
 func TestExplainReportsGaps(t *testing.T) {
 	at := time.Unix(0, 0)
 	lines := []Line{
--- a/core/joblog/line.go
+++ b/core/joblog/line.go
@@ -18,7 +18,7 @@
 	Daemon  string    `json:"daemon,omitempty"`
 	Level   string    `json:"level,omitempty"`
 	Message string    `json:"message"`
-	// Job is the job that the line is about, empty for none.
+	// Job is the job that the line is about; empty for none.
 	Job     job.ID `json:"job,omitempty"`
 	Task    string `json:"task,omitempty"`
 	Attempt int    `json:"attempt,omitempty"`
@@ -26,17 +26,19 @@
 	Epoch   int64  `json:"epoch,omitempty"`
 	// Reason holds the inputs of a decision.
 	Reason string `json:"reason,omitempty"`
-	// Error is the cause of a failure, Status the answer that a caller got.
+	// Error is the cause of a failure, and Status the HTTP status of the answer
+	// to the caller.
 	Error  string `json:"error,omitempty"`
 	Status int    `json:"status,omitempty"`
 	Queue  string `json:"queue,omitempty"`
-	// Suppressed counts routine lines left out before this one.
+	// Suppressed is the number of routine lines that the rate limit suppressed
+	// before this line.
 	Suppressed int `json:"leftOut,omitempty"`
-	// Dropped counts lines lost because standard output stalled.
+	// Dropped is the number of lines lost because standard output stalled.
 	Dropped int `json:"dropped,omitempty"`
 }
 
-// wireLine is a line as daemons write it.
+// wireLine is the JSON form in which daemons write a line.
 type wireLine struct {
 	Time    time.Time `json:"time"`
 	Daemon  string    `json:"daemon"`
@@ -55,7 +57,8 @@
 	Lines   int       `json:"lines"`
 }
 
-// LineError is a line that cannot be read.
+// LineError reports a line that cannot be decoded. Number is the number of the
+// line in its log, counted from 1.
 type LineError struct {
 	Number int
 	Cause  error
@@ -67,10 +70,10 @@
 // Unwrap returns the cause.
 func (e *LineError) Unwrap() error { return e.Cause }
 
-// Parse reads a log. Text before the first brace of a line, which collectors of
-// logs put there, is passed over, and so are lines without one. unread lists
-// the lines that look like a daemon's and cannot be read; a log that was cut off
-// ends in one. daemon is the name for lines that do not say whose they are.
+// Parse parses a log. It skips text before the first brace of a line, which log
+// collectors add, and lines without a brace. unread lists the lines with a brace
+// that cannot be decoded, such as the last line of a truncated log. daemon is the
+// daemon name for lines that have none.
 func Parse(log []byte, daemon string) (lines []Line, unread []*LineError) {
 	number := 0
 	for text := range bytes.Lines(log) {
@@ -101,9 +104,8 @@
 	return l
 }
 
-// Merge returns the lines of several logs in the order of their times. A line
-// that is in two of them, as when a saved log and a daemon's memory overlap, is
-// returned once.
+// Merge returns the lines of several logs in the order of their times. It drops
+// duplicates, which occur when a saved log and a daemon's memory overlap.
 func Merge(logs ...[]Line) []Line {
 	all := slices.Concat(logs...)
 	sort.SliceStable(all, func(i, k int) bool { return all[i].Time.Before(all[k].Time) })
@@ -115,7 +117,7 @@
 	})
 }
 
-// ForJob returns the lines about a job.
+// ForJob returns the lines about a job. The case of the id is ignored.
 func ForJob(lines []Line, id job.ID) []Line {
 	var about []Line
 	for _, l := range lines {
@@ -126,8 +128,8 @@
 	return about
 }
 
-// Events returns the lines that tell what daemons came to believe of each
-// other, the store, the workers and the configuration, without those of jobs.
+// Events returns the lines that are not about a job: those about daemons, the
+// store, workers and the configuration.
 func Events(lines []Line) []Line {
 	var events []Line
 	for _, l := range lines {
--- a/core/joblog/message.go
+++ b/core/joblog/message.go
@@ -2,7 +2,8 @@
 
 import "github.com/guavarill/guavarill/core/job"
 
-// The messages that are looked for. Tests of the daemons hold them to these.
+// The messages of log lines that this package evaluates or that operators look
+// for. Daemons use these constants, so that the texts agree.
 const (
 	MessageProcessStarted       = "started"
 	MessageJobAccepted          = "job accepted"
@@ -44,5 +45,6 @@
 	MessageLeaderCaughtUp       = "the leader has caught up"
 )
 
-// JobFinalMessage returns the message of a job that has come to a final state.
+// JobFinalMessage returns the message for a job that has reached the final state
+// s.
 func JobFinalMessage(s job.State) string { return "job " + string(s) }
--- a/core/joblog/summary.go
+++ b/core/joblog/summary.go
@@ -9,20 +9,22 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// JobSummary is what the lines tell of a job in short.
+// JobSummary summarizes the lines about a job.
 type JobSummary struct {
 	Job     job.ID `json:"job"`
 	Queue   string `json:"queue,omitempty"`
 	Outcome string `json:"outcome"`
-	// AcceptedAt, StartedAt and EndedAt are zero where no line tells.
+	// AcceptedAt, StartedAt and EndedAt are the times of acceptance, of the first
+	// attempt and of the final state. Each is zero if no line reports it.
 	AcceptedAt time.Time `json:"acceptedAt,omitzero"`
 	StartedAt  time.Time `json:"startedAt,omitzero"`
 	EndedAt    time.Time `json:"endedAt,omitzero"`
-	// Attempts counts those that were started.
+	// Attempts is the number of attempts that were started.
 	Attempts int `json:"attempts"`
 }
 
-// SummarizeJobs summarizes every job that the lines name, by id.
+// SummarizeJobs summarizes every job that the lines name, in the order of their
+// ids.
 func SummarizeJobs(lines []Line) []JobSummary {
 	byJob := make(map[job.ID][]Line)
 	for _, l := range lines {
@@ -53,20 +55,21 @@
 	return s
 }
 
-// DaemonSummary is what the lines tell of a daemon.
+// DaemonSummary summarizes the lines of a daemon.
 type DaemonSummary struct {
 	Daemon string `json:"daemon"`
-	// IsLeader is whether it led when its last line was written, Epoch its last
-	// epoch.
+	// IsLeader is whether the daemon was the leader at its last line, and Epoch
+	// its last epoch as leader.
 	IsLeader bool  `json:"leads"`
 	Epoch    int64 `json:"epoch,omitempty"`
-	// StoreLost is whether it was without the store then.
+	// StoreLost is whether the daemon was without the store at its last line.
 	StoreLost bool      `json:"storeLost"`
 	LastLine  time.Time `json:"lastLine"`
 	Warnings  int       `json:"warnings"`
 }
 
-// SummarizeDaemons summarizes the daemons by name.
+// SummarizeDaemons summarizes every daemon that wrote lines, in the order of
+// their names.
 func SummarizeDaemons(lines []Line) []DaemonSummary {
 	byName := make(map[string]*DaemonSummary)
 	for _, l := range lines {
