--- a/core/model/doc.go
+++ b/core/model/doc.go
@@ -1,4 +1,4 @@
-// Package model holds the vocabulary that guavarill's packages share: names,
-// sizes, and the identity of a task, an attempt and a shard. It has no
-// behaviour beyond arithmetic and comparison.
+// Package model defines the basic types shared by guavarill's packages: names,
+// sizes, and the identities of tasks, attempts and shards. Its functions only
+// calculate, compare, format and parse.
 package model
--- a/core/model/identity.go
+++ b/core/model/identity.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// WorkerID is the platform's name for a worker VM.
+// WorkerID is the platform's name of a worker VM.
 type WorkerID string
 
 // DaemonID is the name of one daemon, unique within a cluster.
@@ -18,37 +18,36 @@
 // Rack is the name of a rack; racks of different zones have different names.
 type Rack string
 
-// ShardID numbers the shards of a cluster from 0.
+// ShardID is the number of a shard within its cluster, counted from 0.
 type ShardID uint32
 
-// Epoch orders the owners of a shard. It is the store revision at which the
-// owner's key was created, so it only grows.
+// Epoch orders the successive owners of a shard. It is the store revision at which
+// the owner's key was created, so a later owner has a higher epoch.
 type Epoch int64
 
-// Revision numbers the accepted manifests of a cluster from 1.
+// Revision is the number of an accepted manifest of a cluster, counted from 1.
 type Revision uint64
 
-// Attempt numbers the placements of one task from 1. At most one attempt of a
-// task runs at a time.
+// Attempt is the number of a placement of a task, counted from 1. At most one
+// attempt of a task runs at a time.
 type Attempt uint32
 
-// TaskKey is the identity of a task: the workload it belongs to, the
-// generation of that workload's declaration, and its index among the
-// workload's tasks.
+// TaskKey identifies a task by its workload, the generation of the workload's
+// declaration, and its index among the workload's tasks.
 type TaskKey struct {
 	Workload   string
 	Generation uint64
 	Index      uint32
 }
 
-// String returns the key in the form workload@generation/index, which is also
-// the task's name towards workers.
+// String returns the key in the form workload@generation/index. Workers identify
+// the task by this text.
 func (k TaskKey) String() string {
 	return fmt.Sprintf("%s@%d/%d", k.Workload, k.Generation, k.Index)
 }
 
-// ParseTaskKey reads what TaskKey.String wrote. The second result is false
-// when s is not in that form.
+// ParseTaskKey parses the form written by TaskKey.String. The second result is
+// false if s is not in that form.
 func ParseTaskKey(s string) (TaskKey, bool) {
 	at := strings.LastIndexByte(s, '@')
 	if at <= 0 {
@@ -62,7 +61,8 @@
 	return key, true
 }
 
-// Compare orders keys by workload, generation and index, as cmp.Compare does.
+// Compare compares keys by workload, generation and index. Its result is that of
+// cmp.Compare.
 func (k TaskKey) Compare(o TaskKey) int {
 	return cmp.Or(
 		cmp.Compare(k.Workload, o.Workload),
@@ -71,7 +71,7 @@
 	)
 }
 
-// Less reports whether k comes before o in the order of Compare.
+// Less reports whether k sorts before o in the order of Compare.
 func (k TaskKey) Less(o TaskKey) bool { return k.Compare(o) < 0 }
 
 // AttemptKey identifies one attempt of one task.
--- a/core/model/incarnation.go
+++ b/core/model/incarnation.go
@@ -5,17 +5,19 @@
 	"fmt"
 )
 
-// Incarnation names one life of a worker: what it runs, and what it counts, begins
-// with its start and ends with it. A worker may start again under the id that it had.
+// Incarnation identifies one run of a worker's process, from its start to its end.
+// The worker's tasks and counters do not outlive it. A worker may restart under the
+// same id, which begins another incarnation.
 type Incarnation struct {
 	ID WorkerID
-	// StartedMs is when it was started, by its own time of day in milliseconds since 1970; 0
-	// where that is not known. It only tells incarnations apart: a clock may jump, so
-	// that a later one has an earlier time.
+	// StartedMs is when the incarnation was started, by the worker's clock, as
+	// Unix time in milliseconds; 0 if that is unknown. It only distinguishes
+	// incarnations and does not order them: clocks may jump, so a later
+	// incarnation may have an earlier time.
 	StartedMs int64 `json:",omitempty"`
 }
 
-// String returns the id and, where it is known, the time of the start.
+// String returns the id and, if it is known, the time of the start.
 func (i Incarnation) String() string {
 	if i.StartedMs == 0 {
 		return string(i.ID)
@@ -23,7 +25,8 @@
 	return fmt.Sprintf("%s started at %d", i.ID, i.StartedMs)
 }
 
-// Compare orders incarnations by their ids, then by their starts.
+// Compare compares incarnations by their ids, then by the times of their starts.
+// Its result is that of cmp.Compare.
 func (i Incarnation) Compare(other Incarnation) int {
 	return cmp.Or(cmp.Compare(i.ID, other.ID), cmp.Compare(i.StartedMs, other.StartedMs))
 }
--- a/core/model/priority.go
+++ b/core/model/priority.go
@@ -1,7 +1,7 @@
 package model
 
-// Priority orders work and requests; a higher one goes first and is shed or
-// preempted last.
+// Priority orders tasks and requests. Those with a higher priority are served
+// first and are shed or preempted last.
 type Priority int32
 
 // The priorities, lowest first.
@@ -12,12 +12,12 @@
 	PriorityUrgent
 )
 
-// NumPriorities is how many priorities there are.
+// NumPriorities is the number of priorities.
 const NumPriorities = int(PriorityUrgent) + 1
 
 var priorityNames = [NumPriorities]string{"low", "normal", "high", "urgent"}
 
-// String returns the priority's name as manifests and requests write it.
+// String returns the priority's name in manifests and requests, or "invalid".
 func (p Priority) String() string {
 	if p < 0 || int(p) >= NumPriorities {
 		return "invalid"
@@ -25,8 +25,8 @@
 	return priorityNames[p]
 }
 
-// ParsePriority reads a priority's name. The second result is false when
-// there is no priority of that name.
+// ParsePriority returns the priority with a name. The second result is false if
+// there is none.
 func ParsePriority(name string) (Priority, bool) {
 	for i, n := range priorityNames {
 		if n == name {
@@ -36,7 +36,7 @@
 	return 0, false
 }
 
-// Kind tells a service from a batch job.
+// Kind is the kind of a workload: a service or a batch job.
 type Kind string
 
 // The kinds of workload.
--- a/core/model/resources.go
+++ b/core/model/resources.go
@@ -5,8 +5,8 @@
 	"math"
 )
 
-// Resources is an amount of a worker's capacity, in the three dimensions that
-// are committed: thousandths of a processor, mebibytes of memory, and whole
+// Resources is an amount of capacity in the three dimensions that the scheduler
+// commits: thousandths of a processor, mebibytes of memory, and whole
 // accelerators.
 type Resources struct {
 	MilliCPU     int64 `json:"milliCPU"`
@@ -14,7 +14,7 @@
 	Accelerators int64 `json:"accelerators,omitempty"`
 }
 
-// Dimension names one of the three kinds of capacity.
+// Dimension is the name of one dimension of Resources.
 type Dimension string
 
 // The dimensions of Resources.
@@ -33,7 +33,7 @@
 	}
 }
 
-// Sub returns r less o; a dimension may become negative.
+// Sub returns r minus o. The result may be negative in a dimension.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{
 		MilliCPU:     r.MilliCPU - o.MilliCPU,
@@ -42,7 +42,7 @@
 	}
 }
 
-// Max returns the larger of the two in each dimension.
+// Max returns the maximum of r and o in each dimension.
 func (r Resources) Max(o Resources) Resources {
 	return Resources{
 		MilliCPU:     max(r.MilliCPU, o.MilliCPU),
@@ -51,14 +51,15 @@
 	}
 }
 
-// Fits reports whether r fits within room in every dimension.
+// Fits reports whether r is at most room in every dimension.
 func (r Resources) Fits(room Resources) bool {
 	return r.MilliCPU <= room.MilliCPU &&
 		r.MemoryMB <= room.MemoryMB &&
 		r.Accelerators <= room.Accelerators
 }
 
-// FitCount returns how many times r fits within room, math.MaxInt if r is nothing.
+// FitCount returns how many times r fits within room, or math.MaxInt if r is zero
+// in every dimension. Negative room counts as zero.
 func (r Resources) FitCount(room Resources) int {
 	times := math.MaxInt
 	for _, d := range [][2]int64{
@@ -71,8 +72,9 @@
 	return times
 }
 
-// Exceeds returns the first dimension in which r is larger than room, and
-// whether there is one.
+// Exceeds returns the first dimension in which r is larger than room, in the
+// order processor, memory, accelerators. The second result is false if there is
+// none.
 func (r Resources) Exceeds(room Resources) (Dimension, bool) {
 	switch {
 	case r.MilliCPU > room.MilliCPU:
@@ -85,7 +87,8 @@
 	return "", false
 }
 
-// String formats r for logs and time lines.
+// String returns r in the form used in logs and time lines, for example
+// 500m/1024MB/0.
 func (r Resources) String() string {
 	return fmt.Sprintf("%dm/%dMB/%d", r.MilliCPU, r.MemoryMB, r.Accelerators)
 }
--- a/core/model/worker.go
+++ b/core/model/worker.go
@@ -1,6 +1,6 @@
 package model
 
-// VMState is what the platform says of a VM.
+// VMState is the state of a VM in the platform's list.
 type VMState string
 
 // The states of a VM in the platform's list.
@@ -9,7 +9,8 @@
 	VMLeaving VMState = "leaving"
 )
 
-// VMRole tells workers from the system's own entry VMs.
+// VMRole distinguishes worker VMs from the entry VMs, which run guavarill's
+// daemons.
 type VMRole string
 
 // The roles of a VM in the platform's list.
@@ -18,7 +19,8 @@
 	RoleEntry  VMRole = "entry"
 )
 
-// VM is one line of the platform's lagging list.
+// VM is an entry of the platform's list of VMs. The list may lag behind the actual
+// state.
 type VM struct {
 	ID       WorkerID  `json:"id"`
 	Role     VMRole    `json:"role"`
@@ -26,7 +28,7 @@
 	Zone     Zone      `json:"availabilityZone"`
 	Rack     Rack      `json:"rack,omitempty"`
 	Capacity Resources `json:"capacity"`
-	// Address is host:port of the worker's agent, or of the daemon's peer
-	// listener on an entry VM.
+	// Address is the host:port of the worker's agent or, on an entry VM, of the
+	// daemon's peer listener.
 	Address string `json:"address"`
 }
