--- a/core/joblog/explain.go
+++ b/core/joblog/explain.go
@@ -107,7 +107,7 @@
 	return found
 }
 
-// finalLine returns the line of the job's finalLine state.
+// finalLine returns the line that reports the job's final state, or nil.
 func (e *explainer) finalLine() *Line {
 	return e.first(JobFinalMessage(job.Completed), JobFinalMessage(job.Failed), JobFinalMessage(job.Canceled))
 }
