--- a/core/interference/export.go
+++ b/core/interference/export.go
@@ -5,18 +5,20 @@
 	"time"
 )
 
-// Effect is a lasting term of a Model, for another one to begin with.
+// Effect is a persistent term of a Model in the form in which it is transferred to
+// another Model.
 type Effect struct {
-	// Victim is empty for what the aggressor does whatever the victim.
+	// Victim is the class of the victim; empty for the aggressor's effect on any
+	// victim.
 	Victim    string  `json:"victim,omitempty"`
 	Aggressor string  `json:"aggressor"`
 	Mean      float64 `json:"mean"`
 	Std       float64 `json:"std"`
 }
 
-// Export returns what was learned of classes and of pairs of them. Terms by
-// load and workload, and loudness, are left out: they matter less, or are gone
-// when they could be used.
+// Export returns the terms of classes and of pairs of classes. It omits the terms
+// of load buckets and workloads, which matter less, and intensities, which are out
+// of date before they could be used.
 func (m *Model) Export() []Effect {
 	effects := make([]Effect, 0, len(m.classes)+len(m.pairs))
 	for class, t := range m.classes {
@@ -30,11 +32,12 @@
 	return effects
 }
 
-// importStdFactor is by how much imported effects are less certain: it may be some
-// time since they were learned.
+// importStdFactor multiplies the standard deviations of imported effects, because
+// they may have been learned some time ago.
 const importStdFactor = 1.5
 
-// Import begins with what another model knew.
+// Import sets the terms to effects exported from another model. Their standard
+// deviations are increased, up to those of the priors.
 func (m *Model) Import(now time.Time, effects []Effect) {
 	for _, e := range effects {
 		var t *term
--- a/core/interference/model.go
+++ b/core/interference/model.go
@@ -8,7 +8,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// NumLoadBuckets is how many ranges of load are told apart.
+// NumLoadBuckets is the number of ranges of load that have terms of their own.
 const NumLoadBuckets = 4
 
 // LoadBucket returns the bucket of a load between 0 (idle) and 1 (full).
@@ -17,13 +17,13 @@
 	return min(max(bucket, 0), NumLoadBuckets-1)
 }
 
-// Estimate is a predicted effect: the slowdown above 1 that one undisturbed
-// aggressor adds to a victim, and the standard deviation of that prediction.
+// Estimate is a predicted effect: the slowdown above 1 that one unthrottled
+// aggressor adds to a victim, and the standard deviation of the prediction.
 type Estimate struct {
 	Mean, Std float64
 }
 
-// Upper returns the mean plus z standard deviations, never below 0.
+// Upper returns the mean plus z standard deviations, or 0 if that is negative.
 func (e Estimate) Upper(z float64) float64 {
 	return math.Max(0, e.Mean+z*e.Std)
 }
@@ -37,36 +37,40 @@
 	bucket int
 }
 
-// Observation is one measurement of a victim's slowdown, made on a worker at
-// MeasuredAt, which may be well in the past.
+// Observation is a measurement of a victim's slowdown on a worker. MeasuredAt may be
+// long before the observation arrives. Class is the class of the victim.
 type Observation struct {
 	Worker     model.WorkerID
 	Victim     model.TaskKey
 	Class      string
 	MeasuredAt time.Time
-	// Slowdown is 1 for an undisturbed victim, 2 for one at half its speed.
+	// Slowdown is 1 for an undisturbed victim and 2 for one at half its speed.
 	Slowdown float64
 	// Load is the worker's load at MeasuredAt, between 0 and 1.
 	Load float64
 }
 
-// Result says what became of an observation.
+// Result is the result of an observation.
 type Result uint8
 
-// The results of Observe. All but Learned leave the model as it was.
+// The results of Observe. Only Learned changes the model.
 const (
+	// Learned is the result for a measurement that the model has learned from.
 	Learned Result = iota
-	// NotNewer is one at or before the victim's latest.
+	// NotNewer is the result for a measurement made no later than the victim's
+	// latest one.
 	NotNewer
-	// TooOld is one older than the residency that is remembered.
+	// TooOld is the result for a measurement from before the recorded residency.
 	TooOld
-	// NoAggressor is one with no aggressor present, so there is nothing to learn.
+	// NoAggressor is the result for a measurement without an aggressor on the
+	// worker.
 	NoAggressor
-	// Malformed is a slowdown or time that cannot be.
+	// Malformed is the result for a slowdown that is not a positive finite number
+	// or a time in the future.
 	Malformed
 )
 
-// Model is the slowdown learner.
+// Model learns slowdowns. See the package comment.
 type Model struct {
 	options   Options
 	residency *Residency
@@ -79,7 +83,7 @@
 	version   uint64
 }
 
-// New returns a model that knows only its prior.
+// New returns a model without observations, which predicts its priors.
 func New(o Options) *Model {
 	return &Model{
 		options:   o,
@@ -93,13 +97,13 @@
 	}
 }
 
-// TaskStarted records that a task is on a worker from now on, unthrottled.
+// TaskStarted records that a task runs unthrottled on a worker from now on.
 func (m *Model) TaskStarted(now time.Time, w model.WorkerID, key model.TaskKey, class string) {
 	m.residency.TaskStarted(now, w, key, class)
 }
 
-// TaskThrottled records the share of its effect that counts from now on, as a Presence
-// has it.
+// TaskThrottled records the share of a task's effect that counts from now on, as
+// in Resident.Share.
 func (m *Model) TaskThrottled(now time.Time, w model.WorkerID, key model.TaskKey, share float64) {
 	m.residency.TaskThrottled(now, w, key, share)
 }
@@ -110,22 +114,22 @@
 	delete(m.intensity, key)
 }
 
-// DropWorker forgets who was on a worker that is gone.
+// DropWorker drops the residency of a worker that is gone.
 func (m *Model) DropWorker(w model.WorkerID) { m.residency.DropWorker(w) }
 
-// ForgetWorkload drops what was learned of a workload that is retired. What
-// its class learned from it stays.
+// ForgetWorkload drops the terms of a workload that is retired. The terms of its
+// class, which have learned from it, stay.
 func (m *Model) ForgetWorkload(workload string) {
 	delete(m.workloads, workload)
 	delete(m.variances.workloads, workload)
 }
 
-// Version grows with every observation that was learned, so that callers can
-// keep predictions.
+// Version returns a number that grows whenever predictions may have changed, so
+// that callers can cache predictions.
 func (m *Model) Version() uint64 { return m.version }
 
-// Observe learns from one late measurement. The slowdown is charged to the
-// tasks that were on the worker at o.MeasuredAt.
+// Observe learns from a measurement, which may arrive late. It attributes the
+// slowdown to the tasks that were on the worker at o.MeasuredAt.
 func (m *Model) Observe(now time.Time, o Observation) Result {
 	if !(o.Slowdown > 0) || math.IsInf(o.Slowdown, 0) || o.MeasuredAt.After(now) {
 		return Malformed
@@ -149,8 +153,8 @@
 	return Learned
 }
 
-// contribution is a term with the weight at which it entered an observation: the
-// derivative of the predicted slowdown by the term.
+// contribution is a term that took part in a prediction, with its weight: the
+// derivative of the predicted slowdown with respect to the term.
 type contribution struct {
 	term   *term
 	weight float64
@@ -181,7 +185,9 @@
 	m.correct(parts, excess, excess-predicted)
 }
 
-// A term whose partner is at zero would have weight zero and never move again.
+// The least effect and intensity that count in the weights of contributions. Effect
+// and intensity are multiplied: if one of them were 0, the other would have weight 0
+// and no observation could change it again.
 const (
 	minEffect    = 0.01
 	minIntensity = 0.1
@@ -208,8 +214,8 @@
 	return append(parts, contribution{t, weight})
 }
 
-// persistentTerms returns the terms of an effect that outlive the task, made if need
-// be and aged to now.
+// persistentTerms returns the persistent terms of an effect, decayed to now. It adds
+// terms that do not exist yet.
 func (m *Model) persistentTerms(now time.Time, pair pairKey, bucket int, workload string) [4]*term {
 	o := &m.options
 	terms := [4]*term{
@@ -224,7 +230,8 @@
 	return terms
 }
 
-// intensityOf returns by how much a task's loudness differs from 1.
+// intensityOf returns the term for the difference of a task's intensity from 1,
+// decayed to now.
 func (m *Model) intensityOf(now time.Time, a Resident) *term {
 	variance := m.variances.of(a.Class, a.Key.Workload)
 	t := getOrAddTerm(m.intensity, a.Key, now, 0, math.Sqrt(variance))
@@ -233,7 +240,8 @@
 	return t
 }
 
-// observeVariances learns from the tasks' loudness how much loudness varies.
+// observeVariances learns the variance of intensities from the intensities of the
+// aggressors.
 func (m *Model) observeVariances(aggressors []Resident) {
 	for _, a := range aggressors {
 		if t, ok := m.intensity[a.Key]; ok {
@@ -251,22 +259,23 @@
 	return t
 }
 
-// Predict returns the effect of one undisturbed aggressor on a victim at a
-// load. Either may be a service or batch; classes never seen get the prior.
-// The means are as of the latest observation of each term.
+// Predict returns the effect of one unthrottled aggressor on a victim, given their
+// classes and the worker's load. A class that was never observed is predicted from
+// the prior. The terms are not decayed since their latest observations.
 func (m *Model) Predict(victimClass, aggressorClass string, load float64) Estimate {
 	mean, variance := m.predictPair(victimClass, aggressorClass, load)
 	variance += m.options.WorkloadStd * m.options.WorkloadStd
 	return estimate(mean, variance, 1, m.variances.of(aggressorClass, ""))
 }
 
-// PredictWorkload is Predict for an aggressor whose workload is known.
+// PredictWorkload is like Predict for an aggressor of a known workload.
 func (m *Model) PredictWorkload(victimClass, aggressorClass, workload string, load float64) Estimate {
 	mean, variance := m.predictWorkload(victimClass, aggressorClass, workload, load)
 	return estimate(mean, variance, 1, m.variances.of(aggressorClass, workload))
 }
 
-// PredictTask is Predict for a task that runs now, at full speed.
+// PredictTask is like Predict for a known task that runs now, as if it were not
+// throttled.
 func (m *Model) PredictTask(victimClass, aggressorClass string, aggressor model.TaskKey, load float64) Estimate {
 	t, ok := m.intensity[aggressor]
 	if !ok {
@@ -291,7 +300,7 @@
 	return mean + pairMean + bucketMean, variance + pairVariance + bucketVariance
 }
 
-// estimate returns the product of an effect and a loudness.
+// estimate returns the product of an effect and an intensity.
 func estimate(mean, variance, intensity, intensityVariance float64) Estimate {
 	mean = math.Max(0, mean)
 	intensity = math.Max(0, intensity)
@@ -299,6 +308,8 @@
 	return Estimate{Mean: mean * intensity, Std: math.Sqrt(variance)}
 }
 
+// termOrPrior returns the mean and the variance of a term, or those of its prior if
+// there is no such term.
 func termOrPrior[K comparable](terms map[K]*term, key K, mean, std float64) (float64, float64) {
 	t, ok := terms[key]
 	if !ok {
--- a/core/interference/moments.go
+++ b/core/interference/moments.go
@@ -2,17 +2,17 @@
 
 import "math"
 
-// maxTaskWeight bounds the weight of past tasks, so that a workload whose
-// tasks change is followed.
+// maxTaskWeight limits the weight of past tasks, in tasks, so that the moments
+// follow a workload whose tasks change.
 const maxTaskWeight = 200
 
-// moments are the weight, the mean and the sum of squared deviations of values
-// of which the oldest fade.
+// moments are the weight, the mean and the sum of squared deviations of a series of
+// values. Once the weight reaches maxTaskWeight, older values lose weight.
 type moments struct {
 	weight, mean, squares float64
 }
 
-// add takes one more value in.
+// add adds a value with weight 1.
 func (m *moments) add(value float64) {
 	m.weight++
 	delta := value - m.mean
@@ -25,7 +25,7 @@
 	}
 }
 
-// remove takes out a value that was added.
+// remove removes a value that was added.
 func (m *moments) remove(value float64) {
 	if m.weight <= 1 {
 		*m = moments{}
--- a/core/interference/residency.go
+++ b/core/interference/residency.go
@@ -7,20 +7,21 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Resident is a task on a worker at one time.
+// Resident is a task on a worker at a point in time.
 type Resident struct {
 	Key   model.TaskKey
 	Class string
-	// Share is how much of its effect counts: 1 for a task at full speed, less for
-	// one that is throttled, 0 for one that disturbs nobody. A caller that knows how
-	// large tasks are may tell effects by size and give large ones more than 1.
+	// Share is the share of the task's effect that counts: 1 for an unthrottled
+	// task, less for a throttled one, and 0 for one without effect. A caller that
+	// expresses effects relative to the size of a task may use values above 1 for
+	// large tasks.
 	Share float64
-	// StillRunning is whether the task is still there.
+	// StillRunning is whether the task is on the worker now.
 	StillRunning bool
 }
 
-// span is a stretch of time in which a presence did not change. An open span
-// has a zero end.
+// span is a period in which a task was on a worker with the same share. An open
+// span has a zero end.
 type span struct {
 	Resident
 	from, to time.Time
@@ -30,33 +31,35 @@
 	return !at.Before(s.from) && (s.to.IsZero() || at.Before(s.to))
 }
 
+// workerSpans is the record of one worker.
 type workerSpans struct {
 	// since is the earliest time for which spans is complete.
-	since  time.Time
-	spans  []span
+	since time.Time
+	spans []span
+	// latest holds the time of the latest measurement of each victim.
 	latest map[model.TaskKey]time.Time
 }
 
-// Residency remembers for a while which tasks were on which worker.
+// Residency records for a limited time which tasks were on which worker.
 type Residency struct {
 	retain  time.Duration
 	workers map[model.WorkerID]*workerSpans
 }
 
-// NewResidency returns a record that keeps ended presences for retain.
+// NewResidency returns an empty record that keeps tasks for the time retain after
+// they have left their worker.
 func NewResidency(retain time.Duration) *Residency {
 	return &Residency{retain: retain, workers: make(map[model.WorkerID]*workerSpans)}
 }
 
-// TaskStarted records that a task is on a worker from now on, unthrottled. The
-// first call for a worker also begins its record: nothing is known of it
-// before that time.
+// TaskStarted records that a task runs unthrottled on a worker from now on. The
+// first call for a worker begins its record; the time before is unknown.
 func (r *Residency) TaskStarted(now time.Time, w model.WorkerID, key model.TaskKey, class string) {
 	r.change(now, w, Resident{Key: key, Class: class, Share: 1})
 }
 
-// TaskThrottled records the share of its effect that counts from now on, 0 or more. A
-// task that is not on the worker is ignored.
+// TaskThrottled records the share of a task's effect that counts from now on, 0 or
+// more. It ignores a task that is not on the worker.
 func (r *Residency) TaskThrottled(now time.Time, w model.WorkerID, key model.TaskKey, share float64) {
 	ws, ok := r.workers[w]
 	if !ok {
@@ -80,11 +83,11 @@
 	ws.prune(now.Add(-r.retain))
 }
 
-// DropWorker forgets a worker that is gone.
+// DropWorker drops the record of a worker that is gone.
 func (r *Residency) DropWorker(w model.WorkerID) { delete(r.workers, w) }
 
-// At returns who was on a worker at a time, in order of task key. The second
-// result is false when the record does not reach back that far.
+// At returns the tasks that were on a worker at a time, in the order of their keys.
+// The second result is false if the record does not cover that time.
 func (r *Residency) At(w model.WorkerID, at time.Time) ([]Resident, bool) {
 	ws, ok := r.workers[w]
 	if !ok || at.Before(ws.since) {
@@ -120,9 +123,10 @@
 	ws.prune(now.Add(-r.retain))
 }
 
-// recordIfNewer reports whether a victim's measurement is later than all before it,
-// and remembers it. A report that is delivered twice would otherwise count
-// twice and make the model surer than its evidence.
+// recordIfNewer reports whether a measurement of a victim is later than all earlier
+// ones and, if so, records its time. Otherwise a report that is delivered twice
+// would count twice, and the model's variance would become too small for its
+// evidence.
 func (r *Residency) recordIfNewer(w model.WorkerID, victim model.TaskKey, at time.Time) bool {
 	ws, ok := r.workers[w]
 	if !ok {
@@ -137,6 +141,7 @@
 	return true
 }
 
+// openSpan returns the index of a task's open span, or -1.
 func (ws *workerSpans) openSpan(key model.TaskKey) int {
 	for i := len(ws.spans) - 1; i >= 0; i-- {
 		if ws.spans[i].Key == key && ws.spans[i].to.IsZero() {
--- a/core/interference/runtimes.go
+++ b/core/interference/runtimes.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// RunTimes learns, per workload, how long tasks run compared with their
-// declaration. It works on the logarithm of the ratio: being three times over
-// and three times under are errors of the same size.
+// RunTimes learns, per workload, the ratio of actual to declared run times. It uses
+// the logarithm of the ratio, so that three times too long and three times too short
+// are errors of the same size.
 type RunTimes struct {
 	priorWeight float64
 	priorStd    float64
@@ -15,13 +15,15 @@
 }
 
 const (
+	// runTimePriorWeight is the weight of the declaration, in tasks.
 	runTimePriorWeight = 2
-	// runTimePriorStd is the logarithm of 2: declared run times are taken to
-	// be right within a factor of two until seen otherwise.
+	// runTimePriorStd is the logarithm of 2: without observations, declared run
+	// times are assumed to be right within a factor of two.
 	runTimePriorStd = 0.69
 )
 
-// NewRunTimes returns a learner that expects what is declared.
+// NewRunTimes returns a learner without observations, which predicts the declared
+// run times.
 func NewRunTimes() *RunTimes {
 	return &RunTimes{
 		priorWeight: runTimePriorWeight,
@@ -30,8 +32,8 @@
 	}
 }
 
-// Observe records a task that ran to completion. Evicted and failed attempts
-// are not to be reported: they are short for another reason.
+// Observe records the run time of a task that completed. Callers must not report
+// evicted and failed attempts, which are short for another reason.
 func (r *RunTimes) Observe(workload string, declared, actual time.Duration) {
 	if declared <= 0 || actual <= 0 {
 		return
@@ -44,8 +46,8 @@
 	w.add(math.Log(float64(actual) / float64(declared)))
 }
 
-// Expect returns the median run time to expect and a time that about five in
-// six tasks stay under.
+// Expect returns the expected median of a task's run time, and the expected run
+// time that about five in six tasks do not exceed.
 func (r *RunTimes) Expect(workload string, declared time.Duration) (median, long time.Duration) {
 	mean, variance := 0.0, r.priorStd*r.priorStd
 	if w, ok := r.workloads[workload]; ok {
@@ -58,5 +60,5 @@
 	return median, long
 }
 
-// Forget drops a workload that is retired.
+// Forget drops the record of a workload that is retired.
 func (r *RunTimes) Forget(workload string) { delete(r.workloads, workload) }
--- a/core/interference/sizes.go
+++ b/core/interference/sizes.go
@@ -7,26 +7,28 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// SizeOptions sets the size learner.
+// SizeOptions configures Sizes.
 type SizeOptions struct {
-	// MinRatio and MaxRatio bound a hold as a multiple of the declared size.
+	// MinRatio and MaxRatio limit the size to commit, as multiples of the declared
+	// size.
 	MinRatio, MaxRatio float64
-	// Margin is added to what was seen, as a ratio.
+	// Margin is added to the observed usage, as a share of it.
 	Margin float64
-	// CPUStdFactor is how many standard deviations above the mean peak are held.
-	// Memory gets MemoryStdFactor: too little memory kills a task, too little
-	// processor only slows it.
+	// CPUStdFactor and MemoryStdFactor are the numbers of standard deviations above
+	// the mean peak that are committed. Memory has a factor of its own because too
+	// little memory kills a task, while too little processor time only slows it.
 	CPUStdFactor, MemoryStdFactor float64
-	// PriorWeight is how many tasks' worth of evidence the declaration counts.
+	// PriorWeight is the weight of the declared size, in tasks.
 	PriorWeight float64
-	// ReclaimPerHour is the largest fall of a hold in an hour, as a ratio.
+	// ReclaimPerHour is the largest decrease in an hour of the size to commit, as a
+	// share of the declared size.
 	ReclaimPerHour float64
-	// MinTasks is how many tasks must have been seen before less than the
-	// declared size is held.
+	// MinTasks is the number of tasks that must have been observed before less
+	// than the declared size is committed.
 	MinTasks float64
 }
 
-// DefaultSizeOptions returns the settings that the policy measurements use.
+// DefaultSizeOptions returns the options with which the eviction policy is measured.
 func DefaultSizeOptions() SizeOptions {
 	return SizeOptions{
 		MinRatio:        0.3,
@@ -40,42 +42,45 @@
 	}
 }
 
-// Usage is what one task was seen to use.
+// Usage is the measured usage of a task.
 type Usage struct {
 	MilliCPU, MemoryMB int64
 }
 
-// Sizes learns, per workload, how much room its tasks really need.
+// Sizes learns, per workload, how much capacity its tasks actually need.
 type Sizes struct {
 	options   SizeOptions
 	workloads map[string]*workloadSizes
 }
 
+// workloadSizes is the record of one workload. peaks holds the peaks of its running
+// tasks.
 type workloadSizes struct {
 	cpu, memory ratio
 	peaks       map[model.TaskKey]peak
 }
 
+// peak is the largest usage of a task, as multiples of its declared size.
 type peak struct {
 	cpu, memory float64
 }
 
-// ratio follows the peaks of a workload's tasks as multiples of the declared
-// size: their moments over tasks, and the hold in force.
+// ratio records the peaks of a workload's tasks in one dimension as multiples of the
+// declared size: their moments over tasks, and the ratio in force, which is the one to
+// commit.
 type ratio struct {
 	moments
 	inForce   float64
 	inForceAt time.Time
 }
 
-// NewSizes returns a learner that holds what is declared.
+// NewSizes returns a learner without observations, which returns the declared sizes.
 func NewSizes(o SizeOptions) *Sizes {
 	return &Sizes{options: o, workloads: make(map[string]*workloadSizes)}
 }
 
-// Observe records what a task of a workload was seen to use. Only a new peak
-// of the task changes anything, so late, repeated and reordered reports are
-// harmless.
+// Observe records the measured usage of a task. Only a new peak of the task changes
+// the record, so delayed, repeated and reordered reports do no harm.
 func (s *Sizes) Observe(now time.Time, key model.TaskKey, declared model.Resources, u Usage) {
 	if declared.MilliCPU <= 0 || declared.MemoryMB <= 0 || u.MilliCPU < 0 || u.MemoryMB < 0 {
 		return
@@ -93,19 +98,21 @@
 	w.memory.adjust(now, s.desiredRatio(&w.memory, s.options.MemoryStdFactor), s.options.ReclaimPerHour)
 }
 
-// TaskEnded drops the record of a task that is over. What its workload learned
-// from it stays, and fades as later tasks are seen.
+// TaskEnded drops the record of a task that has ended. Its peaks remain part of the
+// moments of its workload, where they lose weight as later tasks are observed.
 func (s *Sizes) TaskEnded(key model.TaskKey) {
 	if w, ok := s.workloads[key.Workload]; ok {
 		delete(w.peaks, key)
 	}
 }
 
-// Forget drops a workload that is retired.
+// Forget drops the record of a workload that is retired.
 func (s *Sizes) Forget(workload string) { delete(s.workloads, workload) }
 
-// CommitSize returns what to commit for a task of a workload that is to be placed.
-// Accelerators are always as declared.
+// CommitSize returns the size to commit for a task that is to be placed, given the
+// workload and the declared size. It returns the declared size for a workload that was
+// never observed.
+// Accelerators are committed as declared.
 func (s *Sizes) CommitSize(workload string, declared model.Resources) model.Resources {
 	w, ok := s.workloads[workload]
 	if !ok {
@@ -118,7 +125,7 @@
 }
 
 // RunningSize returns what a running task should have committed: its present hold,
-// or more when it was seen to use more. It never shrinks a hold, since a task
+// or more if it was seen to use more. It never shrinks a hold, since a task
 // that goes on may need its room again before others give it back.
 func (s *Sizes) RunningSize(key model.TaskKey, declared, held model.Resources) model.Resources {
 	w, ok := s.workloads[key.Workload]
@@ -135,10 +142,10 @@
 	return want
 }
 
-// SplitGrowth splits a wish for more room into what the worker's free room allows and
-// what is missing. held plus free is never exceeded: a worker is not committed
-// beyond its capacity because a task turned out larger than declared. A
-// shortage is for package eviction to settle.
+// SplitGrowth splits the growth of a task's committed size from held to want into the
+// size that the worker's free capacity allows and the shortage. granted never exceeds
+// held plus free: a worker is not committed beyond its capacity because a task is
+// larger than declared. Package eviction resolves shortages. Accelerators do not grow.
 func SplitGrowth(held, want, free model.Resources) (granted, shortage model.Resources) {
 	more := want.Sub(held)
 	given := model.Resources{
@@ -169,8 +176,8 @@
 	return w
 }
 
-// sizeForPeak returns the room for a peak with its margin, when the peak lies above
-// what is held.
+// sizeForPeak returns the size for a peak with its margin, or held if the peak does
+// not exceed it.
 func (s *Sizes) sizeForPeak(declared, held int64, seen float64) int64 {
 	if scale(declared, seen) <= held {
 		return held
@@ -178,6 +185,8 @@
 	return scale(declared, math.Min(s.options.MaxRatio, seen*(1+s.options.Margin)))
 }
 
+// desiredRatio returns the ratio to commit according to the moments: the mean plus
+// stdFactor standard deviations and the margin, within the limits of the options.
 func (s *Sizes) desiredRatio(r *ratio, spread float64) float64 {
 	o := &s.options
 	weight := r.weight + o.PriorWeight
@@ -193,7 +202,7 @@
 	return math.Min(o.MaxRatio, math.Max(o.MinRatio, want))
 }
 
-// replace exchanges a task's old peak for its new one, or adds the first.
+// replace replaces a task's old peak with the next one, or adds its first peak.
 func (r *ratio) replace(seen bool, old, next float64) {
 	if seen && old == next {
 		return
@@ -204,8 +213,9 @@
 	r.add(next)
 }
 
-// adjust raises the hold at once and lowers it slowly. Lowering at once would
-// let one quiet hour of a workload give away the room its busy hour needs.
+// adjust raises the ratio in force to the desired one immediately and lowers it by at
+// most reclaimPerHour. Lowering it immediately would give away in a workload's quiet
+// hour the capacity that it needs in its busy hour.
 func (r *ratio) adjust(now time.Time, wanted, reclaimPerHour float64) {
 	if wanted >= r.inForce {
 		r.inForce, r.inForceAt = wanted, now
--- a/core/interference/term.go
+++ b/core/interference/term.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// term is one learned number: its mean, its variance and when they were last
-// brought up to date.
+// term is a learned number with its mean, its variance and the time at which they
+// were last decayed.
 type term struct {
 	mean, variance           float64
 	priorMean, priorVariance float64
@@ -23,9 +23,10 @@
 	}
 }
 
-// decay lets the term fall back towards its prior. Without it a class whose
-// behaviour changed would be judged by its past for ever: the variance would
-// shrink to nothing and new observations would move the mean no more.
+// decay moves the term towards its prior by the time that has passed since the last
+// call. Without decay the variance would shrink to zero and new observations would no
+// longer change the mean, so a class whose behaviour changes would keep its old
+// prediction forever.
 func (t *term) decay(now time.Time, decay time.Duration) {
 	passed := now.Sub(t.at)
 	if passed <= 0 {
@@ -37,8 +38,9 @@
 	t.at = now
 }
 
-// correct takes the term's part of a surprise. weight is how strongly the
-// term entered the prediction, total the variance of the whole prediction.
+// correct applies the term's part of a residual, the difference between the measured
+// and the predicted slowdown. weight is the derivative of the prediction with respect
+// to the term, and total the variance of the measurement and the whole prediction.
 func (t *term) correct(residual, weight, total float64) {
 	gain := t.variance * weight / total
 	t.mean += gain * residual
--- a/core/interference/variances.go
+++ b/core/interference/variances.go
@@ -2,8 +2,8 @@
 
 import "github.com/guavarill/guavarill/core/model"
 
-// variances learns how much the loudness of a workload's tasks varies, from
-// task to task and over time.
+// variances learns the variance of the intensity of a workload's tasks, between
+// tasks and over time.
 type variances struct {
 	prior     float64
 	classes   map[string]float64
@@ -18,8 +18,8 @@
 	}
 }
 
-// of returns the variance of a workload's tasks; its class's when it was never
-// seen.
+// of returns the variance for a workload. If the workload was never observed it
+// returns that of the class, and if the class was not either, the prior.
 func (v *variances) of(class, workload string) float64 {
 	if known, ok := v.workloads[workload]; ok {
 		return known
@@ -30,16 +30,17 @@
 	return v.prior
 }
 
-// The rates at which variances follow what is seen. A class sees the
-// observations of all its workloads.
+// The rates at which variances follow observations. The rate for a class is lower
+// because a class receives the observations of all its workloads.
 const (
 	classVarianceRate    = 0.005
 	workloadVarianceRate = 0.02
 	minVariance          = 0.01
 )
 
-// observe takes in what a task's loudness became. A term that the observation
-// left as uncertain as before says nothing, and moves nothing.
+// observe learns from a task's corrected intensity. It uses the rate in proportion to
+// the reduction of the term's variance, so that a term that is as uncertain as before
+// changes nothing.
 func (v *variances) observe(class string, key model.TaskKey, t *term) {
 	was := v.of(class, key.Workload)
 	informed := 1 - min(1, t.variance/was)
@@ -52,6 +53,7 @@
 	v.workloads[key.Workload] = moveToward(was, seen, workloadVarianceRate*informed)
 }
 
+// moveToward moves a variance towards the observed one by a rate between 0 and 1.
 func moveToward(was, seen, rate float64) float64 {
 	return max(minVariance, was+rate*(seen-was))
 }
