--- a/core/interference/export_test.go
+++ b/core/interference/export_test.go
@@ -7,8 +7,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// TestImportKeepsPredictions: a model that begins with what another knew
-// predicts the same, and is less sure.
+// TestImportKeepsPredictions checks that a model that imports the effects of another
+// one predicts the same means with standard deviations that are not smaller.
 func TestImportKeepsPredictions(t *testing.T) {
 	now := time.UnixMilli(1_700_000_000_000)
 	m := New(DefaultOptions())
@@ -26,9 +26,9 @@
 		t.Errorf("mean %.3f became %.3f", learned.Mean, imported.Mean)
 	}
 	if imported.Std < learned.Std {
-		t.Errorf("deviation %.3f became %.3f", learned.Std, imported.Std)
+		t.Errorf("standard deviation %.3f became %.3f", learned.Std, imported.Std)
 	}
 	if stranger := other.Predict("v", "never seen", 0); stranger.Mean != DefaultOptions().PriorMean {
-		t.Errorf("an unknown aggressor has %.3f", stranger.Mean)
+		t.Errorf("an unknown aggressor has the mean %.3f, not that of the prior", stranger.Mean)
 	}
 }
--- a/core/interference/model_test.go
+++ b/core/interference/model_test.go
@@ -17,16 +17,16 @@
 
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
-// observe hands the model a measurement of orders/1 on w.
+// observe reports a measurement of the victim orders/1 on worker w to the model.
 func observe(m *Model, now, measured time.Time, slowdown float64) Result {
 	return m.Observe(now, Observation{
 		Worker: "w", Victim: key("orders", 1), Class: "orders", MeasuredAt: measured, Slowdown: slowdown, Load: 0.5,
 	})
 }
 
-// Symptom: a quiet task is throttled for what a loud one did. Sequence: the
-// loud task ends, a quiet one starts in its place, then the report of ten
-// seconds ago arrives. Cause: charging a late measurement to today's tasks.
+// A delayed measurement must be attributed to the tasks that were on the worker when
+// it was made. Otherwise a quiet task is throttled for a loud one: the loud task ends,
+// a quiet one starts in its place, and then a report from ten seconds ago arrives.
 func TestLateMeasurementIsChargedToThoseWhoWereThere(t *testing.T) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
@@ -48,8 +48,8 @@
 	}
 }
 
-// Symptom: the model grows sure on repeated evidence. A report that arrives
-// twice, or after a later one, must change nothing.
+// A report that arrives twice, or after a later one, must not change the model.
+// Otherwise repeated evidence makes the variance too small.
 func TestRepeatedAndUnusableMeasurements(t *testing.T) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
@@ -85,8 +85,8 @@
 	}
 }
 
-// A pair never seen predicts what its aggressor does to others, and says that
-// it is less sure of it.
+// A pair that was never observed must be predicted from its aggressor's effect on
+// other victims, with a larger standard deviation.
 func TestUnseenPairIsPredictedFromItsAggressor(t *testing.T) {
 	m := trained(t, 0.5)
 	prior := m.Predict("orders", "unseen", 0.5)
@@ -96,11 +96,11 @@
 		t.Errorf("unseen victim %.2f, not between prior %.2f and seen %.2f", other.Mean, prior.Mean, seen.Mean)
 	}
 	if other.Std <= seen.Std {
-		t.Errorf("unseen victim is as sure (%.3f) as the seen one (%.3f)", other.Std, seen.Std)
+		t.Errorf("standard deviation %.3f for the unseen victim, %.3f for the seen one", other.Std, seen.Std)
 	}
 }
 
-// trained returns a model that saw one loud task of the given effect for long.
+// trained returns a model with 300 observations of one task with the given effect.
 func trained(t *testing.T, effect float64) *Model {
 	t.Helper()
 	m := New(DefaultOptions())
@@ -114,8 +114,8 @@
 	return m
 }
 
-// Symptom: a workload was loud last month and is still kept from every
-// service. Knowledge must fade back to the prior.
+// Terms must decay to their priors. Otherwise a workload that disturbed others last
+// month is still not placed beside any service.
 func TestKnowledgeDecays(t *testing.T) {
 	m := trained(t, 0.8)
 	before := m.PredictWorkload("orders", "loud", "loud", 0.5).Mean
@@ -131,9 +131,9 @@
 	}
 }
 
-// Symptom: the wrong one of several tasks is throttled. Loud phases of one of
-// three tasks must raise that one's present effect above the others', which
-// differ from it in nothing else.
+// A loud phase of one of three otherwise equal tasks must raise the predicted effect
+// of that task above the others'. Otherwise the wrong one of several tasks is
+// throttled.
 func TestIntensityIdentifiesTheNoisyTask(t *testing.T) {
 	m := New(DefaultOptions())
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -158,13 +158,13 @@
 	loud := m.PredictTask("orders", "job", key("job", 1), 0.5).Mean
 	for _, i := range []uint32{0, 2} {
 		if quiet := m.PredictTask("orders", "job", key("job", i), 0.5).Mean; quiet >= loud/2 {
-			t.Errorf("quiet task %d is charged %.2f, the loud one %.2f", i, quiet, loud)
+			t.Errorf("predicted effect %.2f of the quiet task %d, %.2f of the loud one", quiet, i, loud)
 		}
 	}
 }
 
-// A task throttled to a fifth is held responsible for a fifth of what it would
-// do at full speed.
+// The observed effect of a task that is throttled to a fifth must be learned as a fifth
+// of its effect at full speed.
 func TestThrottledShareScalesTheEffect(t *testing.T) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
@@ -189,7 +189,8 @@
 	}
 }
 
-// BenchmarkObserve learns from one service's report beside a dozen tasks.
+// BenchmarkObserve measures learning from the report of a service beside twelve
+// tasks.
 func BenchmarkObserve(b *testing.B) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
--- a/core/interference/sizes.go
+++ b/core/interference/sizes.go
@@ -118,42 +118,43 @@
 	if !ok {
 		return declared
 	}
-	hold := declared
-	hold.MilliCPU = scale(declared.MilliCPU, w.cpu.inForce)
-	hold.MemoryMB = scale(declared.MemoryMB, w.memory.inForce)
-	return hold
+	size := declared
+	size.MilliCPU = scale(declared.MilliCPU, w.cpu.inForce)
+	size.MemoryMB = scale(declared.MemoryMB, w.memory.inForce)
+	return size
 }
 
-// RunningSize returns what a running task should have committed: its present hold,
-// or more if it was seen to use more. It never shrinks a hold, since a task
-// that goes on may need its room again before others give it back.
-func (s *Sizes) RunningSize(key model.TaskKey, declared, held model.Resources) model.Resources {
+// RunningSize returns the size that should be committed for a running task: the
+// currently committed size, or more if the task has used more. It never returns less,
+// because a task that keeps running may need its capacity again before other tasks
+// release it.
+func (s *Sizes) RunningSize(key model.TaskKey, declared, committed model.Resources) model.Resources {
 	w, ok := s.workloads[key.Workload]
 	if !ok {
-		return held
+		return committed
 	}
 	seen, ok := w.peaks[key]
 	if !ok {
-		return held
+		return committed
 	}
-	want := held
-	want.MilliCPU = max(held.MilliCPU, s.sizeForPeak(declared.MilliCPU, held.MilliCPU, seen.cpu))
-	want.MemoryMB = max(held.MemoryMB, s.sizeForPeak(declared.MemoryMB, held.MemoryMB, seen.memory))
+	want := committed
+	want.MilliCPU = max(committed.MilliCPU, s.sizeForPeak(declared.MilliCPU, committed.MilliCPU, seen.cpu))
+	want.MemoryMB = max(committed.MemoryMB, s.sizeForPeak(declared.MemoryMB, committed.MemoryMB, seen.memory))
 	return want
 }
 
-// SplitGrowth splits the growth of a task's committed size from held to want into the
-// size that the worker's free capacity allows and the shortage. granted never exceeds
-// held plus free: a worker is not committed beyond its capacity because a task is
+// SplitGrowth splits the growth of a task's size from committed to want into the size
+// that the worker's free capacity allows and the shortage. granted does not exceed
+// committed plus free: a worker is not committed beyond its capacity because a task is
 // larger than declared. Package eviction resolves shortages. Accelerators do not grow.
-func SplitGrowth(held, want, free model.Resources) (granted, shortage model.Resources) {
-	more := want.Sub(held)
+func SplitGrowth(committed, want, free model.Resources) (granted, shortage model.Resources) {
+	more := want.Sub(committed)
 	given := model.Resources{
 		MilliCPU:     clampGrowth(more.MilliCPU, free.MilliCPU),
 		MemoryMB:     clampGrowth(more.MemoryMB, free.MemoryMB),
 		Accelerators: 0,
 	}
-	granted = held.Add(given)
+	granted = committed.Add(given)
 	shortage = model.Resources{
 		MilliCPU: max(0, want.MilliCPU-granted.MilliCPU),
 		MemoryMB: max(0, want.MemoryMB-granted.MemoryMB),
@@ -176,18 +177,18 @@
 	return w
 }
 
-// sizeForPeak returns the size for a peak with its margin, or held if the peak does
+// sizeForPeak returns the size for a peak with its margin, or committed if the peak does
 // not exceed it.
-func (s *Sizes) sizeForPeak(declared, held int64, seen float64) int64 {
-	if scale(declared, seen) <= held {
-		return held
+func (s *Sizes) sizeForPeak(declared, committed int64, seen float64) int64 {
+	if scale(declared, seen) <= committed {
+		return committed
 	}
 	return scale(declared, math.Min(s.options.MaxRatio, seen*(1+s.options.Margin)))
 }
 
 // desiredRatio returns the ratio to commit according to the moments: the mean plus
 // stdFactor standard deviations and the margin, within the limits of the options.
-func (s *Sizes) desiredRatio(r *ratio, spread float64) float64 {
+func (s *Sizes) desiredRatio(r *ratio, stdFactor float64) float64 {
 	o := &s.options
 	weight := r.weight + o.PriorWeight
 	mean := (r.mean*r.weight + o.PriorWeight) / weight
@@ -195,7 +196,7 @@
 	if r.weight > 0 {
 		deviation = math.Sqrt(math.Max(0, r.squares/r.weight))
 	}
-	want := (mean + spread*deviation) * (1 + o.Margin)
+	want := (mean + stdFactor*deviation) * (1 + o.Margin)
 	if r.weight < o.MinTasks {
 		want = math.Max(1, want)
 	}
@@ -216,9 +217,9 @@
 // adjust raises the ratio in force to the desired one immediately and lowers it by at
 // most reclaimPerHour. Lowering it immediately would give away in a workload's quiet
 // hour the capacity that it needs in its busy hour.
-func (r *ratio) adjust(now time.Time, wanted, reclaimPerHour float64) {
-	if wanted >= r.inForce {
-		r.inForce, r.inForceAt = wanted, now
+func (r *ratio) adjust(now time.Time, desired, reclaimPerHour float64) {
+	if desired >= r.inForce {
+		r.inForce, r.inForceAt = desired, now
 		return
 	}
 	if r.inForceAt.IsZero() {
@@ -228,7 +229,7 @@
 	if passed <= 0 {
 		return
 	}
-	r.inForce = math.Max(wanted, r.inForce-reclaimPerHour*passed.Hours())
+	r.inForce = math.Max(desired, r.inForce-reclaimPerHour*passed.Hours())
 	r.inForceAt = now
 }
 
--- a/core/interference/sizes_test.go
+++ b/core/interference/sizes_test.go
@@ -22,12 +22,12 @@
 	}
 }
 
-// Symptom: tasks die for want of memory, attempt after attempt, because each is
-// placed with the size that was declared.
+// The size to commit must grow as soon as larger tasks are observed. Otherwise every
+// attempt is placed with the declared size and runs out of memory.
 func TestCommitSizeGrowsAtOnce(t *testing.T) {
 	s := NewSizes(DefaultSizeOptions())
 	if got := s.CommitSize("job", declared); got != declared {
-		t.Fatalf("before anything was seen: %v", got)
+		t.Fatalf("before any observation: %v", got)
 	}
 	seen(s, at(0), 20, 3)
 	if got := s.CommitSize("job", declared); got.MemoryMB < 3000 || got.MilliCPU < 2700 || got.Accelerators != 1 {
@@ -35,7 +35,8 @@
 	}
 }
 
-// Symptom: one quiet hour gives away the room that the busy hour needs.
+// The size to commit must shrink slowly, and not after few tasks. Otherwise one quiet
+// hour gives away the capacity that the busy hour needs.
 func TestCommitSizeShrinksSlowlyAndNotOnFewTasks(t *testing.T) {
 	s := NewSizes(DefaultSizeOptions())
 	seen(s, at(0), 3, 0.4)
@@ -44,7 +45,7 @@
 	}
 	seen(s, at(0), 50, 0.4)
 	if got := s.CommitSize("job", declared).MilliCPU; got < 990 {
-		t.Errorf("at once: %d", got)
+		t.Errorf("immediately: %d", got)
 	}
 	seen(s, at(3600), 50, 0.4)
 	if got := s.CommitSize("job", declared).MilliCPU; got < 740 || got > 760 {
@@ -56,7 +57,8 @@
 	}
 }
 
-// Symptom: a running task loses room that it goes back to using.
+// The size of a running task must not shrink, because the task may use the capacity
+// again.
 func TestRunningTaskNeverShrinks(t *testing.T) {
 	s := NewSizes(DefaultSizeOptions())
 	k := key("job", 1)
@@ -71,14 +73,14 @@
 	}
 }
 
-// Symptom: a worker is committed beyond its capacity because a task on it
-// outgrew its declaration.
+// A task that needs more than its declared size must not cause its worker to be
+// committed beyond its capacity.
 func TestSplitGrowthNeverOvercommits(t *testing.T) {
 	params := gopter.DefaultTestParametersWithSeed(20261202)
 	params.MinSuccessfulTests = 500
 	properties := gopter.NewProperties(params)
 	amount := gen.Int64Range(0, 5000)
-	properties.Property("held plus free is never exceeded and nothing is lost", prop.ForAll(
+	properties.Property("granted fits committed plus free, and the shortage covers the rest", prop.ForAll(
 		func(heldCPU, heldMemory, wantCPU, wantMemory, freeCPU, freeMemory int64) bool {
 			held := model.Resources{MilliCPU: heldCPU, MemoryMB: heldMemory, Accelerators: 1}
 			want := model.Resources{MilliCPU: wantCPU, MemoryMB: wantMemory, Accelerators: 1}
@@ -92,7 +94,7 @@
 func TestRunTimesLearnTheRatio(t *testing.T) {
 	r := NewRunTimes()
 	if median, long := r.Expect("job", time.Minute); median != time.Minute || long < 90*time.Second {
-		t.Errorf("before anything was seen: %v, %v", median, long)
+		t.Errorf("before any observation: %v, %v", median, long)
 	}
 	for range 100 {
 		r.Observe("job", time.Minute, 3*time.Minute)
