--- a/core/timeline/doc.go
+++ b/core/timeline/doc.go
@@ -1,10 +1,10 @@
-// Package timeline keeps what happened in one process as a bounded list of
-// typed events, and merges the lists of many processes into one.
+// Package timeline records the events of a process in a bounded list and merges
+// the lists of several processes into one time line.
 //
-// A Ring gives each event a hybrid time: the wall time handed in, never lower
-// than that of the event before, and a sequence number that grows by one. An
-// event lost from a full ring shows as a gap in the sequence. Merge orders
-// events of several processes by wall time, process and sequence, so that the
-// events of one process keep their order whatever its clock does. Format
-// writes one aligned line an event, the same bytes for the same events.
+// A Ring gives each event a hybrid time: the wall time passed to Append, but not
+// earlier than that of the previous event, and a sequence number that increases
+// by 1. Events dropped from a full ring appear as a gap in the sequence. Merge
+// orders the events of several processes by wall time, process and sequence, so
+// the events of one process keep their order even if its clock is set back.
+// Format writes one aligned line for each event and is deterministic.
 package timeline
--- a/core/timeline/event.go
+++ b/core/timeline/event.go
@@ -6,18 +6,18 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Event is one thing that happened in one process. Fields that do not apply
-// are left zero.
+// Event is an event in one process. Fields that do not apply are zero.
 type Event struct {
-	// Time is the wall time, in UTC, never lower than that of the process's
-	// event before.
+	// Time is the wall time in UTC. It is not earlier than that of the process's
+	// previous event.
 	Time time.Time `json:"time"`
-	// Sequence numbers the events of one boot of Process from 1.
+	// Sequence is the number of the event since the last start of Process,
+	// counted from 1.
 	Sequence uint64 `json:"sequence"`
 	Process  string `json:"process"`
 	Kind     Kind   `json:"kind"`
-	// Subject is the id of what the event is about: a task, a worker, a
-	// daemon, a service.
+	// Subject is the id of the task, worker, daemon or service that the event is
+	// about.
 	Subject  string         `json:"subject,omitempty"`
 	Shard    *model.ShardID `json:"shard,omitempty"`
 	Epoch    model.Epoch    `json:"epoch,omitempty"`
@@ -26,5 +26,5 @@
 	Detail   string         `json:"detail,omitempty"`
 }
 
-// ShardPtr returns id in the form that Event.Shard holds it.
+// ShardPtr returns a pointer to id, for Event.Shard.
 func ShardPtr(id model.ShardID) *model.ShardID { return &id }
--- a/core/timeline/format.go
+++ b/core/timeline/format.go
@@ -9,12 +9,12 @@
 	"unicode/utf8"
 )
 
-// timeLayout has a fixed width, so that lines align and sort as text.
+// timeLayout has a fixed width, so that lines are aligned and sort as text.
 const timeLayout = "2006-01-02T15:04:05.000000Z"
 
 const columnGap = "  "
 
-// FormatError is a failure to write formatted events.
+// FormatError reports that writing formatted events failed.
 type FormatError struct {
 	Cause error
 }
@@ -25,10 +25,10 @@
 // Unwrap returns the cause.
 func (e *FormatError) Unwrap() error { return e.Cause }
 
-// Format writes one line an event in the order given: time, process, sequence,
-// kind, subject, the set ones of shard, epoch, revision and attempt as
-// name=value, and the detail. Columns are as wide as their widest value. A
-// failed write is a *FormatError.
+// Format writes one line for each event in the given order: time, process,
+// sequence, kind, subject, those of shard, epoch, revision and attempt that are
+// set as name=value, and the detail. Each column is as wide as its widest value.
+// Format returns a *FormatError if a write fails.
 func Format(w io.Writer, events []Event) error {
 	rows := make([][]string, len(events))
 	for i := range events {
@@ -37,7 +37,7 @@
 	widths := columnWidths(rows)
 	out := bufio.NewWriter(w)
 	for _, row := range rows {
-		// A failed write is kept by out and returned by Flush.
+		// bufio.Writer keeps the first error and returns it from Flush.
 		_, _ = out.WriteString(formatRow(row, widths))
 	}
 	if err := out.Flush(); err != nil {
@@ -58,8 +58,8 @@
 	}
 }
 
-// position formats the numbers that place an event in the order of its shard,
-// configuration or task.
+// position formats the shard, epoch, revision and attempt of an event, which order
+// it among the events of its shard, configuration or task.
 func position(e *Event) string {
 	var parts []string
 	if e.Shard != nil {
@@ -77,8 +77,8 @@
 	return strings.Join(parts, " ")
 }
 
-// quoteUnprintable keeps one event on one line: text with a line break or other
-// control character in it is quoted.
+// quoteUnprintable quotes text with unprintable characters, such as line breaks, or
+// invalid UTF-8, so that each event takes one line.
 func quoteUnprintable(s string) string {
 	if !strings.ContainsFunc(s, isUnprintable) && utf8.ValidString(s) {
 		return s
--- a/core/timeline/kind.go
+++ b/core/timeline/kind.go
@@ -1,9 +1,9 @@
 package timeline
 
-// Kind says what an event tells.
+// Kind is the kind of an event.
 type Kind string
 
-// Events of a daemon's life.
+// Events of a daemon's start, readiness and drain.
 const (
 	DaemonStarted Kind = "daemon started"
 	DaemonReady   Kind = "daemon ready"
@@ -79,8 +79,8 @@
 	WorkerReleased    Kind = "worker released from quarantine"
 )
 
-// Events of a service's targets and its requests. Daemons count requests and do
-// not list them; recorded sessions do.
+// Events of a service's targets and requests. Daemons count requests and record no
+// events for them; recorded sessions contain these events.
 const (
 	TargetAdded     Kind = "target added"
 	TargetLeaving   Kind = "target leaving"
--- a/core/timeline/kind_test.go
+++ b/core/timeline/kind_test.go
@@ -9,9 +9,8 @@
 
 var declaredKind = regexp.MustCompile(`Kind = "([^"]+)"`)
 
-// Symptom: an operator reads a kind of event that no page explains.
-// Sequence: a kind is added or renamed; the page stays.
-// Cause: kinds are declared in one place and explained in another.
+// The page for operators must explain every kind of event, and no other. It can fall
+// behind when a kind is added or renamed, because kinds are declared elsewhere.
 func TestEveryKindIsDocumented(t *testing.T) {
 	source, err := os.ReadFile("kind.go")
 	if err != nil {
@@ -33,12 +32,12 @@
 		kind := match[1]
 		declared[kind] = true
 		if !explained[kind] && !strings.HasPrefix(kind, "request ") {
-			t.Errorf("%q is not explained", kind)
+			t.Errorf("%q is not documented", kind)
 		}
 	}
 	for kind := range explained {
 		if kind != "kind" && kind != "---" && !declared[kind] {
-			t.Errorf("%q is explained and not declared", kind)
+			t.Errorf("%q is documented but not declared", kind)
 		}
 	}
 }
--- a/core/timeline/merge.go
+++ b/core/timeline/merge.go
@@ -5,18 +5,19 @@
 	"slices"
 )
 
-// Merge returns the events of all lists ordered by time, process and
-// sequence. An event that stands in several lists is returned once: two
-// daemons may both have been asked for the same process's events.
+// Merge returns the events of all lists, ordered by time, process and sequence.
+// It drops duplicates, which occur when two daemons return the events of the same
+// process.
 func Merge(lists ...[]Event) []Event {
 	all := slices.Concat(lists...)
 	slices.SortStableFunc(all, compare)
 	return slices.CompactFunc(all, func(a, b Event) bool { return compare(a, b) == 0 })
 }
 
-// compare looks at the content last. A process that restarted under the same
-// name numbers its events from 1 again; with a coarse clock an event of its new
-// boot would otherwise be taken for a copy of an old one and vanish.
+// compare orders events as Merge does and compares their contents last. A process
+// that restarts under the same name numbers its events from 1 again. With a coarse
+// clock, an event after the restart may have the time, process and sequence of an
+// event before it and would otherwise be dropped as a duplicate.
 func compare(a, b Event) int {
 	return cmp.Or(
 		a.Time.Compare(b.Time),
--- a/core/timeline/ring.go
+++ b/core/timeline/ring.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Ring keeps the latest events of one process. It is safe for concurrent use.
+// Ring keeps the latest events of one process. It is safe for concurrent use by
+// several goroutines.
 type Ring struct {
 	process string
 
 	mu sync.Mutex
-	// events is a circle once it is full: the event numbered s is at index
-	// (s-1) mod cap.
+	// events is used as a ring buffer when it is full: the event with sequence s
+	// is at index (s-1) mod capacity.
 	events   []Event
 	capacity uint64
 	last     uint64
 	lastTime time.Time
 }
 
-// NewRing returns an empty ring that keeps the latest capacity events, at
-// least one.
+// NewRing returns an empty ring for the events of a process. It keeps the latest
+// capacity events, and at least one.
 func NewRing(process string, capacity int) *Ring {
 	return &Ring{process: process, capacity: uint64(max(capacity, 1))}
 }
 
-// Append records e as having happened at now. It sets the event's time,
-// process and sequence.
+// Append records e as an event at time now. It sets the event's time, process and
+// sequence.
 //
-// A wall clock can be set back. Left alone, later events would then sort
-// before earlier ones and the merged list would show effects before their
-// causes; so an event's time is never lower than that of the one before.
+// If now is earlier than the time of the previous event, Append uses that time
+// instead. Otherwise, after the wall clock is set back, later events would sort
+// before earlier ones, and a merged list would show effects before their causes.
 func (r *Ring) Append(now time.Time, e Event) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,8 +58,9 @@
 	r.events[(e.Sequence-1)%r.capacity] = e
 }
 
-// Since returns the kept events with a sequence above seq, oldest first. A
-// first event numbered above seq+1 means that the ones between were dropped.
+// Since returns the kept events with a sequence greater than seq, oldest first. If
+// the first of them has a sequence greater than seq+1, the events between were
+// dropped.
 func (r *Ring) Since(seq uint64) []Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -74,5 +76,5 @@
 	return out
 }
 
-// All returns every kept event, oldest first.
+// All returns all kept events, oldest first.
 func (r *Ring) All() []Event { return r.Since(0) }
--- a/core/timeline/timeline_capacity_test.go
+++ b/core/timeline/timeline_capacity_test.go
@@ -9,7 +9,7 @@
 	"github.com/guavarill/guavarill/capacity/measure"
 )
 
-// BenchmarkCapacityEventHeap is the memory of an event in a full ring.
+// BenchmarkCapacityEventHeap measures the heap memory of an event in a full ring.
 func BenchmarkCapacityEventHeap(b *testing.B) {
 	const events = 20_000
 	var perEvent float64
--- a/core/timeline/timeline_test.go
+++ b/core/timeline/timeline_test.go
@@ -34,9 +34,9 @@
 	}
 }
 
-// Symptom: in the merged list a task ends before it begins.
-// Sequence: an event is appended; the wall clock is set back; another follows.
-// Cause: ordering by wall time alone, which need not grow.
+// Events of one process must keep their order when its wall clock is set back between
+// them. If they are ordered by wall time alone, a task ends before it begins in the
+// merged list.
 func TestOrderIsKeptWhenTheClockIsSetBack(t *testing.T) {
 	r := NewRing("a", 8)
 	r.Append(start, Event{Kind: TaskAssigned})
@@ -53,10 +53,10 @@
 	}
 }
 
-// Symptom: the first events after a restart are missing from the merged list.
-// Sequence: a process restarts under its name while the clock shows the time of
-// its last events; its events are numbered from 1 again.
-// Cause: taking equal time, process and sequence for the same event.
+// Merge must drop duplicates only. A process may restart under the same name while the
+// clock still shows the time of its last events, and numbers its events from 1 again.
+// If equal time, process and sequence are taken for the same event, the first events
+// after the restart are missing from the merged list.
 func TestMergeDropsCopiesOnly(t *testing.T) {
 	before, after := NewRing("a", 4), NewRing("a", 4)
 	before.Append(start, Event{Kind: DaemonStarted, Detail: "boot 1"})
