--- a/core/ordered/map.go
+++ b/core/ordered/map.go
@@ -1,20 +1,20 @@
-// Package ordered holds a map that is iterated in the order in which its keys
-// were added. A state machine that iterates over it does the same in every run
-// with the same inputs, which Go's own maps prevent: a seed that showed a fault
-// would not show it again.
+// Package ordered provides a map that is iterated in the order in which its keys
+// were added. A state machine that iterates over such maps behaves identically in
+// every run with the same inputs. With Go's built-in maps, whose iteration order is
+// random, a test seed that showed a fault would not reproduce it.
 package ordered
 
 import "iter"
 
-// Map maps keys to values. Its zero value is empty and ready for use. It is not
-// safe for concurrent use.
+// Map maps keys to values. The zero value is an empty map that is ready for use. A
+// Map is not safe for concurrent use.
 type Map[K comparable, V any] struct {
 	index   map[K]int
 	entries []entry[K, V]
-	// deleted counts the entries that were deleted and still stand in entries.
+	// deleted is the number of deleted entries that are still in entries.
 	deleted int
-	// iterating counts the iterations in progress, during which entries stay
-	// where they are.
+	// iterating is the number of iterations in progress, during which entries are
+	// not moved.
 	iterating int
 }
 
@@ -24,14 +24,14 @@
 	deleted bool
 }
 
-// minDeletedToCompact is how many dead entries there must be at least before those that
-// live are moved together.
+// minDeletedToCompact is the least number of deleted entries for which entries is
+// compacted.
 const minDeletedToCompact = 16
 
 // Len returns the number of keys.
 func (m *Map[K, V]) Len() int { return len(m.index) }
 
-// Get returns the value of a key, the zero value if there is none.
+// Get returns the value of a key, or the zero value if there is none.
 func (m *Map[K, V]) Get(key K) V {
 	value, _ := m.Lookup(key)
 	return value
@@ -53,7 +53,8 @@
 	return known
 }
 
-// Set sets the value of a key. A key that is there already keeps its place.
+// Set sets the value of a key. A new key is added at the end; an existing one keeps
+// its position.
 func (m *Map[K, V]) Set(key K, value V) {
 	if i, known := m.index[key]; known {
 		m.entries[i].value = value
@@ -66,7 +67,7 @@
 	m.entries = append(m.entries, entry[K, V]{key: key, value: value})
 }
 
-// Delete removes a key, if it is there.
+// Delete deletes a key. It does nothing if the key does not exist.
 func (m *Map[K, V]) Delete(key K) {
 	i, known := m.index[key]
 	if !known {
@@ -78,7 +79,8 @@
 	m.compact()
 }
 
-// compact moves the live entries together when most are dead.
+// compact removes the deleted entries from entries if they are at least
+// minDeletedToCompact and at least half of all, and no iteration is in progress.
 func (m *Map[K, V]) compact() {
 	if m.iterating > 0 || m.deleted < minDeletedToCompact || m.deleted < len(m.index) {
 		return
@@ -95,8 +97,9 @@
 	m.deleted = 0
 }
 
-// All iterates over the keys and values. Keys that are deleted meanwhile are
-// left out, keys that are added meanwhile come last.
+// All returns an iterator over the keys and values in the order of insertion. Keys
+// that are deleted during the iteration are skipped if they were not reached yet, and
+// keys that are added during it are visited last.
 func (m *Map[K, V]) All() iter.Seq2[K, V] {
 	return func(yield func(K, V) bool) {
 		m.iterating++
--- a/core/ordered/map_test.go
+++ b/core/ordered/map_test.go
@@ -10,8 +10,9 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// TestMapMatchesReference plays random changes, some of them in the middle of
-// an iteration, and compares with a slice of keys in the order of their coming.
+// TestMapMatchesReference applies random changes, some of them during an iteration,
+// and compares the map with a reference: a built-in map and a slice of the keys in the
+// order of insertion.
 func TestMapMatchesReference(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("same keys, values and order", prop.ForAll(func(seed uint64) bool {
@@ -69,6 +70,6 @@
 		m.Delete(i)
 	}
 	if len(m.entries) > 2*minDeletedToCompact {
-		t.Errorf("%d entries are kept for no key", len(m.entries))
+		t.Errorf("%d entries are kept for deleted keys", len(m.entries))
 	}
 }
