--- a/core/topology/errors.go
+++ b/core/topology/errors.go
@@ -6,11 +6,11 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// MaxShards bounds shard ids, so that a damaged value cannot make a daemon
-// allocate without end.
+// MaxShards is the exclusive upper limit of shard ids. It bounds the memory that a
+// daemon allocates for a corrupt stored value.
 const MaxShards = 1 << 20
 
-// Reason is why a stored topology is refused.
+// Reason is the reason why a stored topology is invalid.
 type Reason string
 
 // The reasons.
@@ -19,7 +19,7 @@
 	ReasonShardTooHigh  Reason = "shard id too high"
 )
 
-// InvalidError is a stored topology that makes no sense.
+// InvalidError reports an invalid stored topology.
 type InvalidError struct {
 	Rack   model.Rack
 	Reason Reason
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -9,27 +9,28 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// RackInZone is a rack and the availability zone it stands in.
+// RackInZone is a rack with its availability zone.
 type RackInZone struct {
 	Rack model.Rack
 	Zone model.Zone
 }
 
-// rackPlacement is where a rack belongs.
+// rackPlacement is the shard and the availability zone of a rack.
 type rackPlacement struct {
 	shard model.ShardID
 	zone  model.Zone
 }
 
-// Topology says to which shard each rack belongs. It is immutable; a nil
-// Topology is empty.
+// Topology maps racks to shards. It is immutable. A nil Topology is empty.
 type Topology struct {
 	racks map[model.Rack]rackPlacement
-	// shardRacks are each shard's racks in name order, by shard.
+	// shardRacks holds the racks of each shard in the order of their names, by
+	// shard id.
 	shardRacks [][]model.Rack
 }
 
-// Decode reads the stored form. It fails with a *InvalidError.
+// Decode decodes the stored form of a topology. It returns an *InvalidError if the
+// form is not valid.
 func Decode(stored *ledgerv1.Topology) (*Topology, error) {
 	t := &Topology{racks: make(map[model.Rack]rackPlacement, len(stored.GetRacks()))}
 	for _, r := range stored.GetRacks() {
@@ -49,7 +50,7 @@
 	return t, nil
 }
 
-// Encode returns the stored form, in rack order.
+// Encode returns the stored form of the topology, in the order of the racks' names.
 func (t *Topology) Encode() *ledgerv1.Topology {
 	stored := &ledgerv1.Topology{}
 	if t == nil {
@@ -66,7 +67,8 @@
 	return stored
 }
 
-// ShardOf returns the shard that a rack belongs to, and whether it has one.
+// ShardOf returns the shard of a rack. The second result is false if the rack has
+// none.
 func (t *Topology) ShardOf(rack model.Rack) (model.ShardID, bool) {
 	if t == nil {
 		return 0, false
@@ -75,7 +77,7 @@
 	return p.shard, ok
 }
 
-// ShardCount returns how many shards there are: their ids are 0 to ShardCount()-1.
+// ShardCount returns the number of shards. Their ids are 0 to ShardCount()-1.
 func (t *Topology) ShardCount() uint32 {
 	if t == nil {
 		return 0
@@ -83,7 +85,8 @@
 	return uint32(len(t.shardRacks))
 }
 
-// Racks returns a shard's racks in name order. The slice must not be changed.
+// Racks returns the racks of a shard in the order of their names. The caller must not
+// change the slice.
 func (t *Topology) Racks(shard model.ShardID) []model.Rack {
 	if uint32(shard) >= t.ShardCount() {
 		return nil
@@ -91,8 +94,8 @@
 	return t.shardRacks[shard]
 }
 
-// Zone returns the availability zone of a shard's racks; false when the shard
-// does not exist or has none.
+// Zone returns the availability zone of a shard. The second result is false if the
+// shard does not exist or has no racks.
 func (t *Topology) Zone(shard model.ShardID) (model.Zone, bool) {
 	racks := t.Racks(shard)
 	if len(racks) == 0 {
@@ -101,11 +104,12 @@
 	return t.racks[racks[0]].zone, true
 }
 
-// Extend returns t with a shard for each rack that has none, and whether
-// anything was added. A rack joins the lowest shard of its zone that has fewer
-// than maxRacksPerShard racks, else a new shard. Racks are taken in order of
-// zone and name, so that daemons that see the same racks extend alike; racks
-// that are gone keep their place, so that no shard changes its meaning.
+// Extend returns t extended by the racks that have no shard yet, and whether there
+// were any. A rack is added to the shard of its zone with the lowest id that has fewer
+// than maxRacksPerShard racks, or to a new shard if there is none. Racks are added in
+// the order of zone and name, so that daemons with the same racks compute the same
+// topology. Racks that no longer exist keep their shard, because the shard of a rack
+// never changes.
 func Extend(t *Topology, racks []RackInZone, maxRacksPerShard int) (*Topology, bool) {
 	added := newRacks(t, racks)
 	if len(added) == 0 {
@@ -123,6 +127,8 @@
 	return next, true
 }
 
+// newRacks returns the racks that have no shard in t, without duplicates, in the order
+// of zone and name.
 func newRacks(t *Topology, racks []RackInZone) []RackInZone {
 	var unknown []RackInZone
 	for _, r := range racks {
@@ -139,6 +145,7 @@
 	return slices.CompactFunc(unknown, func(a, b RackInZone) bool { return a.Rack == b.Rack })
 }
 
+// addRack adds a rack as Extend does, unless the rack has a shard already.
 func (t *Topology) addRack(r RackInZone, maxRacks int) {
 	if _, known := t.racks[r.Rack]; known {
 		return
@@ -151,6 +158,8 @@
 	t.shardRacks[shard] = append(t.shardRacks[shard], r.Rack)
 }
 
+// shardWithRoom returns the lowest shard of a zone with fewer than maxRacks racks, or
+// the id of a new shard if there is none.
 func (t *Topology) shardWithRoom(zone model.Zone, maxRacks int) model.ShardID {
 	for i, racks := range t.shardRacks {
 		if len(racks) == 0 || len(racks) >= maxRacks {
@@ -163,7 +172,7 @@
 	return model.ShardID(len(t.shardRacks))
 }
 
-// buildShardRacks rebuilds members from racks.
+// buildShardRacks rebuilds shardRacks from racks.
 func (t *Topology) buildShardRacks() {
 	t.shardRacks = nil
 	for _, rack := range slices.Sorted(maps.Keys(t.racks)) {
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -17,7 +17,7 @@
 	"github.com/guavarill/guavarill/core/topology"
 )
 
-// racks returns racks named by numbers, in three zones.
+// racks returns racks that are named after numbers and spread over three zones.
 func racks(numbers []uint8) []topology.RackInZone {
 	var all []topology.RackInZone
 	for _, n := range numbers {
@@ -29,7 +29,7 @@
 	return all
 }
 
-// check returns what is wrong with a topology of racks, empty for nothing.
+// check returns a description of the first fault of a topology of known racks, or "".
 func check(t *topology.Topology, known []topology.RackInZone, maxRacks int) string {
 	for _, r := range known {
 		shard, ok := t.ShardOf(r.Rack)
@@ -51,9 +51,9 @@
 	return ""
 }
 
-// Symptom: a worker's tasks are in one shard's ledger and its room in
-// another's. Sequence: racks come and go, and daemons see them in different
-// order. Cause it guards against: a rack that changes its shard.
+// A rack must never change its shard while racks come and go and daemons list them in
+// different orders. Otherwise a worker's tasks are in the ledger of one shard and its
+// capacity belongs to another.
 func TestExtend(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("racks keep their shard, whatever the order", prop.ForAll(
