--- a/core/fate/doc.go
+++ b/core/fate/doc.go
@@ -1,11 +1,11 @@
-// Package fate says what became of a request: answered, certainly not run, or
+// Package fate defines the fate of a request: answered, certainly not run, or
 // unknown.
 //
-// An exchange with a target passes through the points below in order. Where it
-// broke, together with whether any byte of the request was handed to the
-// network, decides the fate:
+// An exchange with a target passes through the stages below in order. The stage
+// in which it ended and the amount of the request that was handed to the network
+// determine the fate:
 //
-//	point            nothing sent   part sent   all sent
+//	stage            nothing sent   part sent   all sent
 //	BeforeConnect    not run        unknown     unknown
 //	Connecting       not run        unknown     unknown
 //	SendingHead      not run        unknown     unknown
@@ -16,16 +16,16 @@
 //	AfterEnd         answered       answered    answered
 //	NotStarted       not run        not run     not run
 //
-// NotStarted is the target's own word: status 503 with the header
-// Guavarill-Not-Started: true. It holds as soon as the head was read whole,
-// whatever becomes of the body.
+// In the stage NotStarted the target has declared that it did not start the
+// request, by status 503 with the header Guavarill-Not-Started: true. This holds
+// as soon as the head was read completely, even if the body is not.
 //
-// A combination that cannot arise, such as an answer to a request of which
-// nothing was sent, means that the account of the exchange is wrong; it counts
-// as unknown, because not run is said only when it is certain. A part of the
-// head that was sent counts as unknown too: the sender cannot see how much of
-// it arrived, nor what the target does with it.
+// A combination that cannot occur, such as part of an answer to a request of
+// which nothing was sent, means that the exchange was tracked incorrectly. Its
+// fate is unknown, because a request is reported as not run only if that is
+// certain. The fate is also unknown if a part of the head was sent: the sender
+// does not know how much of it arrived or what the target does with it.
 //
-// That the caller went away or the deadline passed changes nothing in the
-// table: either ends the exchange at the point it had reached.
+// If the caller disconnects or the deadline passes, the exchange ends in the
+// stage that it has reached, and the table applies unchanged.
 package fate
--- a/core/fate/error.go
+++ b/core/fate/error.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Reason says why a request was not answered.
+// Reason is the reason why a request was not answered.
 type Reason string
 
-// The reasons of the entry itself.
+// The reasons that arise in the entry itself.
 const (
 	ReasonNotServing      Reason = "entry-not-serving"
 	ReasonUnknownService  Reason = "unknown-service"
@@ -25,7 +25,7 @@
 	ReasonInternal        Reason = "internal"
 )
 
-// The reasons that come from the record of request ids.
+// The reasons that arise from the record of request ids.
 const (
 	ReasonClaimHeld     Reason = "request-id-already-used"
 	ReasonClaimUnsure   Reason = "request-id-unsure"
@@ -34,7 +34,7 @@
 	ReasonClaimExpired  Reason = "request-id-claim-expired"
 )
 
-// The reasons that come from the exchange with a target.
+// The reasons that arise in the exchange with a target.
 const (
 	ReasonConnectRefused   Reason = "connect-refused"
 	ReasonConnectFailed    Reason = "connect-failed"
@@ -47,8 +47,8 @@
 	ReasonAnswerTooLarge   Reason = "answer-too-large"
 )
 
-// IsShed reports whether the request was turned away because of load, so that
-// the caller does better to wait than to try another entry at once.
+// IsShed reports whether the request was rejected because of load. The caller should
+// then wait rather than try another entry immediately.
 func (r Reason) IsShed() bool {
 	switch r {
 	case ReasonQueueFull, ReasonDeadlineTooNear, ReasonOverload, ReasonPreempted, ReasonClaimFull:
@@ -57,16 +57,16 @@
 	return false
 }
 
-// Error is the final word on a request that was not answered.
+// Error is the final result of a request that was not answered.
 type Error struct {
 	Fate      Fate
 	Reason    Reason
 	Service   string
 	RequestID string
-	// RetryAfter is how long the caller is asked to wait before it repeats
-	// the request; 0 leaves it to the caller.
+	// RetryAfter is how long the caller is asked to wait before it repeats the
+	// request; 0 leaves the time to the caller.
 	RetryAfter time.Duration
-	// Attempts is how many exchanges with targets were begun.
+	// Attempts is the number of exchanges with targets that were begun.
 	Attempts int
 	Cause    error
 }
--- a/core/fate/fate.go
+++ b/core/fate/fate.go
@@ -1,23 +1,22 @@
 package fate
 
-// Fate is what became of a request.
+// Fate is the fate of a request: whether a target ran it and answered.
 type Fate uint8
 
-// The fates. The zero value is Unknown, so that an omission is never read as
-// a promise.
+// The fates. Unknown is the zero value, so that a fate that was not set makes no
+// false promise.
 const (
-	// Unknown: a target may have run the request, may be running it, or may
-	// not.
+	// Unknown means that a target may have run the request or may be running it.
 	Unknown Fate = iota
-	// NotRun: no target ran the request, and none will on account of it.
+	// NotRun means that no target ran the request and none will run it.
 	NotRun
-	// Answered: a target's whole answer was received.
+	// Answered means that a complete answer of a target was received.
 	Answered
 )
 
 var fateNames = [...]string{"unknown", "not-run", "answered"}
 
-// String returns the fate's name as callers see it.
+// String returns the name of the fate as callers see it.
 func (f Fate) String() string {
 	if int(f) >= len(fateNames) {
 		return "invalid"
@@ -25,10 +24,10 @@
 	return fateNames[f]
 }
 
-// Combine returns the fate of a request whose earlier exchanges ended in f and
-// whose latest one ended in last. A request that may have been run once stays
-// so until an answer comes: a later exchange that certainly did not run takes
-// nothing back.
+// Combine returns the fate of a request whose earlier exchanges have the combined
+// fate f and whose latest exchange has the fate last. A request that a target may have
+// run remains Unknown until it is answered, even if a later exchange certainly did not
+// run it.
 func (f Fate) Combine(last Fate) Fate {
 	if last == Answered {
 		return Answered
@@ -39,31 +38,35 @@
 	return Unknown
 }
 
-// Stage is how far an exchange with a target got.
+// Stage is the stage that an exchange with a target has reached.
 type Stage uint8
 
-// The points, in the order in which an exchange passes them.
+// The stages, in the order in which an exchange passes through them.
 const (
-	// BeforeConnect: no connection was asked for.
+	// BeforeConnect means that no connection was requested.
 	BeforeConnect Stage = iota
-	// Connecting: a connection was asked for and not had.
+	// Connecting means that a connection was requested but not established.
 	Connecting
-	// SendingHead: the connection stood; the head was not yet all written.
+	// SendingHead means that the connection was established but the head of the
+	// request was not written completely.
 	SendingHead
-	// SendingBody: the head was written, the body not yet all.
+	// SendingBody means that the head of the request was written completely but the
+	// body was not.
 	SendingBody
-	// AwaitingHead: all was written and no byte of an answer came.
+	// AwaitingHead means that the request was written completely but no byte of an
+	// answer was received.
 	AwaitingHead
-	// ReadingHead: a part of the answer's head came.
+	// ReadingHead means that a part of the answer's head was received.
 	ReadingHead
-	// ReadingBody: the head came whole, the body not.
+	// ReadingBody means that the answer's head was received completely but the body
+	// was not.
 	ReadingBody
-	// AfterEnd: the answer came whole.
+	// AfterEnd means that the answer was received completely.
 	AfterEnd
-	// NotStarted: the target said that it did not start the request.
+	// NotStarted means that the target declared that it did not start the request.
 	NotStarted
 
-	// NumStages is how many points there are.
+	// NumStages is the number of stages.
 	NumStages = int(NotStarted) + 1
 )
 
@@ -80,16 +83,16 @@
 	return stageNames[p]
 }
 
-// Sent is how much of a request was handed to the network.
+// Sent is the amount of a request that was handed to the network.
 type Sent uint8
 
-// The amounts.
+// The amounts of a request.
 const (
 	SentNothing Sent = iota
 	SentPart
 	SentAll
 
-	// NumSent is how many amounts there are.
+	// NumSent is the number of amounts.
 	NumSent = int(SentAll) + 1
 )
 
@@ -103,8 +106,8 @@
 	return sentNames[s]
 }
 
-// Of returns the fate of an exchange that ended at p with sent of the request
-// handed to the network.
+// Of returns the fate of an exchange that ended in stage p after the amount sent of the
+// request was handed to the network.
 func Of(p Stage, sent Sent) Fate {
 	switch p {
 	case AfterEnd:
--- a/core/fate/fate_test.go
+++ b/core/fate/fate_test.go
@@ -6,7 +6,7 @@
 	"github.com/guavarill/guavarill/core/fate"
 )
 
-// The table of the package comment, row by row.
+// TestOf checks the table of the package comment.
 func TestOf(t *testing.T) {
 	const (
 		u = fate.Unknown
@@ -34,9 +34,10 @@
 	}
 }
 
-// Symptom: a caller is told "not run", repeats, and the request runs twice.
-// Events: the first exchange breaks after sending; the retry is refused by its
-// target. Cause: only the last exchange's fate was reported.
+// A fate that is unknown must stay unknown if a retry certainly does not run. If only
+// the fate of the last exchange is reported, a request runs twice: the first exchange
+// breaks after sending, the target of the retry refuses the request, and the caller
+// receives "not run" and repeats it.
 func TestCombineKeepsUnknown(t *testing.T) {
 	if got := fate.Unknown.Combine(fate.NotRun); got != fate.Unknown {
 		t.Errorf("unknown, then not run: got %s", got)
