--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -127,8 +127,8 @@
 	return next, true
 }
 
-// newRacks returns the racks that have no shard in t, without duplicates, in the order
-// of zone and name.
+// newRacks returns the racks that have no shard in t, in the order of zone and name,
+// without duplicates within a zone.
 func newRacks(t *Topology, racks []RackInZone) []RackInZone {
 	var unknown []RackInZone
 	for _, r := range racks {
