--- a/core/fate/fate.go
+++ b/core/fate/fate.go
@@ -75,12 +75,12 @@
 	"awaiting head", "reading head", "reading body", "after end", "not started",
 }
 
-// String returns the point's name.
-func (p Stage) String() string {
-	if int(p) >= NumStages {
+// String returns the name of the stage.
+func (s Stage) String() string {
+	if int(s) >= NumStages {
 		return "invalid"
 	}
-	return stageNames[p]
+	return stageNames[s]
 }
 
 // Sent is the amount of a request that was handed to the network.
@@ -98,7 +98,7 @@
 
 var sentNames = [NumSent]string{"nothing", "part", "all"}
 
-// String returns the amount's name.
+// String returns the name of the amount.
 func (s Sent) String() string {
 	if int(s) >= NumSent {
 		return "invalid"
@@ -106,10 +106,10 @@
 	return sentNames[s]
 }
 
-// Of returns the fate of an exchange that ended in stage p after the amount sent of the
+// Of returns the fate of an exchange that ended in a stage after the amount sent of the
 // request was handed to the network.
-func Of(p Stage, sent Sent) Fate {
-	switch p {
+func Of(stage Stage, sent Sent) Fate {
+	switch stage {
 	case AfterEnd:
 		return Answered
 	case NotStarted:
