--- a/core/interference/model_test.go
+++ b/core/interference/model_test.go
@@ -158,7 +158,7 @@
 	loud := m.PredictTask("orders", "job", key("job", 1), 0.5).Mean
 	for _, i := range []uint32{0, 2} {
 		if quiet := m.PredictTask("orders", "job", key("job", i), 0.5).Mean; quiet >= loud/2 {
-			t.Errorf("predicted effect %.2f of the quiet task %d, %.2f of the loud one", quiet, i, loud)
+			t.Errorf("quiet task %d has the predicted effect %.2f, the loud one %.2f", i, quiet, loud)
 		}
 	}
 }
