--- a/core/interference/export_test.go
+++ b/core/interference/export_test.go
@@ -12,9 +12,9 @@
 func TestImportKeepsPredictions(t *testing.T) {
 	now := time.UnixMilli(1_700_000_000_000)
 	m := New(DefaultOptions())
-	victim, loud := model.TaskKey{Workload: "v"}, model.TaskKey{Workload: "loud"}
+	victim, noisy := model.TaskKey{Workload: "v"}, model.TaskKey{Workload: "loud"}
 	m.TaskStarted(now, "w", victim, "v")
-	m.TaskStarted(now, "w", loud, "loud")
+	m.TaskStarted(now, "w", noisy, "loud")
 	for i := range 20 {
 		at := now.Add(time.Duration(i+1) * time.Second)
 		m.Observe(at, Observation{Worker: "w", Victim: victim, Class: "v", MeasuredAt: at, Slowdown: 2})
--- a/core/interference/model_test.go
+++ b/core/interference/model_test.go
@@ -41,10 +41,10 @@
 		observe(m, at(start+30), at(start+20), 1)
 		m.TaskStopped(at(start+30), "w", key("quiet", uint32(i)))
 	}
-	loud := m.PredictWorkload("orders", "loud", "loud", 0.5)
+	noisy := m.PredictWorkload("orders", "loud", "loud", 0.5)
 	quiet := m.PredictWorkload("orders", "quiet", "quiet", 0.5)
-	if math.Abs(loud.Mean-0.6) > 0.15 || quiet.Mean > 0.05 {
-		t.Errorf("loud %.2f (0.6 is true), quiet %.2f (0 is true)", loud.Mean, quiet.Mean)
+	if math.Abs(noisy.Mean-0.6) > 0.15 || quiet.Mean > 0.05 {
+		t.Errorf("loud %.2f (0.6 is true), quiet %.2f (0 is true)", noisy.Mean, quiet.Mean)
 	}
 }
 
@@ -155,10 +155,10 @@
 			})
 		}
 	}
-	loud := m.PredictTask("orders", "job", key("job", 1), 0.5).Mean
+	noisy := m.PredictTask("orders", "job", key("job", 1), 0.5).Mean
 	for _, i := range []uint32{0, 2} {
-		if quiet := m.PredictTask("orders", "job", key("job", i), 0.5).Mean; quiet >= loud/2 {
-			t.Errorf("quiet task %d has the predicted effect %.2f, the loud one %.2f", i, quiet, loud)
+		if quiet := m.PredictTask("orders", "job", key("job", i), 0.5).Mean; quiet >= noisy/2 {
+			t.Errorf("quiet task %d has the predicted effect %.2f, the loud one %.2f", i, quiet, noisy)
 		}
 	}
 }
--- a/core/interference/sizes_test.go
+++ b/core/interference/sizes_test.go
@@ -13,8 +13,8 @@
 
 var declared = model.Resources{MilliCPU: 1000, MemoryMB: 1000, Accelerators: 1}
 
-// seen reports n ended tasks that used the given share of the declared size.
-func seen(s *Sizes, now time.Time, n uint32, ratio float64) {
+// observeTasks reports n ended tasks that used the given share of the declared size.
+func observeTasks(s *Sizes, now time.Time, n uint32, ratio float64) {
 	for i := range n {
 		usage := Usage{MilliCPU: int64(1000 * ratio), MemoryMB: int64(1000 * ratio)}
 		s.Observe(now, key("job", i), declared, usage)
@@ -29,7 +29,7 @@
 	if got := s.CommitSize("job", declared); got != declared {
 		t.Fatalf("before any observation: %v", got)
 	}
-	seen(s, at(0), 20, 3)
+	observeTasks(s, at(0), 20, 3)
 	if got := s.CommitSize("job", declared); got.MemoryMB < 3000 || got.MilliCPU < 2700 || got.Accelerators != 1 {
 		t.Errorf("after tasks three times the size: %v", got)
 	}
@@ -39,19 +39,19 @@
 // hour gives away the capacity that the busy hour needs.
 func TestCommitSizeShrinksSlowlyAndNotOnFewTasks(t *testing.T) {
 	s := NewSizes(DefaultSizeOptions())
-	seen(s, at(0), 3, 0.4)
+	observeTasks(s, at(0), 3, 0.4)
 	if got := s.CommitSize("job", declared); got != declared {
 		t.Errorf("after three small tasks: %v", got)
 	}
-	seen(s, at(0), 50, 0.4)
+	observeTasks(s, at(0), 50, 0.4)
 	if got := s.CommitSize("job", declared).MilliCPU; got < 990 {
 		t.Errorf("immediately: %d", got)
 	}
-	seen(s, at(3600), 50, 0.4)
+	observeTasks(s, at(3600), 50, 0.4)
 	if got := s.CommitSize("job", declared).MilliCPU; got < 740 || got > 760 {
 		t.Errorf("after an hour: %d, want three quarters", got)
 	}
-	seen(s, at(24*3600), 50, 0.1)
+	observeTasks(s, at(24*3600), 50, 0.1)
 	if got := s.CommitSize("job", declared).MilliCPU; got < 300 || got > 500 {
 		t.Errorf("after a day: %d, want the learned size, not below the bound", got)
 	}
