--- a/core/interference/export_test.go
+++ b/core/interference/export_test.go
@@ -12,16 +12,16 @@
 func TestImportKeepsPredictions(t *testing.T) {
 	now := time.UnixMilli(1_700_000_000_000)
 	m := New(DefaultOptions())
-	victim, noisy := model.TaskKey{Workload: "v"}, model.TaskKey{Workload: "loud"}
+	victim, noisy := model.TaskKey{Workload: "v"}, model.TaskKey{Workload: "noisy"}
 	m.TaskStarted(now, "w", victim, "v")
-	m.TaskStarted(now, "w", noisy, "loud")
+	m.TaskStarted(now, "w", noisy, "noisy")
 	for i := range 20 {
 		at := now.Add(time.Duration(i+1) * time.Second)
 		m.Observe(at, Observation{Worker: "w", Victim: victim, Class: "v", MeasuredAt: at, Slowdown: 2})
 	}
 	other := New(DefaultOptions())
 	other.Import(now, m.Export())
-	learned, imported := m.Predict("v", "loud", 0.9), other.Predict("v", "loud", 0.9)
+	learned, imported := m.Predict("v", "noisy", 0.9), other.Predict("v", "noisy", 0.9)
 	if d := learned.Mean - imported.Mean; d > 0.01 || d < -0.01 {
 		t.Errorf("mean %.3f became %.3f", learned.Mean, imported.Mean)
 	}
--- a/core/interference/model_test.go
+++ b/core/interference/model_test.go
@@ -25,15 +25,15 @@
 }
 
 // A delayed measurement must be attributed to the tasks that were on the worker when
-// it was made. Otherwise a quiet task is throttled for a loud one: the loud task ends,
+// it was made. Otherwise a quiet task is throttled for a noisy one: the noisy task ends,
 // a quiet one starts in its place, and then a report from ten seconds ago arrives.
 func TestLateMeasurementIsChargedToThoseWhoWereThere(t *testing.T) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
 	for i := range 40 {
 		start := 30 * i
-		m.TaskStarted(at(start), "w", key("loud", uint32(i)), "loud")
-		m.TaskStopped(at(start+15), "w", key("loud", uint32(i)))
+		m.TaskStarted(at(start), "w", key("noisy", uint32(i)), "noisy")
+		m.TaskStopped(at(start+15), "w", key("noisy", uint32(i)))
 		m.TaskStarted(at(start+15), "w", key("quiet", uint32(i)), "quiet")
 		if got := observe(m, at(start+20), at(start+10), 1.6); got != Learned {
 			t.Fatalf("round %d: result %d", i, got)
@@ -41,10 +41,10 @@
 		observe(m, at(start+30), at(start+20), 1)
 		m.TaskStopped(at(start+30), "w", key("quiet", uint32(i)))
 	}
-	noisy := m.PredictWorkload("orders", "loud", "loud", 0.5)
+	noisy := m.PredictWorkload("orders", "noisy", "noisy", 0.5)
 	quiet := m.PredictWorkload("orders", "quiet", "quiet", 0.5)
 	if math.Abs(noisy.Mean-0.6) > 0.15 || quiet.Mean > 0.05 {
-		t.Errorf("loud %.2f (0.6 is true), quiet %.2f (0 is true)", noisy.Mean, quiet.Mean)
+		t.Errorf("noisy %.2f (0.6 is true), quiet %.2f (0 is true)", noisy.Mean, quiet.Mean)
 	}
 }
 
@@ -90,8 +90,8 @@
 func TestUnseenPairIsPredictedFromItsAggressor(t *testing.T) {
 	m := trained(t, 0.5)
 	prior := m.Predict("orders", "unseen", 0.5)
-	other := m.Predict("fixtures", "loud", 0.5)
-	seen := m.PredictWorkload("orders", "loud", "loud", 0.5)
+	other := m.Predict("fixtures", "noisy", 0.5)
+	seen := m.PredictWorkload("orders", "noisy", "noisy", 0.5)
 	if other.Mean <= prior.Mean || other.Mean >= seen.Mean {
 		t.Errorf("unseen victim %.2f, not between prior %.2f and seen %.2f", other.Mean, prior.Mean, seen.Mean)
 	}
@@ -105,7 +105,7 @@
 	t.Helper()
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
-	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
+	m.TaskStarted(at(0), "w", key("noisy", 1), "noisy")
 	for i := range 300 {
 		if got := observe(m, at(3*i+13), at(3*i+3), 1+effect); got != Learned {
 			t.Fatalf("result %d", got)
@@ -118,20 +118,20 @@
 // month is still not placed beside any service.
 func TestKnowledgeDecays(t *testing.T) {
 	m := trained(t, 0.8)
-	before := m.PredictWorkload("orders", "loud", "loud", 0.5).Mean
+	before := m.PredictWorkload("orders", "noisy", "noisy", 0.5).Mean
 	later := epoch.Add(10 * DefaultOptions().Decay)
-	m.TaskStarted(later, "x", key("loud", 2), "loud")
+	m.TaskStarted(later, "x", key("noisy", 2), "noisy")
 	m.TaskStarted(later, "x", key("orders", 2), "orders")
 	m.Observe(later.Add(time.Second), Observation{
 		Worker: "x", Victim: key("orders", 2), Class: "orders", MeasuredAt: later.Add(time.Second), Slowdown: 1, Load: 0.5,
 	})
-	after := m.PredictWorkload("orders", "loud", "loud", 0.5).Mean
+	after := m.PredictWorkload("orders", "noisy", "noisy", 0.5).Mean
 	if before < 0.5 || after > 0.2*before {
 		t.Errorf("before %.2f, after a long time and one quiet measurement %.2f", before, after)
 	}
 }
 
-// A loud phase of one of three otherwise equal tasks must raise the predicted effect
+// A noisy phase of one of three otherwise equal tasks must raise the predicted effect
 // of that task above the others'. Otherwise the wrong one of several tasks is
 // throttled.
 func TestIntensityIdentifiesTheNoisyTask(t *testing.T) {
@@ -158,7 +158,7 @@
 	noisy := m.PredictTask("orders", "job", key("job", 1), 0.5).Mean
 	for _, i := range []uint32{0, 2} {
 		if quiet := m.PredictTask("orders", "job", key("job", i), 0.5).Mean; quiet >= noisy/2 {
-			t.Errorf("quiet task %d has the predicted effect %.2f, the loud one %.2f", i, quiet, noisy)
+			t.Errorf("quiet task %d has the predicted effect %.2f, the noisy one %.2f", i, quiet, noisy)
 		}
 	}
 }
@@ -168,12 +168,12 @@
 func TestThrottledShareScalesTheEffect(t *testing.T) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
-	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
-	m.TaskThrottled(at(0), "w", key("loud", 1), 0.2)
+	m.TaskStarted(at(0), "w", key("noisy", 1), "noisy")
+	m.TaskThrottled(at(0), "w", key("noisy", 1), 0.2)
 	for i := range 300 {
 		observe(m, at(3*i+13), at(3*i+3), 1.1)
 	}
-	if got := m.PredictTask("orders", "loud", key("loud", 1), 0.5).Mean; got < 0.3 || got > 0.7 {
+	if got := m.PredictTask("orders", "noisy", key("noisy", 1), 0.5).Mean; got < 0.3 || got > 0.7 {
 		t.Errorf("effect at full speed %.2f, want about 0.5", got)
 	}
 }
@@ -181,11 +181,11 @@
 func BenchmarkPredict(b *testing.B) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
-	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
+	m.TaskStarted(at(0), "w", key("noisy", 1), "noisy")
 	observe(m, at(13), at(3), 1.5)
 	b.ReportAllocs()
 	for b.Loop() {
-		m.PredictWorkload("orders", "loud", "loud", 0.5)
+		m.PredictWorkload("orders", "noisy", "noisy", 0.5)
 	}
 }
 
