--- a/core/scheduler/handoff.go
+++ b/core/scheduler/handoff.go
@@ -8,11 +8,12 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// handOff gives a task that found no room here to a shard whose owner told of
-// room for it. Room that this cycle has already handed tasks to is counted as
-// taken: what other shards told is some seconds old, and a whole queue would
-// otherwise follow it to the same place.
-func (p *placing) handOff(t ledger.Task, size model.Resources) bool {
+// handOff hands a task that does not fit in this shard to a shard whose owner
+// reported enough free resources, and returns false when there is none.
+// Resources for tasks that were handed off earlier in this cycle are deducted:
+// the reports of other shards are some seconds old, and a whole queue would
+// otherwise be sent to the same shard.
+func (p *placementPass) handOff(t ledger.Task, size model.Resources) bool {
 	to, found := p.shardWithRoom(t, size)
 	if !found {
 		return false
@@ -25,15 +26,16 @@
 	return true
 }
 
-// shardWithRoom picks a shard by a number drawn for this cycle, so that many
-// full shards do not all choose the same one.
-func (p *placing) shardWithRoom(t ledger.Task, size model.Resources) (model.ShardID, bool) {
+// shardWithRoom picks one of the other shards that reported enough free
+// resources for a task. The choice depends on the cycle's random number, so
+// that many full shards do not all pick the same one.
+func (p *placementPass) shardWithRoom(t ledger.Task, size model.Resources) (model.ShardID, bool) {
 	if p.shardRoom == nil {
-		p.shardRoom = maps.Clone(p.s.ShardRoom)
+		p.shardRoom = maps.Clone(p.snapshot.ShardRoom)
 	}
 	var fits []model.ShardID
 	for shard, room := range p.shardRoom {
-		if shard != p.s.Shard && size.Fits(room) {
+		if shard != p.snapshot.Shard && size.Fits(room) {
 			fits = append(fits, shard)
 		}
 	}
@@ -41,5 +43,5 @@
 		return 0, false
 	}
 	slices.Sort(fits)
-	return fits[(p.s.Random+uint64(t.Key.Index))%uint64(len(fits))], true
+	return fits[(p.snapshot.Random+uint64(t.Key.Index))%uint64(len(fits))], true
 }
--- a/jobservice/fleet_test.go
+++ b/jobservice/fleet_test.go
@@ -21,8 +21,9 @@
 	}}}
 }
 
-// All workers showed a quarter of their size for a while, and jobs that they have
-// room for at any other time were turned away for good.
+// Guards against the permanent rejection of jobs while workers report a reduced
+// capacity: all workers showed a quarter of their size for a while, and jobs that fit
+// at any other time were rejected.
 func TestShrunkWorkersTurnNothingAway(t *testing.T) {
 	store := newMemStore()
 	view := fleetView{log: logrus.NewEntry(logrus.New()), metrics: NewMetrics(prometheus.NewRegistry())}
@@ -31,30 +32,30 @@
 	roster[0].Full = model.Resources{MilliCPU: 2000, MemoryMB: 1000}
 	store.write(fleetChange(roster))
 	if err := view.check(context.Background(), store, time.Now(), "pool", testSpec()); err != nil {
-		t.Errorf("a job that fits when the worker has its size again: %v", err)
+		t.Errorf("a job that fits the worker at its full size: %v", err)
 	}
 }
 
-// TestFleetThatCannotBeReadTurnsNothingAway: another writer damages what is
-// written of the fleet. Symptom if broken: jobs are turned away that workers have
-// room for, or every hand-in fails.
-func TestFleetThatCannotBeReadTurnsNothingAway(t *testing.T) {
+// TestUnreadableFleetRejectsNoJob guards against a stored fleet that another writer
+// has damaged. The symptom is that jobs are rejected that workers have room for, or
+// that every submission fails.
+func TestUnreadableFleetRejectsNoJob(t *testing.T) {
 	store := newMemStore()
 	view := fleetView{log: logrus.NewEntry(logrus.New()), metrics: NewMetrics(prometheus.NewRegistry())}
 	view.log.Logger.SetOutput(&lockedBuffer{})
 	spec := testSpec()
 	now := time.Now()
 	check := func() error {
-		now = now.Add(2 * fleetAge)
+		now = now.Add(2 * maxFleetAge)
 		return view.check(context.Background(), store, now, "pool", spec)
 	}
-	var unservable *job.InfeasibleError
+	var infeasible *job.InfeasibleError
 	if err := check(); err != nil {
-		t.Errorf("nothing written: %v", err)
+		t.Errorf("no fleet stored: %v", err)
 	}
 	store.write(fleetChange(rosterOf(500)))
-	if err := check(); !errors.As(err, &unservable) {
-		t.Errorf("workers too small: %v, want it turned away", err)
+	if err := check(); !errors.As(err, &infeasible) {
+		t.Errorf("workers too small: %v, want the job rejected", err)
 	}
 	store.write(port.Op{Key: fleetKey, Value: []byte("{")})
 	if err := check(); err != nil {
