--- a/core/jobsched/crash.go
+++ b/core/jobsched/crash.go
@@ -20,49 +20,49 @@
 // of a run, often to several workers at once, and seldom to the same task again.
 
 const (
-	// crashesMost is how many workers may crash under a task. The platform's
+	// maxCrashes is how many workers may crash under a task. The platform's
 	// contract bears two more starts after the third.
-	crashesMost = 5
-	// crashesUnexplained is the same where a crash may not have been counted, or the
+	maxCrashes = 5
+	// maxUnexplainedCrashes is the same where a crash may not have been counted, or the
 	// task alone explains all of them.
-	crashesUnexplained = 4
-	// crashesAlike is the same for crashes that came at the same time of a run.
-	crashesAlike = 3
-	// sureCrashes is how many attempts of a task must have run for certain when their
+	maxUnexplainedCrashes = 4
+	// maxSameTimeCrashes is the same for crashes that came at the same time of a run.
+	maxSameTimeCrashes = 3
+	// minCertainCrashes is how many attempts of a task must have run for certain when their
 	// workers crashed, unless there are crashesMost.
-	sureCrashes = 2
-	// longRun is how long an attempt must have run for its end not to be put down
+	minCertainCrashes = 2
+	// stableRunTime is how long an attempt must have run for its end not to be put down
 	// to its start.
-	longRun = 4 * time.Second
-	// reportAge is how much longer an attempt may have run than it was seen to: the
+	stableRunTime = 4 * time.Second
+	// reportDelay is how much longer an attempt may have run than it was seen to: the
 	// time between two reports, and a little for their way.
-	reportAge = renewWait + 100*time.Millisecond
-	// seenLeast is the least time at which crashes count as alike by their times:
+	reportDelay = renewWait + 100*time.Millisecond
+	// minComparableRunTime is the least time at which crashes count as alike by their times:
 	// most tasks are shorter, and two of their crashes are always near each other.
-	seenLeast = time.Second
-	// sameMoment is how near in time crashes of several workers count as one event,
+	minComparableRunTime = time.Second
+	// massCrashWindow is how near in time crashes of several workers count as one event,
 	// sameMomentWorkers how many others make it one.
-	sameMoment        = time.Second
-	sameMomentWorkers = 3
-	// crashMemory is how long the crash of a worker is remembered for that: workers
+	massCrashWindow  = time.Second
+	massCrashWorkers = 3
+	// crashRetention is how long the crash of a worker is remembered for that: workers
 	// come back, by which their crash is known, within some seconds.
-	crashMemory = 15 * time.Second
+	crashRetention = 15 * time.Second
 )
 
-// seenFor returns for how long the attempt was seen to run, by the last answer of
+// observedRunTime returns for how long the attempt was seen to run, by the last answer of
 // its worker; 0 for one that the worker has not listed yet.
-func (a *attempt) seenFor() time.Duration {
+func (a *attempt) observedRunTime() time.Duration {
 	if a.startedAt.IsZero() {
 		return 0
 	}
-	return max(a.worker.heardAt.Sub(a.startedAt), 0).Round(time.Millisecond)
+	return max(a.worker.lastReportAt.Sub(a.startedAt), 0).Round(time.Millisecond)
 }
 
-// crashTime returns seenFor in milliseconds, or that it is not known when the
+// observedRunTimeMs returns seenFor in milliseconds, or that it is not known when the
 // attempt began.
-func (a *attempt) crashTime() int64 {
-	seen := a.seenFor()
-	if a.inherited || a.adopted && seen < longRun {
+func (a *attempt) observedRunTimeMs() int64 {
+	seen := a.observedRunTime()
+	if a.inherited || a.adopted && seen < stableRunTime {
 		return job.ObservedRunUnknown
 	}
 	return seen.Milliseconds()
@@ -71,16 +71,16 @@
 // noteCrash notes that a worker has ended without having announced it, and which
 // of its attempts was started last.
 func (m *Machine) noteCrash(w *worker, reason string) {
-	text := fmt.Sprintf("%s; last heard %s ago; %d attempts were there", reason, m.now.Sub(w.heardAt).Round(time.Millisecond), w.attempts.Len())
-	if a := w.latest(); a != nil {
-		text += fmt.Sprintf(", the latest %s, seen to run for %s", a.key.task, a.seenFor())
+	text := fmt.Sprintf("%s; last heard %s ago; %d attempts were there", reason, m.now.Sub(w.lastReportAt).Round(time.Millisecond), w.attempts.Len())
+	if a := w.latestAttempt(); a != nil {
+		text += fmt.Sprintf(", the latest %s, seen to run for %s", a.key.task, a.observedRunTime())
 	}
 	m.emit(Note{Decision: joblog.MessageWorkerCrashed, Worker: w.id, Reason: text})
 }
 
-// latest returns the attempt that was started last, or nil. One whose start was
+// latestAttempt returns the attempt that was started last, or nil. One whose start was
 // not answered counts as later than all others.
-func (w *worker) latest() *attempt {
+func (w *worker) latestAttempt() *attempt {
 	var latest *attempt
 	for _, a := range w.attempts.All() {
 		switch {
@@ -94,25 +94,25 @@
 	return latest
 }
 
-// crashAttempts declares all attempts on w as lost, because w has ended; but for
+// loseAttemptsInCrash declares all attempts on w as lost, because w has ended; but for
 // those whose start is not answered yet: the answer tells whether they were there.
-func (m *Machine) crashAttempts(w *worker, reason string) {
-	if w.attempts.Len() > 0 && !w.over {
+func (m *Machine) loseAttemptsInCrash(w *worker, reason string) {
+	if w.attempts.Len() > 0 && !w.ended {
 		m.noteCrash(w, reason)
-		m.rememberCrash(w)
+		m.recordWorkerCrash(w)
 	}
 	for _, a := range w.attempts.All() {
 		if a.phase == phaseStarting {
 			continue
 		}
-		m.crashed(a, w)
+		m.countAttemptCrash(a, w)
 		m.loseAttempt(a, reason)
 	}
 }
 
-// succeeded reports whether another incarnation of the worker's VM is on the
+// hasSuccessorOnVM reports whether another incarnation of the worker's VM is on the
 // platform's list and the worker is not.
-func (m *Machine) succeeded(w *worker) bool {
+func (m *Machine) hasSuccessorOnVM(w *worker) bool {
 	if w.listed || w.entry.Machine == "" {
 		return false
 	}
@@ -124,16 +124,16 @@
 	return false
 }
 
-// crashed counts the end of an attempt with a worker against its task. A worker
+// countAttemptCrash counts the end of an attempt with a worker against its task. A worker
 // that had announced its end has left, unless a task on trial was there, which may
 // have ended it sooner.
-func (m *Machine) crashed(a *attempt, on *worker) {
+func (m *Machine) countAttemptCrash(a *attempt, on *worker) {
 	leaves := on.entry.Draining
 	if a.task == nil || a.task.done || leaves && a.task.trial.number == 0 {
 		return
 	}
 	m.countCrash(a.task, job.Crash{
-		Attempt: a.key.attempt, ObservedRunMs: a.crashTime(), Correlated: m.crashedWithout(a.step(), on),
+		Attempt: a.key.attempt, ObservedRunMs: a.observedRunTimeMs(), Correlated: m.isMassCrash(a.step(), on),
 		Uncertain: a.startedAt.IsZero() && !a.inherited || leaves,
 	})
 }
@@ -145,8 +145,8 @@
 	steps map[*step]struct{}
 }
 
-// rememberCrash remembers the crash of a worker with what runs there.
-func (m *Machine) rememberCrash(w *worker) {
+// recordWorkerCrash remembers the crash of a worker with what runs there.
+func (m *Machine) recordWorkerCrash(w *worker) {
 	steps := make(map[*step]struct{})
 	for _, a := range w.attempts.All() {
 		steps[a.step()] = struct{}{}
@@ -154,17 +154,19 @@
 	m.recentCrashes = append(m.recentCrashes, workerCrash{worker: w, steps: steps})
 }
 
-// crashedWithout reports whether several other workers were last heard of at the
+// isMassCrash reports whether several other workers were last heard of at the
 // same time as w, and have ended or do not answer, though no attempt of the step
 // was there: the step is not what they have in common.
-func (m *Machine) crashedWithout(s *step, w *worker) bool {
-	if w.heardAt.IsZero() {
+func (m *Machine) isMassCrash(s *step, w *worker) bool {
+	if w.lastReportAt.IsZero() {
 		return false
 	}
 	m.recentCrashes = slices.DeleteFunc(m.recentCrashes, func(c workerCrash) bool {
-		return m.now.Sub(c.worker.heardAt) > crashMemory
+		return m.now.Sub(c.worker.lastReportAt) > crashRetention
 	})
-	together := func(other *worker) bool { return other != w && other.heardAt.Sub(w.heardAt).Abs() <= sameMoment }
+	together := func(other *worker) bool {
+		return other != w && other.lastReportAt.Sub(w.lastReportAt).Abs() <= massCrashWindow
+	}
 	others := 0
 	for _, c := range m.recentCrashes {
 		if _, there := c.steps[s]; together(c.worker) && !there {
@@ -172,16 +174,16 @@
 		}
 	}
 	for _, other := range m.workers.All() {
-		silent := !other.over && !other.silentSince.IsZero() && other.attempts.Len() > 0
-		if silent && together(other) && !other.runs(s) {
+		silent := !other.ended && !other.unreachableSince.IsZero() && other.attempts.Len() > 0
+		if silent && together(other) && !other.mayRunStep(s) {
 			others++
 		}
 	}
-	return others >= sameMomentWorkers
+	return others >= massCrashWorkers
 }
 
-// runs reports whether an attempt of the step may run on the worker.
-func (w *worker) runs(s *step) bool {
+// mayRunStep reports whether an attempt of the step may run on the worker.
+func (w *worker) mayRunStep(s *step) bool {
 	for _, a := range w.attempts.All() {
 		if a.step() == s {
 			return true
@@ -216,8 +218,8 @@
 		return []job.Crash{c}
 	}
 	last := crashes[len(crashes)-1]
-	long := max(last.ObservedRunMs, c.ObservedRunMs) >= longRun.Milliseconds()
-	if long && !alike(last, c) {
+	long := max(last.ObservedRunMs, c.ObservedRunMs) >= stableRunTime.Milliseconds()
+	if long && !atSameRunTime(last, c) {
 		return []job.Crash{c}
 	}
 	return append(slices.Clone(crashes), c)
@@ -234,38 +236,40 @@
 		}
 	}
 	switch {
-	case n >= crashesMost:
+	case n >= maxCrashes:
 		return true
-	case sure < sureCrashes:
+	case sure < minCertainCrashes:
 		return false
-	case n >= crashesUnexplained:
-		return mayLack(crashes) || !slices.ContainsFunc(crashes, explained)
-	case n >= crashesAlike:
-		return allAlike(crashes[n-crashesAlike:])
+	case n >= maxUnexplainedCrashes:
+		return mayMissCrash(crashes) || !slices.ContainsFunc(crashes, hasOtherCause)
+	case n >= maxSameTimeCrashes:
+		return allAtSameRunTime(crashes[n-maxSameTimeCrashes:])
 	}
 	return false
 }
 
-// mayLack reports whether a crash under the task may not have been counted: only a
+// mayMissCrash reports whether a crash under the task may not have been counted: only a
 // first attempt has none before it, and a crash of which a later leader heard may
 // have followed on others.
-func mayLack(crashes []job.Crash) bool {
+func mayMissCrash(crashes []job.Crash) bool {
 	unknown := func(c job.Crash) bool { return c.ObservedRunMs == job.ObservedRunUnknown }
 	return crashes[0].Attempt > 1 || slices.ContainsFunc(crashes, unknown)
 }
 
-// explained reports whether something else than the task may have been the cause.
-func explained(c job.Crash) bool { return c.Correlated }
+// hasOtherCause reports whether something else than the task may have been the cause.
+func hasOtherCause(c job.Crash) bool { return c.Correlated }
 
-// suspicious reports whether the start of the task may have been the cause.
-func suspicious(c job.Crash) bool { return !explained(c) && c.ObservedRunMs < longRun.Milliseconds() }
+// isSuspicious reports whether the start of the task may have been the cause.
+func isSuspicious(c job.Crash) bool {
+	return !hasOtherCause(c) && c.ObservedRunMs < stableRunTime.Milliseconds()
+}
 
-// allAlike reports whether all crashes came at the same time of a run, with nothing
+// allAtSameRunTime reports whether all crashes came at the same time of a run, with nothing
 // else to explain them.
-func allAlike(crashes []job.Crash) bool {
+func allAtSameRunTime(crashes []job.Crash) bool {
 	for _, c := range crashes {
 		for _, other := range crashes {
-			if explained(c) || !alike(c, other) {
+			if hasOtherCause(c) || !atSameRunTime(c, other) {
 				return false
 			}
 		}
@@ -273,14 +277,14 @@
 	return true
 }
 
-// alike reports whether two crashes came at the same time of a run, as far as
+// atSameRunTime reports whether two crashes came at the same time of a run, as far as
 // reports tell: before any of them, or late enough and near each other.
-func alike(a, b job.Crash) bool {
+func atSameRunTime(a, b job.Crash) bool {
 	if a.ObservedRunMs == 0 && b.ObservedRunMs == 0 {
 		return true
 	}
-	near := max(a.ObservedRunMs, b.ObservedRunMs)-min(a.ObservedRunMs, b.ObservedRunMs) <= reportAge.Milliseconds()
-	return near && min(a.ObservedRunMs, b.ObservedRunMs) >= seenLeast.Milliseconds()
+	near := max(a.ObservedRunMs, b.ObservedRunMs)-min(a.ObservedRunMs, b.ObservedRunMs) <= reportDelay.Milliseconds()
+	return near && min(a.ObservedRunMs, b.ObservedRunMs) >= minComparableRunTime.Milliseconds()
 }
 
 // describeCrashes lists crashes with their attempts and times.
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -8,9 +8,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// hold is why a start waits after a take-over: an earlier leader may have started
+// startHold is why a start waits after a take-over: an earlier leader may have started
 // the task elsewhere.
-type hold struct {
+type startHold struct {
 	// worker is the one that is waited for longest; empty where what is waited for
 	// is no worker.
 	worker model.Incarnation
@@ -24,7 +24,7 @@
 
 // describe says what is waited for, and until when. It leaves the worker's name
 // out: notes and views tell it beside the text.
-func (h hold) describe(now time.Time) string {
+func (h startHold) describe(now time.Time) string {
 	text := h.reason
 	if h.others > 0 {
 		text += fmt.Sprintf(", nor have %d others", h.others)
@@ -36,16 +36,16 @@
 }
 
 // holdOnJob returns the hold on a job that is held.
-func (m *Machine) holdOnJob(j *jobState) hold {
+func (m *Machine) holdOnJob(j *jobState) startHold {
 	switch {
 	case !m.commit.stored:
-		return hold{reason: "no commit of this leader is stored yet"}
+		return startHold{reason: "no commit of this leader is stored yet"}
 	case m.now.Before(m.rosterLostUntil):
-		return hold{until: m.rosterLostUntil, reason: "the stored roster cannot be read"}
+		return startHold{until: m.rosterLostUntil, reason: "the stored roster cannot be read"}
 	case m.unresolved.Len() == 0:
-		return hold{reason: "the list of workers has not been read yet"}
+		return startHold{reason: "the list of workers has not been read yet"}
 	}
-	h := hold{others: m.unresolved.Len() - 1, reason: "has not answered this leader and may run it"}
+	h := startHold{others: m.unresolved.Len() - 1, reason: "has not answered this leader and may run it"}
 	for id, bound := range m.unresolved.All() {
 		if bound.After(h.until) {
 			h.worker, h.until = id, bound
@@ -59,28 +59,28 @@
 
 // holdOnStep returns the hold on a task of the step that is not done, the first one
 // that is found.
-func (m *Machine) holdOnStep(s *step) (hold, bool) {
+func (m *Machine) holdOnStep(s *step) (startHold, bool) {
 	for _, t := range s.tasks {
-		if s.ready() && t.idle() && m.held(s.job()) {
+		if s.ready() && t.idle() && m.startsHeld(s.job()) {
 			return m.holdOnJob(s.job()), true
 		}
 		for _, a := range t.attempts {
-			if !a.worker.silentSince.IsZero() || a.inherited {
+			if !a.worker.unreachableSince.IsZero() || a.inherited {
 				return m.holdByAttempt(a), true
 			}
 		}
 	}
-	return hold{}, false
+	return startHold{}, false
 }
 
 // noteHeld notes that a step is held back, from a second after the take-over on:
 // workers that are well have answered by then. Without it a step that is held back
 // looks in the log like one that nobody knows of.
 func (m *Machine) noteHeld(s *step) {
-	if m.now.Sub(m.recoveredAt) < waitNoted || m.now.Before(s.noteAt) || !m.pass.mayNote() {
+	if m.now.Sub(m.recoveredAt) < waitNoteDelay || m.now.Before(s.nextNoteAt) || !m.pass.takeNote() {
 		return
 	}
-	s.noteAt = m.now.Add(waitNotedAgain)
+	s.nextNoteAt = m.now.Add(waitNoteInterval)
 	h := m.holdOnJob(s.job())
 	m.emit(Note{
 		Decision: joblog.MessageStartHeldBack, Job: s.job().id, Task: s.name(), Worker: h.worker,
@@ -117,18 +117,18 @@
 // noteHoldingAttempts notes each attempt on a worker that does not answer: its task
 // is not started elsewhere before the attempt is given up.
 func (m *Machine) noteHoldingAttempts(w *worker) {
-	since := w.silentSince
+	since := w.unreachableSince
 	if since.IsZero() && !w.answered {
 		since = m.recoveredAt
 	}
-	if since.IsZero() || m.now.Sub(since) < waitNoted {
+	if since.IsZero() || m.now.Sub(since) < waitNoteDelay {
 		return
 	}
 	for _, a := range w.attempts.All() {
-		if a.task == nil || m.now.Before(a.noteAt) {
+		if a.task == nil || m.now.Before(a.nextNoteAt) {
 			continue
 		}
-		a.noteAt = m.now.Add(waitNotedAgain)
+		a.nextNoteAt = m.now.Add(waitNoteInterval)
 		m.emit(Note{
 			Decision: joblog.MessageStartHeldBack, Job: a.key.task.Job, Task: a.key.task.String(), Attempt: a.key.attempt,
 			Worker: w.id, Reason: m.holdByAttempt(a).describe(m.now), Routine: !a.longRunning,
@@ -138,11 +138,11 @@
 
 // holdByAttempt returns the hold on a task whose attempt is on a worker that does
 // not answer.
-func (m *Machine) holdByAttempt(a *attempt) hold {
+func (m *Machine) holdByAttempt(a *attempt) startHold {
 	w := a.worker
-	h := hold{worker: w.id, until: w.leaseBound, reason: "does not answer and may run it"}
+	h := startHold{worker: w.id, until: w.leaseBound, reason: "does not answer and may run it"}
 	if !a.longRunning && !w.endsWithLease() {
-		h.until = w.leaseBound.Add(w.patience())
+		h.until = w.leaseBound.Add(w.lossGrace())
 	}
 	return h
 }
