--- a/core/eviction/decide.go
+++ b/core/eviction/decide.go
@@ -6,61 +6,63 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Memory is what Decide must know of a worker's past.
-type Memory struct {
-	// LastAction is when the latest action was taken; zero for none.
+// State is what Decide keeps of a worker from one call to the next.
+type State struct {
+	// LastAction is the time of the latest action, or zero if there was none.
 	LastAction time.Time
-	// LastMeasured is the latest measurement that was counted.
+	// LastMeasured is the time of the latest measurement that was counted.
 	LastMeasured time.Time
-	// Over is how many counted measurements in a row were over the limit,
-	// OverSince when the first of them was made.
-	Over      int
+	// OverCount is the number of consecutive measurements over the limit, and
+	// OverSince the time of the first of them.
+	OverCount int
 	OverSince time.Time
-	// CalmSince is when the services became calm; zero while they are not.
+	// CalmSince is the time from which on the services have been calm, or zero
+	// if they are not calm.
 	CalmSince time.Time
-	// CalmFor is how long a calm is asked for now; zero stands for the
-	// option.
+	// CalmFor is the calm period required before the next unthrottle. If it is
+	// shorter than Options.CalmFor, that applies.
 	CalmFor time.Duration
-	// Unthrottled is when a task was last unthrottled.
+	// Unthrottled is the time at which a task was last unthrottled.
 	Unthrottled time.Time
 }
 
-// Decide returns what to do on one worker, and the worker's memory after it.
-// It is a pure function of its arguments.
-func Decide(now time.Time, v WorkerView, m Memory, o Options, p Predictor) ([]Action, Memory) {
-	d := decision{now: now, view: &v, memory: m, options: &o, predictor: p}
-	d.count()
-	if !m.LastAction.IsZero() && now.Before(m.LastAction.Add(o.Lag)) {
-		return nil, d.memory
+// Decide returns the action to take on one worker, if any, and the worker's new
+// state. It is a pure function of its arguments.
+func Decide(now time.Time, v WorkerView, previous State, o Options, p Predictor) ([]Action, State) {
+	d := decision{now: now, view: &v, state: previous, options: &o, predictor: p}
+	d.countMeasurements()
+	if !previous.LastAction.IsZero() && now.Before(previous.LastAction.Add(o.ReportLag)) {
+		return nil, d.state
 	}
-	action, ok := d.act()
+	action, ok := d.chooseAction()
 	if !ok {
-		return nil, d.memory
+		return nil, d.state
 	}
-	d.remember(action)
-	return []Action{action}, d.memory
+	d.updateState(action)
+	return []Action{action}, d.state
 }
 
 type decision struct {
 	now       time.Time
 	view      *WorkerView
-	memory    Memory
+	state     State
 	options   *Options
 	predictor Predictor
-	// pressure is the highest of the services' fresh measurements; valid when
-	// fresh is set.
+	// pressure is the highest pressure in the measurements made after the
+	// latest action had settled. It is valid only if fresh is true.
 	pressure float64
 	fresh    bool
 }
 
-// count takes in measurements that were not counted before and were made
-// after the latest action had settled.
-func (d *decision) count() {
-	settled := d.memory.LastAction
+// countMeasurements processes new measurements that were made after the latest
+// action had settled. It sets the pressure, and updates the state if at least
+// one of them was not counted before.
+func (d *decision) countMeasurements() {
+	settled := d.state.LastAction
 	if !settled.IsZero() {
-		settled = settled.Add(d.options.Settle)
+		settled = settled.Add(d.options.SettleTime)
 	}
-	newest := d.memory.LastMeasured
+	newest := d.state.LastMeasured
 	counted := false
 	for i := range d.view.Services {
 		s := &d.view.Services[i]
@@ -76,22 +78,22 @@
 	if !counted {
 		return
 	}
-	d.memory.LastMeasured = newest
+	d.state.LastMeasured = newest
 	d.countPressure(newest)
 }
 
 func (d *decision) countPressure(measured time.Time) {
-	m := &d.memory
+	m := &d.state
 	if d.pressure > 1 {
-		if m.Over == 0 {
+		if m.OverCount == 0 {
 			m.OverSince = measured
 		}
-		m.Over++
+		m.OverCount++
 	} else {
-		m.Over = 0
+		m.OverCount = 0
 	}
 	switch {
-	case d.pressure > d.options.Calm:
+	case d.pressure > d.options.CalmPressure:
 		m.CalmSince = time.Time{}
 	case m.CalmSince.IsZero():
 		m.CalmSince = measured
@@ -109,48 +111,50 @@
 	return d.options.Limit
 }
 
-// act picks the action for what is most pressing.
-func (d *decision) act() (Action, bool) {
+// chooseAction returns the action for the most urgent problem, in this order:
+// shortages, a slowdown over the limit, a predicted slowdown. If there is none,
+// a throttled task may be unthrottled.
+func (d *decision) chooseAction() (Action, bool) {
 	if action, ok := d.relieveShortage(); ok {
 		return action, true
 	}
 	if len(d.view.Services) == 0 {
-		return d.releaseOne(NoServiceToSlow)
+		return d.unthrottleOne(NoServiceToSlow)
 	}
 	if !d.fresh {
 		return Action{}, false
 	}
 	if d.mustRelieve() {
-		return d.relieve()
+		return d.relieveSlowdown()
 	}
-	if action, ok := d.prevent(); ok {
+	if action, ok := d.throttlePredicted(); ok {
 		return action, true
 	}
 	if d.isCalm() {
-		return d.releaseOne(CalmServices)
+		return d.unthrottleOne(CalmServices)
 	}
 	return Action{}, false
 }
 
 func (d *decision) mustRelieve() bool {
-	if d.memory.Over >= d.options.Confirm {
+	if d.state.OverCount >= d.options.ConfirmCount {
 		return true
 	}
-	return d.memory.Over > 0 && d.pressure >= d.options.Severe
+	return d.state.OverCount > 0 && d.pressure >= d.options.SeverePressure
 }
 
 func (d *decision) isCalm() bool {
-	since := d.memory.CalmSince
+	since := d.state.CalmSince
 	return !since.IsZero() && d.now.Sub(since) >= d.calmFor()
 }
 
 func (d *decision) calmFor() time.Duration {
-	return max(d.options.CalmFor, d.memory.CalmFor)
+	return max(d.options.CalmFor, d.state.CalmFor)
 }
 
-// remember updates the memory by what was decided.
-func (d *decision) remember(a Action) {
-	m := &d.memory
+// updateState records an action in the worker's state.
+func (d *decision) updateState(a Action) {
+	m := &d.state
 	switch a.Kind {
 	case Unthrottle:
 		m.Unthrottled = d.now
@@ -161,15 +165,15 @@
 		}
 	}
 	m.LastAction = d.now
-	m.Over = min(m.Over, d.options.Confirm-1)
+	m.OverCount = min(m.OverCount, d.options.ConfirmCount-1)
 }
 
-// adaptCalm asks for a longer calm when a throttle follows soon after an
-// unthrottle, and for the normal one again when it does not. Without it a task
-// whose noise comes in waves would be throttled and released once a lag, and
-// its services slowed each time.
+// adaptCalm doubles the required calm period when a throttle follows soon after
+// an unthrottle, and resets it otherwise. Without this, a task with periodic
+// noisy phases would be throttled and unthrottled once per report lag, and
+// would slow the services each time.
 func (d *decision) adaptCalm() {
-	m := &d.memory
+	m := &d.state
 	if !m.Unthrottled.IsZero() && d.now.Sub(m.Unthrottled) < 2*d.calmFor() {
 		m.CalmFor = min(2*d.calmFor(), d.options.MaxCalmFor)
 		return
@@ -177,10 +181,10 @@
 	m.CalmFor = d.options.CalmFor
 }
 
-// less orders tasks of equal merit by key, so that a decision does not depend
-// on the order of the view.
-func less(a, b *Task) bool { return a.Key.Less(b.Key) }
+// taskLess orders tasks of equal merit by key, so that a decision does not
+// depend on the order of the tasks in the view.
+func taskLess(a, b *Task) bool { return a.Key.Less(b.Key) }
 
-func action(kind Kind, worker model.WorkerID, t *Task, percent uint32, reason Reason) Action {
+func newAction(kind Kind, worker model.WorkerID, t *Task, percent uint32, reason Reason) Action {
 	return Action{Kind: kind, Worker: worker, Task: t.Key, Percent: percent, Reason: reason}
 }
--- a/core/eviction/options.go
+++ b/core/eviction/options.go
@@ -2,63 +2,68 @@
 
 import "time"
 
-// Options sets the decisions.
+// Options are the settings of a Controller.
+//
+// Several of them are pressures. The pressure of a service is its slowdown above
+// 1, divided by the slowdown above 1 that its limit allows: 0 means undisturbed
+// and 1 means that the limit is reached.
 type Options struct {
-	// Lag is how old reports are when they arrive, at most; one action a
-	// worker is taken in that time.
-	Lag time.Duration
-	// Settle is how long an action takes to reach the worker and show.
-	Settle time.Duration
-	// Limit is the slowdown that a service can bear unless its own is given.
+	// ReportLag is the largest age of a report when it arrives. At most one
+	// action per worker is taken in this time.
+	ReportLag time.Duration
+	// SettleTime is the time that an action takes to reach the worker and show
+	// in measurements.
+	SettleTime time.Duration
+	// Limit is the largest acceptable slowdown of services without a limit of
+	// their own.
 	Limit float64
-	// Calm is the pressure below which services are calm. Pressure is the
-	// excess slowdown over the excess that the limit allows: 1 is the limit.
-	Calm float64
-	// Confirm is how many measurements in a row must be over the limit before
-	// it is acted on, unless pressure is at least Severe.
-	Confirm int
-	Severe  float64
-	// Peak bounds, as a pressure, what one task may be predicted to add at
-	// PeakStd standard deviations above its mean. A task that could add more
-	// runs throttled from the start.
-	Peak, PeakStd float64
-	// Patience is how long services may stay over the limit, with all that
-	// helps throttled, before a task is evicted.
-	Patience time.Duration
-	// CalmFor is how long services must be calm before a task is
-	// unthrottled; it doubles up to MaxCalmFor when that proves too early.
+	// CalmPressure is the pressure up to which services count as calm.
+	CalmPressure float64
+	// ConfirmCount is the number of consecutive measurements over the limit
+	// that lead to an action. At SeverePressure or more, one is enough.
+	ConfirmCount   int
+	SeverePressure float64
+	// PeakPressure limits the pressure that one task is predicted to add, at
+	// PeakStd standard deviations above the mean. A task that could add more
+	// is throttled from its start.
+	PeakPressure, PeakStd float64
+	// EvictionDelay is how long services must have been over the limit before
+	// a task is evicted, once no throttle is worthwhile any more.
+	EvictionDelay time.Duration
+	// CalmFor is how long services must be calm before a task is unthrottled.
+	// It doubles up to MaxCalmFor if that proves too early.
 	CalmFor, MaxCalmFor time.Duration
-	// Floor is the lowest throttle percentage; Step is the one between it and
-	// full speed.
-	Floor, Step uint32
-	// MinRelief is the share of the excess slowdown that throttling or
-	// evicting a task must be expected to take away to be worth doing.
+	// MinPercent is the lowest throttle percentage, and MiddlePercent the only
+	// one between it and full speed.
+	MinPercent, MiddlePercent uint32
+	// MinRelief is the smallest worthwhile relief by throttling or evicting a
+	// task, as a share of the slowdown above 1 of the services over the limit.
 	MinRelief float64
-	// FullLoad is the load from which a worker's processors count as
-	// contended.
-	FullLoad float64
-	// Costs weighs evictions.
+	// ContendedLoad is the load from which on a worker's processors count as
+	// contended, from 0 to 1.
+	ContendedLoad float64
+	// Costs are the weights of the costs of throttles and evictions.
 	Costs Costs
 }
 
-// DefaultOptions returns the settings that the policy measurements use.
+// DefaultOptions returns the settings that the policy benchmarks use.
 func DefaultOptions() Options {
 	return Options{
-		Lag:        10 * time.Second,
-		Settle:     2 * time.Second,
-		Limit:      1.5,
-		Calm:       0.6,
-		Confirm:    2,
-		Severe:     2,
-		Peak:       0.8,
-		PeakStd:    2.5,
-		Patience:   60 * time.Second,
-		CalmFor:    20 * time.Second,
-		MaxCalmFor: 5 * time.Minute,
-		Floor:      20,
-		Step:       50,
-		MinRelief:  0.1,
-		FullLoad:   0.95,
-		Costs:      DefaultCosts(),
+		ReportLag:      10 * time.Second,
+		SettleTime:     2 * time.Second,
+		Limit:          1.5,
+		CalmPressure:   0.6,
+		ConfirmCount:   2,
+		SeverePressure: 2,
+		PeakPressure:   0.8,
+		PeakStd:        2.5,
+		EvictionDelay:  60 * time.Second,
+		CalmFor:        20 * time.Second,
+		MaxCalmFor:     5 * time.Minute,
+		MinPercent:     20,
+		MiddlePercent:  50,
+		MinRelief:      0.1,
+		ContendedLoad:  0.95,
+		Costs:          DefaultCosts(),
 	}
 }
--- a/core/eviction/policy_compare_test.go
+++ b/core/eviction/policy_compare_test.go
@@ -13,8 +13,8 @@
 	"github.com/guavarill/guavarill/core/placement"
 )
 
-// sites are the users' fleets. The rate of submissions keeps the processors
-// that services leave about two thirds busy.
+// sites returns the users' fleets. The submission rate keeps about two thirds of
+// the processors that the services do not use busy.
 func sites() []site {
 	return []site{
 		{
@@ -33,13 +33,13 @@
 func batchClasses() []class {
 	return []class{
 		{name: "reconcile", share: 0.45, size: model.Resources{MilliCPU: 1000, MemoryMB: 1500}, run: 4 * time.Minute,
-			quiet: 0.01, loud: 0.03, quietFor: 2 * time.Minute, loudFor: time.Minute},
+			quiet: 0.01, noisy: 0.03, quietFor: 2 * time.Minute, noisyFor: time.Minute},
 		{name: "report", share: 0.30, size: model.Resources{MilliCPU: 2000, MemoryMB: 3000}, run: 5 * time.Minute,
-			quiet: 0.03, loud: 0.10, quietFor: 3 * time.Minute, loudFor: time.Minute},
+			quiet: 0.03, noisy: 0.10, quietFor: 3 * time.Minute, noisyFor: time.Minute},
 		{name: "rebuild", share: 0.15, size: model.Resources{MilliCPU: 2000, MemoryMB: 4000}, run: 8 * time.Minute,
-			quiet: 0.05, loud: 0.6, quietFor: 4 * time.Minute, loudFor: time.Minute},
+			quiet: 0.05, noisy: 0.6, quietFor: 4 * time.Minute, noisyFor: time.Minute},
 		{name: "import", share: 0.10, size: model.Resources{MilliCPU: 2000, MemoryMB: 3000}, run: 3 * time.Minute,
-			quiet: 0.1, loud: 0.8, quietFor: time.Minute, loudFor: time.Minute, burst: true},
+			quiet: 0.1, noisy: 0.8, quietFor: time.Minute, noisyFor: time.Minute, burst: true},
 	}
 }
 
@@ -63,14 +63,14 @@
 	return "", false
 }
 
-func placed(s *sim, r *placement.Request) (model.WorkerID, bool) {
+func placerFit(s *sim, r *placement.Request) (model.WorkerID, bool) {
 	d, err := s.placer.Place(s.snapshot, r)
 	return d.Worker, err == nil
 }
 
-// threshold evicts the largest batch task whenever a report shows a service
-// over the limit: no confirmation, no lag, no throttle.
-func threshold(s *sim, w *simWorker) {
+// thresholdControl evicts the largest batch task whenever a report shows a
+// service over the limit, without confirmation, report lag or throttling.
+func thresholdControl(s *sim, w *simWorker) {
 	for _, service := range w.latest {
 		if service.Slowdown <= eviction.DefaultOptions().Limit {
 			continue
@@ -88,8 +88,8 @@
 	}
 }
 
-// controlled is the product's own policy.
-func controlled(s *sim, w *simWorker) {
+// productControl is the policy of this package.
+func productControl(s *sim, w *simWorker) {
 	view := s.view(w)
 	byKey := map[model.TaskKey]*simTask{}
 	for _, t := range w.tasks {
@@ -124,10 +124,10 @@
 func (s *sim) viewOf(t *simTask) eviction.Task {
 	v := eviction.Task{
 		Key: t.key, Class: t.workload.class.name, Size: t.held, LongRunning: t.long, Percent: t.percent,
-		ThrottledAt: t.throttledAt, SavedAt: t.savedAt, Checkpoints: true, Evictions: t.evictions,
+		ThrottledAt: t.throttledAt, SavedAt: t.savedAt, CanCheckpoint: true, Evictions: t.evictions,
 	}
 	if s.policy.shrink {
-		v.Full = t.full
+		v.FullSize = t.full
 	}
 	return v
 }
@@ -136,18 +136,18 @@
 	return eviction.StartPercent(s.view(t.worker), s.viewOf(t), s.set.eviction, s.model)
 }
 
-// grow raises a task's hold to what it was seen to need, as far as there is
-// room.
+// grow raises the committed size of a task to its learned need, as far as the
+// worker has room.
 func (s *sim) grow(t *simTask, view *eviction.WorkerView) {
-	want := s.sizes.Want(t.key, t.workload.declared, t.full)
+	want := s.sizes.RunningSize(t.key, t.workload.declared, t.full)
 	if want == t.full {
 		return
 	}
 	target := want
 	if s.policy.shrink {
-		target = eviction.ThrottledHold(want, t.percent)
+		target = eviction.ThrottledSize(want, t.percent)
 	}
-	granted, missing := interference.Grow(t.held, target, t.worker.room.Free)
+	granted, missing := interference.SplitGrowth(t.held, target, t.worker.room.Free)
 	s.resize(t, granted)
 	if missing == (model.Resources{}) {
 		t.full = want
@@ -156,21 +156,22 @@
 	view.Shortages = append(view.Shortages, eviction.Shortage{Task: t.key, Service: t.service, Missing: missing})
 }
 
-// distinctPolicies is how many policies there are before they are repeated with
-// one instance on each worker.
+// distinctPolicies is the number of policies before they are repeated with one
+// instance on each worker.
 const distinctPolicies = 7
 
-// policies are compared twice: with the instances where the product's
-// placement puts them, and with one on each worker.
+// policies returns the policies to compare. Each is listed twice: with the
+// instances where package placement puts them, and with one instance on each
+// worker.
 func policies() []policy {
 	list := []policy{
 		{name: "first fit", place: firstFit},
 		{name: "random", place: randomFit},
-		{name: "first fit+threshold", place: firstFit, control: threshold},
-		{name: "random+threshold", place: randomFit, control: threshold},
-		{name: "placement alone", place: placed, learn: true},
-		{name: "guavarill", place: placed, learn: true, control: controlled, start: startPercent},
-		{name: "guavarill+smaller holds", place: placed, learn: true, control: controlled, start: startPercent, shrink: true},
+		{name: "first fit+threshold", place: firstFit, control: thresholdControl},
+		{name: "random+threshold", place: randomFit, control: thresholdControl},
+		{name: "placement alone", place: placerFit, learn: true},
+		{name: "guavarill", place: placerFit, learn: true, control: productControl, start: startPercent},
+		{name: "guavarill+smaller holds", place: placerFit, learn: true, control: productControl, start: startPercent, shrink: true},
 	}
 	for _, p := range list[:distinctPolicies] {
 		p.name, p.even = p.name+" (one a worker)", true
@@ -179,24 +180,25 @@
 	return list
 }
 
-// shortWaves makes loud phases shorter than the report lag.
+// shortWaves returns the classes with noisy phases shorter than the report lag.
 func shortWaves() []class {
 	classes := batchClasses()
 	for i := range classes {
-		classes[i].loudFor /= 8
+		classes[i].noisyFor /= 8
 		classes[i].quietFor /= 8
 	}
 	return classes
 }
 
-// busy submits half as much again, more than the processors can do.
-func busy(st site) site {
+// overloaded raises the submission rate by half, which is more than the
+// processors can run.
+func overloaded(st site) site {
 	st.starts *= 1.5
 	return st
 }
 
-// BenchmarkPolicy measures the policies over the same submissions. Each
-// iteration is a run with a seed of its own; medians are reported.
+// BenchmarkPolicy compares the policies on the same submissions. Each iteration
+// is a simulation with a seed of its own. The medians are reported.
 func BenchmarkPolicy(b *testing.B) {
 	for _, st := range sites() {
 		for _, p := range policies() {
@@ -205,25 +207,26 @@
 	}
 }
 
-// BenchmarkPolicyWorse measures where the product's policy does less well.
+// BenchmarkPolicyWorse compares the policies under conditions that the policy of
+// this package handles less well: short noisy phases, and overload.
 func BenchmarkPolicyWorse(b *testing.B) {
 	st := sites()[0]
 	for _, p := range policies()[:distinctPolicies] {
 		b.Run("short waves/"+p.name, func(b *testing.B) { compare(b, st, shortWaves(), p) })
-		b.Run("busy/"+p.name, func(b *testing.B) { compare(b, busy(st), batchClasses(), p) })
+		b.Run("busy/"+p.name, func(b *testing.B) { compare(b, overloaded(st), batchClasses(), p) })
 	}
 }
 
-// BenchmarkPolicyStart measures the product's policy without the throttle that
-// tasks start with.
+// BenchmarkPolicyStart measures the policy of this package without the throttle
+// at the start of tasks.
 func BenchmarkPolicyStart(b *testing.B) {
-	p := policy{name: "full speed at start", place: placed, learn: true, control: controlled}
+	p := policy{name: "full speed at start", place: placerFit, learn: true, control: productControl}
 	for _, st := range sites() {
 		b.Run(st.name+"/"+p.name, func(b *testing.B) { compare(b, st, batchClasses(), p) })
 	}
 }
 
-// parallelRuns bounds how many runs go on at once.
+// parallelRuns is the largest number of simulations that run at the same time.
 const parallelRuns = 4
 
 func compare(b *testing.B, st site, classes []class, p policy) {
--- a/core/interference/sizes.go
+++ b/core/interference/sizes.go
@@ -7,75 +7,80 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// SizeOptions sets the size learner.
+// SizeOptions configures Sizes.
 type SizeOptions struct {
-	// MinRatio and MaxRatio bound a hold as a multiple of the declared size.
+	// MinRatio and MaxRatio limit the size to commit, as multiples of the declared
+	// size.
 	MinRatio, MaxRatio float64
-	// Margin is added to what was seen, as a ratio.
+	// Margin is added to the observed usage, as a share of it.
 	Margin float64
-	// Spread is how many standard deviations above the mean peak are held.
-	// Memory gets MemorySpread: too little memory kills a task, too little
-	// processor only slows it.
-	Spread, MemorySpread float64
-	// PriorWeight is how many tasks' worth of evidence the declaration counts.
+	// CPUStdFactor and MemoryStdFactor are the numbers of standard deviations above
+	// the mean peak that are committed. Memory has a factor of its own because too
+	// little memory kills a task, while too little processor time only slows it.
+	CPUStdFactor, MemoryStdFactor float64
+	// PriorWeight is the weight of the declared size, in tasks.
 	PriorWeight float64
-	// ReclaimPerHour is the largest fall of a hold in an hour, as a ratio.
+	// ReclaimPerHour is the largest decrease in an hour of the size to commit, as a
+	// share of the declared size.
 	ReclaimPerHour float64
-	// MinTasks is how many tasks must have been seen before less than the
-	// declared size is held.
+	// MinTasks is the number of tasks that must have been observed before less
+	// than the declared size is committed.
 	MinTasks float64
 }
 
-// DefaultSizeOptions returns the settings that the policy measurements use.
+// DefaultSizeOptions returns the options with which the eviction policy is measured.
 func DefaultSizeOptions() SizeOptions {
 	return SizeOptions{
-		MinRatio:       0.3,
-		MaxRatio:       4,
-		Margin:         0.10,
-		Spread:         0,
-		MemorySpread:   2,
-		PriorWeight:    2,
-		ReclaimPerHour: 0.25,
-		MinTasks:       5,
+		MinRatio:        0.3,
+		MaxRatio:        4,
+		Margin:          0.10,
+		CPUStdFactor:    0,
+		MemoryStdFactor: 2,
+		PriorWeight:     2,
+		ReclaimPerHour:  0.25,
+		MinTasks:        5,
 	}
 }
 
-// Usage is what one task was seen to use.
+// Usage is the measured usage of a task.
 type Usage struct {
 	MilliCPU, MemoryMB int64
 }
 
-// Sizes learns, per workload, how much room its tasks really need.
+// Sizes learns, per workload, how much capacity its tasks actually need.
 type Sizes struct {
 	options   SizeOptions
 	workloads map[string]*workloadSizes
 }
 
+// workloadSizes is the record of one workload. peaks holds the peaks of its running
+// tasks.
 type workloadSizes struct {
 	cpu, memory ratio
 	peaks       map[model.TaskKey]peak
 }
 
+// peak is the largest usage of a task, as multiples of its declared size.
 type peak struct {
 	cpu, memory float64
 }
 
-// ratio follows the peaks of a workload's tasks as multiples of the declared
-// size: their moments over tasks, and the hold in force.
+// ratio records the peaks of a workload's tasks in one dimension as multiples of the
+// declared size: their moments over tasks, and the ratio in force, which is the one to
+// commit.
 type ratio struct {
 	moments
-	hold   float64
-	holdAt time.Time
+	inForce   float64
+	inForceAt time.Time
 }
 
-// NewSizes returns a learner that holds what is declared.
+// NewSizes returns a learner without observations, which returns the declared sizes.
 func NewSizes(o SizeOptions) *Sizes {
 	return &Sizes{options: o, workloads: make(map[string]*workloadSizes)}
 }
 
-// Observe records what a task of a workload was seen to use. Only a new peak
-// of the task changes anything, so late, repeated and reordered reports are
-// harmless.
+// Observe records the measured usage of a task. Only a new peak of the task changes
+// the record, so delayed, repeated and reordered reports do no harm.
 func (s *Sizes) Observe(now time.Time, key model.TaskKey, declared model.Resources, u Usage) {
 	if declared.MilliCPU <= 0 || declared.MemoryMB <= 0 || u.MilliCPU < 0 || u.MemoryMB < 0 {
 		return
@@ -89,64 +94,67 @@
 	w.peaks[key] = next
 	w.cpu.replace(seen, old.cpu, next.cpu)
 	w.memory.replace(seen, old.memory, next.memory)
-	w.cpu.settle(now, s.wanted(&w.cpu, s.options.Spread), s.options.ReclaimPerHour)
-	w.memory.settle(now, s.wanted(&w.memory, s.options.MemorySpread), s.options.ReclaimPerHour)
+	w.cpu.adjust(now, s.desiredRatio(&w.cpu, s.options.CPUStdFactor), s.options.ReclaimPerHour)
+	w.memory.adjust(now, s.desiredRatio(&w.memory, s.options.MemoryStdFactor), s.options.ReclaimPerHour)
 }
 
-// Ended drops the record of a task that is over. What its workload learned
-// from it stays, and fades as later tasks are seen.
-func (s *Sizes) Ended(key model.TaskKey) {
+// TaskEnded drops the record of a task that has ended. Its peaks remain part of the
+// moments of its workload, where they lose weight as later tasks are observed.
+func (s *Sizes) TaskEnded(key model.TaskKey) {
 	if w, ok := s.workloads[key.Workload]; ok {
 		delete(w.peaks, key)
 	}
 }
 
-// Forget drops a workload that is retired.
+// Forget drops the record of a workload that is retired.
 func (s *Sizes) Forget(workload string) { delete(s.workloads, workload) }
 
-// Hold returns what to commit for a task of a workload that is to be placed.
-// Accelerators are always as declared.
-func (s *Sizes) Hold(workload string, declared model.Resources) model.Resources {
+// CommitSize returns the size to commit for a task that is to be placed, given the
+// workload and the declared size. It returns the declared size for a workload that was
+// never observed.
+// Accelerators are committed as declared.
+func (s *Sizes) CommitSize(workload string, declared model.Resources) model.Resources {
 	w, ok := s.workloads[workload]
 	if !ok {
 		return declared
 	}
-	hold := declared
-	hold.MilliCPU = scale(declared.MilliCPU, w.cpu.hold)
-	hold.MemoryMB = scale(declared.MemoryMB, w.memory.hold)
-	return hold
+	size := declared
+	size.MilliCPU = scale(declared.MilliCPU, w.cpu.inForce)
+	size.MemoryMB = scale(declared.MemoryMB, w.memory.inForce)
+	return size
 }
 
-// Want returns what a running task should have committed: its present hold,
-// or more when it was seen to use more. It never shrinks a hold, since a task
-// that goes on may need its room again before others give it back.
-func (s *Sizes) Want(key model.TaskKey, declared, held model.Resources) model.Resources {
+// RunningSize returns the size that should be committed for a running task: the
+// currently committed size, or more if the task has used more. It never returns less,
+// because a task that keeps running may need its capacity again before other tasks
+// release it.
+func (s *Sizes) RunningSize(key model.TaskKey, declared, committed model.Resources) model.Resources {
 	w, ok := s.workloads[key.Workload]
 	if !ok {
-		return held
+		return committed
 	}
 	seen, ok := w.peaks[key]
 	if !ok {
-		return held
+		return committed
 	}
-	want := held
-	want.MilliCPU = max(held.MilliCPU, s.grown(declared.MilliCPU, held.MilliCPU, seen.cpu))
-	want.MemoryMB = max(held.MemoryMB, s.grown(declared.MemoryMB, held.MemoryMB, seen.memory))
+	want := committed
+	want.MilliCPU = max(committed.MilliCPU, s.sizeForPeak(declared.MilliCPU, committed.MilliCPU, seen.cpu))
+	want.MemoryMB = max(committed.MemoryMB, s.sizeForPeak(declared.MemoryMB, committed.MemoryMB, seen.memory))
 	return want
 }
 
-// Grow splits a wish for more room into what the worker's free room allows and
-// what is missing. held plus free is never exceeded: a worker is not committed
-// beyond its capacity because a task turned out larger than declared. A
-// shortage is for package eviction to settle.
-func Grow(held, want, free model.Resources) (granted, shortage model.Resources) {
-	more := want.Sub(held)
+// SplitGrowth splits the growth of a task's size from committed to want into the size
+// that the worker's free capacity allows and the shortage. granted does not exceed
+// committed plus free: a worker is not committed beyond its capacity because a task is
+// larger than declared. Package eviction resolves shortages. Accelerators do not grow.
+func SplitGrowth(committed, want, free model.Resources) (granted, shortage model.Resources) {
+	more := want.Sub(committed)
 	given := model.Resources{
-		MilliCPU:     clampInt(more.MilliCPU, free.MilliCPU),
-		MemoryMB:     clampInt(more.MemoryMB, free.MemoryMB),
+		MilliCPU:     clampGrowth(more.MilliCPU, free.MilliCPU),
+		MemoryMB:     clampGrowth(more.MemoryMB, free.MemoryMB),
 		Accelerators: 0,
 	}
-	granted = held.Add(given)
+	granted = committed.Add(given)
 	shortage = model.Resources{
 		MilliCPU: max(0, want.MilliCPU-granted.MilliCPU),
 		MemoryMB: max(0, want.MemoryMB-granted.MemoryMB),
@@ -154,14 +162,14 @@
 	return granted, shortage
 }
 
-func clampInt(more, free int64) int64 { return max(0, min(more, free)) }
+func clampGrowth(more, free int64) int64 { return max(0, min(more, free)) }
 
 func (s *Sizes) workload(name string) *workloadSizes {
 	w, ok := s.workloads[name]
 	if !ok {
 		w = &workloadSizes{
-			cpu:    ratio{hold: 1},
-			memory: ratio{hold: 1},
+			cpu:    ratio{inForce: 1},
+			memory: ratio{inForce: 1},
 			peaks:  make(map[model.TaskKey]peak),
 		}
 		s.workloads[name] = w
@@ -169,16 +177,18 @@
 	return w
 }
 
-// grown returns the room for a peak with its margin, when the peak lies above
-// what is held.
-func (s *Sizes) grown(declared, held int64, seen float64) int64 {
-	if scale(declared, seen) <= held {
-		return held
+// sizeForPeak returns the size for a peak with its margin, or committed if the peak does
+// not exceed it.
+func (s *Sizes) sizeForPeak(declared, committed int64, seen float64) int64 {
+	if scale(declared, seen) <= committed {
+		return committed
 	}
 	return scale(declared, math.Min(s.options.MaxRatio, seen*(1+s.options.Margin)))
 }
 
-func (s *Sizes) wanted(r *ratio, spread float64) float64 {
+// desiredRatio returns the ratio to commit according to the moments: the mean plus
+// stdFactor standard deviations and the margin, within the limits of the options.
+func (s *Sizes) desiredRatio(r *ratio, stdFactor float64) float64 {
 	o := &s.options
 	weight := r.weight + o.PriorWeight
 	mean := (r.mean*r.weight + o.PriorWeight) / weight
@@ -186,14 +196,14 @@
 	if r.weight > 0 {
 		deviation = math.Sqrt(math.Max(0, r.squares/r.weight))
 	}
-	want := (mean + spread*deviation) * (1 + o.Margin)
+	want := (mean + stdFactor*deviation) * (1 + o.Margin)
 	if r.weight < o.MinTasks {
 		want = math.Max(1, want)
 	}
 	return math.Min(o.MaxRatio, math.Max(o.MinRatio, want))
 }
 
-// replace exchanges a task's old peak for its new one, or adds the first.
+// replace replaces a task's old peak with the next one, or adds its first peak.
 func (r *ratio) replace(seen bool, old, next float64) {
 	if seen && old == next {
 		return
@@ -204,22 +214,23 @@
 	r.add(next)
 }
 
-// settle raises the hold at once and lowers it slowly. Lowering at once would
-// let one quiet hour of a workload give away the room its busy hour needs.
-func (r *ratio) settle(now time.Time, wanted, reclaimPerHour float64) {
-	if wanted >= r.hold {
-		r.hold, r.holdAt = wanted, now
+// adjust raises the ratio in force to the desired one immediately and lowers it by at
+// most reclaimPerHour. Lowering it immediately would give away in a workload's quiet
+// hour the capacity that it needs in its busy hour.
+func (r *ratio) adjust(now time.Time, desired, reclaimPerHour float64) {
+	if desired >= r.inForce {
+		r.inForce, r.inForceAt = desired, now
 		return
 	}
-	if r.holdAt.IsZero() {
-		r.holdAt = now
+	if r.inForceAt.IsZero() {
+		r.inForceAt = now
 	}
-	passed := now.Sub(r.holdAt)
+	passed := now.Sub(r.inForceAt)
 	if passed <= 0 {
 		return
 	}
-	r.hold = math.Max(wanted, r.hold-reclaimPerHour*passed.Hours())
-	r.holdAt = now
+	r.inForce = math.Max(desired, r.inForce-reclaimPerHour*passed.Hours())
+	r.inForceAt = now
 }
 
 func scale(amount int64, ratio float64) int64 {
--- a/core/joblog/joblog_test.go
+++ b/core/joblog/joblog_test.go
@@ -13,15 +13,15 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// The jobs of testdata/store-outage.log: lines of nine daemons before, in and
-// after four seconds without the store.
+// The jobs of testdata/store-outage.log, which has the lines of nine daemons
+// before, during and after a store outage of four seconds.
 const (
-	refusedJob  job.ID = "38794a2fe1bc1e9c"
-	untoldJob   job.ID = "97e4bb9b6c8427d5"
-	failedJob   job.ID = "4a3da32f0db5947d"
-	takenOver   job.ID = "9ea694efb3dbe812"
-	neverHeard  job.ID = "0123456789abcdef"
-	outageLines        = "testdata/store-outage.log"
+	refusedJob        job.ID = "38794a2fe1bc1e9c"
+	unknownOutcomeJob job.ID = "97e4bb9b6c8427d5"
+	failedJob         job.ID = "4a3da32f0db5947d"
+	takenOverJob      job.ID = "9ea694efb3dbe812"
+	unknownJob        job.ID = "0123456789abcdef"
+	outageLines              = "testdata/store-outage.log"
 )
 
 func savedLines(t *testing.T) []Line {
@@ -40,7 +40,7 @@
 func TestExplain(t *testing.T) {
 	lines := savedLines(t)
 	for name, id := range map[string]job.ID{
-		"refused": refusedJob, "untold": untoldJob, "failed": failedJob, "takenover": takenOver, "unheard": neverHeard,
+		"refused": refusedJob, "untold": unknownOutcomeJob, "failed": failedJob, "takenover": takenOverJob, "unheard": unknownJob,
 	} {
 		e := Explain(lines, id)
 		e.Lines = nil
@@ -52,12 +52,12 @@
 	}
 }
 
-func TestParsePassesOverWhatIsNoLine(t *testing.T) {
+func TestParseSkipsOtherText(t *testing.T) {
 	log := "started by hand\n" +
 		`  7.43 host-1 {"msg":"leads","epoch":4,"time":"2026-05-01T02:07:21Z"}` + "\n\n" +
 		`{"msg":"job accepted","job":"38794a2f`
 	lines, unread := Parse([]byte(log), "host-1")
-	if len(lines) != 1 || lines[0].Message != MessageLeads || lines[0].Daemon != "host-1" || lines[0].Epoch != 4 {
+	if len(lines) != 1 || lines[0].Message != MessageLeadershipAcquired || lines[0].Daemon != "host-1" || lines[0].Epoch != 4 {
 		t.Errorf("lines: %+v", lines)
 	}
 	if len(unread) != 1 || unread[0].Number != 4 {
@@ -65,7 +65,7 @@
 	}
 }
 
-func TestMergeLeavesOutWhatIsInTwoLogs(t *testing.T) {
+func TestMergeDropsDuplicates(t *testing.T) {
 	lines := savedLines(t)
 	reversed := slices.Clone(lines)
 	slices.Reverse(reversed)
@@ -80,60 +80,62 @@
 
 func TestSummaries(t *testing.T) {
 	lines := savedLines(t)
-	jobs := Jobs(lines)
+	jobs := SummarizeJobs(lines)
 	if len(jobs) != 4 || jobs[1].Job != failedJob || jobs[1].Outcome != "failed" || jobs[1].Attempts != 10 {
 		t.Errorf("jobs: %+v", jobs)
 	}
 	leaders := 0
-	for _, d := range Daemons(lines) {
-		if d.Leads {
+	for _, d := range SummarizeDaemons(lines) {
+		if d.IsLeader {
 			leaders++
 		}
 		if d.StoreLost {
-			t.Errorf("%s is told to be without the store, which returned", d.Daemon)
+			t.Errorf("%s is reported without the store, which returned", d.Daemon)
 		}
 	}
 	if leaders != 1 {
-		t.Errorf("%d daemons lead", leaders)
+		t.Errorf("%d leaders, want 1", leaders)
 	}
 	if events := Events(lines); len(events) == 0 || slices.ContainsFunc(events, func(l Line) bool { return l.Job != "" }) {
 		t.Error("events hold lines about jobs")
 	}
 }
 
-// TestExplainTellsOfAJobSetAside: a job that waits because its records cannot be
-// read waits for no worker, and the operator must be told so.
-func TestExplainTellsOfAJobSetAside(t *testing.T) {
+// TestExplainReportsJobSetAside checks that the explanation of a job whose records
+// cannot be read names that cause. Otherwise the operator would look for missing
+// capacity.
+func TestExplainReportsJobSetAside(t *testing.T) {
 	at := time.Unix(0, 0)
 	found := strings.Join(Explain([]Line{
-		{Time: at, Message: MessageAccepted, Job: failedJob, Daemon: "a"},
-		{Time: at.Add(time.Second), Message: MessageSetAside, Job: failedJob, Daemon: "b", Reason: "its records cannot be read"},
+		{Time: at, Message: MessageJobAccepted, Job: failedJob, Daemon: "a"},
+		{Time: at.Add(time.Second), Message: MessageJobSetAside, Job: failedJob, Daemon: "b", Reason: "its records cannot be read"},
 	}, failedJob).Findings, "; ")
 	if !strings.Contains(found, "b set it aside at") || !strings.Contains(found, "its records cannot be read") {
 		t.Errorf("findings: %s", found)
 	}
 }
 
-// TestExplainTellsOfHeldStarts: a step that is held back after a take-over waits
-// for no room, and the operator must be told for which worker it waits.
-func TestExplainTellsOfHeldStarts(t *testing.T) {
+// TestExplainReportsHeldStarts checks that the explanation of a step whose start
+// is held back after a takeover names the worker that it waits for. Such a step
+// does not wait for capacity.
+func TestExplainReportsHeldStarts(t *testing.T) {
 	at := time.Unix(0, 0)
 	step := string(failedJob) + ".0.0"
 	found := strings.Join(Explain([]Line{
-		{Time: at, Message: MessageTakenIn, Job: failedJob, Daemon: "a"},
-		{Time: at.Add(time.Second), Message: MessageHeldBack, Job: failedJob, Task: step, Worker: "w1", Reason: "until 5s from now"},
-		{Time: at.Add(4 * time.Second), Message: MessageHeldBack, Job: failedJob, Task: step, Worker: "w2", Reason: "until 2s from now"},
+		{Time: at, Message: MessageJobTakenIn, Job: failedJob, Daemon: "a"},
+		{Time: at.Add(time.Second), Message: MessageStartHeldBack, Job: failedJob, Task: step, Worker: "w1", Reason: "until 5s from now"},
+		{Time: at.Add(4 * time.Second), Message: MessageStartHeldBack, Job: failedJob, Task: step, Worker: "w2", Reason: "until 2s from now"},
 	}, failedJob).Findings, "; ")
 	if !strings.Contains(found, "held back 2 time(s)") || !strings.Contains(found, "for w2: until 2s from now") {
 		t.Errorf("findings: %s", found)
 	}
 }
 
-func TestExplainTellsOfCrashes(t *testing.T) {
+func TestExplainReportsCrashes(t *testing.T) {
 	at := time.Unix(0, 0)
 	task := string(failedJob) + ".0.0.3"
 	found := strings.Join(Explain([]Line{
-		{Time: at, Message: MessageTakenIn, Job: failedJob, Daemon: "a"},
+		{Time: at, Message: MessageJobTakenIn, Job: failedJob, Daemon: "a"},
 		{Time: at.Add(time.Second), Message: MessageCrashCounted, Job: failedJob, Task: task, Attempt: 1, Reason: "attempt 1 seen for 0s"},
 		{Time: at.Add(4 * time.Second), Message: MessageCrashCounted, Job: failedJob, Task: task, Attempt: 2, Reason: "attempt 1 seen for 0s, attempt 2 seen for 0s"},
 	}, failedJob).Findings, "; ")
@@ -142,15 +144,15 @@
 	}
 }
 
-// TestExplainTellsOfGaps: lines that were left out or dropped may have held the
-// cause, so that an explanation without them must say so.
-func TestExplainTellsOfGaps(t *testing.T) {
+// TestExplainReportsGaps checks that an explanation reports suppressed and dropped
+// lines, because they may have contained the cause.
+func TestExplainReportsGaps(t *testing.T) {
 	at := time.Unix(0, 0)
 	lines := []Line{
-		{Time: at, Message: MessageTakenIn, Job: failedJob},
-		{Time: at.Add(time.Second), Message: MessageStarted, Job: takenOver, LeftOut: 7},
-		{Time: at.Add(2 * time.Second), Message: MessageDropped, Dropped: 3},
-		{Time: at.Add(3 * time.Second), Message: MessageFinal(job.Failed), Job: failedJob},
+		{Time: at, Message: MessageJobTakenIn, Job: failedJob},
+		{Time: at.Add(time.Second), Message: MessageAttemptStarted, Job: takenOverJob, Suppressed: 7},
+		{Time: at.Add(2 * time.Second), Message: MessageLinesDropped, Dropped: 3},
+		{Time: at.Add(3 * time.Second), Message: JobFinalMessage(job.Failed), Job: failedJob},
 	}
 	gaps := strings.Join(Explain(lines, failedJob).Gaps, "; ")
 	if !strings.Contains(gaps, "7 routine lines") || !strings.Contains(gaps, "3 lines were dropped") {
--- a/core/jobsched/crash.go
+++ b/core/jobsched/crash.go
@@ -63,7 +63,7 @@
 func (a *attempt) observedRunTimeMs() int64 {
 	seen := a.observedRunTime()
 	if a.inherited || a.adopted && seen < stableRunTime {
-		return job.CrashTimeUnknown
+		return job.ObservedRunUnknown
 	}
 	return seen.Milliseconds()
 }
@@ -133,8 +133,8 @@
 		return
 	}
 	m.countCrash(a.task, job.Crash{
-		Attempt: a.key.attempt, SeenMs: a.observedRunTimeMs(), Several: m.isMassCrash(a.step(), on),
-		Unsure: a.startedAt.IsZero() && !a.inherited || leaves,
+		Attempt: a.key.attempt, ObservedRunMs: a.observedRunTimeMs(), Correlated: m.isMassCrash(a.step(), on),
+		Uncertain: a.startedAt.IsZero() && !a.inherited || leaves,
 	})
 }
 
@@ -218,7 +218,7 @@
 		return []job.Crash{c}
 	}
 	last := crashes[len(crashes)-1]
-	long := max(last.SeenMs, c.SeenMs) >= stableRunTime.Milliseconds()
+	long := max(last.ObservedRunMs, c.ObservedRunMs) >= stableRunTime.Milliseconds()
 	if long && !atSameRunTime(last, c) {
 		return []job.Crash{c}
 	}
@@ -231,7 +231,7 @@
 	n := len(crashes)
 	sure := 0
 	for _, c := range crashes {
-		if !c.Unsure {
+		if !c.Uncertain {
 			sure++
 		}
 	}
@@ -252,16 +252,16 @@
 // first attempt has none before it, and a crash of which a later leader heard may
 // have followed on others.
 func mayMissCrash(crashes []job.Crash) bool {
-	unknown := func(c job.Crash) bool { return c.SeenMs == job.CrashTimeUnknown }
+	unknown := func(c job.Crash) bool { return c.ObservedRunMs == job.ObservedRunUnknown }
 	return crashes[0].Attempt > 1 || slices.ContainsFunc(crashes, unknown)
 }
 
 // hasOtherCause reports whether something else than the task may have been the cause.
-func hasOtherCause(c job.Crash) bool { return c.Several }
+func hasOtherCause(c job.Crash) bool { return c.Correlated }
 
 // isSuspicious reports whether the start of the task may have been the cause.
 func isSuspicious(c job.Crash) bool {
-	return !hasOtherCause(c) && c.SeenMs < stableRunTime.Milliseconds()
+	return !hasOtherCause(c) && c.ObservedRunMs < stableRunTime.Milliseconds()
 }
 
 // allAtSameRunTime reports whether all crashes came at the same time of a run, with nothing
@@ -280,11 +280,11 @@
 // atSameRunTime reports whether two crashes came at the same time of a run, as far as
 // reports tell: before any of them, or late enough and near each other.
 func atSameRunTime(a, b job.Crash) bool {
-	if a.SeenMs == 0 && b.SeenMs == 0 {
+	if a.ObservedRunMs == 0 && b.ObservedRunMs == 0 {
 		return true
 	}
-	near := max(a.SeenMs, b.SeenMs)-min(a.SeenMs, b.SeenMs) <= reportDelay.Milliseconds()
-	return near && min(a.SeenMs, b.SeenMs) >= minComparableRunTime.Milliseconds()
+	near := max(a.ObservedRunMs, b.ObservedRunMs)-min(a.ObservedRunMs, b.ObservedRunMs) <= reportDelay.Milliseconds()
+	return near && min(a.ObservedRunMs, b.ObservedRunMs) >= minComparableRunTime.Milliseconds()
 }
 
 // describeCrashes lists crashes with their attempts and times.
@@ -295,16 +295,16 @@
 			text += ", "
 		}
 		text += fmt.Sprintf("attempt %d ", c.Attempt)
-		switch c.SeenMs {
-		case job.CrashTimeUnknown:
+		switch c.ObservedRunMs {
+		case job.ObservedRunUnknown:
 			text += "at a time not known"
 		default:
-			text += "seen for " + (time.Duration(c.SeenMs) * time.Millisecond).String()
+			text += "seen for " + (time.Duration(c.ObservedRunMs) * time.Millisecond).String()
 		}
-		if c.Unsure {
+		if c.Uncertain {
 			text += ", perhaps not there"
 		}
-		if c.Several {
+		if c.Correlated {
 			text += " as other workers ended too"
 		}
 	}
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -139,7 +139,7 @@
 	if schedule := s.job().record.Spec.Schedule; schedule != nil {
 		return schedule.Due(s.occurrence.number).UnixMilli()
 	}
-	return s.job().record.AtMs
+	return s.job().record.AcceptedAtMs
 }
 
 // allowanceMs returns the time from its being due that the occurrence may take.
@@ -435,9 +435,9 @@
 // countFitting returns how many tasks like t the worker has room for.
 func (w *worker) countFitting(t *task) int {
 	spec := t.step.spec
-	n := spec.Committed().Times(w.roomFor(t))
+	n := spec.Committed().FitCount(w.roomFor(t))
 	if spec.BestEffort {
-		n = min(n, model.Resources{MilliCPU: spec.Size.MilliCPU}.Times(model.Resources{MilliCPU: w.freeCPU()}))
+		n = min(n, model.Resources{MilliCPU: spec.Size.MilliCPU}.FitCount(model.Resources{MilliCPU: w.freeCPU()}))
 	}
 	if spec.MaxPerWorker > 0 {
 		n = min(n, spec.MaxPerWorker)
--- a/core/jobsched/silence.go
+++ b/core/jobsched/silence.go
@@ -90,7 +90,7 @@
 func (m *Machine) withholdEnd(w *worker, e *EndedAttempt) {
 	w.unackedEnds[len(w.unackedEnds)-1].withheld = true
 	m.emit(Note{
-		Decision: joblog.MessageEndHeld, Job: e.Key.Job, Task: e.Key.String(), Attempt: e.Attempt, Worker: w.id,
+		Decision: joblog.MessageEndNotAcknowledged, Job: e.Key.Job, Task: e.Key.String(), Attempt: e.Attempt, Worker: w.id,
 		Reason: "it was given up, and its task has been started again; the end is not acknowledged",
 	})
 }
--- a/core/jobsched/trial.go
+++ b/core/jobsched/trial.go
@@ -87,7 +87,7 @@
 	w := m.trialIncarnation(t.trial.worker)
 	named := t.trial.namesWorker()
 	if named && (w == nil || w.ended) || !named && m.unseenCrash {
-		m.countCrash(t, job.Crash{Attempt: t.trial.number, SeenMs: job.CrashTimeUnknown, Unsure: !named})
+		m.countCrash(t, job.Crash{Attempt: t.trial.number, ObservedRunMs: job.ObservedRunUnknown, Uncertain: !named})
 		return
 	}
 	t.trial = trial{}
@@ -233,7 +233,7 @@
 // markTrialsStored takes in that trials are stored.
 func (m *Machine) markTrialsStored(stored map[job.TaskKey]job.Trial) {
 	for key, record := range stored {
-		if t := m.task(key); t != nil && t.trial.number == record.Attempt && t.trial.worker == record.On() {
+		if t := m.task(key); t != nil && t.trial.number == record.Attempt && t.trial.worker == record.Incarnation() {
 			t.trial.stored = true
 			m.changed = true
 		}
--- a/core/ordered/map_test.go
+++ b/core/ordered/map_test.go
@@ -10,9 +10,10 @@
 	"github.com/leanovate/gopter/prop"
 )
 
-// TestMapAgreesWithAModel plays random changes, some of them in the middle of
-// an iteration, and compares with a slice of keys in the order of their coming.
-func TestMapAgreesWithAModel(t *testing.T) {
+// TestMapMatchesReference applies random changes, some of them during an iteration,
+// and compares the map with a reference: a built-in map and a slice of the keys in the
+// order of insertion.
+func TestMapMatchesReference(t *testing.T) {
 	properties := gopter.NewProperties(nil)
 	properties.Property("same keys, values and order", prop.ForAll(func(seed uint64) bool {
 		rnd := rand.New(rand.NewPCG(seed, 0))
@@ -62,13 +63,13 @@
 	properties.TestingRun(t)
 }
 
-func TestDeletedEntriesAreLetGo(t *testing.T) {
+func TestDeletedEntriesAreReleased(t *testing.T) {
 	var m Map[int, *int]
 	for i := range 10000 {
 		m.Set(i, &i)
 		m.Delete(i)
 	}
-	if len(m.entries) > 2*compactAt {
-		t.Errorf("%d entries are kept for no key", len(m.entries))
+	if len(m.entries) > 2*minDeletedToCompact {
+		t.Errorf("%d entries are kept for deleted keys", len(m.entries))
 	}
 }
--- a/core/scheduler/observe.go
+++ b/core/scheduler/observe.go
@@ -10,79 +10,87 @@
 	"github.com/guavarill/guavarill/core/quarantine"
 )
 
-// ObservationKind is what became of an attempt.
+// ObservationKind is the state of an attempt as a worker session reports it.
 type ObservationKind uint8
 
-// The kinds of observation. All but SawRunning say that the attempt is
-// certainly over.
+// The kinds of observation. All except ObservedRunning mean that the attempt
+// has ended for certain.
 const (
-	SawRunning ObservationKind = iota + 1
-	SawSucceeded
-	SawFailed
-	// SawStopped: stopped by command, or by the agent when its lease ran out.
-	SawStopped
-	// SawRefused: the worker had no room or no valid grant; nothing started.
-	SawRefused
-	// SawLost: over without a report, by the bound on its lease or because
-	// the worker restarted.
-	SawLost
+	ObservedRunning ObservationKind = iota + 1
+	ObservedSucceeded
+	ObservedFailed
+	// ObservedStopped means that the attempt was stopped on request, or by the
+	// agent because its lease expired.
+	ObservedStopped
+	// ObservedRefused means that the worker started nothing because it had no
+	// room or no valid grant.
+	ObservedRefused
+	// ObservedLost means that the attempt ended without a report: its lease
+	// must have expired by now, or the worker restarted.
+	ObservedLost
 )
 
-// Observation is news of one attempt from its worker's session.
+// Observation is a report on one attempt from the session of its worker.
 type Observation struct {
-	Attempt    model.AttemptKey
-	Worker     model.WorkerID
-	Kind       ObservationKind
-	Address    string
+	Attempt model.AttemptKey
+	Worker  model.WorkerID
+	Kind    ObservationKind
+	// Address is where a running instance of a service accepts requests.
+	Address string
+	// Checkpoint refers to the progress that was saved when the attempt
+	// stopped; it is empty if none was saved.
 	Checkpoint string
-	Detail     string
+	// Detail is the cause of a failure, for people to read.
+	Detail string
 }
 
-// RefusedRetry is how long a task waits after a worker refused it. The
-// worker's own view of its room lags the ledger's while a predecessor's tasks
-// end there.
+// RefusedRetry is the delay before a task that a worker refused is placed
+// again. A worker's own count of its free resources lags behind the ledger's
+// while tasks started by a previous owner of the shard end there.
 const RefusedRetry = time.Second
 
 // Observer turns observations into changes of one shard's ledger.
 type Observer struct {
-	Ledger Ledger
-	Judge  *quarantine.Judge
-	// MaxAttempts returns a workload's bound on counted failures; 0 is the
-	// judge's own.
+	Ledger    Ledger
+	Evaluator *quarantine.Evaluator
+	// MaxAttempts returns the limit on counted failures of a workload's tasks;
+	// 0 selects the default of the evaluator.
 	MaxAttempts func(workload string) int
 }
 
-// Observe returns what follows from one observation. News of another attempt
-// than the one in the ledger, and repeats, change nothing.
+// Observe returns the ledger changes that follow from one observation. It
+// returns none for a repeated observation, or for an attempt other than the
+// task's current one.
 func (ob *Observer) Observe(now time.Time, o Observation) []ledger.Change {
 	t, known := ob.Ledger.Task(o.Attempt.Task)
 	if !known || !t.State.HoldsRoom() || t.Attempt != o.Attempt.Attempt || t.Worker != o.Worker {
 		return nil
 	}
 	switch o.Kind {
-	case SawRunning:
+	case ObservedRunning:
 		return observeRunning(t, o)
-	case SawSucceeded:
+	case ObservedSucceeded:
 		return ob.observeSucceeded(now, t, o)
-	case SawFailed:
+	case ObservedFailed:
 		return ob.observeFailed(now, t, o)
-	case SawRefused:
+	case ObservedRefused:
 		t.NotBefore = now.Add(RefusedRetry)
-		return over(t, o)
+		return endAttempt(t, o)
 	default:
 		t.NotBefore = time.Time{}
-		return over(t, o)
+		return endAttempt(t, o)
 	}
 }
 
-// Healthy returns what follows from an attempt that has run long enough to
-// speak for its worker. It changes quarantines only.
-func (ob *Observer) Healthy(now time.Time, attempt model.AttemptKey) []ledger.Change {
+// ObserveHealthy returns the ledger changes that follow from an attempt that
+// has run long enough to count as a success of its worker. Only quarantines
+// change; the task's record does not.
+func (ob *Observer) ObserveHealthy(now time.Time, attempt model.AttemptKey) []ledger.Change {
 	t, known := ob.Ledger.Task(attempt.Task)
 	if !known || t.State != ledger.Running || t.Attempt != attempt.Attempt {
 		return nil
 	}
-	return workerChanges(ob.Judge.Observe(now, ob.outcome(t, quarantine.Healthy)))
+	return workerChanges(ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Healthy)))
 }
 
 func observeRunning(t ledger.Task, o Observation) []ledger.Change {
@@ -94,7 +102,7 @@
 	}
 	t.State = ledger.Running
 	t.Address = o.Address
-	return put(t)
+	return putChange(t)
 }
 
 func (ob *Observer) observeSucceeded(now time.Time, t ledger.Task, o Observation) []ledger.Change {
@@ -102,23 +110,24 @@
 		o.Detail = "service ended by itself"
 		return ob.observeFailed(now, t, o)
 	}
-	verdict := ob.Judge.Observe(now, ob.outcome(t, quarantine.Succeeded))
+	verdict := ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Succeeded))
 	t.State = ledger.Succeeded
 	t.Reason = ""
 	t.Address = ""
-	return append(put(t), workerChanges(verdict)...)
+	return append(putChange(t), workerChanges(verdict)...)
 }
 
-// observeFailed asks the judge whom to blame. A task that was being stopped
-// for good is over either way, and its failure is evidence of nothing.
+// observeFailed lets the evaluator attribute a failure to the task, the worker
+// or a common cause. The failure of a task that is being stopped for good is
+// not evaluated: the task ends in any case, and the stop may have caused it.
 func (ob *Observer) observeFailed(now time.Time, t ledger.Task, o Observation) []ledger.Change {
 	if t.State == ledger.Stopping && !t.Resume {
-		return over(t, o)
+		return endAttempt(t, o)
 	}
-	verdict := ob.Judge.Observe(now, ob.outcome(t, quarantine.Failed))
+	verdict := ob.Evaluator.Observe(now, ob.outcome(t, quarantine.Failed))
 	if verdict.Task.Blame.Counts() {
 		t.Failures++
-		t.FailedWorkers = withWorker(t.FailedWorkers, t.Worker)
+		t.FailedWorkers = appendWorker(t.FailedWorkers, t.Worker)
 	}
 	t.Address = ""
 	t.Reason = "failed: " + o.Detail
@@ -131,7 +140,7 @@
 		t.NotBefore = verdict.Task.NotBefore
 		t.Resume = false
 	}
-	return append(put(t), workerChanges(verdict)...)
+	return append(putChange(t), workerChanges(verdict)...)
 }
 
 func (ob *Observer) outcome(t ledger.Task, result quarantine.Result) quarantine.Outcome {
@@ -146,14 +155,14 @@
 	}
 }
 
-// over returns the record of a task whose attempt ended before its work was
-// done: it ends for good when that was asked for, and else becomes pending, to
-// resume from its last checkpoint.
-func over(t ledger.Task, o Observation) []ledger.Change {
+// endAttempt returns the change of a task whose attempt ended before its work
+// was done. A task that was being stopped for good becomes cancelled. Any
+// other task becomes pending, to resume from its last checkpoint.
+func endAttempt(t ledger.Task, o Observation) []ledger.Change {
 	if t.State == ledger.Stopping && !t.Resume {
 		t.State = ledger.Cancelled
 		t.Address = ""
-		return put(t)
+		return putChange(t)
 	}
 	if t.State == ledger.Stopping {
 		t.Evictions++
@@ -169,17 +178,18 @@
 	if t.Reason != ReasonPreempted {
 		t.Reason = ""
 	}
-	return put(t)
+	return putChange(t)
 }
 
-func put(t ledger.Task) []ledger.Change {
+func putChange(t ledger.Task) []ledger.Change {
 	return []ledger.Change{{Put: &t}}
 }
 
-// maxFailedWorkers bounds how many distinct workers a task's record names.
+// maxFailedWorkers limits the number of workers in a task's list of failed
+// workers. The oldest entries are dropped.
 const maxFailedWorkers = 8
 
-func withWorker(list []model.WorkerID, w model.WorkerID) []model.WorkerID {
+func appendWorker(list []model.WorkerID, w model.WorkerID) []model.WorkerID {
 	if slices.Contains(list, w) {
 		return list
 	}
@@ -203,9 +213,10 @@
 	return changes
 }
 
-// NeedsSync reports whether a committed change leaves a record that only a
-// comparison with the configuration will remove: a task of a generation that
-// is not in force came to rest.
+// NeedsSync reports whether the ledger must be compared with the configuration
+// again after a committed change. That is so when a task holds no resources
+// and its generation is not in force, or when it is pending and its workload
+// is cancelled: only the comparison updates or removes such a record.
 func NeedsSync(c *config.Accepted, change ledger.Change) bool {
 	if c == nil || change.Put == nil && change.Receive == nil {
 		return false
@@ -221,9 +232,9 @@
 	return !named || w.Generation != t.Key.Generation || w.Cancelled && t.State == ledger.Pending
 }
 
-// Urgent reports whether urgent work waits for one of the changes: they are of
-// an urgent task, or of one that makes room for one.
-func Urgent(changes []ledger.Change) bool {
+// HasUrgent reports whether an urgent task depends on one of the changes: the
+// change is of an urgent task, or of a task that is preempted for one.
+func HasUrgent(changes []ledger.Change) bool {
 	return slices.ContainsFunc(changes, func(c ledger.Change) bool {
 		return c.Put != nil && (c.Put.Priority == model.PriorityUrgent || c.Put.Reason == ReasonPreempted)
 	})
--- a/core/topology/topology_test.go
+++ b/core/topology/topology_test.go
@@ -17,7 +17,7 @@
 	"github.com/guavarill/guavarill/core/topology"
 )
 
-// racks returns racks named by numbers, in three zones.
+// racks returns racks that are named after numbers and spread over three zones.
 func racks(numbers []uint8) []topology.RackInZone {
 	var all []topology.RackInZone
 	for _, n := range numbers {
@@ -29,11 +29,11 @@
 	return all
 }
 
-// check returns what is wrong with a topology of racks, empty for nothing.
+// check returns a description of the first fault of a topology of known racks, or "".
 func check(t *topology.Topology, known []topology.RackInZone, maxRacks int) string {
 	for _, r := range known {
 		shard, ok := t.ShardOf(r.Rack)
-		if !ok || uint32(shard) >= t.Count() {
+		if !ok || uint32(shard) >= t.ShardCount() {
 			return fmt.Sprintf("%s is in no shard", r.Rack)
 		}
 		if zone, _ := t.Zone(shard); zone != r.Zone {
@@ -43,7 +43,7 @@
 			return fmt.Sprintf("shard %d does not list %s", shard, r.Rack)
 		}
 	}
-	for shard := range t.Count() {
+	for shard := range t.ShardCount() {
 		if n := len(t.Racks(model.ShardID(shard))); n == 0 || n > maxRacks {
 			return fmt.Sprintf("shard %d has %d racks", shard, n)
 		}
@@ -51,9 +51,9 @@
 	return ""
 }
 
-// Symptom: a worker's tasks are in one shard's ledger and its room in
-// another's. Sequence: racks come and go, and daemons see them in different
-// order. Cause it guards against: a rack that changes its shard.
+// A rack must never change its shard while racks come and go and daemons list them in
+// different orders. Otherwise a worker's tasks are in the ledger of one shard and its
+// capacity belongs to another.
 func TestExtend(t *testing.T) {
 	properties := gopter.NewProperties(gopter.DefaultTestParametersWithSeed(3))
 	properties.Property("racks keep their shard, whatever the order", prop.ForAll(
@@ -84,7 +84,7 @@
 	properties.TestingRun(t)
 }
 
-func TestDecodeRefusesNonsense(t *testing.T) {
+func TestDecodeRejectsInvalidTopologies(t *testing.T) {
 	for reason, racks := range map[topology.Reason][]*ledgerv1.RackShard{
 		topology.ReasonDuplicateRack: {{Rack: "a"}, {Rack: "a", Shard: 1}},
 		topology.ReasonShardTooHigh:  {{Rack: "a", Shard: topology.MaxShards}},
@@ -99,7 +99,7 @@
 
 func TestEmptyTopology(t *testing.T) {
 	var none *topology.Topology
-	if _, ok := none.ShardOf("a"); ok || none.Count() != 0 || len(none.Encode().Racks) != 0 {
+	if _, ok := none.ShardOf("a"); ok || none.ShardCount() != 0 || len(none.Encode().Racks) != 0 {
 		t.Error("a nil topology is not empty")
 	}
 }
--- a/jobservice/configfeed_test.go
+++ b/jobservice/configfeed_test.go
@@ -16,37 +16,38 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// handClock is a clock that is set by hand.
-type handClock struct {
+// manualClock is a clock that advances only when a test does so.
+type manualClock struct {
 	mu  sync.Mutex
 	now time.Time
 }
 
-func (c *handClock) Now() time.Time {
+func (c *manualClock) Now() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.now
 }
 
-func (c *handClock) Wall() time.Time { return c.Now() }
+func (c *manualClock) Wall() time.Time { return c.Now() }
 
-func (c *handClock) pass(d time.Duration) {
+func (c *manualClock) advance(d time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.now = c.now.Add(d)
 }
 
-// scripted is a source of versions: each call is answered by the next function of the
-// script, and one beyond it when the context ends.
-type scripted struct {
+// scriptedReader is a port.KeyReader whose calls are answered by the functions of the
+// script in turn. A call beyond the script closes done and returns when its context
+// ends.
+type scriptedReader struct {
 	mu     sync.Mutex
 	script []func() (port.Awaited, error)
-	// calls names those that were made, in order.
+	// calls names the calls that were made, in order.
 	calls []string
 	done  chan struct{}
 }
 
-func (s *scripted) answer(ctx context.Context, call string) (port.Awaited, error) {
+func (s *scriptedReader) answer(ctx context.Context, call string) (port.Awaited, error) {
 	s.mu.Lock()
 	if len(s.script) == 0 {
 		s.mu.Unlock()
@@ -61,16 +62,16 @@
 	return next()
 }
 
-func (s *scripted) Get(ctx context.Context, _ string) (port.KeyValue, error) {
+func (s *scriptedReader) Get(ctx context.Context, _ string) (port.KeyValue, error) {
 	a, err := s.answer(ctx, "get")
 	return a.KeyValue, err
 }
 
-func (s *scripted) Await(ctx context.Context, _ string, _ int64) (port.Awaited, error) {
+func (s *scriptedReader) Await(ctx context.Context, _ string, _ int64) (port.Awaited, error) {
 	return s.answer(ctx, "await")
 }
 
-// version answers with a version of the configuration.
+// version responds with a version of the configuration.
 func version(n int) func() (port.Awaited, error) {
 	return func() (port.Awaited, error) {
 		kv := port.KeyValue{Key: "config", Value: []byte(strconv.Itoa(n)), ModRevision: int64(n)}
@@ -78,12 +79,13 @@
 	}
 }
 
-// failing fails with an error of the store.
+// failing responds with an error of the store.
 func failing(kind port.StoreErrorKind) func() (port.Awaited, error) {
 	return func() (port.Awaited, error) { return port.Awaited{}, &port.StoreError{Call: "Get", Kind: kind} }
 }
 
-// decodeNumber reads a configuration that is its version, with a queue "q".
+// decodeNumber decodes a configuration that consists of its version, with a queue
+// "q".
 func decodeNumber(data []byte) (*job.Config, error) {
 	n, err := strconv.ParseUint(string(data), 10, 64)
 	if err != nil {
@@ -92,18 +94,19 @@
 	return &job.Config{Version: n, Queues: map[string]*job.Queue{"q": {Name: "q"}}}, nil
 }
 
-// newFeed makes a feed with an age at which it is old of 2 s, and of 7 s.
+// newFeed returns a feed whose configuration must apply within 2 s, or 7 s while the
+// store is unstable.
 func newFeed(clock Clock, source port.KeyReader, peers func(context.Context, string) (port.KeyValue, error)) *ConfigFeed {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return NewConfigFeed(ConfigFeedOptions{
-		Source: source, Key: "config", Decode: decodeNumber, Peers: peers, InForce: 2 * time.Second, Stretch: 5 * time.Second,
+		Source: source, Key: "config", Decode: decodeNumber, Peers: peers, ApplyWithin: 2 * time.Second, Stretch: 5 * time.Second,
 		Clock: clock, Log: log, Metrics: NewMetrics(prometheus.NewRegistry()),
 	})
 }
 
-// play has a feed follow a script to its end.
-func play(t *testing.T, f *ConfigFeed, source *scripted) {
+// play runs a feed until the script of its source has been used up.
+func play(t *testing.T, f *ConfigFeed, source *scriptedReader) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -111,7 +114,7 @@
 	select {
 	case <-source.done:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the script was not played")
+		t.Fatal("the feed did not make all calls of the script")
 	}
 }
 
@@ -119,27 +122,28 @@
 	return func(c *job.Config) *job.Queue { return c.Queues[name] }
 }
 
-// Guards against answers by a configuration that may have been replaced longer ago
-// than it may stay in force: that there is no such queue, and jobs taken in.
+// Guards against answers from a configuration that may have been replaced longer ago
+// than a replaced one may stay in force: that there is no such queue, and jobs
+// accepted.
 func TestAgeOfTheConfiguration(t *testing.T) {
-	clock := &handClock{now: time.Unix(1000, 0)}
-	source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3)}}
+	clock := &manualClock{now: time.Unix(1000, 0)}
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3)}}
 	f := newFeed(clock, source, nil)
 	if err := f.CheckAge(); err == nil {
-		t.Error("no configuration is new enough")
+		t.Error("CheckAge accepts a missing configuration")
 	}
 	play(t, f, source)
-	var old *OldConfigurationError
+	var old *StaleConfigurationError
 	var unknown *UnknownQueueError
 	for _, c := range []struct {
 		age             time.Duration
 		sure, takesJobs bool
 	}{{2 * time.Second, true, true}, {2001 * time.Millisecond, false, true}, {7 * time.Second, false, true}, {7001 * time.Millisecond, false, false}} {
-		clock.pass(c.age - f.Age())
-		if _, q, err := f.Queue(queueNamed("q")); err != nil || q.Name != "q" {
+		clock.advance(c.age - f.Age())
+		if _, q, err := f.FindQueue(queueNamed("q")); err != nil || q.Name != "q" {
 			t.Errorf("%s: a queue that is there: %v", c.age, err)
 		}
-		_, _, err := f.Queue(queueNamed("other"))
+		_, _, err := f.FindQueue(queueNamed("other"))
 		if errors.As(err, &unknown) != c.sure || errors.As(err, &old) == c.sure {
 			t.Errorf("%s: a queue that is not there: %v", c.age, err)
 		}
@@ -149,13 +153,14 @@
 	}
 }
 
-// Guards against a configuration that grows old although the store says all the time
-// that it has not changed, or that what is newer cannot be read.
-func TestConfigurationThatIsConfirmed(t *testing.T) {
-	clock := &handClock{now: time.Unix(1000, 0)}
+// Guards against an age that does not follow what the store says: a configuration
+// must not grow old while the store confirms that it is unchanged, nor because a
+// newer one cannot be decoded.
+func TestConfirmedConfigurationStaysFresh(t *testing.T) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	wait := func(a port.Awaited) func() (port.Awaited, error) {
 		return func() (port.Awaited, error) {
-			clock.pass(1100 * time.Millisecond)
+			clock.advance(1100 * time.Millisecond)
 			return a, nil
 		}
 	}
@@ -170,7 +175,7 @@
 		{"unreadable", damaged, 1100 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3), wait(port.Awaited{}), wait(c.last)}}
+			source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3), wait(port.Awaited{}), wait(c.last)}}
 			f := newFeed(clock, source, nil)
 			play(t, f, source)
 			if age := f.Age(); age != c.age || f.Current().Version != 3 {
@@ -180,10 +185,10 @@
 	}
 }
 
-// Guards against large versions that are all transferred one after the other, when
-// only the newest matters.
+// Guards against transferring several large versions one after the other when only
+// the newest matters.
 func TestSeveralLargeVersionsAtOnce(t *testing.T) {
-	source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){
 		version(3), failing(port.StoreTooLarge), version(9),
 	}}
 	f := newFeed(BootClock{}, source, nil)
@@ -196,10 +201,10 @@
 	}
 }
 
-// Guards against reads of a configuration that is too large to be read, one after the
-// other without a pause, of which nobody hears.
+// Guards against reads of a configuration that is too large, one after the other
+// without a delay and without being counted as failures.
 func TestConfigurationTooLargeToBeRead(t *testing.T) {
-	source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){
 		failing(port.StoreTooLarge), failing(port.StoreTooLarge),
 	}}
 	f := newFeed(BootClock{}, source, nil)
@@ -209,29 +214,30 @@
 	}
 }
 
-// Guards against a load of reads that fail one after the other without a pause.
-func TestFailedReadsPauseLongerEachTime(t *testing.T) {
+// Guards against load from failing reads that are repeated without a delay.
+func TestFailedReadsBackOff(t *testing.T) {
 	f := newFeed(BootClock{}, nil, nil)
 	var pauses []time.Duration
 	for range 6 {
-		f.readFailed(&port.StoreError{Call: "Get", Kind: port.StoreTimeout, Cause: &port.TransferError{Bytes: 1000}})
-		pauses = append(pauses, f.pause())
+		f.recordFailure(&port.StoreError{Call: "Get", Kind: port.StoreTimeout, Cause: &port.TransferError{Bytes: 1000}})
+		pauses = append(pauses, f.retryDelay())
 	}
 	for i, want := range []time.Duration{100, 200, 400, 800, 800, 800} {
 		if pauses[i] != want*time.Millisecond {
 			t.Errorf("after %d failures %s", i+1, pauses[i])
 		}
 	}
-	f.readWell()
-	if f.failures.bytes != 0 || f.pause() != configPause {
+	f.clearFailures()
+	if f.failures.bytes != 0 || f.retryDelay() != configRetryDelay {
 		t.Errorf("after a good read: %+v", f.failures)
 	}
 }
 
-// Guards against a daemon whose own way to the store is back, and that waits for an
-// answer of another daemon meanwhile, which has gone without a word.
-func TestReadsThroughPeersDontHoldUpTheOwnWay(t *testing.T) {
-	source := &scripted{done: make(chan struct{}), script: []func() (port.Awaited, error){failing(port.StoreTimeout), version(4)}}
+// Guards against a daemon whose direct access to the store works again and that still
+// waits for the response of another daemon, which has exited without closing its
+// connection.
+func TestPeerReadsDoNotDelayDirectReads(t *testing.T) {
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){failing(port.StoreTimeout), version(4)}}
 	f := newFeed(BootClock{}, source, func(ctx context.Context, _ string) (port.KeyValue, error) {
 		<-ctx.Done()
 		return port.KeyValue{}, ctx.Err()
@@ -242,22 +248,22 @@
 	}
 }
 
-// Guards against a daemon that fills its link with a large configuration which it
-// reads through another daemon again and again.
-func TestReadsThroughPeersLeaveRoom(t *testing.T) {
-	clock := &handClock{now: time.Unix(1000, 0)}
+// Guards against a daemon that fills its link with repeated reads of a large
+// configuration through another daemon.
+func TestPeerReadsLeaveBandwidth(t *testing.T) {
+	clock := &manualClock{now: time.Unix(1000, 0)}
 	reads := 0
 	f := newFeed(clock, nil, func(context.Context, string) (port.KeyValue, error) {
 		reads++
-		clock.pass(time.Second)
+		clock.advance(time.Second)
 		return port.KeyValue{Key: "config", Value: []byte("5"), ModRevision: 5}, nil
 	})
 	const looks = 200
 	for range looks {
-		if f.peerDue() {
+		if f.beginPeerRead() {
 			f.readThroughPeer(context.Background())
 		}
-		clock.pass(100 * time.Millisecond)
+		clock.advance(100 * time.Millisecond)
 	}
 	if most := looks/50 + 1; reads > most || f.Current().Version != 5 {
 		t.Errorf("%d reads of a second each in some %d s, want %d at most", reads, looks/10+reads, most)
--- a/jobservice/leader.go
+++ b/jobservice/leader.go
@@ -14,59 +14,62 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Leader stands for the lead and, while it has it, schedules.
+// Leader campaigns for leadership and schedules jobs while it leads.
 type Leader struct {
 	o   Options
 	log *logrus.Entry
-	// deadline is until when the daemon may act as leader, in nanoseconds of
-	// the clock; 0 when it does not lead.
+	// deadline is the time, in nanoseconds of the clock, until which the daemon may
+	// act as leader; 0 when it does not lead.
 	deadline atomic.Int64
-	// kept is the state of a term that ended only because the store was out of
-	// reach. It is good for the next term if nobody has led between.
-	kept *term
-	// routine bounds the lines of routine decisions, leftOut counts those that
-	// were left out since the last line. Both belong to the control goroutine.
-	routine *rate.Limiter
-	leftOut int
-	// handedOverAt is when the daemon gave the lead up to a larger one last, in
+	// suspended is the state of a term that ended only because the store was
+	// unreachable. The next term reuses it if no other daemon has led in between.
+	suspended *term
+	// routineLimiter limits the log lines of routine decisions; suppressed counts the
+	// lines left out since the last one written. Both belong to the control
+	// goroutine.
+	routineLimiter *rate.Limiter
+	suppressed     int
+	// handedOverAt is when the daemon last handed leadership over to a larger one, in
 	// nanoseconds of the clock; 0 if it never did.
 	handedOverAt atomic.Int64
-	// questions are put to the machine by its control goroutine.
-	questions chan func(*jobsched.Machine)
+	// queries are functions that the control goroutine runs on the machine.
+	queries chan func(*jobsched.Machine)
 }
 
-// NewLeader makes a Leader; Run starts it.
+// NewLeader returns a Leader; Run starts it.
 func NewLeader(o Options) *Leader {
-	if o.Vigil == nil {
-		o.Vigil = deaf{}
+	if o.FailureDetector == nil {
+		o.FailureDetector = noFailureDetector{}
 	}
 	if o.Machine.RoundBudget == 0 && o.Processors > 0 {
-		// A round takes as long on a part of a core as on a whole one.
-		o.Machine.RoundBudget = max(int(jobsched.DefaultRoundBudget*min(o.Processors, 1)), leastRoundLooks)
+		// Scales the budget so that a round takes the same time on a fraction of a
+		// core as on a whole core.
+		o.Machine.RoundBudget = max(int(jobsched.DefaultRoundBudget*min(o.Processors, 1)), minRoundBudget)
 	}
 	if o.Machine.StartsInFlight == 0 && o.Processors > 0 {
-		o.Machine.StartsInFlight = max(int(jobsched.DefaultStartsInFlight*min(o.Processors, 1)), leastStartsInFlight)
+		o.Machine.StartsInFlight = max(int(jobsched.DefaultStartsInFlight*min(o.Processors, 1)), minStartsInFlight)
 	}
 	return &Leader{
-		o: o, log: o.Log.WithField("component", "leader"), routine: newRoutineLimiter(o.Processors),
-		questions: make(chan func(*jobsched.Machine)),
+		o: o, log: o.Log.WithField("component", "leader"), routineLimiter: newRoutineLimiter(o.Processors),
+		queries: make(chan func(*jobsched.Machine)),
 	}
 }
 
-// newRoutineLimiter bounds the lines of routine decisions by the daemon's
-// processors.
+// newRoutineLimiter limits the log lines of routine decisions in proportion to the
+// daemon's processors.
 func newRoutineLimiter(processors float64) *rate.Limiter {
 	lines := routineLines
 	if processors > 0 {
-		lines = max(int(routineLines*min(processors/routineLinesCores, 1)), leastRoutineLines)
+		lines = max(int(routineLines*min(processors/routineLinesCores, 1)), minRoutineLines)
 	}
 	return rate.NewLimiter(rate.Limit(lines), 2*lines)
 }
 
-// Leads reports whether the daemon leads now.
+// Leads reports whether the daemon currently leads.
 func (l *Leader) Leads() bool { return l.mayAct() }
 
-// Run stands for the lead until ctx ends, and gives it up then.
+// Run campaigns for leadership and leads until ctx ends, and then releases
+// leadership.
 func (l *Leader) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		t, err := l.campaign(ctx)
@@ -81,41 +84,46 @@
 	}
 }
 
-// term is one stretch of leading, or several without another leader between.
+// term is a period of leadership. It continues under a new lease if the daemon lost
+// the lease and no other daemon led before it got another.
 type term struct {
 	leader *Leader
 	lease  port.LeaseID
-	// epoch is the revision at which the daemon took the lead.
+	// epoch is the store revision at which the daemon became leader.
 	epoch   model.Epoch
 	machine *jobsched.Machine
-	// events are answers to the leader's orders and commits, stored is what was
-	// read from the store.
-	events, stored chan jobsched.Event
+	// events receives the responses to the leader's orders and commits, storeEvents
+	// the events read from the store.
+	events, storeEvents chan jobsched.Event
 	// ledger is the revision of ledgerKey after the last commit of the term.
-	ledger  int64
+	ledger int64
+	// pending is the commit in flight, or nil.
 	pending *jobsched.Commit
-	// aside holds the jobs whose records cannot be read.
-	aside *asideSet
-	// jobsFrom is the store's revision up to which the machine knows the jobs.
-	jobsFrom int64
-	// listed is how many workers the platform's list had last.
-	listed atomic.Int64
-	// end ends the term; handedOver is set when that is for another daemon.
+	// unreadableJobs holds the jobs whose records cannot be read.
+	unreadableJobs *unreadableJobs
+	// jobsRevision is the store revision up to which the machine knows the accepted
+	// jobs.
+	jobsRevision int64
+	// workerCount is the number of workers in the platform's list when it was last
+	// read.
+	workerCount atomic.Int64
+	// end ends the term. handedOver is set when the term ends to hand leadership over
+	// to another daemon.
 	end        context.CancelFunc
 	handedOver atomic.Bool
 }
 
-// lead runs a term until the right to lead is lost or ctx ends.
+// lead runs a term until the daemon loses leadership or ctx ends.
 func (l *Leader) lead(ctx context.Context, t *term) {
 	run, cancel := context.WithCancel(ctx)
 	defer cancel()
 	t.end = cancel
 	go l.renewLease(run, t.lease, cancel)
 	go t.followJobs(run)
-	go t.followAside(run)
-	go t.followWorkers(run)
+	go t.recheckUnreadableJobs(run)
+	go t.pollWorkers(run)
 	go t.followConfig(run)
-	go t.followMembers(run)
+	go t.pollMembers(run)
 	l.o.Metrics.leading.Set(1)
 	deposed := t.loop(run)
 	cancel()
@@ -123,34 +131,35 @@
 	l.o.Metrics.leading.Set(0)
 	switch {
 	case ctx.Err() != nil:
-		l.giveUp(t, "stopped")
+		l.resign(t, "stopped")
 	case t.handedOver.Load():
-		l.giveUp(t, "handed over")
+		l.resign(t, "handed over")
 	case deposed:
 		l.o.Metrics.terms.WithLabelValues("deposed").Inc()
 		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageDeposed)
 	default:
-		l.kept = t
+		l.suspended = t
 		l.o.Metrics.terms.WithLabelValues("lease lost").Inc()
-		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageLeadLostStore)
+		l.log.WithField("epoch", t.epoch).Warn(joblog.MessageLeaseNotRenewed)
 	}
 }
 
-// giveUp gives the lead up after a last commit, so that it is free at once. No
-// order leaves the daemon from here on: its right to act has ended.
-func (l *Leader) giveUp(t *term, end string) {
-	complete := t.finish()
+// resign releases leadership after a last commit, so that another daemon can take
+// over at once. No order leaves the daemon from here on, because its right to act has
+// already ended.
+func (l *Leader) resign(t *term, end string) {
+	complete := t.storeFinalCommit()
 	l.revoke(t.lease)
 	l.o.Metrics.terms.WithLabelValues(end).Inc()
-	l.log.WithField("complete", complete).Info(joblog.MessageGaveUp)
+	l.log.WithField("complete", complete).Info(joblog.MessageLeadershipReleased)
 }
 
-// mayAct reports whether the daemon's right to lead is certainly valid.
+// mayAct reports whether the daemon's leadership is certainly still valid.
 func (l *Leader) mayAct() bool { return l.o.Clock.Now().UnixNano() < l.deadline.Load() }
 
-// extend moves the end of the right after the store has taken a call, sent at
-// sentAt, that set the lease.
-func (l *Leader) extend(sentAt time.Time) {
+// extendDeadline extends the leadership after the store has confirmed a grant or a
+// renewal of the lease that was sent at sentAt.
+func (l *Leader) extendDeadline(sentAt time.Time) {
 	until := sentAt.Add(l.o.LeaderTTL - leaseMargin).UnixNano()
 	for {
 		old := l.deadline.Load()
@@ -160,9 +169,9 @@
 	}
 }
 
-// renewLease renews the lease until ctx ends, and calls lost when it is gone.
-// Each renewal has its own goroutine, so that one without an answer does not
-// hold up the next.
+// renewLease renews the lease until ctx ends, and calls lost when the lease is gone.
+// Each renewal runs in its own goroutine, so that one without a response does not
+// delay the next.
 func (l *Leader) renewLease(ctx context.Context, lease port.LeaseID, lost func()) {
 	ticker := time.NewTicker(l.o.LeaderTTL / renewalsPerLease)
 	defer ticker.Stop()
@@ -177,27 +186,29 @@
 }
 
 func (l *Leader) renewOnce(ctx context.Context, lease port.LeaseID, lost func()) {
-	// An answer is of use until the lease ends: with less time a leader that is
-	// short of processor time gives up answers that have come.
+	// A response is useful until the lease ends. With a shorter timeout, a leader
+	// that is short of processor time would discard responses that have already
+	// arrived.
 	call, cancel := context.WithTimeout(ctx, l.o.LeaderTTL)
 	defer cancel()
 	sentAt := l.o.Clock.Now()
 	_, err := l.o.Store.KeepAlive(call, lease)
 	switch {
 	case err == nil && ctx.Err() == nil:
-		l.extend(sentAt)
+		l.extendDeadline(sentAt)
 	case isKind(err, port.StoreLeaseGone):
 		l.log.WithField("lease", lease).Warn("the store has ended the lease")
 		lost()
 	}
 }
 
-// revoke ends a lease. A failure is of no consequence: the lease ends anyway.
+// revoke revokes a lease. A failure has no effect, because the lease then expires by
+// itself.
 func (l *Leader) revoke(lease port.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaseCallTimeout)
 	defer cancel()
 	if err := l.o.Store.RevokeLease(ctx, lease); err != nil {
-		l.log.WithError(err).Debug("lease was not revoked; it ends by itself")
+		l.log.WithError(err).Debug("lease not revoked; it will expire")
 	}
 }
 
--- a/jobservice/metrics.go
+++ b/jobservice/metrics.go
@@ -9,7 +9,7 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// Metrics are the counters of one daemon.
+// Metrics holds the metrics of one daemon.
 type Metrics struct {
 	requests    *prometheus.CounterVec
 	requestTime *prometheus.HistogramVec
@@ -21,33 +21,35 @@
 	leading     prometheus.Gauge
 	jobs        prometheus.Gauge
 	attempts    prometheus.Gauge
-	// unheard is how many workers hold starts back after a take-over.
-	unheard   prometheus.Gauge
-	storeAway prometheus.Counter
-	// stepTime and eventsWaiting are those of the control goroutine, lag is the
-	// time from what callers have stored to the decision that follows from it.
+	// unansweredWorkers is how many workers have not answered the new leader and
+	// therefore hold starts back.
+	unansweredWorkers prometheus.Gauge
+	storeLost         prometheus.Counter
+	// stepTime and eventsWaiting describe the control goroutine, lag is the time from
+	// when a caller's request was stored to the decision that follows from it.
 	stepTime      prometheus.Histogram
 	eventsWaiting prometheus.Gauge
 	lag           *prometheus.HistogramVec
-	// unreadable belongs to all parts of the daemon that read records.
-	unreadable *unreadable
-	// entriesUnusable and entryTurns tell of the platform's list of workers.
+	// unreadable is shared by all parts of the daemon that read records.
+	unreadable *unreadableRecords
+	// entriesUnusable and entryChanges describe the platform's list of workers.
 	entriesUnusable *prometheus.GaugeVec
-	entryTurns      *prometheus.CounterVec
-	// configVersion, configConfirmed and configFailures tell of the configuration
-	// in force.
-	configVersion  prometheus.Gauge
-	configAge      atomic.Pointer[func() time.Duration]
-	configFailures *prometheus.CounterVec
-	configWasted   prometheus.Counter
+	entryChanges    *prometheus.CounterVec
+	// configVersion, configAge, configFailures and configWastedBytes describe the
+	// configuration in force and its reads.
+	configVersion     prometheus.Gauge
+	configAge         atomic.Pointer[func() time.Duration]
+	configFailures    *prometheus.CounterVec
+	configWastedBytes prometheus.Counter
 }
 
 const namespace = "guavarill"
 
-// latencyBuckets reach from a call within a zone to a request's deadline.
+// latencyBuckets range from a call within an availability zone to a request's
+// deadline, in seconds.
 var latencyBuckets = []float64{.002, .005, .01, .025, .05, .1, .25, .5, 1, 2.5}
 
-// NewMetrics makes the metrics and registers them.
+// NewMetrics creates and registers the metrics.
 func NewMetrics(r prometheus.Registerer) *Metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
@@ -70,11 +72,11 @@
 			Namespace: namespace, Name: "commit_seconds", Help: "Time to store a commit, all tries together.",
 			Buckets: latencyBuckets,
 		}),
-		terms:    counter("leader_terms_total", "Terms as leader that ended, by the way they did.", "end"),
-		leading:  gauge("leading", "1 while the daemon leads."),
-		jobs:     gauge("jobs", "Jobs that are not over, at the leader."),
-		attempts: gauge("attempts", "Attempts that may run, at the leader."),
-		unheard:  gauge("workers_unheard", "Workers that hold starts back, because they have not answered the new leader."),
+		terms:             counter("leader_terms_total", "Terms as leader that ended, by the way they did.", "end"),
+		leading:           gauge("leading", "1 while the daemon leads."),
+		jobs:              gauge("jobs", "Jobs that are not over, at the leader."),
+		attempts:          gauge("attempts", "Attempts that may run, at the leader."),
+		unansweredWorkers: gauge("workers_unheard", "Workers that hold starts back, because they have not answered the new leader."),
 		stepTime: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: namespace, Name: "leader_step_seconds", Help: "Time of a step of the leader's control goroutine.",
 			Buckets: latencyBuckets,
@@ -84,14 +86,14 @@
 		entriesUnusable: prometheus.NewGaugeVec(prometheus.GaugeOpts{
 			Namespace: namespace, Name: "worker_entries_unusable", Help: "Entries that name no worker to use, at the leader, by reason.",
 		}, []string{"reason"}),
-		entryTurns: counter("worker_entry_turns_total", "Workers' entries that turned unusable, and that are good again or gone.", "turn"),
-		storeAway: prometheus.NewCounter(prometheus.CounterOpts{
+		entryChanges: counter("worker_entry_turns_total", "Workers' entries that turned unusable, and that are good again or gone.", "turn"),
+		storeLost: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "store_lost_total", Help: "Times that callers' requests lost the store.",
 		}),
 	}
 	m.configVersion = gauge("configuration_version", "Version of the configuration in force, 0 before the first.")
 	m.configFailures = counter("configuration_read_failures_total", "Reads of the configuration that failed, by whether a part of the answer had come.", "part")
-	m.configWasted = prometheus.NewCounter(prometheus.CounterOpts{
+	m.configWastedBytes = prometheus.NewCounter(prometheus.CounterOpts{
 		Namespace: namespace, Name: "configuration_wasted_bytes_total",
 		Help: "Bytes of answers with the configuration that broke off.",
 	})
@@ -104,30 +106,30 @@
 		}
 		return 0
 	})
-	m.unreadable = newUnreadable(counter("unreadable_records_total", "Changes of stored records that left them unreadable, by kind.", "kind"))
+	m.unreadable = newUnreadableRecords(counter("unreadable_records_total", "Changes of stored records that left them unreadable, by kind.", "kind"))
 	r.MustRegister(m.requests, m.requestTime, m.orders, m.orderTime, m.decisions, m.commitTime, m.terms,
-		m.leading, m.jobs, m.attempts, m.unheard, m.storeAway, m.stepTime, m.eventsWaiting, m.lag, m.unreadable.count,
-		m.entriesUnusable, m.entryTurns, m.configVersion, m.configFailures, m.configWasted, configAge)
+		m.leading, m.jobs, m.attempts, m.unansweredWorkers, m.storeLost, m.stepTime, m.eventsWaiting, m.lag, m.unreadable.count,
+		m.entriesUnusable, m.entryChanges, m.configVersion, m.configFailures, m.configWastedBytes, configAge)
 	m.setEntries(jobsched.EntryCounts{})
 	return m
 }
 
-// Request counts a caller's request.
-func (m *Metrics) Request(operation, status string, took time.Duration) {
+// ObserveRequest counts a caller's request and its duration.
+func (m *Metrics) ObserveRequest(operation, status string, took time.Duration) {
 	m.requests.WithLabelValues(operation, status).Inc()
 	m.requestTime.WithLabelValues(operation).Observe(took.Seconds())
 }
 
-// followConfigAge has the age of the configuration told by a function.
-func (m *Metrics) followConfigAge(age func() time.Duration) { m.configAge.Store(&age) }
+// setConfigAgeSource sets the function that returns the age of the configuration.
+func (m *Metrics) setConfigAgeSource(age func() time.Duration) { m.configAge.Store(&age) }
 
-// configReadFailed counts a read of the configuration that failed after a number
-// of bytes.
+// configReadFailed counts a failed read of the configuration, and the bytes that it
+// had received.
 func (m *Metrics) configReadFailed(bytes int) {
 	part := "none"
 	if bytes > 0 {
 		part = "some"
 	}
 	m.configFailures.WithLabelValues(part).Inc()
-	m.configWasted.Add(float64(bytes))
+	m.configWastedBytes.Add(float64(bytes))
 }
--- a/jobservice/recover.go
+++ b/jobservice/recover.go
@@ -13,12 +13,13 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// recover reads what an earlier leader left, with its ledger.
+// recover creates the machine from the state that the previous leader stored. ledger
+// is that leader's ledger.
 func (t *term) recover(ctx context.Context, ledger ledgerRecord) error {
 	l := t.leader
 	began := l.o.Clock.Now()
 	r := jobsched.Recovered{
-		Wall: l.o.Clock.Wall(), Config: l.o.Config.Current(), RosterValid: ledger.RosterStands, RosterAge: ledger.RosterAge,
+		Wall: l.o.Clock.Wall(), Config: l.o.Config.Current(), RosterValid: ledger.RosterValid, RosterAge: ledger.RosterAge,
 		UnseenCrash: ledger.UnseenCrash, RosterLostLeft: ledger.RosterLostLeft,
 	}
 	if err := l.recoverCluster(ctx, &r); err != nil {
@@ -35,28 +36,30 @@
 	return nil
 }
 
-// recoverCluster reads the roster and what was learned of interference.
+// recoverCluster reads the roster and the learned interference.
 func (l *Leader) recoverCluster(ctx context.Context, r *jobsched.Recovered) error {
-	// Both may be as large as a value may be: only the store's silence bounds them.
+	// Both values may be as large as the store permits, so the reads have no deadline
+	// of their own: the store's adapter ends them when the store is silent.
 	kv, err := l.o.Store.Get(ctx, rosterKey)
 	if err != nil {
 		return err
 	}
 	if r.Roster, err = decodeRoster(kv); err != nil {
-		l.o.Metrics.Unreadable(l.log, kindRoster, kv, err, "nothing is started until all leases of an earlier leader have ended")
+		l.o.Metrics.ReportUnreadable(l.log, kindRoster, kv, err, "nothing is started until all leases of an earlier leader have ended")
 		r.RosterLost = true
 	}
-	if kv, err = l.o.Store.Get(ctx, learnedKey); err != nil {
+	if kv, err = l.o.Store.Get(ctx, interferenceKey); err != nil {
 		return err
 	}
-	if r.Learned, err = decodeLearned(kv); err != nil {
-		l.o.Metrics.Unreadable(l.log, kindInterference, kv, err, "which images disturb which is learned anew")
+	if r.Learned, err = decodeInterference(kv); err != nil {
+		l.o.Metrics.ReportUnreadable(l.log, kindInterference, kv, err, "interference between images is learned anew")
 	}
 	return nil
 }
 
-// decodeRoster reads the roster, which is empty if it is not there. An error is a
-// *job.RecordError: also for a worker that could not be asked.
+// decodeRoster decodes the roster, which is empty if it is not stored. An error is a
+// *job.RecordError, also for a worker without an id or an address, because such a
+// worker could not be contacted.
 func decodeRoster(kv port.KeyValue) ([]jobsched.RosterEntry, error) {
 	if kv.ModRevision == 0 {
 		return nil, nil
@@ -75,10 +78,10 @@
 	return roster, nil
 }
 
-// decodeLearned reads what was learned of interference, which is nothing if it is
-// not there. An error is a *job.RecordError: also for an effect without a spread,
-// which would be taken for certain.
-func decodeLearned(kv port.KeyValue) ([]interference.Effect, error) {
+// decodeInterference decodes the learned interference, which is empty if it is not
+// stored. An error is a *job.RecordError, also for an effect without a spread, which
+// would be taken as certain.
+func decodeInterference(kv port.KeyValue) ([]interference.Effect, error) {
 	if kv.ModRevision == 0 {
 		return nil, nil
 	}
@@ -96,33 +99,33 @@
 	return effects, nil
 }
 
-// recoverJobs reads the records of jobs, and sets those aside that cannot go on by
-// them.
+// recoverJobs reads the records of jobs, and separates the jobs that cannot continue
+// because of damaged records.
 func (t *term) recoverJobs(ctx context.Context, r *jobsched.Recovered) error {
 	l := t.leader
-	// Accepted jobs first: one that ends between the two reads is in both, and
-	// its progress says that it is over.
-	accepted, revision, err := readAll(ctx, l.o.Store, acceptedPrefix, job.DecodeAccepted)
+	// Accepted jobs are read first: a job that ends between the two reads is in both
+	// results, and its progress record says that it has ended.
+	accepted, revision, err := readRecords(ctx, l.o.Store, acceptedPrefix, job.DecodeAccepted)
 	if err != nil {
 		return err
 	}
-	progress, _, err := readAll(ctx, l.o.Store, progressPrefix, job.DecodeProgress)
+	progress, _, err := readRecords(ctx, l.o.Store, progressPrefix, job.DecodeProgress)
 	if err != nil {
 		return err
 	}
-	t.jobsFrom, r.Accepted, r.Progress, r.Unreadable = revision, accepted.byID, progress.byID, make(map[job.ID]*job.Accepted)
-	acceptedErrs, progressErrs := l.tellDamaged(kindAccepted, accepted), l.tellDamaged(kindProgress, progress)
+	t.jobsRevision, r.Accepted, r.Progress, r.Unreadable = revision, accepted.byID, progress.byID, make(map[job.ID]*job.Accepted)
+	acceptedErrs, progressErrs := l.reportDamaged(kindAccepted, accepted), l.reportDamaged(kindProgress, progress)
 	for _, ids := range []iter.Seq[job.ID]{maps.Keys(acceptedErrs), maps.Keys(progressErrs), maps.Keys(r.Accepted)} {
 		for id := range ids {
-			err := settleRecords(r.Accepted[id], r.Progress[id], acceptedErrs[id], progressErrs[id])
+			err := checkJobRecords(r.Accepted[id], r.Progress[id], acceptedErrs[id], progressErrs[id])
 			if err == nil {
 				continue
 			}
 			if acceptedErrs[id] == nil && progressErrs[id] == nil {
-				// Each can be read, and they are not of one job.
-				l.o.Metrics.Unreadable(l.log, kindProgress, progress.items[id], err, asideConsequence)
+				// Each record can be read, but they do not belong to the same job.
+				l.o.Metrics.ReportUnreadable(l.log, kindProgress, progress.items[id], err, unreadableJobConsequence)
 			}
-			t.aside.add(id)
+			t.unreadableJobs.add(id)
 			r.Unreadable[id] = r.Accepted[id]
 		}
 	}
@@ -133,43 +136,43 @@
 	return nil
 }
 
-// tellDamaged tells of the damaged records that were read, and returns what is
-// wrong with those of jobs.
-func (l *Leader) tellDamaged(kind string, read damagedRecords) map[job.ID]error {
+// reportDamaged reports the damaged records of a read, and returns the errors of
+// those that belong to jobs.
+func (l *Leader) reportDamaged(kind string, read damagedRecords) map[job.ID]error {
 	causes := make(map[job.ID]error)
-	prefix, damaged := read.damagedBelow()
-	l.o.Metrics.unreadable.forgetRead(prefix, damaged)
+	prefix, damaged := read.damagedWithPrefix()
+	l.o.Metrics.unreadable.clearReadable(prefix, damaged)
 	for _, d := range damaged {
-		id, err := jobOf(d.kv.Key, prefix)
+		id, err := jobIDFromKey(d.kv.Key, prefix)
 		if err != nil {
-			l.o.Metrics.Unreadable(l.log, kind, d.kv, err, strayConsequence)
+			l.o.Metrics.ReportUnreadable(l.log, kind, d.kv, err, invalidKeyConsequence)
 			continue
 		}
-		l.o.Metrics.Unreadable(l.log, kind, d.kv, d.cause, asideConsequence)
+		l.o.Metrics.ReportUnreadable(l.log, kind, d.kv, d.cause, unreadableJobConsequence)
 		causes[id] = d.cause
 	}
 	return causes
 }
 
-// jobRecords are the records below a prefix, by job.
+// jobRecords holds the records with a key prefix, by job.
 type jobRecords[T any] struct {
 	prefix string
 	byID   map[job.ID]*T
 	items  map[job.ID]port.KeyValue
-	// damaged lists those that cannot be read, or whose key names no job.
+	// damaged lists the records that cannot be decoded, or whose key names no job.
 	damaged []damagedRecord
 }
 
-// damagedRecords is what jobRecords of any type has.
+// damagedRecords is implemented by jobRecords of every record type.
 type damagedRecords interface {
-	damagedBelow() (prefix string, damaged []damagedRecord)
+	damagedWithPrefix() (prefix string, damaged []damagedRecord)
 }
 
-func (r *jobRecords[T]) damagedBelow() (string, []damagedRecord) { return r.prefix, r.damaged }
+func (r *jobRecords[T]) damagedWithPrefix() (string, []damagedRecord) { return r.prefix, r.damaged }
 
-// readAll reads the records below a prefix. One that cannot be read does not keep
-// the others from being used.
-func readAll[T any](ctx context.Context, store port.Store, prefix string, decode func([]byte) (*T, error)) (*jobRecords[T], int64, error) {
+// readRecords reads the records with a key prefix, and the store's revision at that
+// time. A record that cannot be decoded does not prevent the others from being used.
+func readRecords[T any](ctx context.Context, store port.Store, prefix string, decode func([]byte) (*T, error)) (*jobRecords[T], int64, error) {
 	items, revision, err := store.List(ctx, prefix)
 	if err != nil {
 		return nil, 0, err
@@ -178,7 +181,7 @@
 		prefix: prefix, byID: make(map[job.ID]*T, len(items)), items: make(map[job.ID]port.KeyValue, len(items)),
 	}
 	for _, kv := range items {
-		id, err := jobOf(kv.Key, prefix)
+		id, err := jobIDFromKey(kv.Key, prefix)
 		if err != nil {
 			records.damaged = append(records.damaged, damagedRecord{kv, err})
 			continue
