--- a/core/jobsched/advice.go
+++ b/core/jobsched/advice.go
@@ -8,21 +8,21 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Advise asks the advice service which of the workers may run a step.
+// Advise asks the advice service which workers may run a step.
 type Advise struct {
-	// Step is one of its tasks; the index means nothing.
+	// Step is the key of one of the step's tasks; its index is irrelevant.
 	Step    job.TaskKey
 	Workers []model.Incarnation
 }
 
-// Advised is the answer to an Advise, or its failure.
+// Advised is the result of an Advise.
 type Advised struct {
 	Step    job.TaskKey
 	Asked   []model.Incarnation
 	Verdict Verdict
-	// Tickets holds the workers that may run the step.
+	// Tickets maps the workers that may run the step to their tickets.
 	Tickets map[model.Incarnation]string
-	// Validity is how long a ticket may be used.
+	// Validity is how long a ticket is valid.
 	Validity time.Duration
 }
 
@@ -33,14 +33,14 @@
 	// adviceWorkers is how many workers one call asks about: the answer takes
 	// longer with each.
 	adviceWorkers = 30
-	// adviceSlack ends the use of a ticket before the worker does.
+	// adviceSlack is how long before its expiry a ticket is no longer used.
 	adviceSlack = 500 * time.Millisecond
-	// advicePause is the time before a failed call is made again.
+	// advicePause is the delay before a failed call is retried.
 	advicePause = 300 * time.Millisecond
 )
 
-// advice is what is known of the workers that may run a step. Which may does
-// not change; a ticket ends.
+// advice holds the answers of the advice service for a step. Whether a worker may
+// run the step does not change; a ticket expires.
 type advice struct {
 	tickets map[model.Incarnation]ticket
 	denied  map[model.Incarnation]struct{}
@@ -59,11 +59,11 @@
 	return now.Before(a.tickets[id].until)
 }
 
-// reject forgets a ticket that the worker did not take.
+// reject drops a ticket that the worker did not accept.
 func (a *advice) reject(id model.Incarnation) { delete(a.tickets, id) }
 
-// askAdvice asks about the workers that a step of an advised queue could use
-// next and has no ticket for.
+// askAdvice asks the advice service about the workers that a step of an advised
+// queue could use next and has no ticket for.
 func (m *Machine) askAdvice(s *step) {
 	if !m.queue(s.job()).Advised || s.advice.asking || m.now.Before(s.advice.askAt) {
 		return
@@ -100,7 +100,8 @@
 	return 1
 }
 
-// isFeasibleWithTicket reports whether only the ticket may be missing.
+// isFeasibleWithTicket reports whether the task could be placed on the worker if it
+// had a ticket.
 func (m *Machine) isFeasibleWithTicket(t *task, w *worker) bool {
 	return m.passes(roomFilters, t, w) && m.passes(fitFilters[:len(fitFilters)-1], t, w)
 }
--- a/core/jobsched/aside.go
+++ b/core/jobsched/aside.go
@@ -8,47 +8,48 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// maxDeferredEnds is how many ends a worker keeps for the sake of a job that is
-// set aside. Ends are acknowledged in their order and told 500 at a time: held
-// back without a bound, one end of such a job would keep back those of all
-// others, and in the end from being heard of.
+// maxDeferredEnds bounds the ends that a worker keeps for unreadable jobs. Ends are
+// acknowledged in order and reported 500 at a time: without a bound, one deferred
+// end would defer the acknowledgement of all later ends, and in time keep new ones
+// from being reported.
 const maxDeferredEnds = 50
 
-// unreadableJob is a job whose records cannot be read. Nothing of it is started,
-// since it is not known what is done; what runs of it is left alone, since it may
-// be wanted.
+// unreadableJob is a job whose records cannot be read. None of its tasks is
+// started, since it is unknown which are done. Its running attempts are left
+// running, since they may still be needed.
 type unreadableJob struct {
-	// record is nil when it cannot be read either.
+	// record is nil if the accepted record cannot be read either.
 	record *job.Accepted
 	ends   []deferredEnd
 }
 
-// deferredEnd is an end of an attempt of a job that is set aside. It is settled when
-// the job's records can be read again.
+// deferredEnd is the end of an attempt of an unreadable job. It is processed once
+// the job's records can be read.
 type deferredEnd struct {
 	worker *worker
 	end    EndedAttempt
 }
 
-// markUnreadable sets a job aside. One that the machine knows goes on by what it knows.
+// markUnreadable records that a job cannot be read. A job that the machine already
+// knows continues with its known state.
 func (m *Machine) markUnreadable(id job.ID, record *job.Accepted) {
 	if _, over := m.final[id]; over || m.jobs.Has(id) || m.unreadable[id] != nil {
 		return
 	}
 	m.unreadable[id] = &unreadableJob{record: record}
-	m.emit(Note{Decision: joblog.MessageJobSetAside, Job: id, Reason: "its records cannot be read; nothing of it is started, and what runs is left alone"})
+	m.emit(Note{Decision: joblog.MessageJobSetAside, Job: id, Reason: "its records cannot be read; none of its tasks is started, and its running attempts are left running"})
 }
 
-// markAllUnreadable sets the jobs aside whose records cannot be read at a take-over.
+// markAllUnreadable records the jobs whose records cannot be read at a takeover.
 func (m *Machine) markAllUnreadable(jobs map[job.ID]*job.Accepted) {
 	for _, id := range slices.Sorted(maps.Keys(jobs)) {
 		m.markUnreadable(id, jobs[id])
 	}
 }
 
-// jobReread takes a job in whose records can be read again, as at a take-over:
-// first by them, then by what its attempts did meanwhile. A job whose records are
-// gone is not known any more, and what runs of it is stopped.
+// jobReread adds a job whose records can be read again, as at a takeover: first the
+// records are applied, then the ends and attempts seen in the meantime. If the
+// records have been removed, the job is unknown and its attempts are stopped.
 func (m *Machine) jobReread(ev JobReread) {
 	unreadable := m.unreadable[ev.ID]
 	if unreadable == nil {
@@ -81,8 +82,8 @@
 	m.changed = true
 }
 
-// releaseAttempts takes the attempts of a job that was set aside from their
-// workers, to be adopted anew.
+// releaseAttempts removes the running attempts of an unreadable job from their
+// workers and returns them, to be adopted again.
 func (m *Machine) releaseAttempts(id job.ID) []*attempt {
 	var released []*attempt
 	for _, w := range m.workers.All() {
@@ -97,7 +98,7 @@
 	return released
 }
 
-// deferEnd keeps an end of an attempt of a job that is set aside.
+// deferEnd stores the end of an attempt of an unreadable job for later.
 func (m *Machine) deferEnd(unreadable *unreadableJob, w *worker, e *EndedAttempt) {
 	key := attemptKey{task: e.Key, attempt: e.Attempt}
 	delete(w.lost, key)
@@ -108,10 +109,10 @@
 	unreadable.ends = append(unreadable.ends, deferredEnd{worker: w, end: *e})
 }
 
-// isEndDeferred reports whether an end that w keeps must not be acknowledged yet,
-// because its job is set aside: the worker alone can tell the next leader of it.
-// Beyond asideEndsMost it is acknowledged all the same. This leader knows it
-// still; after another take-over a repaired job would do such a task again.
+// isEndDeferred reports whether an end must not be acknowledged yet because its job
+// is unreadable: the worker is the only one that can report it to the next leader.
+// From maxDeferredEnds on it is acknowledged anyway. This leader still has it, but
+// after another takeover the job, once readable, would run the task again.
 func (m *Machine) isEndDeferred(w *worker, e unackedEnd) bool {
 	return m.unreadable[e.task.Job] != nil && len(w.unackedEnds) < maxDeferredEnds
 }
--- a/core/jobsched/attempt.go
+++ b/core/jobsched/attempt.go
@@ -8,85 +8,87 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// phase is how far an attempt has come, as far as the machine knows.
+// phase is the state of an attempt as far as the machine knows.
 type phase int
 
 const (
-	// phaseStarting: the start is sent and not answered.
+	// phaseStarting: the start has been sent but not answered.
 	phaseStarting phase = iota
-	// phaseRunning: the worker has said that it runs.
+	// phaseRunning: the worker has confirmed that the attempt runs.
 	phaseRunning
-	// phaseDoubtful: the start got no answer; the attempt may run now or may be
-	// begun seconds later, until a stop has barred it.
+	// phaseDoubtful: the start got no answer. The attempt may be running, or may
+	// begin seconds later, until the worker has acknowledged a stop.
 	phaseDoubtful
-	// phaseStopping: it runs, or ran, and is to stop.
+	// phaseStopping: the attempt runs, or ran, and is being stopped.
 	phaseStopping
 )
 
-// attemptKey names an attempt within one worker.
+// attemptKey identifies an attempt within one worker.
 type attemptKey struct {
 	task    job.TaskKey
 	attempt int
 }
 
-// compare orders keys by their tasks, then by the attempts' numbers.
+// compare orders keys by task, then by attempt number.
 func (k attemptKey) compare(other attemptKey) int {
 	return cmp.Or(k.task.Compare(other.task), cmp.Compare(k.attempt, other.attempt))
 }
 
-// attempt is one placement of a task. It exists until it is certain that the
-// task does not run there and will not.
+// attempt is one placement of a task. It exists until it is certain that the task
+// does not run there and will not start there.
 type attempt struct {
 	key    attemptKey
 	worker *worker
-	// task is nil for an attempt that nobody wants: of a job that is over, or
-	// that the machine does not know; and for one of a job that is set aside,
-	// which is left alone.
+	// task is nil for an orphan: an attempt of a job that is over or unknown. It is
+	// also nil for an attempt of an unreadable job, which is left running.
 	task  *task
 	phase phase
-	// previousWorker is the incarnation of its worker on which it may have been, which has
-	// ended since; nil once the one that followed has listed it.
+	// previousWorker is the earlier incarnation of the worker on which the attempt
+	// may have run before that incarnation ended. It is nil once the following
+	// incarnation has listed the attempt.
 	previousWorker *worker
-	// inherited is set while only an earlier leader's roster says that it may run:
-	// its worker has not answered this leader.
+	// inherited is set while the roster of an earlier leader is the only evidence
+	// of the attempt, because its worker has not answered this leader.
 	inherited bool
-	// adopted is set when an earlier leader started it, it is not known when.
+	// adopted is set when an earlier leader started the attempt, at an unknown
+	// time.
 	adopted bool
 	size    model.Resources
-	// bestEffortCPU is the processor time that it would use, if its share is
-	// not committed.
+	// bestEffortCPU is the processor use of a best-effort task, in thousandths of a
+	// core. It is not part of the committed size.
 	bestEffortCPU int64
 	longRunning   bool
 	startedAt     time.Time
-	// stopAckedAt is when the worker acknowledged the last stop; a report asked
-	// for later that does not list the attempt shows that it is over.
+	// stopAckedAt is when the worker acknowledged the last stop. A report requested
+	// after it that does not list the attempt proves that the attempt is over.
 	stopAckedAt time.Time
 	stopSentAt  time.Time
 	percent     int
 	// advancedAt is when percent last grew.
 	advancedAt time.Time
-	// reading is the last one, taken in at readAt.
+	// reading is the last reading, received at readAt.
 	reading int64
 	readAt  time.Time
-	// learnKey names the attempt to the learner of interference.
+	// learnKey identifies the attempt in the interference learner.
 	learnKey model.TaskKey
-	// image is the number of its image, when learnKey is set.
+	// image is the index of its image. It is valid when learnKey is set.
 	image int
-	// throttle is the share last acknowledged, at throttledAt.
+	// throttle is the share, in percent, that the worker last acknowledged, at
+	// throttledAt.
 	throttle        int
 	throttledAt     time.Time
 	throttlePending bool
-	// nextNoteAt is when it may be noted again that its worker does not answer.
+	// nextNoteAt is when the next note may report that its worker is unreachable.
 	nextNoteAt time.Time
-	// nextMoveAt is when another worker may be sought for it again.
+	// nextMoveAt is when the next search for another worker may be made.
 	nextMoveAt time.Time
 }
 
-// isReclaimable reports whether the attempt ends, or could be ended for more urgent
-// work.
+// isReclaimable reports whether the attempt's room is being freed, or could be
+// freed by preemption.
 func (a *attempt) isReclaimable() bool { return !a.longRunning || a.phase == phaseStopping }
 
-// beginStop notes that the attempt is to stop.
+// beginStop moves the attempt to phaseStopping.
 func (m *Machine) beginStop(a *attempt) {
 	if !a.isReclaimable() {
 		a.worker.reclaimable = a.worker.reclaimable.Add(a.size)
@@ -94,21 +96,22 @@
 	m.setPhase(a, phaseStopping)
 }
 
-// setPhase notes how far the attempt has come.
+// setPhase changes the attempt's phase and keeps the count of unanswered starts.
 func (m *Machine) setPhase(a *attempt, p phase) {
 	m.countStarting(a, -1)
 	a.phase = p
 	m.countStarting(a, 1)
 }
 
-// countStarting counts the attempt if its start is sent and not answered.
+// countStarting adds by to the count of unanswered starts if the attempt is one of
+// them.
 func (m *Machine) countStarting(a *attempt, by int) {
 	if a.phase == phaseStarting {
 		m.starting += by
 	}
 }
 
-// step returns the step that the attempt works for, or nil.
+// step returns the attempt's step, or nil for an orphan.
 func (a *attempt) step() *step {
 	if a.task == nil {
 		return nil
--- a/core/jobsched/candidates.go
+++ b/core/jobsched/candidates.go
@@ -2,14 +2,13 @@
 
 import "container/heap"
 
-// candidates are the workers that alike tasks of a step may go to, the best
-// first. A start changes what its own worker is worth and no other's, so that each
-// further task costs a look at one worker and not at all of them: with a thousand
-// workers, the leader could not start what is asked of it otherwise
-// (BenchmarkPlacement).
+// candidates are the feasible workers for interchangeable tasks of a step, ordered
+// by score. A start changes the score of its own worker only, so that each further
+// task costs the check of one worker instead of all. Without this a leader with a
+// thousand workers cannot keep up with the requested starts (BenchmarkPlacement).
 type candidates struct {
 	m *Machine
-	// task stands for all of them.
+	// task represents all interchangeable tasks.
 	task *task
 	rows candidateHeap
 }
@@ -20,8 +19,8 @@
 	score  float64
 }
 
-// candidateHeap is a heap.Interface with the highest score, and of these the
-// lowest id, at the top.
+// candidateHeap implements heap.Interface with the highest score at the top; of
+// equal scores, the lowest worker id.
 type candidateHeap []candidate
 
 func (h candidateHeap) Len() int { return len(h) }
@@ -35,7 +34,7 @@
 
 func (h candidateHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-// Push implements heap.Interface. Workers are never added.
+// Push implements heap.Interface. It is unused: workers are never added.
 func (h *candidateHeap) Push(any) {}
 
 // Pop implements heap.Interface.
@@ -46,7 +45,7 @@
 	return row
 }
 
-// newCandidates looks at all workers.
+// newCandidates checks and scores all workers for the task.
 func (m *Machine) newCandidates(t *task) *candidates {
 	m.pass.spend(m.workers.Len())
 	c := &candidates{m: m, task: t}
@@ -67,7 +66,7 @@
 	return c.rows[0].worker
 }
 
-// started takes in that a task was started on the best worker.
+// started updates the candidates after a task was started on the best worker.
 func (c *candidates) started() {
 	top := &c.rows[0]
 	if !c.m.isFeasible(c.task, top.worker) {
@@ -78,10 +77,11 @@
 	heap.Fix(&c.rows, 0)
 }
 
-// isInterchangeable reports whether the task may go where any other task of its step may, and
-// is worth as much there, whatever becomes of the others: one that has failed
-// somewhere, or has room reserved, may not, and where tasks want one rack each
-// start changes what its neighbours are worth.
+// isInterchangeable reports whether the same workers are feasible for the task as
+// for any other task of its step, with the same scores, whatever happens to the
+// others. That does not hold for a task that has failed on a worker, is suspect or
+// has room reserved, nor if the step wants a single rack, where each start changes
+// the scores of other workers.
 func (m *Machine) isInterchangeable(t *task) bool {
 	return t.failedOn == nil && !t.isSuspect() && !t.step.spec.SameRack && !m.isReserved(t)
 }
--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -9,55 +9,57 @@
 )
 
 const (
-	// commitInterval is the least time between the sending of two commits: ends
-	// that come within it share a call to the store.
+	// commitInterval is the minimum time between two commits: ends that arrive
+	// within it share a call to the store.
 	commitInterval = 20 * time.Millisecond
-	// summaryInterval is how often a commit is made for the sake of its summary
-	// alone; readers take a summary of 2 s as current.
+	// summaryInterval is the time between commits made only to refresh the summary;
+	// readers accept a summary that is up to 2 s old.
 	summaryInterval = time.Second
-	// maxCommitEntries bounds the entries of one commit. The store takes 32, of
+	// maxCommitEntries bounds the entries of one commit. The store accepts 32, of
 	// which the commit itself needs five: its condition, the ledger, the roster,
-	// the fleet and what was learned.
+	// the fleet and the interference estimates.
 	maxCommitEntries = 27
-	// learnedInterval is the time between two stores of what was learned.
+	// learnedInterval is the time between two commits with the interference
+	// estimates.
 	learnedInterval = 3 * time.Second
 )
 
-// commitState follows the one commit that may be in flight.
+// commitState tracks the commit that may be in flight.
 type commitState struct {
 	number   uint64
 	inFlight bool
-	// stored is whether a commit of the term is stored. Before that nothing is
-	// started and no lease is renewed.
+	// stored is whether a commit of this term has been stored. Before that nothing
+	// is started and no lease is renewed.
 	stored bool
 	sentAt time.Time
-	// ends holds the ends whose consequences the commit makes durable; nil when
-	// records had to wait for the next.
+	// ends holds, for each worker, the last end that can be acknowledged once the
+	// commit is stored.
 	ends map[model.Incarnation]int64
 	jobs []job.ID
-	// restarts are those of the jobs' records.
+	// restarts holds the restarts in the records of the commit.
 	restarts map[job.ID]job.Restarts
-	// trials are those of the jobs' records.
+	// trials holds the trials in the records of the commit.
 	trials map[job.TaskKey]job.Trial
-	// learnedAt is when what was learned was stored last.
+	// learnedAt is when the interference estimates were last committed.
 	learnedAt time.Time
 }
 
-// unackedEnd is the end of an attempt that was taken in and not yet acknowledged.
+// unackedEnd is an end that has been processed but not acknowledged.
 type unackedEnd struct {
 	number  int64
 	task    job.TaskKey
 	attempt int
-	// withheld keeps it and what comes after it from being acknowledged.
+	// withheld keeps this end and all later ones from being acknowledged.
 	withheld bool
 }
 
-// sendCommit stores what has changed. A worker may forget an end only when what
-// followed from it is stored: with the commit that leaves the record of its job,
-// and of those of the ends before it, not waiting.
+// sendCommit stores what has changed. A worker may forget an end only when its
+// consequence is stored: with the first commit after which neither the record of
+// its job, nor those of the jobs of earlier ends, wait to be stored.
 //
-// A commit that leaves no record waiting at all may never come: with a store
-// that takes 150 ms and a hundred jobs a second workers kept hundreds of ends.
+// Ends are not held until a commit that leaves no record at all waiting, since such
+// a commit may never come: with a store that takes 150 ms and a hundred jobs a
+// second, workers accumulated hundreds of ends.
 func (m *Machine) sendCommit() {
 	c := &m.commit
 	m.expireFinal()
@@ -89,7 +91,7 @@
 	m.emit(commit)
 }
 
-// quietInterval is the time between two commits when nothing has changed.
+// quietInterval is the time between two commits while nothing changes.
 func (m *Machine) quietInterval() time.Duration {
 	if m.unresolved.Len() > 0 {
 		return rosterAgeInterval
@@ -97,7 +99,7 @@
 	return summaryInterval
 }
 
-// newCommit returns the next commit, with as many records as it has room for.
+// newCommit returns the next commit with as many records as fit.
 func (m *Machine) newCommit() Commit {
 	commit := Commit{
 		Number: m.commit.number + 1, Summary: m.summary(), UnseenCrash: m.checkUnseenCrash(), RosterLostLeft: m.rosterLostLeft(),
@@ -106,8 +108,8 @@
 	return commit
 }
 
-// fillCommit moves records from the dirty set into the commit, those of jobs
-// that are over first: their callers wait for them.
+// fillCommit moves records from the dirty set into the commit, those of final jobs
+// first because their callers are waiting for them. It returns the ids of the jobs.
 func (m *Machine) fillCommit(commit *Commit) []job.ID {
 	room := maxCommitEntries
 	ids := m.fillRecords(commit, true, &room)
@@ -118,8 +120,8 @@
 	return ids
 }
 
-// fillRecords moves as many records as there is room for, of jobs that are over
-// or of the others. A job that is over takes two entries.
+// fillRecords moves the records of final jobs, or of the others, into the commit as
+// long as there is room. A final job takes two entries.
 func (m *Machine) fillRecords(commit *Commit, final bool, room *int) []job.ID {
 	var ids []job.ID
 	entries := 1
@@ -145,8 +147,9 @@
 	return ids
 }
 
-// ackableEnds returns, for each worker, the last end before any whose job has a
-// record that waits to be stored.
+// ackableEnds returns, for each worker, the last end that can be acknowledged: the
+// one before the first end that is withheld, deferred, or whose job has a record
+// waiting to be stored.
 func (m *Machine) ackableEnds() map[model.Incarnation]int64 {
 	ends := make(map[model.Incarnation]int64)
 	for id, w := range m.workers.All() {
@@ -194,7 +197,7 @@
 	c.ends, c.jobs, c.restarts, c.trials = nil, nil, nil, nil
 }
 
-// restartsIn returns the restarts in some records.
+// restartsIn returns the restarts in the given records.
 func restartsIn(records []ProgressRecord) map[job.ID]job.Restarts {
 	found := make(map[job.ID]job.Restarts)
 	for _, r := range records {
--- a/core/jobsched/crash.go
+++ b/core/jobsched/crash.go
@@ -9,48 +9,50 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// A task can crash each worker that starts it, and a worker that crashes takes all
-// along that runs there. So the ends of attempts with their worker are counted for
-// each task and stored with its job, and a task that has crashed too many workers
-// is given up. One notices the want of it by workers that end one after the other,
+// A task may crash every worker that starts it, and a crashing worker takes down
+// everything that runs there. So the ends of attempts together with their worker
+// are counted for each task and stored with its job, and the job of a task that has
+// crashed too many workers fails. Without this, workers end one after the other,
 // each shortly after a start of the same task.
 //
-// Most of the tasks that are there when a worker crashes have nothing to do with
-// it. What tells them apart is that a crash for other reasons comes at any moment
-// of a run, often to several workers at once, and seldom to the same task again.
+// Most of the tasks on a crashing worker are not the cause. Crashes for other
+// reasons come at any time of a run, often to several workers at once, and rarely
+// to the same task again.
 
 const (
 	// maxCrashes is how many workers may crash under a task. The platform's
-	// contract bears two more starts after the third.
+	// contract tolerates two more starts after the third crash.
 	maxCrashes = 5
-	// maxUnexplainedCrashes is the same where a crash may not have been counted, or the
-	// task alone explains all of them.
+	// maxUnexplainedCrashes is the same if a crash may not have been counted, or if
+	// none of the crashes has another possible cause.
 	maxUnexplainedCrashes = 4
-	// maxSameTimeCrashes is the same for crashes that came at the same time of a run.
+	// maxSameTimeCrashes is the same for crashes at the same run time.
 	maxSameTimeCrashes = 3
-	// minCertainCrashes is how many attempts of a task must have run for certain when their
-	// workers crashed, unless there are crashesMost.
+	// minCertainCrashes is how many attempts must certainly have been running when
+	// their workers crashed, unless there are maxCrashes.
 	minCertainCrashes = 2
-	// stableRunTime is how long an attempt must have run for its end not to be put down
-	// to its start.
+	// stableRunTime is the run time after which the end of an attempt is not
+	// attributed to its start.
 	stableRunTime = 4 * time.Second
-	// reportDelay is how much longer an attempt may have run than it was seen to: the
-	// time between two reports, and a little for their way.
+	// reportDelay is by how much the run time of an attempt may exceed the observed
+	// one: the time between two reports, plus their transfer.
 	reportDelay = renewWait + 100*time.Millisecond
-	// minComparableRunTime is the least time at which crashes count as alike by their times:
-	// most tasks are shorter, and two of their crashes are always near each other.
+	// minComparableRunTime is the minimum run time at which crashes count as being
+	// at the same run time. Most tasks are shorter, so that any two of their
+	// crashes are close to each other.
 	minComparableRunTime = time.Second
-	// massCrashWindow is how near in time crashes of several workers count as one event,
-	// sameMomentWorkers how many others make it one.
+	// massCrashWindow is the period in which crashes of several workers count as
+	// one event. massCrashWorkers is the number of other workers that it takes.
 	massCrashWindow  = time.Second
 	massCrashWorkers = 3
-	// crashRetention is how long the crash of a worker is remembered for that: workers
-	// come back, by which their crash is known, within some seconds.
+	// crashRetention is how long the crash of a worker is kept for detecting mass
+	// crashes. Crashes are detected when the workers come back, which takes some
+	// seconds.
 	crashRetention = 15 * time.Second
 )
 
-// observedRunTime returns for how long the attempt was seen to run, by the last answer of
-// its worker; 0 for one that the worker has not listed yet.
+// observedRunTime returns how long the attempt was observed running, up to the last
+// report of its worker; 0 if the worker has not listed it yet.
 func (a *attempt) observedRunTime() time.Duration {
 	if a.startedAt.IsZero() {
 		return 0
@@ -58,8 +60,8 @@
 	return max(a.worker.lastReportAt.Sub(a.startedAt), 0).Round(time.Millisecond)
 }
 
-// observedRunTimeMs returns seenFor in milliseconds, or that it is not known when the
-// attempt began.
+// observedRunTimeMs returns observedRunTime in milliseconds, or a constant if the
+// start time of the attempt is unknown.
 func (a *attempt) observedRunTimeMs() int64 {
 	seen := a.observedRunTime()
 	if a.inherited || a.adopted && seen < stableRunTime {
@@ -68,8 +70,8 @@
 	return seen.Milliseconds()
 }
 
-// noteCrash notes that a worker has ended without having announced it, and which
-// of its attempts was started last.
+// noteCrash notes that a worker has ended without announcing it, and which of its
+// attempts was started last.
 func (m *Machine) noteCrash(w *worker, reason string) {
 	text := fmt.Sprintf("%s; last heard %s ago; %d attempts were there", reason, m.now.Sub(w.lastReportAt).Round(time.Millisecond), w.attempts.Len())
 	if a := w.latestAttempt(); a != nil {
@@ -78,8 +80,8 @@
 	m.emit(Note{Decision: joblog.MessageWorkerCrashed, Worker: w.id, Reason: text})
 }
 
-// latestAttempt returns the attempt that was started last, or nil. One whose start was
-// not answered counts as later than all others.
+// latestAttempt returns the attempt that was started last, or nil. An attempt with
+// an unanswered start counts as later than all others.
 func (w *worker) latestAttempt() *attempt {
 	var latest *attempt
 	for _, a := range w.attempts.All() {
@@ -94,8 +96,8 @@
 	return latest
 }
 
-// loseAttemptsInCrash declares all attempts on w as lost, because w has ended; but for
-// those whose start is not answered yet: the answer tells whether they were there.
+// loseAttemptsInCrash declares the attempts on w lost because w has ended. Attempts
+// whose start is unanswered are kept: the answer will show whether they were there.
 func (m *Machine) loseAttemptsInCrash(w *worker, reason string) {
 	if w.attempts.Len() > 0 && !w.ended {
 		m.noteCrash(w, reason)
@@ -110,8 +112,8 @@
 	}
 }
 
-// hasSuccessorOnVM reports whether another incarnation of the worker's VM is on the
-// platform's list and the worker is not.
+// hasSuccessorOnVM reports whether another incarnation on the worker's VM is in the
+// platform's list and the worker itself is not.
 func (m *Machine) hasSuccessorOnVM(w *worker) bool {
 	if w.listed || w.entry.Machine == "" {
 		return false
@@ -124,9 +126,9 @@
 	return false
 }
 
-// countAttemptCrash counts the end of an attempt with a worker against its task. A worker
-// that had announced its end has left, unless a task on trial was there, which may
-// have ended it sooner.
+// countAttemptCrash counts the end of an attempt with its worker against its task.
+// A worker that had announced its end has left rather than crashed, unless a task
+// on trial was there, which may have ended it early.
 func (m *Machine) countAttemptCrash(a *attempt, on *worker) {
 	leaves := on.entry.Draining
 	if a.task == nil || a.task.done || leaves && a.task.trial.number == 0 {
@@ -138,14 +140,14 @@
 	})
 }
 
-// workerCrash is the crash of a worker, as it is remembered for a while.
+// workerCrash is a recorded crash of a worker.
 type workerCrash struct {
 	worker *worker
-	// steps holds those of which attempts were there.
+	// steps holds the steps with attempts on the worker.
 	steps map[*step]struct{}
 }
 
-// recordWorkerCrash remembers the crash of a worker with what runs there.
+// recordWorkerCrash records the crash of a worker with the steps that ran there.
 func (m *Machine) recordWorkerCrash(w *worker) {
 	steps := make(map[*step]struct{})
 	for _, a := range w.attempts.All() {
@@ -154,9 +156,9 @@
 	m.recentCrashes = append(m.recentCrashes, workerCrash{worker: w, steps: steps})
 }
 
-// isMassCrash reports whether several other workers were last heard of at the
-// same time as w, and have ended or do not answer, though no attempt of the step
-// was there: the step is not what they have in common.
+// isMassCrash reports whether several other workers sent their last report at the
+// same time as w and have ended or are unreachable, although no attempt of the step
+// was there: then the step is not the common cause.
 func (m *Machine) isMassCrash(s *step, w *worker) bool {
 	if w.lastReportAt.IsZero() {
 		return false
@@ -182,7 +184,7 @@
 	return others >= massCrashWorkers
 }
 
-// mayRunStep reports whether an attempt of the step may run on the worker.
+// mayRunStep reports whether an attempt of the step may be running on the worker.
 func (w *worker) mayRunStep(s *step) bool {
 	for _, a := range w.attempts.All() {
 		if a.step() == s {
@@ -192,8 +194,8 @@
 	return false
 }
 
-// countCrash takes in that a worker has crashed under a task, each attempt once,
-// and gives the job up when that was one too many.
+// countCrash counts a worker crash against a task, once for each attempt, and fails
+// the job if there are too many.
 func (m *Machine) countCrash(t *task, c job.Crash) {
 	j := t.step.job()
 	if j.state.Final() || len(t.crashes) > 0 && t.crashes[len(t.crashes)-1].Attempt >= c.Attempt {
@@ -204,15 +206,16 @@
 	m.markDirty(j)
 	m.emit(Note{
 		Decision: joblog.MessageCrashCounted, Job: j.id, Task: t.key().String(), Attempt: c.Attempt, Routine: true,
-		Reason: "its worker has ended with it; since it last ran for long: " + describeCrashes(t.crashes),
+		Reason: "its worker ended with it; crashes since its last long run: " + describeCrashes(t.crashes),
 	})
 	if tooManyCrashes(t.crashes) {
 		m.conclude(j, job.Failed, fmt.Sprintf("task %s crashes its workers: %s", t.key(), describeCrashes(t.crashes)), 0)
 	}
 }
 
-// addCrash adds a crash to those before it, which it outdates if an attempt ran for
-// long in between, unless the two came at the same time of a run.
+// addCrash appends a crash. If one of the last two attempts ran for stableRunTime,
+// the earlier crashes are dropped, unless the two crashes came at the same run
+// time.
 func addCrash(crashes []job.Crash, c job.Crash) []job.Crash {
 	if len(crashes) == 0 {
 		return []job.Crash{c}
@@ -225,8 +228,7 @@
 	return append(slices.Clone(crashes), c)
 }
 
-// tooManyCrashes reports whether a task that these workers crashed under is to be
-// given up.
+// tooManyCrashes reports whether a task with these crashes must be given up.
 func tooManyCrashes(crashes []job.Crash) bool {
 	n := len(crashes)
 	sure := 0
@@ -248,24 +250,25 @@
 	return false
 }
 
-// mayMissCrash reports whether a crash under the task may not have been counted: only a
-// first attempt has none before it, and a crash of which a later leader heard may
-// have followed on others.
+// mayMissCrash reports whether a crash of the task may not have been counted: only
+// a first attempt has none before it, and a crash that a later leader learned of
+// may have followed others.
 func mayMissCrash(crashes []job.Crash) bool {
 	unknown := func(c job.Crash) bool { return c.ObservedRunMs == job.ObservedRunUnknown }
 	return crashes[0].Attempt > 1 || slices.ContainsFunc(crashes, unknown)
 }
 
-// hasOtherCause reports whether something else than the task may have been the cause.
+// hasOtherCause reports whether something other than the task may have caused the
+// crash.
 func hasOtherCause(c job.Crash) bool { return c.Correlated }
 
-// isSuspicious reports whether the start of the task may have been the cause.
+// isSuspicious reports whether the start of the task may have caused the crash.
 func isSuspicious(c job.Crash) bool {
 	return !hasOtherCause(c) && c.ObservedRunMs < stableRunTime.Milliseconds()
 }
 
-// allAtSameRunTime reports whether all crashes came at the same time of a run, with nothing
-// else to explain them.
+// allAtSameRunTime reports whether all crashes came at the same run time and none
+// has another possible cause.
 func allAtSameRunTime(crashes []job.Crash) bool {
 	for _, c := range crashes {
 		for _, other := range crashes {
@@ -277,8 +280,9 @@
 	return true
 }
 
-// atSameRunTime reports whether two crashes came at the same time of a run, as far as
-// reports tell: before any of them, or late enough and near each other.
+// atSameRunTime reports whether two crashes came at the same run time, as far as
+// the reports show: either both before the first report, or both late enough and
+// close to each other.
 func atSameRunTime(a, b job.Crash) bool {
 	if a.ObservedRunMs == 0 && b.ObservedRunMs == 0 {
 		return true
@@ -287,7 +291,7 @@
 	return near && min(a.ObservedRunMs, b.ObservedRunMs) >= minComparableRunTime.Milliseconds()
 }
 
-// describeCrashes lists crashes with their attempts and times.
+// describeCrashes lists crashes with their attempts and observed run times.
 func describeCrashes(crashes []job.Crash) string {
 	text := ""
 	for i, c := range crashes {
--- a/core/jobsched/effect.go
+++ b/core/jobsched/effect.go
@@ -8,24 +8,26 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Effect is something that the machine wants done.
+// Effect is an output of the machine that the daemon has to carry out.
 type Effect interface{ effect() }
 
-// Order is what every order to a worker carries.
+// Order holds what all orders to a worker have in common.
 type Order struct {
 	Worker  model.Incarnation
 	Address string
 	Epoch   model.Epoch
 }
 
-// Renew renews the lease of all that runs on a worker and asks what does.
+// Renew renews the leases of all attempts on a worker and requests a report.
 type Renew struct {
 	Order
 	// UntilMs is the lease's end on the worker's clock; 0 renews nothing.
 	UntilMs int64
-	// AckedEnds is the number of the last end that need not be kept.
+	// AckedEnds is the number of the last acknowledged end: the worker may forget
+	// the ends up to it.
 	AckedEnds int64
-	// Wait is how long the worker may wait for an end before it answers.
+	// Wait is how long the worker may delay its answer while it has no new end to
+	// report.
 	Wait time.Duration
 }
 
@@ -40,14 +42,15 @@
 	Ticket     string
 }
 
-// Stop stops an attempt, and bars it where it has not begun.
+// Stop stops an attempt. If the attempt has not started yet, its start will be
+// rejected from then on.
 type Stop struct {
 	Order
 	Key     job.TaskKey
 	Attempt int
 }
 
-// Throttle bounds the share of its speed at which an attempt works.
+// Throttle limits an attempt to a share of its full speed.
 type Throttle struct {
 	Order
 	Key     job.TaskKey
@@ -55,39 +58,42 @@
 	Percent int
 }
 
-// Commit stores records; one is in flight at a time. Committed answers it.
+// Commit stores records. One commit is in flight at a time; Committed confirms it.
 type Commit struct {
 	Number uint64
 	Puts   []ProgressRecord
-	// RemoveAccepted lists jobs whose state is final.
+	// RemoveAccepted lists jobs in a final state, whose accepted records are
+	// removed.
 	RemoveAccepted []job.ID
-	// RemoveProgress lists jobs that need not be remembered any longer.
+	// RemoveProgress lists jobs whose progress records have expired.
 	RemoveProgress []job.ID
 	Summary        Summary
-	// Roster lists all workers on which attempts may run; nil when it has not
-	// changed. A daemon that takes over must hear from each of them, or wait,
-	// before it starts what may run there. The platform's list does not do: it
-	// lacks workers that are cut off and run on, and for a while after an
-	// outage of the platform's store many that are well.
+	// Roster lists all workers on which attempts may be running; nil if unchanged.
+	// A daemon that takes over must get an answer from each of them, or wait for
+	// their leases to end, before it starts a task that may be running there. The
+	// platform's list cannot replace the roster: it lacks workers that are
+	// partitioned but still running, and for a while after an outage of the
+	// platform's store it lacks many healthy ones.
 	Roster []RosterEntry
-	// RosterValid is whether the next leader may rely on what the stored roster
-	// says of its workers. It is false until the term has stored a roster.
+	// RosterValid is whether the next leader may rely on the guarantees in the
+	// stored roster. It is false until this term has stored a roster.
 	RosterValid bool
 	// RosterAge is how long before the commit the stored roster was written.
 	RosterAge time.Duration
-	// RosterLostLeft is how long, from the commit on, attempts may run on workers that
-	// the stored roster lacks, because an earlier one could not be read; 0 if none may.
+	// RosterLostLeft is how much longer, from the commit on, attempts may be
+	// running on workers missing from the stored roster because an earlier roster
+	// could not be read; 0 if none may.
 	RosterLostLeft time.Duration
-	// UnseenCrash is whether tasks that wait may have been on a worker that ended
-	// without a leader knowing what ran there.
+	// UnseenCrash is whether pending tasks may have run on a worker that ended
+	// while no leader knew which attempts it ran.
 	UnseenCrash bool
-	// Learned is what is known of interference; nil when it is not to be stored
-	// now. The next leader begins with it: to learn it anew takes ten seconds
-	// in which disturbing work is put beside serving tasks.
+	// Learned holds the interference estimates; nil if they are not stored with
+	// this commit. The next leader starts from them: learning them again takes ten
+	// seconds, in which disturbing work is placed beside serving tasks.
 	Learned []interference.Effect
 }
 
-// ProgressRecord is one job's record.
+// ProgressRecord is the progress record of one job.
 type ProgressRecord struct {
 	ID       job.ID
 	Progress *job.Progress
@@ -97,28 +103,28 @@
 type Summary struct {
 	// WrittenMs is the leader's time of day in milliseconds since 1970.
 	WrittenMs int64 `json:"writtenMs"`
-	// Waiting counts, by queue, the jobs without a schedule of which no task
-	// has started.
+	// Waiting counts, by queue, the unscheduled jobs that have not started a task.
 	Waiting map[string]int `json:"waiting,omitempty"`
 }
 
-// Note is a decision for the log. The machine notes what touches a job and what
-// changes its beliefs, and nothing else.
+// Note is a decision to be logged. The machine notes decisions that affect a job or
+// change what it assumes about workers, and nothing else.
 type Note struct {
-	// Decision is a short name, the same for each of its kind.
+	// Decision is a short text that identifies the kind of decision.
 	Decision string
 	Job      job.ID
 	Task     string
 	Attempt  int
 	Worker   model.Incarnation
-	// Reason holds the inputs that decided it, and how old they were.
+	// Reason holds the inputs of the decision and their age.
 	Reason string
-	// Lag is how long what the decision follows from, a job or its cancel, had
-	// been stored, or the take-over was ago; 0 where that does not apply. It grows
-	// when the leader falls behind, or its watch is silent.
+	// Lag is the time between the cause of the decision and the decision: since the
+	// job or its cancellation was stored, or since the takeover. It is 0 where none
+	// of these applies. It grows when the leader falls behind or its watch delivers
+	// no events.
 	Lag time.Duration
-	// Routine is set for what happens hundreds of times a second; such lines
-	// may be left out under load.
+	// Routine is set for decisions that occur hundreds of times a second; their log
+	// lines may be dropped under load.
 	Routine bool
 }
 
@@ -129,7 +135,7 @@
 func (Commit) effect()   {}
 func (Note) effect()     {}
 
-// Deposed says that a worker has seen the orders of a later leader: the machine
+// Deposed reports that a worker has received orders of a later leader. The machine
 // must not be used any longer.
 type Deposed struct{ Worker model.Incarnation }
 
--- a/core/jobsched/ended.go
+++ b/core/jobsched/ended.go
@@ -8,19 +8,20 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// retainFinal keeps the id of a job that is over until its record may go.
+// retainFinal keeps the id of a final job until its record may be removed.
 func (m *Machine) retainFinal(id job.ID) {
 	m.final[id] = m.now.Add(m.options.KeepFinal)
 	m.expiry = append(m.expiry, id)
 }
 
-// finalClockError is beyond what the clocks of two VMs are apart, or jump: a state is
-// kept for at least as long as promised.
+// finalClockError exceeds the possible difference or jump between the clocks of two
+// VMs, so that a final state is kept for at least the promised time.
 const finalClockError = 30 * time.Second
 
-// retainRecoveredFinal keeps the ids of jobs that were over under an earlier leader until
-// their records may go: counted from each take-over anew, that would be never while
-// leaders follow each other quickly.
+// retainRecoveredFinal keeps the ids of jobs that became final under an earlier
+// leader. The retention time is counted from the time stored in their records: if
+// it restarted at each takeover, records would never be removed while leaders
+// change quickly.
 func (m *Machine) retainRecoveredFinal(progress map[job.ID]*job.Progress, wall time.Time) {
 	for id, p := range progress {
 		if p.State.Final() {
@@ -31,8 +32,9 @@
 	slices.SortFunc(m.expiry, func(a, b job.ID) int { return cmp.Or(m.final[a].Compare(m.final[b]), cmp.Compare(a, b)) })
 }
 
-// finalLeft returns for how long the record of a job is kept yet that came to its final
-// state at a time of day, 0 for one that is not known.
+// finalLeft returns how much longer the record of a job is kept that became final
+// at the given time of day. If overAtMs is 0 or wall is zero, that is the whole
+// KeepFinal.
 func (m *Machine) finalLeft(overAtMs int64, wall time.Time) time.Duration {
 	if overAtMs == 0 || wall.IsZero() {
 		return m.options.KeepFinal
@@ -41,7 +43,7 @@
 	return max(m.options.KeepFinal-passed, 0)
 }
 
-// expireFinal removes the records of jobs that were over long ago.
+// expireFinal removes the records of jobs whose retention time has passed.
 func (m *Machine) expireFinal() {
 	for len(m.expiry) > 0 && !m.now.Before(m.final[m.expiry[0]]) {
 		id := m.expiry[0]
--- a/core/jobsched/entry.go
+++ b/core/jobsched/entry.go
@@ -6,41 +6,42 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// EntryFault is why an entry of the platform's list names no worker to use.
+// EntryFault is the reason why an entry of the platform's list does not describe a
+// usable worker.
 type EntryFault int
 
-// The faults. Entries are written by workers and by whoever else may write
-// there, so that each field is held to what a worker says of itself.
+// The faults. Entries are written by workers and by anyone else with access to the
+// list, so every field is validated.
 const (
-	// EntryValid is no fault.
+	// EntryValid means that the entry has no fault.
 	EntryValid EntryFault = iota
-	// EntryUnreadable: the value is no JSON object.
+	// EntryUnreadable: the value is not a JSON object.
 	EntryUnreadable
-	// EntryWrongType: a field without a fault of its own has another type.
+	// EntryWrongType: a field without a fault of its own has the wrong type.
 	EntryWrongType
-	// EntryIncomplete: a field without a fault of its own, which every worker
-	// writes, is not there.
+	// EntryIncomplete: a required field without a fault of its own is missing.
 	EntryIncomplete
-	// EntryBadID: the id is empty, or cannot be sent in a header.
+	// EntryBadID: the id is empty or cannot be sent in a header.
 	EntryBadID
 	EntryNoService
 	// EntryBadAddress: the address is not host:port.
 	EntryBadAddress
-	// EntryUnknownState: the state is neither that of a worker in use nor that
-	// of one that leaves.
+	// EntryUnknownState: the state is neither that of an active worker nor that of
+	// a leaving one.
 	EntryUnknownState
 	// EntryNoCapacity: processor or memory is not positive, or the number of
 	// accelerators is negative.
 	EntryNoCapacity
 	// EntryNoLabels: there is no label, or one of them is empty.
 	EntryNoLabels
-	// EntryUnnamedService: the configuration does not name the service.
+	// EntryUnnamedService: the configuration does not contain the service.
 	EntryUnnamedService
-	// EntryNoStartTime: it does not say when the worker was started, as workers here do.
+	// EntryNoStartTime: the start time is missing although workers in this cluster
+	// report it.
 	EntryNoStartTime
 )
 
-// entryFaultNames are the reasons in log lines and metrics.
+// entryFaultNames are the names in log lines and metrics.
 var entryFaultNames = [...]string{
 	"sound", "unreadable", "wrong type", "incomplete", "bad id", "no service", "bad address", "unknown state", "no capacity",
 	"no labels", "unnamed service", "no start",
@@ -54,7 +55,7 @@
 	return entryFaultNames[f]
 }
 
-// EntryFaults returns all faults.
+// EntryFaults returns all faults, without EntryValid.
 func EntryFaults() []EntryFault {
 	faults := make([]EntryFault, 0, len(entryFaultNames)-1)
 	for f := EntryUnreadable; int(f) < len(entryFaultNames); f++ {
@@ -63,14 +64,16 @@
 	return faults
 }
 
-// UnusableEntry is an entry of the platform's list that names no worker to use.
+// UnusableEntry is an entry of the platform's list that does not describe a usable
+// worker.
 type UnusableEntry struct {
 	ID    model.WorkerID
 	Fault EntryFault
 }
 
-// classifyEntries parts the entries of workers that may be used from those that are
-// unusable, be it by what else is known.
+// classifyEntries splits a list into usable and unusable entries. Entries that are
+// valid by themselves may still be unusable because of the configuration or of the
+// reports of other workers.
 func (m *Machine) classifyEntries(list WorkersListed) ([]WorkerEntry, []UnusableEntry) {
 	fault := m.entryClassifier()
 	usable, unusable := make([]WorkerEntry, 0, len(list.Workers)), slices.Clip(list.Unusable)
@@ -84,9 +87,10 @@
 	return usable, unusable
 }
 
-// entryClassifier returns a function that tells the fault of an entry by the configuration
-// and by whether workers say when they were started. That they do is known from their
-// own reports alone: anybody may write an entry that says so.
+// entryClassifier returns a function that returns the fault of an entry with regard
+// to the configuration and to whether workers report their start times. That they
+// do is only inferred from reports, because anyone may write an entry with a start
+// time.
 func (m *Machine) entryClassifier() func(WorkerEntry) EntryFault {
 	var named map[string]struct{}
 	if m.config != nil && len(m.config.Services) > 0 {
@@ -103,8 +107,8 @@
 	}
 }
 
-// namedServices returns the services of the configuration in force, and those
-// on which jobs run that it has no queue for any more.
+// namedServices returns the services of the configuration in force, and those of
+// jobs whose queues have been removed from it.
 func (m *Machine) namedServices() map[string]struct{} {
 	named := make(map[string]struct{}, len(m.config.Services))
 	for name := range m.config.Services {
--- a/core/jobsched/entrywatch.go
+++ b/core/jobsched/entrywatch.go
@@ -9,10 +9,10 @@
 	"github.com/guavarill/guavarill/core/ordered"
 )
 
-// EntryChange is what became of an entry of the platform's list.
+// EntryChange is a change of an entry of the platform's list.
 type EntryChange int
 
-// The turns.
+// The changes.
 const (
 	EntryBecameUnusable EntryChange = iota
 	EntryRepaired
@@ -24,7 +24,7 @@
 	entryChangeMessages = [...]string{joblog.MessageEntryUnusable, joblog.MessageEntryRepaired, joblog.MessageEntryGone}
 )
 
-// String returns the turn's name.
+// String returns the name of the change.
 func (t EntryChange) String() string {
 	if t < 0 || int(t) >= len(entryChangeNames) {
 		return "invalid turn"
@@ -32,31 +32,32 @@
 	return entryChangeNames[t]
 }
 
-// EntryCounts tells how the entries of the platform's list fare.
+// EntryCounts holds statistics of the entries of the platform's list.
 type EntryCounts struct {
-	// Unusable counts the unusable entries of the last list by their fault.
+	// Unusable counts the unusable entries of the last list by fault.
 	Unusable map[EntryFault]int
-	// Changes counts the turns since the counts were taken last.
+	// Changes counts the changes since the counts were last taken.
 	Changes map[EntryChange]int
 }
 
 const (
-	// maxTrackedUnknown bounds the unusable entries that are followed one by one
-	// and name no worker which is known: a writer may leave ten thousand. Those
-	// of known workers are followed all, and are no more than the workers.
+	// maxTrackedUnknown bounds how many unusable entries of unknown workers are
+	// tracked individually: a faulty writer may leave ten thousand. Those of known
+	// workers are all tracked; there are no more of them than workers.
 	maxTrackedUnknown = 64
-	// changeNoteWindow is the time in which at most strangerTurnNotes turns of strangers'
-	// entries are noted, and workerTurnNotes of those of known workers. Each has its
-	// own bound, so that many of the first hide none of the second. A worker
-	// whose entry is damaged and mended goes on, and would be noted at each list.
+	// changeNoteWindow is the period in which at most unknownNotesPerWindow changes
+	// of entries of unknown workers are noted, and at most workerNotesPerWindow of
+	// those of known workers. The bounds are separate so that many of the first do
+	// not hide any of the second. A worker whose entry is damaged and repaired
+	// repeatedly would otherwise be noted with every list.
 	changeNoteWindow      = 10 * time.Second
 	unknownNotesPerWindow = 80
 	workerNotesPerWindow  = 200
 )
 
-// entryTracker follows the unusable entries from list to list. Without it nobody
-// sees why a worker that is well gets no tasks: it answers, and its entry looks
-// all right but for a field.
+// entryTracker tracks the unusable entries across lists. Without it operators
+// cannot see why a healthy worker gets no tasks: it answers calls, and its entry
+// looks valid except for one field.
 type entryTracker struct {
 	tracked                   ordered.Map[model.WorkerID, EntryFault]
 	unusable                  map[EntryFault]int
@@ -64,14 +65,14 @@
 	unknownNotes, workerNotes noteBudget
 }
 
-// noteBudget bounds notes in a window of time.
+// noteBudget limits the notes in each changeNoteWindow.
 type noteBudget struct {
 	since         time.Time
 	made, leftOut int
 }
 
-// take reports whether a note more may be made, and how many were left out
-// since the last one.
+// take reports whether another note may be emitted, and how many were dropped since
+// the last one.
 func (b *noteBudget) take(now time.Time, limit int) (may bool, leftOut int) {
 	if now.Sub(b.since) >= changeNoteWindow {
 		b.since, b.made = now, 0
@@ -86,7 +87,8 @@
 	return true, leftOut
 }
 
-// trackEntries takes in the unusable entries of a list, when the others are.
+// trackEntries processes the unusable entries of a list after the usable ones have
+// been applied.
 func (m *Machine) trackEntries(unusable []UnusableEntry) {
 	e := &m.entries
 	now := make(map[model.WorkerID]struct{}, len(unusable))
@@ -113,8 +115,8 @@
 	}
 }
 
-// updateTracked lets go of the entries that are no longer unusable, and returns
-// how many of the others name no worker that is known.
+// updateTracked stops tracking the entries that are no longer unusable, and returns
+// how many of the remaining ones belong to unknown workers.
 func (m *Machine) updateTracked(unusable map[model.WorkerID]struct{}) (unknown int) {
 	e := &m.entries
 	for id, fault := range e.tracked.All() {
@@ -135,7 +137,7 @@
 	return unknown
 }
 
-// entryChanged counts a turn, and notes it within bounds.
+// entryChanged counts a change and emits a note within the limits.
 func (m *Machine) entryChanged(id model.WorkerID, change EntryChange, reason string) {
 	e := &m.entries
 	if e.changes == nil {
@@ -156,7 +158,7 @@
 	m.emit(Note{Decision: entryChangeMessages[change], Worker: model.Incarnation{ID: id}, Reason: reason})
 }
 
-// TakeEntryCounts returns the counts, and begins those of turns anew.
+// TakeEntryCounts returns the counts and resets those of changes.
 func (m *Machine) TakeEntryCounts() EntryCounts {
 	counts := EntryCounts{Unusable: m.entries.unusable, Changes: m.entries.changes}
 	m.entries.changes = nil
--- a/core/jobsched/event.go
+++ b/core/jobsched/event.go
@@ -7,25 +7,25 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Event is something that the machine is told.
+// Event is an input of the machine.
 type Event interface{ event() }
 
-// ConfigChanged brings a newer version of the operator's configuration.
+// ConfigChanged provides a newer version of the operator's configuration.
 type ConfigChanged struct{ Config *job.Config }
 
-// WorkersListed brings the platform's whole list of workers.
+// WorkersListed provides the platform's whole list of workers.
 type WorkersListed struct {
 	Workers []WorkerEntry
-	// Unusable holds the entries that name no worker to use.
+	// Unusable holds the entries that do not describe a usable worker.
 	Unusable []UnusableEntry
 }
 
-// WorkerEntry is what a worker says of itself in the platform's list.
+// WorkerEntry is a worker's entry in the platform's list.
 type WorkerEntry struct {
-	// Incarnation is the one that says it: of an entry without the time of its start it
-	// has the id alone.
+	// Incarnation identifies the incarnation that wrote the entry. An entry without
+	// a start time has the id alone.
 	model.Incarnation
-	// Machine is the lasting identity of the VM; empty where it is not known.
+	// Machine is the persistent identity of the VM; empty if unknown.
 	Machine  string
 	Service  string
 	Address  string
@@ -34,21 +34,21 @@
 	Labels   []string
 	Capacity model.Resources
 	Draining bool
-	// Remaining is how long a draining worker stays at least; 0 if unknown.
+	// Remaining is the minimum time that a draining worker stays; 0 if unknown.
 	Remaining time.Duration
 }
 
-// JobAccepted brings a job's record when it is stored or changed.
+// JobAccepted provides a job's accepted record after it was stored or changed.
 type JobAccepted struct {
 	ID     job.ID
 	Record *job.Accepted
 }
 
-// JobUnreadable says that a job has been stored whose record cannot be read.
+// JobUnreadable reports a stored job whose record cannot be read.
 type JobUnreadable struct{ ID job.ID }
 
-// JobReread brings the records of a job that was set aside, as they can be read
-// now. Both are nil when they are gone.
+// JobReread provides the records of an unreadable job once they can be read. Both
+// are nil if they have been removed.
 type JobReread struct {
 	ID       job.ID
 	Record   *job.Accepted
@@ -58,32 +58,33 @@
 // Verdict is the outcome of an order to a worker.
 type Verdict int
 
-// The verdicts. All but VerdictDone and VerdictUnknown mean that the order was
-// not and will not be carried out.
+// The verdicts. All but VerdictDone and VerdictUnknown mean that the order was not
+// and will not be carried out.
 const (
-	// VerdictUnknown is what a lost answer leaves: the order may be carried out
+	// VerdictUnknown means that the answer was lost: the order may be carried out
 	// now, or seconds later.
 	VerdictUnknown Verdict = iota
 	VerdictDone
-	// VerdictNoRoom says that the task does not fit.
+	// VerdictNoRoom means that the task does not fit.
 	VerdictNoRoom
-	// VerdictSuperseded says that this attempt or a later one has ended there.
+	// VerdictSuperseded means that this attempt or a later one of the task has
+	// already ended on the worker.
 	VerdictSuperseded
-	// VerdictExpired says that the order's lease had run out.
+	// VerdictExpired means that the lease in the order had expired.
 	VerdictExpired
-	// VerdictFenced says that the worker has seen a higher epoch.
+	// VerdictFenced means that the worker has seen a higher epoch.
 	VerdictFenced
 	VerdictNoTicket
-	// VerdictUnhealthy says that the worker is not well enough.
+	// VerdictUnhealthy means that the worker considers itself unhealthy.
 	VerdictUnhealthy
-	// VerdictOtherInstance says that another incarnation answers at the address.
+	// VerdictOtherInstance means that another incarnation answered at the address.
 	VerdictOtherInstance
-	// VerdictInvalid says that the worker cannot understand the order.
+	// VerdictInvalid means that the worker could not interpret the order.
 	VerdictInvalid
-	// VerdictUnreachable says that no connection could be made.
+	// VerdictUnreachable means that no connection could be made.
 	VerdictUnreachable
-	// VerdictNotSent says that the order was held back, because the daemon may
-	// have lost its right to lead.
+	// VerdictNotSent means that the daemon did not send the order because it may no
+	// longer be the leader.
 	VerdictNotSent
 )
 
@@ -98,7 +99,7 @@
 	return verdictNames[v]
 }
 
-// Renewed is the answer to a Renew, or its failure.
+// Renewed is the result of a Renew.
 type Renewed struct {
 	Worker  model.Incarnation
 	SentAt  time.Time
@@ -106,28 +107,29 @@
 	Report  Report
 }
 
-// Report is what a worker says of its attempts.
+// Report is a worker's report of its attempts.
 type Report struct {
-	// ClockMs is the worker's own steady clock when it answered.
+	// ClockMs is the worker's monotonic clock when it answered, in milliseconds.
 	ClockMs int64
-	// StartedMs is that of the incarnation which answered, as in model.Incarnation.
+	// StartedMs is the start time of the incarnation that answered, as in
+	// model.Incarnation.
 	StartedMs int64
 	Running   []RunningAttempt
-	// Ended is in the order of the numbers.
+	// Ended is ordered by number.
 	Ended []EndedAttempt
 }
 
-// RunningAttempt is one line of a worker's report.
+// RunningAttempt is a running attempt in a worker's report.
 type RunningAttempt struct {
 	Key        job.TaskKey
 	Attempt    int
 	Checkpoint string
-	// Percent is how much of the work is done; for a long-running task, how far
-	// it has got with its startup, 100 when it is at work.
+	// Percent is how much of the work is done; for a long-running task, how far its
+	// startup has got, and 100 once it is serving.
 	Percent int
-	// Reading is the tail latency in milliseconds of a task with a latency
-	// target, else the processor use in thousandths of a core, over the last
-	// half second; 0 when there is none.
+	// Reading covers the last half second: the tail latency in milliseconds for a
+	// task with a latency target, else the processor use in thousandths of a core.
+	// It is 0 if there is no reading.
 	Reading int64
 }
 
@@ -137,23 +139,23 @@
 // The causes of an end.
 const (
 	EndDone EndCause = "done"
-	// EndFailed is through the task's own fault or the worker's.
+	// EndFailed is a failure caused by the task or by the worker.
 	EndFailed  EndCause = "failed"
 	EndStopped EndCause = "stopped"
-	// EndExpired is for want of a renewed lease.
+	// EndExpired means that the lease was not renewed in time.
 	EndExpired EndCause = "expired"
-	// EndBroken is because another member of the gang ended.
+	// EndBroken means that another member of the gang ended.
 	EndBroken EndCause = "gang broken"
-	// EndIncomplete is because the other members of the gang did not come.
+	// EndIncomplete means that not all members of the gang were started in time.
 	EndIncomplete EndCause = "gang incomplete"
-	// endLost is the machine's own: the worker is gone, or its lease ran out
-	// unheard.
+	// endLost is never reported by a worker. The machine sets it when the worker is
+	// gone, or when the lease ended while the worker was unreachable.
 	endLost EndCause = "lost"
 )
 
-// EndedAttempt is one end that the worker has kept.
+// EndedAttempt is the end of an attempt, kept by the worker until acknowledged.
 type EndedAttempt struct {
-	// Number counts the ends of one incarnation of the worker from 1.
+	// Number counts the ends of one incarnation of the worker, from 1.
 	Number     int64
 	Key        job.TaskKey
 	Attempt    int
@@ -168,28 +170,28 @@
 	Attempt int
 }
 
-// Started is the answer to a Start, or its failure.
+// Started is the result of a Start.
 type Started struct {
 	AttemptName
 	Verdict Verdict
-	// ClockMs is the worker's clock, 0 if it was not given.
+	// ClockMs is the worker's monotonic clock in milliseconds; 0 if not reported.
 	ClockMs int64
 }
 
-// Stopped is the answer to a Stop, or its failure.
+// Stopped is the result of a Stop.
 type Stopped struct {
 	AttemptName
 	Verdict Verdict
 }
 
-// Throttled is the answer to a Throttle, or its failure.
+// Throttled is the result of a Throttle.
 type Throttled struct {
 	AttemptName
 	Percent int
 	Verdict Verdict
 }
 
-// Committed says that a Commit is stored for certain.
+// Committed reports that a Commit has certainly been stored.
 type Committed struct{ Number uint64 }
 
 func (ConfigChanged) event() {}
--- a/core/jobsched/filter.go
+++ b/core/jobsched/filter.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// placementFilter reports whether a task may go to the worker.
+// placementFilter reports whether a task may be placed on the worker.
 type placementFilter func(m *Machine, t *task, w *worker) bool
 
-// The filters are asked in this order, the cheap and selective first.
+// The filters are grouped by what they depend on and ordered so that cheap and
+// selective ones run first.
 var (
-	// fitFilters hold for a worker whatever runs on it now.
+	// fitFilters do not depend on what runs on the worker now.
 	fitFilters = []placementFilter{filterUsable, filterService, filterLabel, filterProbation, filterTicket}
 	// roomFilters depend on what runs there.
 	roomFilters = []placementFilter{filterRoom, filterSpread, filterTrial, filterInterference}
 )
 
-// isFeasible reports whether the task may go to the worker now.
+// isFeasible reports whether the task may be placed on the worker now.
 func (m *Machine) isFeasible(t *task, w *worker) bool {
 	return m.passes(roomFilters, t, w) && m.passes(fitFilters, t, w)
 }
@@ -29,15 +30,15 @@
 
 func filterUsable(m *Machine, _ *task, w *worker) bool { return w.isUsable(m.now) }
 
-// filterService keeps tasks on the workers of the service that the
+// filterService restricts tasks to the workers of the service that the
 // configuration names for their queue.
 func filterService(m *Machine, t *task, w *worker) bool {
 	return w.entry.Service == m.queue(t.step.job()).Service
 }
 
-// filterRoom keeps a worker within its capacity. What is being stopped, and
-// what may be started by an order that got no answer, still counts; so does
-// what is reserved for others.
+// filterRoom keeps a worker within its capacity. Attempts that are being stopped,
+// attempts whose start got no answer, and room reserved for other tasks all count
+// as used.
 func filterRoom(_ *Machine, t *task, w *worker) bool {
 	s := t.step
 	if !s.spec.Committed().Fits(w.roomFor(t)) {
@@ -51,7 +52,7 @@
 	return label == "" || w.hasLabel(label)
 }
 
-// filterSpread keeps to the bound on the tasks of one step on one worker.
+// filterSpread enforces the step's maximum number of tasks per worker.
 func filterSpread(_ *Machine, t *task, w *worker) bool {
 	s := t.step
 	if s.spec.MaxPerWorker == 0 {
@@ -66,7 +67,7 @@
 	return count < s.spec.MaxPerWorker
 }
 
-// filterProbation gives a worker under suspicion one new task at a time.
+// filterProbation gives a worker on probation one new task at a time.
 func filterProbation(m *Machine, t *task, w *worker) bool {
 	if !w.health.isOnProbation(m.now) {
 		return true
@@ -79,33 +80,34 @@
 	return !t.step.spec.Gang
 }
 
-// filterInterference keeps best-effort work away from serving tasks whose tails have
-// no headroom for it, unless it would wait for ever.
+// filterInterference keeps best-effort work off workers whose serving tasks lack
+// the latency headroom for it, unless the step is starving.
 func filterInterference(m *Machine, t *task, w *worker) bool {
 	spec := t.step.spec
 	return !spec.BestEffort || m.withinHeadroom(w, spec.Image, spec.Size.MilliCPU) || m.starving(t.step)
 }
 
 const (
-	// bestEffortMaxWait is how long a best-effort step keeps away from serving
-	// tasks that it is known to disturb, while much of the cluster is free.
+	// bestEffortMaxWait is how long a best-effort step avoids serving tasks that it
+	// is known to disturb while lowUtilization holds.
 	bestEffortMaxWait = 1500 * time.Millisecond
-	// lowUtilizationLimit is the part of the processors that may be committed for that. Above
-	// it workers without such tasks come free by and by.
+	// lowUtilizationLimit is the fraction of committed processors below which
+	// utilization is low. Above it, workers without such serving tasks become free
+	// over time anyway.
 	lowUtilizationLimit = 0.6
 )
 
-// starving reports whether a best-effort step has waited for long though much is
-// free. Where serving tasks of an image that it disturbs are on every worker, it
-// would wait until they have gone: one notices by steps that wait for half a
-// minute with "would disturb" for all workers. It starts where it disturbs least
-// then, and is throttled for the sake of the tasks beside it.
+// starving reports whether a best-effort step has waited too long although much
+// capacity is free. If serving tasks of an image that it disturbs run on every
+// worker, it would otherwise wait until they end; this shows as steps that wait for
+// half a minute with "would disturb" for all workers. A starving step starts where
+// it disturbs least and is throttled for the tasks beside it.
 func (m *Machine) starving(s *step) bool {
 	return m.lowUtilization && !s.waitingSince.IsZero() && m.now.Sub(s.waitingSince) >= bestEffortMaxWait
 }
 
-// hasLowUtilization reports whether so little of the workers that may be used is
-// committed that best-effort work need not wait for better places.
+// hasLowUtilization reports whether less than lowUtilizationLimit of the processors
+// of usable workers is committed.
 func (m *Machine) hasLowUtilization() bool {
 	var committed, capacity int64
 	for _, w := range m.workers.All() {
@@ -117,12 +119,12 @@
 	return float64(committed) < lowUtilizationLimit*float64(capacity)
 }
 
-// filterTicket keeps the tasks of advised queues on workers with a ticket.
+// filterTicket restricts tasks of advised queues to workers with a valid ticket.
 func filterTicket(m *Machine, t *task, w *worker) bool {
 	return !m.queue(t.step.job()).Advised || t.step.advice.valid(w.id, m.now)
 }
 
-// startsHeldBack reports whether nothing of the step may start now.
+// startsHeldBack reports whether no task of the step may start now.
 func (m *Machine) startsHeldBack(s *step, now time.Time) bool {
 	return now.Before(s.notBefore) || m.startsHeld(s.job())
 }
--- a/core/jobsched/headroom.go
+++ b/core/jobsched/headroom.go
@@ -7,57 +7,61 @@
 )
 
 const (
-	// placementTailLimit is the part of a latency target up to which tails are predicted when
-	// best-effort work is placed.
+	// placementTailLimit is the fraction of the latency target that predicted tails
+	// may reach when best-effort work is placed.
 	placementTailLimit = 0.85
-	// taskHeadroomPart and sumPart are the parts of the headroom up to that which one
-	// best-effort task, and all on the worker together, may use. Effects vary by
-	// several times their size within seconds, so that most of it is kept.
+	// taskHeadroomPart and totalHeadroomPart are the fractions of the headroom
+	// below that limit which one best-effort task, and all of them on a worker
+	// together, may use. Most of the headroom is kept free because effects vary by
+	// several times their size within seconds.
 	taskHeadroomPart  = 0.12
 	totalHeadroomPart = 0.4
-	// throttledTailLimit is the part of a latency target that work which is known to disturb
-	// is slowed for.
+	// throttledTailLimit is the fraction of the latency target that predicted tails
+	// may reach when known disturbing work is throttled.
 	throttledTailLimit = 0.7
-	// minAddedSlowdown is the slowdown, above 1, below which a task adds nothing that could
+	// minAddedSlowdown is the slowdown, above 1, below which an added effect cannot
 	// be told from none.
 	minAddedSlowdown = 0.01
-	// unknownEffectStd is the standard deviation from which on an effect counts as unknown:
-	// that of a pair which was never seen is above it, a few readings bring it below.
+	// unknownEffectStd is the standard deviation from which an effect counts as
+	// unknown. A pair of images that was never observed is above it; a few readings
+	// bring it below.
 	unknownEffectStd = 0.5
-	// defaultBaselinePart is the undisturbed tail, as a part of the target, that is assumed
-	// of a step with too few readings.
+	// defaultBaselinePart is the undisturbed tail, as a fraction of the target,
+	// that is assumed for a step with too few readings.
 	defaultBaselinePart = 0.5
-	// maxTailAge is how old predicted tails may be: a tenth of the time that each of
-	// the readings behind them covers. A round of placement asks for them once for
-	// each kind of task that waits.
+	// maxTailAge is how long predicted tails are cached: a tenth of the time that
+	// each of the underlying readings covers. A placement round needs them once for
+	// each kind of waiting task.
 	maxTailAge = baselineInterval
 )
 
-// tail is what is predicted of a worker's serving tasks of one image.
+// tail is the predicted tail latency of a worker's serving tasks of one image.
 type tail struct {
-	// image is the number of their image.
+	// image is the index of the image.
 	image int
-	// baseline is the highest of their tails without neighbours, as a part of its target.
+	// baseline is the highest undisturbed tail of these tasks, as a fraction of its
+	// target.
 	baseline float64
 	// present is the slowdown, above 1, that all best-effort work on the worker
-	// brings at its present shares.
+	// causes at its present shares.
 	present float64
-	// harmless is the part of present that is of work not known to disturb;
-	// disturbing is what the rest would bring at full speed.
+	// harmless is the part of present caused by work not known to disturb.
+	// disturbing is the slowdown that the other work would cause at full speed.
 	harmless, disturbing float64
 }
 
-// headroom returns how much slowdown, above 1, the tail bears up to an aim.
+// headroom returns the slowdown, above 1, that keeps the tail within the given
+// fraction of its target.
 func (t *tail) headroom(aim float64) float64 { return max(aim/t.baseline-1, 0) }
 
-// tailCache holds the predicted tails of a worker.
+// tailCache caches the predicted tails of a worker.
 type tailCache struct {
 	tails []tail
 	at    time.Time
 	stale bool
 }
 
-// tails predicts the tails of the worker's serving tasks, image by image.
+// tails returns the predicted tails of the worker's serving tasks, one per image.
 func (m *Machine) tails(w *worker) []tail {
 	c := &w.tails
 	if !c.stale && !c.at.IsZero() && m.now.Sub(c.at) < maxTailAge {
@@ -88,7 +92,7 @@
 	return t
 }
 
-// addEffect adds what a best-effort attempt does to a tail.
+// addEffect adds the effect of a best-effort attempt to a tail.
 func (m *Machine) addEffect(t *tail, a *attempt) {
 	effect := m.effect(t.image, a.step().spec.Image).Mean
 	present := effect * a.presentWeight()
@@ -100,7 +104,8 @@
 	}
 }
 
-// baselinePart returns the undisturbed tail of a step's tasks, as a part of their target.
+// baselinePart returns the undisturbed tail of a step's tasks, as a fraction of
+// their target.
 func (m *Machine) baselinePart(s *step) float64 {
 	if calm := m.baselineReading(s); calm > 0 {
 		return calm / float64(s.spec.LatencyTargetMs)
@@ -108,10 +113,10 @@
 	return defaultBaselinePart
 }
 
-// withinHeadroom reports whether the tails on a worker have the headroom for one more
-// best-effort task of an image that uses so much of the processors. What each task
-// adds is small beside the target; it is the sum that brings tails over it, and at
-// the peak of their load sooner than at other times.
+// withinHeadroom reports whether the serving tasks on a worker have the headroom
+// for one more best-effort task of the given image and processor use. The effect of
+// a single task is small compared to the target; it is the sum of the effects that
+// takes tails over it, and at peak load sooner than at other times.
 func (m *Machine) withinHeadroom(w *worker, aggressor string, milliCPU int64) bool {
 	weight := w.effectWeight(milliCPU)
 	for _, t := range m.tails(w) {
@@ -124,10 +129,10 @@
 	return true
 }
 
-// maxAddedSlowdown returns the slowdown, above 1, that one task may add to the tail. A pair
-// of images of which nothing is known may be tried whatever the load: where tails
-// are never far below their target nothing would become known of it, and work of
-// that image would wait for ever.
+// maxAddedSlowdown returns the slowdown, above 1, that one task may add to the
+// tail. A pair of images about which nothing is known may be tried under any load:
+// where tails are never far below their target, nothing would be learned about it
+// and work of that image would wait forever.
 func (t *tail) maxAddedSlowdown(effect interference.Estimate) float64 {
 	if effect.Std >= unknownEffectStd {
 		return harmfulEffect
@@ -135,10 +140,10 @@
 	return taskHeadroomPart * t.headroom(placementTailLimit)
 }
 
-// allowedShare returns the share, in percent, at which the best-effort work on a
-// worker that is known to disturb may run so that no tail there is predicted above
-// its aim. Let up to full speed until a tail is over, it would be over again and
-// again, since readings tell of it half a second late.
+// allowedShare returns the share, in percent, at which the known disturbing
+// best-effort work on a worker may run so that no tail is predicted above its
+// limit. If such work were raised to full speed until a tail exceeds its target,
+// the tail would exceed it repeatedly, because readings are half a second late.
 func (m *Machine) allowedShare(w *worker) int {
 	share := 1.0
 	for _, t := range m.tails(w) {
--- a/core/jobsched/health.go
+++ b/core/jobsched/health.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// health blames a worker that fails what it starts. A good job that is placed
-// there over and over would use up its attempts and be given up for the
-// worker's fault; one notices that unrelated tasks fail there one after the
-// other. So after a few failures in a row the worker gets no tasks for a while,
-// and then a single one at a time until one is done.
+// health tracks the failures of a worker, to detect one that fails whatever it
+// starts. A sound job that is placed there repeatedly would use up its attempts and
+// fail through the worker's fault; this shows as unrelated tasks that fail there
+// one after the other. So after a few consecutive failures the worker is
+// quarantined: it gets no tasks for a while, and then, on probation, one at a time
+// until one succeeds.
 type health struct {
 	failures         int
 	failedAt         time.Time
@@ -14,23 +15,23 @@
 }
 
 const (
-	// quarantineAfter is how many failures in a row of different tasks close a
-	// worker: tasks fail by themselves in a few of a hundred attempts, so that
-	// two in a row are rare on a sound worker.
+	// quarantineAfter is the number of consecutive failures, of different tasks,
+	// after which a worker is quarantined. A few percent of all attempts fail by
+	// themselves, so that two in a row are rare on a healthy worker.
 	quarantineAfter = 2
-	// firstQuarantine is the first closure; it doubles up to closedMost. Grey
-	// workers of the users' reports recover after 4 to 8 s.
+	// firstQuarantine is the length of the first quarantine; it doubles up to
+	// maxQuarantine. Faulty workers in the users' reports recover after 4 to 8 s.
 	firstQuarantine = 2 * time.Second
 	maxQuarantine   = 8 * time.Second
-	// probationRunTime is how long an attempt must have run since the last failure to
-	// count as a success. Long-running tasks never end, and without it a worker
-	// that has only such would stay closed for good; what a failing worker
+	// probationRunTime is how long an attempt must have run since the last failure
+	// to count as a success. Long-running tasks never end, so without it a worker
+	// that has only those would stay on probation forever. Whatever a faulty worker
 	// starts fails within its run time, mostly less than a second.
 	probationRunTime = 2500 * time.Millisecond
-	// failureRetention is how long a failure counts, from the worker's being open.
-	// Long-running tasks fail by themselves now and then; on a worker that has
-	// little else nothing is done in between, and two such failures, minutes
-	// apart, would close it.
+	// failureRetention is how long a failure counts, from the end of the
+	// quarantine. Long-running tasks fail by themselves occasionally. On a worker
+	// that runs little else no task completes in between, and two such failures,
+	// minutes apart, would quarantine it.
 	failureRetention = 4 * time.Second
 )
 
@@ -49,14 +50,14 @@
 
 func (h *health) isAvailable(now time.Time) bool { return !now.Before(h.quarantinedUntil) }
 
-// recordSurvival takes in that an attempt runs since startedAt.
+// recordSurvival records that an attempt has been running since startedAt.
 func (h *health) recordSurvival(startedAt, now time.Time) {
 	if h.failures > 0 && startedAt.After(h.failedAt) && now.Sub(startedAt) > probationRunTime {
 		h.recordSuccess()
 	}
 }
 
-// forget forgets failures of long ago.
+// forget drops failures older than failureRetention.
 func (h *health) forget(now time.Time) {
 	last := h.failedAt
 	if h.quarantinedUntil.After(last) {
@@ -67,17 +68,19 @@
 	}
 }
 
-// WorkerHealth is what a leader hands over of a worker that fails what it starts.
+// WorkerHealth is what a leader hands over about a worker on probation.
 type WorkerHealth struct {
-	// Failures is how many there were in a row.
+	// Failures is the number of consecutive failures.
 	Failures int `json:"failures"`
-	// FailedAgo is the time since the last of them, ClosedFor how long the worker gets no
-	// tasks yet, 0 if it does. Both are from the moment of writing on.
+	// FailedAgo is the time since the last failure. ClosedFor is how much longer
+	// the worker gets no tasks, 0 if it does. Both count from the moment of
+	// writing.
 	FailedAgo time.Duration `json:"failedAgo"`
 	ClosedFor time.Duration `json:"closedFor,omitempty"`
 }
 
-// handoverRecord returns what the next leader should know, nil for nothing.
+// handoverRecord returns the health to hand over to the next leader, or nil if the
+// worker is not on probation.
 func (h *health) handoverRecord(now time.Time) *WorkerHealth {
 	if !h.isOnProbation(now) {
 		return nil
@@ -87,7 +90,8 @@
 	}
 }
 
-// recoveredHealth returns what an earlier leader handed over at a time.
+// recoveredHealth returns the health that an earlier leader handed over at the
+// given time.
 func recoveredHealth(w *WorkerHealth, at time.Time) health {
 	if w == nil {
 		return health{}
--- a/core/jobsched/hold.go
+++ b/core/jobsched/hold.go
@@ -8,22 +8,23 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// startHold is why a start waits after a take-over: an earlier leader may have started
-// the task elsewhere.
+// startHold is why a start is held back after a takeover: an earlier leader may
+// have started the task on another worker.
 type startHold struct {
-	// worker is the one that is waited for longest; empty where what is waited for
-	// is no worker.
+	// worker is the worker that holds the start back longest; empty if the reason
+	// is not a worker.
 	worker model.Incarnation
-	// until is when the hold ends at the latest, zero if that is not known.
+	// until is the latest time at which the hold ends; zero if unknown.
 	until time.Time
-	// others counts the other workers that hold the start as well.
+	// others counts the other workers that hold the start back as well.
 	others int
-	// reason goes on from the worker's name, if there is one.
+	// reason continues a sentence that starts with the worker's name, if there is
+	// one.
 	reason string
 }
 
-// describe says what is waited for, and until when. It leaves the worker's name
-// out: notes and views tell it beside the text.
+// describe returns the reason and the latest end of the hold. It omits the worker's
+// name, which notes and views show next to the text.
 func (h startHold) describe(now time.Time) string {
 	text := h.reason
 	if h.others > 0 {
@@ -35,7 +36,7 @@
 	return text
 }
 
-// holdOnJob returns the hold on a job that is held.
+// holdOnJob returns the hold on a job for which startsHeld is true.
 func (m *Machine) holdOnJob(j *jobState) startHold {
 	switch {
 	case !m.commit.stored:
@@ -57,8 +58,7 @@
 	return h
 }
 
-// holdOnStep returns the hold on a task of the step that is not done, the first one
-// that is found.
+// holdOnStep returns the first hold found on an unfinished task of the step.
 func (m *Machine) holdOnStep(s *step) (startHold, bool) {
 	for _, t := range s.tasks {
 		if s.ready() && t.idle() && m.startsHeld(s.job()) {
@@ -73,9 +73,9 @@
 	return startHold{}, false
 }
 
-// noteHeld notes that a step is held back, from a second after the take-over on:
-// workers that are well have answered by then. Without it a step that is held back
-// looks in the log like one that nobody knows of.
+// noteHeld notes that a step is held back, starting one second after the takeover:
+// reachable workers have answered by then. Without this note a step that is held
+// back looks in the log like one that no daemon knows of.
 func (m *Machine) noteHeld(s *step) {
 	if m.now.Sub(m.recoveredAt) < waitNoteDelay || m.now.Before(s.nextNoteAt) || !m.pass.takeNote() {
 		return
@@ -88,9 +88,9 @@
 	})
 }
 
-// noteResumed notes the first start of a job that an earlier leader had, with the
-// time since the take-over. That is what callers wait for tasks that were ready at
-// the take-over; of a job that ran on or was blocked it tells no wait.
+// noteResumed notes the first start of a recovered job, with the time since the
+// takeover. For tasks that were ready at the takeover this is the time their
+// callers waited; for a job that ran on or was blocked it is not.
 func (m *Machine) noteResumed(j *jobState) {
 	if !j.recovered || j.resumed {
 		return
@@ -102,8 +102,9 @@
 	})
 }
 
-// UnansweredWorkers returns how many workers hold starts back, because an earlier leader
-// may have started tasks there and they have not answered this one.
+// UnansweredWorkers returns the number of workers that hold starts back because an
+// earlier leader may have started tasks there and they have not answered this
+// leader.
 func (m *Machine) UnansweredWorkers() int {
 	unheard := 0
 	for _, w := range m.workers.All() {
@@ -114,8 +115,8 @@
 	return unheard
 }
 
-// noteHoldingAttempts notes each attempt on a worker that does not answer: its task
-// is not started elsewhere before the attempt is given up.
+// noteHoldingAttempts notes the attempts on an unreachable worker: their tasks are
+// not started elsewhere before the attempts are declared lost.
 func (m *Machine) noteHoldingAttempts(w *worker) {
 	since := w.unreachableSince
 	if since.IsZero() && !w.answered {
@@ -136,8 +137,8 @@
 	}
 }
 
-// holdByAttempt returns the hold on a task whose attempt is on a worker that does
-// not answer.
+// holdByAttempt returns the hold on a task that has an attempt on an unreachable
+// worker.
 func (m *Machine) holdByAttempt(a *attempt) startHold {
 	w := a.worker
 	h := startHold{worker: w.id, until: w.leaseBound, reason: "does not answer and may run it"}
--- a/core/jobsched/incarnation.go
+++ b/core/jobsched/incarnation.go
@@ -10,22 +10,23 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// A worker may start again under the id that it had, at the same address. The next
-// incarnation knows nothing of before and counts anew, and what was sent to the one
-// before may reach it: only its entry and its reports say that it is another one. Were
-// it taken for the one before, its first ends would look as if they had been told
-// already; one notices by attempts that are "not there" though their worker is well,
-// and by tasks that are done twice.
+// A worker may restart with the same id at the same address. The new incarnation
+// knows nothing of the previous one and numbers its ends from 1, and orders sent to
+// the previous incarnation may reach it. Only its entry and its reports show that
+// it is a different one. If it were taken for the previous one, its first ends
+// would look as if they had been processed already; this shows as attempts that are
+// "not there" although their worker is healthy, and as tasks that are done twice.
 //
-// So each incarnation has a session of its own. A report ends the session that it was
-// asked for when another incarnation has answered, and is taken in by that one's.
+// So the machine keeps a separate worker for each incarnation. If another
+// incarnation answers than the one a report was requested from, the requested one
+// has ended, and the report is applied to the one that answered.
 
-// workerIncarnations are the sessions with the workerIncarnations of one worker, in the order in
-// which they were added.
+// workerIncarnations holds the incarnations of one worker in the order in which
+// they were added.
 type workerIncarnations struct{ all []*worker }
 
-// addIncarnation adds the session with an incarnation. Orders to another one of its id may
-// have reached it, with leases up to the longest that a worker takes.
+// addIncarnation adds an incarnation of a worker. If others of the same id are
+// known, orders to them may have reached this one, with leases of up to MaxLease.
 func (m *Machine) addIncarnation(w *worker) {
 	all := m.incarnations[w.id.ID]
 	if all == nil {
@@ -39,7 +40,7 @@
 	m.workers.Set(w.id, w)
 }
 
-// dropIncarnation forgets a session.
+// dropIncarnation forgets an incarnation of a worker.
 func (m *Machine) dropIncarnation(w *worker) {
 	m.workers.Delete(w.id)
 	w.siblings.all = slices.DeleteFunc(w.siblings.all, func(other *worker) bool { return other == w })
@@ -48,7 +49,7 @@
 	}
 }
 
-// latestIncarnation returns the session with an incarnation of a worker that was added last, nil
+// latestIncarnation returns the incarnation of a worker that was added last, or nil
 // if there is none.
 func (m *Machine) latestIncarnation(id model.WorkerID) *worker {
 	all := m.incarnations[id]
@@ -58,16 +59,17 @@
 	return all.all[len(all.all)-1]
 }
 
-// isContested reports whether another incarnation of the worker has answered, too, and it
-// is not known yet which of them is there: nothing new is started on either.
+// isContested reports whether another incarnation of the worker has answered as
+// well, and it is not known yet which of the two is current. Nothing new is started
+// on either.
 func (w *worker) isContested() bool {
 	return len(w.siblings.all) > 1 && slices.ContainsFunc(w.siblings.all, func(other *worker) bool {
 		return other != w && other.answered && !other.ended
 	})
 }
 
-// answeringIncarnation returns the session with the incarnation that has answered a call to w,
-// which was started at the time given.
+// answeringIncarnation returns the incarnation that answered a call to w,
+// identified by its start time.
 func (m *Machine) answeringIncarnation(w *worker, startedMs int64) *worker {
 	m.startTimesReported = m.startTimesReported || startedMs != 0
 	if startedMs == 0 || startedMs == w.id.StartedMs {
@@ -86,12 +88,12 @@
 	return next
 }
 
-// handleOtherIncarnation ends the session with an incarnation, as another one has answered a call to
-// it. It returns the session that the report is to be taken in by, nil if that one's own
-// reports tell the rest, in their order.
+// handleOtherIncarnation ends an incarnation after another one has answered a call
+// to it. It returns the incarnation to which the report must be applied, or nil if
+// that one's own reports will cover its content in the right order.
 func (m *Machine) handleOtherIncarnation(w, next *worker, ev Renewed) *worker {
 	if next.ended {
-		// It has ended since, and what it listed with it.
+		// It has ended since, and the attempts it listed with it.
 		if current := next.siblings.lastActive(); current == nil {
 			m.endIncarnation(w)
 		} else {
@@ -108,7 +110,7 @@
 	return next
 }
 
-// lastActive returns the last of the sessions that has not ended, or nil.
+// lastActive returns the last incarnation that has not ended, or nil.
 func (i *workerIncarnations) lastActive() *worker {
 	for _, w := range slices.Backward(i.all) {
 		if !w.ended {
@@ -118,8 +120,8 @@
 	return nil
 }
 
-// endEarlierIncarnations ends the sessions with all incarnations that have certainly ended, as this
-// one has answered a call that was sent after their last answers had come.
+// endEarlierIncarnations ends all incarnations that have certainly ended because w
+// answered a call that was sent after their last answers arrived.
 func (m *Machine) endEarlierIncarnations(w *worker, ev Renewed) {
 	for _, other := range slices.Clone(w.siblings.all) {
 		ended := other.answered && !other.ended && other.lastReportAt.Before(ev.SentAt)
@@ -129,9 +131,10 @@
 	}
 }
 
-// replaceIncarnation ends the session with an incarnation, as another one has answered a call to
-// it. What the report lists, or what may have been started since it was asked for, is
-// on that one. What is on its way there is barred there.
+// replaceIncarnation ends incarnation w after next has answered a call to it.
+// Attempts in the report, and those that were started after it was requested,
+// belong to next and move there. Starts that are still unanswered are blocked on
+// next.
 func (m *Machine) replaceIncarnation(w, next *worker, ev Renewed) {
 	if w.id.StartedMs == 0 && !w.answered && !next.ended {
 		m.identifyIncarnation(w, next)
@@ -155,13 +158,14 @@
 	m.endIncarnation(w)
 }
 
-// unanswered reports whether the attempt's start was sent by this leader and has not
-// been answered: it may be carried out yet, by whichever incarnation is there then.
+// unanswered reports whether this leader sent the attempt's start and got no
+// answer. The start may still be carried out by whichever incarnation receives it.
 func (a *attempt) unanswered() bool { return a.startedAt.IsZero() && !a.inherited }
 
-// blockStartAt has a start that was not answered barred at the next incarnation of its
-// worker, since what the one before was told ends with it. The task waits until that
-// is certain, or it would run in two places.
+// blockStartAt blocks an unanswered start on the next incarnation of its worker,
+// because a stop acknowledged by the previous incarnation has no effect on it.
+// Until the block is acknowledged the task waits, since it might otherwise run
+// twice.
 func (m *Machine) blockStartAt(a *attempt, next *worker) {
 	if a.phase == phaseDoubtful {
 		a.previousWorker = a.worker
@@ -174,9 +178,9 @@
 	m.stops.Set(a, struct{}{})
 }
 
-// identifyIncarnation ends the session with a worker that a roster or an entry has named by its
-// id alone. Whether it is the incarnation that has answered is not known: what that one
-// tells in its first report is all that is there.
+// identifyIncarnation ends a worker that a roster or an entry has named by its id
+// alone, in favor of the incarnation that answered. It is unknown whether the two
+// are the same; the first report of next is the only evidence of what runs there.
 func (m *Machine) identifyIncarnation(w, next *worker) {
 	maps.Copy(next.lost, w.lost)
 	maps.Copy(next.inheritedStalls, w.inheritedStalls)
@@ -194,7 +198,7 @@
 	m.unresolved.Delete(w.id)
 }
 
-// noteRestart notes that a worker that had answered has started again.
+// noteRestart notes that a worker that had answered has restarted.
 func (m *Machine) noteRestart(w, next *worker, r Report) {
 	if !w.answered || w.ended {
 		return
@@ -204,11 +208,11 @@
 		first = r.Ended[0].Number
 	}
 	m.emit(Note{Decision: joblog.MessageWorkerRestarted, Worker: next.id, Reason: fmt.Sprintf(
-		"the one before was started at %d; of that, ends up to %d were taken in and up to %d acknowledged; this one tells %d ends from %d on",
+		"the previous incarnation was started at %d; its ends up to %d were processed and up to %d acknowledged; this incarnation reports %d ends from %d on",
 		w.id.StartedMs, w.lastSeenEnd, w.lastAckedEnd, len(r.Ended), first)})
 }
 
-// lists reports whether the report tells of an attempt, that it runs or how it ended.
+// lists reports whether the report contains an attempt, as running or as ended.
 func (r *Report) lists(key attemptKey) bool {
 	for i := range r.Running {
 		if r.Running[i].Key == key.task && r.Running[i].Attempt == key.attempt {
@@ -223,9 +227,10 @@
 	return false
 }
 
-// moveFromOtherIncarnation returns an attempt that a worker tells of, if the machine has it on
-// another incarnation of the worker, to which it was sent: it is on this one then. It
-// returns nil for one that only an earlier leader's roster had there.
+// moveFromOtherIncarnation returns the attempt with the given number if the machine
+// has it on another incarnation of worker w, and moves it to w, which has reported
+// it. It returns nil for an attempt that is known only from an earlier leader's
+// roster; that one is dropped.
 func (m *Machine) moveFromOtherIncarnation(t *task, w *worker, number int) *attempt {
 	for _, a := range t.attempts {
 		if a.key.attempt != number || a.worker.id.ID != w.id.ID {
@@ -241,7 +246,7 @@
 	return nil
 }
 
-// moveAttempt moves an attempt to the session with another incarnation.
+// moveAttempt moves an attempt to another incarnation of its worker.
 func (m *Machine) moveAttempt(a *attempt, to *worker) {
 	learned := a.learnKey.Generation != 0
 	m.learnStop(a)
--- a/core/jobsched/inherit.go
+++ b/core/jobsched/inherit.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// recoverWorker takes in a worker of the roster that an earlier leader stored.
-// stands is whether its statements stand, and age how long ago it was written at
-// least.
+// recoverWorker adds a worker from the roster of an earlier leader. valid is
+// whether the guarantees in the roster may be relied on, and age is the minimum
+// time since it was written.
 func (m *Machine) recoverWorker(e RosterEntry, valid bool, age time.Duration) {
 	w := newWorker(e.WorkerEntry)
 	w.full = e.FullCapacity()
@@ -30,8 +30,8 @@
 	m.unresolved.Set(w.id, w.leaseBound)
 }
 
-// inherit takes in what an earlier leader left on a worker. Until the worker has
-// answered, its attempts count like unanswered starts: their tasks are not
+// inherit adds the attempts that an earlier leader left on a worker. Until the
+// worker has answered, they count like unanswered starts: their tasks are not
 // started elsewhere before the leases there have ended.
 func (m *Machine) inherit(w *worker, attempts []RosterAttempt) {
 	for _, r := range attempts {
@@ -56,8 +56,8 @@
 	}
 }
 
-// dropInherited forgets what was inherited on a worker that has just answered:
-// its own report is taken in instead, in the same step.
+// dropInherited drops the inherited attempts of a worker that has just answered.
+// Its report replaces them in the same step.
 func (m *Machine) dropInherited(w *worker) {
 	for _, a := range w.attempts.All() {
 		if a.inherited {
@@ -66,9 +66,9 @@
 	}
 }
 
-// dropSuperseded forgets inherited attempts of a task with a lower number than the
-// given one. The leader that started that one knew the others to be over, and the
-// roster that lists them was written before.
+// dropSuperseded drops the inherited attempts of a task with a lower number than
+// the given one. The leader that started that one knew that the others were over,
+// and the roster that lists them was written before.
 func (m *Machine) dropSuperseded(t *task, number int) {
 	for _, a := range slices.Clone(t.attempts) {
 		if a.inherited && a.key.attempt < number {
--- a/core/jobsched/inspect.go
+++ b/core/jobsched/inspect.go
@@ -10,7 +10,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// JobView is what the leader believes of a job that is not over, for operators.
+// JobView is the leader's view of a job that is not over, for operators.
 type JobView struct {
 	ID       job.ID    `json:"id"`
 	Queue    string    `json:"queue"`
@@ -19,51 +19,55 @@
 	// AcceptedMs is when the job was accepted, in milliseconds since 1970 on the
 	// accepting daemon's clock.
 	AcceptedMs int64 `json:"acceptedMs"`
-	// ConfigVersion is the configuration that the job was accepted under.
+	// ConfigVersion is the version of the configuration that the job was accepted
+	// under.
 	ConfigVersion uint64     `json:"configVersion"`
 	Attempts      int        `json:"attempts"`
 	Steps         []StepView `json:"steps,omitempty"`
 }
 
-// StepView is one step of an occurrence that has begun and is not done.
+// StepView is an unfinished step of an occurrence that has begun.
 type StepView struct {
 	// Name is job.occurrence.step.
 	Name string `json:"name"`
-	// Done, Running and Waiting count the step's tasks; Blocked is how many
-	// steps must be done before any of them may start.
+	// Done, Running and Waiting count the step's tasks. Blocked is how many steps
+	// must be done before any of them may start.
 	Done    int `json:"done"`
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
 	Blocked int `json:"blocked,omitempty"`
-	// RuledOut counts the workers by what rules them out, for a step that waits.
+	// RuledOut counts the workers by the reason that rules them out, for a step
+	// that waits.
 	RuledOut string `json:"ruledOut,omitempty"`
-	// HeldUntil is when the step may be tried again after a refusal, or when what
-	// HeldBack tells ends at the latest; zero if it is not held back, or the end is
-	// not known.
+	// HeldUntil is when the step may be tried again after a refusal, or the latest
+	// time at which the hold in HeldBack ends. It is zero if the step is not held
+	// back or the time is unknown.
 	HeldUntil time.Time `json:"heldUntil,omitzero"`
-	// HeldBack says what is waited for where a task of the step may run elsewhere.
+	// HeldBack is the reason why the step is held back: one of its tasks may be
+	// running on another worker.
 	HeldBack string `json:"heldBack,omitempty"`
-	// Crashes tells of the workers that have ended under tasks, a line for each task.
+	// Crashes describes the crashes of workers under the step's tasks, one line per
+	// task.
 	Crashes  []string      `json:"crashes,omitempty"`
 	Attempts []AttemptView `json:"attempts,omitempty"`
 }
 
-// AttemptView is one attempt that may run.
+// AttemptView is one attempt that may be running.
 type AttemptView struct {
 	Task    string         `json:"task"`
 	Attempt int            `json:"attempt"`
 	Worker  model.WorkerID `json:"worker"`
 	Phase   string         `json:"phase"`
-	// Percent is how much of its work is done, Throttle the share of its speed
-	// at which it works.
+	// Percent is how much of its work is done. Throttle is the share of its speed
+	// at which it runs, in percent.
 	Percent  int `json:"percent"`
 	Throttle int `json:"throttle"`
 }
 
 var phaseNames = [...]string{"starting", "running", "doubtful", "stopping"}
 
-// Inspect returns what is believed of a job. The second result is false for one
-// that is over or not known.
+// Inspect returns the leader's view of a job. The second result is false if the job
+// is over or unknown.
 func (m *Machine) Inspect(id job.ID) (JobView, bool) {
 	j := m.jobs.Get(id)
 	if j == nil {
@@ -84,8 +88,8 @@
 	return view, true
 }
 
-// List returns the jobs that are not over, without their steps, the longest
-// accepted first and at most limit of them.
+// List returns up to limit jobs that are not over, without their steps, ordered by
+// acceptance time.
 func (m *Machine) List(limit int) []JobView {
 	views := make([]JobView, 0, m.jobs.Len())
 	for _, j := range m.jobs.All() {
--- a/core/jobsched/interference.go
+++ b/core/jobsched/interference.go
@@ -9,72 +9,74 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// learnerOptions sets the learner of interference for half-second readings.
-// Which image disturbs which differs by the pair: most pairs do not disturb at
-// all, some triple the tail latency.
+// learnerOptions configures the interference learner for readings over half a
+// second. Whether one image disturbs another depends on the pair: most pairs do not
+// interfere at all, some triple the tail latency.
 func learnerOptions() interference.Options {
 	return interference.Options{
-		// A pair that was never seen is a little suspect. An aggressor's class says
-		// little, the pair much: most disturb not at all, the others a lot.
+		// A pair that was never observed is assumed to disturb slightly. The
+		// aggressor's class predicts little, the pair much: most pairs do not
+		// disturb at all, the others a lot.
 		PriorMean: 0.1, ClassStd: 0.2, PairStd: 0.8,
-		// Load and workload are not told apart here.
+		// Load and workload are not distinguished here.
 		BucketStd: 0.02, WorkloadStd: 0.01,
-		// Amounts change within seconds, by less than their size.
+		// Effects change within seconds, by less than their size.
 		IntensityStd: 0.3, IntensityDecay: 5 * time.Second,
-		// Readings of undisturbed tasks of a step differ by a tenth.
+		// The readings of undisturbed tasks of a step differ by a tenth.
 		NoiseStd: 0.15, NoiseRatio: 0.2,
-		// Images keep their ways for much longer than a leader its term.
+		// The behavior of an image outlasts the term of a leader by far.
 		Decay: 10 * time.Minute,
-		// Only the last half second is ever asked for.
+		// Only the last half second is ever queried.
 		Retain: 3 * time.Second,
 	}
 }
 
 const (
-	// readingDelay is how long ago the middle of the time was that a reading
-	// covers, when its report arrives.
+	// readingDelay is the age of a reading when its report arrives, counted from
+	// the middle of the time that it covers.
 	readingDelay = 250 * time.Millisecond
-	// maxReadingAge is how old the readings may be that are compared.
+	// maxReadingAge is the maximum age of readings that are compared.
 	maxReadingAge = 1200 * time.Millisecond
-	// minPeers is how many tasks of a step must have readings, to tell what
-	// they share, their load, from what disturbs one of them.
+	// minPeers is how many tasks of a step must have readings to distinguish their
+	// common load from the disturbance of one of them.
 	minPeers = 3
-	// maxBaselinePart bounds what is taken for the undisturbed tail of a step, as
-	// a part of its target: all of its tasks may be disturbed.
+	// maxBaselinePart bounds the baseline reading of a step as a fraction of its
+	// target, since all of its tasks may be disturbed.
 	maxBaselinePart = 0.6
-	// harmfulEffect is the predicted slowdown, above 1, from which an attempt is
-	// taken to disturb. It is just above the prior, so that a pair that was never
-	// seen may be tried, and below what is learned of any pair that disturbs: that
-	// comes out too low, because such work is soon throttled.
+	// harmfulEffect is the predicted slowdown, above 1, from which an attempt
+	// counts as disturbing. It is just above the prior, so that a pair that was
+	// never observed may be tried, and below the estimate for any pair that
+	// disturbs. Those estimates come out too low because disturbing work is soon
+	// throttled.
 	harmfulEffect = 0.12
-	// effectUnit is the part of a worker's processors to which effects are told: a
-	// usual best-effort task uses about as much.
+	// effectUnit is the fraction of a worker's processors that effects refer to; a
+	// typical best-effort task uses about as much.
 	effectUnit = 0.1
 )
 
-// effectWeight returns how strongly best-effort work that uses so much of the
-// worker's processors disturbs there, in units of effectUnit. Effects by the task
-// would make small tasks look as harmful as large ones of their image.
+// effectWeight returns the effect of best-effort work with the given processor use
+// on this worker, in units of effectUnit. If effects were per task, small tasks
+// would look as harmful as large ones of the same image.
 func (w *worker) effectWeight(milliCPU int64) float64 {
 	return fraction(milliCPU, w.entry.Capacity.MilliCPU) / effectUnit
 }
 
-// effectWeight returns how strongly the attempt disturbs at full speed: not at all
-// unless it is best-effort work.
+// effectWeight returns the attempt's weight at full speed: 0 unless it is
+// best-effort work.
 func (a *attempt) effectWeight() float64 { return a.worker.effectWeight(a.bestEffortCPU) }
 
-// presentWeight returns how strongly the attempt disturbs at its present share.
+// presentWeight returns the attempt's weight at its present share.
 func (a *attempt) presentWeight() float64 {
 	return a.effectWeight() * float64(a.throttle) / fullSpeed
 }
 
-// learnable reports whether the attempt is a victim or an aggressor.
+// learnable reports whether the attempt is a potential victim or aggressor.
 func (a *attempt) learnable() bool {
 	s := a.step()
 	return s != nil && s.spec.Image != "" && (a.bestEffortCPU > 0 || s.spec.LatencyTargetMs > 0)
 }
 
-// learnStart tells the learner that an attempt is on its worker.
+// learnStart reports to the learner that an attempt is on its worker.
 func (m *Machine) learnStart(a *attempt) {
 	if !a.learnable() {
 		return
@@ -84,19 +86,19 @@
 	a.image = m.effects.imageIndex(image)
 	a.learnKey = model.TaskKey{Workload: image, Generation: m.lastLearnID}
 	m.learner.TaskStarted(m.now, a.worker.learnID(), a.learnKey, image)
-	// Serving tasks weigh nothing: blamed for each other's tails, they would take a
-	// part of the blame from the work that disturbs.
+	// Serving tasks have no weight: if they were blamed for each other's tails,
+	// they would take a part of the blame from the disturbing work.
 	m.learner.TaskThrottled(m.now, a.worker.learnID(), a.learnKey, a.presentWeight())
 }
 
-// learnStop tells the learner that an attempt has gone.
+// learnStop reports to the learner that an attempt is gone.
 func (m *Machine) learnStop(a *attempt) {
 	if a.learnKey.Generation != 0 {
 		m.learner.TaskStopped(m.now, a.worker.learnID(), a.learnKey)
 	}
 }
 
-// learnFromReport takes in the readings of a worker's report.
+// learnFromReport passes the readings of a worker's report to the learner.
 func (m *Machine) learnFromReport(w *worker) {
 	for _, a := range w.attempts.All() {
 		if !a.serving() || a.learnKey.Generation == 0 {
@@ -113,25 +115,25 @@
 	}
 }
 
-// serving reports whether the attempt is at work for users of its own.
+// serving reports whether the attempt is serving users' requests and has a reading.
 func (a *attempt) serving() bool {
 	s := a.step()
 	return s != nil && s.spec.LatencyTargetMs > 0 && a.phase == phaseRunning && a.percent >= 100 && a.reading > 0
 }
 
-// peer is a serving task of a step, with its reading and what its neighbours
-// are predicted to add.
+// peer is a serving task of a step, with its reading and the slowdown that its
+// neighbors are predicted to cause.
 type peer struct {
 	reading int64
 	excess  float64
 }
 
-// baselineInterval is how long a calm reading is used: a tenth of the time that each
-// of the readings behind it covers. Every report of every worker would work it out
-// anew otherwise, for each of the step's tasks there.
+// baselineInterval is how long a baseline reading is cached: a tenth of the time
+// that each of the underlying readings covers. Otherwise every report of every
+// worker would compute it again for each of the step's tasks there.
 const baselineInterval = 50 * time.Millisecond
 
-// baselineReading returns the step's calm reading, or 0 when it is not known.
+// baselineReading returns the step's baseline reading, or 0 if it is unknown.
 func (m *Machine) baselineReading(s *step) float64 {
 	if s.baselineAt.IsZero() || m.now.Sub(s.baselineAt) >= baselineInterval {
 		s.baseline, s.baselineAt = m.estimateBaseline(s), m.now
@@ -139,14 +141,15 @@
 	return s.baseline
 }
 
-// estimateBaseline estimates the tail latency that the step's tasks would have now
-// without neighbours. They share their load, so it is one figure for all; the
-// readings of those that are predicted to be disturbed least show it. It
-// returns 0 when too few are known.
+// estimateBaseline estimates the tail latency in milliseconds that the step's tasks
+// would have now without neighbors. The tasks share their load, so one value
+// applies to all of them. It is taken from the readings of the tasks that are
+// predicted to be disturbed least, and is 0 if there are too few readings.
 //
-// The lowest readings alone would not do: when most of a step's tasks are
-// disturbed it would look calm, and those who disturb it harmless. Predictions
-// only rank the tasks here; to divide by them would let an error in them grow.
+// Taking the lowest readings would not work: if most of a step's tasks are
+// disturbed, the step would look undisturbed and the work that disturbs it
+// harmless. Predictions are only used to rank the tasks; dividing by them would
+// amplify their errors.
 func (m *Machine) estimateBaseline(s *step) float64 {
 	peers := make([]peer, 0, len(s.tasks))
 	for _, t := range s.tasks {
@@ -168,8 +171,8 @@
 	return min(calm, maxBaselinePart*float64(s.spec.LatencyTargetMs))
 }
 
-// predictedExcess returns the slowdown, above 1, that the best-effort work on
-// its worker is predicted to bring to a serving attempt.
+// predictedExcess returns the slowdown, above 1, that the best-effort work on its
+// worker is predicted to cause for a serving attempt.
 func (m *Machine) predictedExcess(victim *attempt) float64 {
 	m.refreshEffects()
 	effects := m.effects.effects[victim.image]
@@ -182,21 +185,21 @@
 	return sum
 }
 
-// effectCache holds the predicted effects between images. Placement asks for
-// them far more often than they change.
+// effectCache caches the predicted effects between images. Placement reads them far
+// more often than they change.
 type effectCache struct {
-	// index numbers the images from 0.
+	// index maps each image to its index, from 0.
 	index map[string]int
 	names []string
-	// effects is by victim, then aggressor.
+	// effects is indexed by victim, then aggressor.
 	effects     [][]interference.Estimate
 	refreshedAt time.Time
 }
 
-// effectRefresh is how old the cached effects may be.
+// effectRefresh is the maximum age of cached effects.
 const effectRefresh = 200 * time.Millisecond
 
-// imageIndex returns the number of an image.
+// imageIndex returns the index of an image, which it assigns if needed.
 func (c *effectCache) imageIndex(image string) int {
 	if i, ok := c.index[image]; ok {
 		return i
@@ -210,7 +213,8 @@
 	return i
 }
 
-// refreshEffects asks the learner anew when the answers are old, or lack an image.
+// refreshEffects queries the learner again if the cached effects are too old or
+// lack an image.
 func (m *Machine) refreshEffects() {
 	c := &m.effects
 	if m.now.Sub(c.refreshedAt) < effectRefresh && len(c.effects) == len(c.names) {
@@ -228,8 +232,8 @@
 	}
 }
 
-// countVictim keeps the numbers of serving tasks by image, on the worker and
-// on all.
+// countVictim updates the counts of serving tasks by image, on the worker and in
+// total.
 func (m *Machine) countVictim(a *attempt, by int) {
 	s := a.step()
 	if s == nil || s.spec.LatencyTargetMs == 0 {
@@ -249,8 +253,7 @@
 }
 
 // worstEffect predicts the worst slowdown, above 1, that best-effort work of an
-// image brings to the serving tasks of a worker when it uses so much of the
-// processors.
+// image with the given processor use causes for the serving tasks of a worker.
 func (m *Machine) worstEffect(w *worker, aggressor string, milliCPU int64) float64 {
 	if w.servingTasks == 0 {
 		return 0
@@ -264,8 +267,8 @@
 	return worst * w.effectWeight(milliCPU)
 }
 
-// effect predicts the slowdown, above 1, that a unit of best-effort work of an image
-// brings to serving tasks of the image with a number.
+// effect predicts the slowdown, above 1, that one effectUnit of best-effort work of
+// an image causes for serving tasks of the image with the given index.
 func (m *Machine) effect(victim int, aggressor string) interference.Estimate {
 	a := m.effects.imageIndex(aggressor)
 	m.refreshEffects()
--- a/core/jobsched/jobs.go
+++ b/core/jobsched/jobs.go
@@ -9,14 +9,14 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// attemptGap is what a leader that takes over adds to the attempt numbers of
-// tasks: more than the attempts that an earlier one can have made of a task
+// attemptGap is added to the attempt numbers of tasks at a takeover. It is more
+// than the number of attempts that an earlier leader can have made of a task
 // between two commits.
 const attemptGap = 16
 
 func (m *Machine) jobAccepted(ev JobAccepted) {
 	if _, over := m.final[ev.ID]; over || m.unreadable[ev.ID] != nil {
-		// The record of a job that is set aside comes with a JobReread.
+		// The record of an unreadable job arrives with a JobReread.
 		return
 	}
 	j := m.jobs.Get(ev.ID)
@@ -38,8 +38,8 @@
 	return j
 }
 
-// recoverJob takes a job in as an earlier leader left it. progress is nil when
-// nothing was recorded of it.
+// recoverJob adds a job in the state that an earlier leader recorded. progress is
+// nil if no progress was recorded.
 func (m *Machine) recoverJob(id job.ID, record *job.Accepted, progress *job.Progress) {
 	j := m.addJob(id, record)
 	j.recovered = true
@@ -53,7 +53,7 @@
 		return
 	}
 	if record.Spec.Schedule == nil && j.next == 0 {
-		// An earlier leader may have begun it without a record.
+		// An earlier leader may have begun it without recording that.
 		m.beginOccurrence(j, attemptGap)
 	}
 	m.concludeIfDone(j)
@@ -76,7 +76,8 @@
 	}
 }
 
-// beginOccurrence begins the next occurrence.
+// beginOccurrence begins the next occurrence. gap is the attempt number that counts
+// as used for all of its tasks.
 func (m *Machine) beginOccurrence(j *jobState, gap int) *occurrence {
 	o := newOccurrence(j, j.next)
 	j.occurrences[j.next] = o
@@ -94,9 +95,10 @@
 	return o
 }
 
-// claimOrphans gives attempts to the tasks of an occurrence that has just
-// begun. They were started by an earlier leader which knew the job first, and
-// are being stopped; until they are over, their tasks must not start again.
+// claimOrphans assigns orphaned attempts to the tasks of an occurrence that has
+// just begun. An earlier leader, which learned of the job first, started them, and
+// this leader is stopping them. Their tasks must not start again before they have
+// ended.
 func (m *Machine) claimOrphans(o *occurrence) {
 	for _, w := range m.workers.All() {
 		for _, a := range w.attempts.All() {
@@ -118,11 +120,12 @@
 	}
 }
 
-// beginDueOccurrences begins what has become due.
+// beginDueOccurrences begins the occurrences that have become due.
 func (m *Machine) beginDueOccurrences() {
 	for _, j := range m.jobs.All() {
 		for !j.state.Final() && j.next < j.total() && m.due(j) {
-			// A recovered job's next repetition may have begun unrecorded.
+			// An earlier leader may have begun the next repetition of a recovered
+			// job without recording that.
 			gap := 0
 			if j.recovered {
 				gap = attemptGap
@@ -140,7 +143,7 @@
 	return s == nil || !m.wall.Before(s.Due(j.next))
 }
 
-// finishOccurrence settles an occurrence whose steps may all be done.
+// finishOccurrence removes an occurrence if all its steps are done.
 func (m *Machine) finishOccurrence(o *occurrence) {
 	if o.left > 0 || o.job.occurrences[o.number] != o {
 		return
@@ -156,7 +159,7 @@
 	}
 }
 
-// cancel concludes a job as its caller asked in the record.
+// cancel concludes a job that its caller canceled.
 func (m *Machine) cancel(j *jobState, record *job.Accepted) {
 	if record.CanceledAtMs == 0 {
 		m.conclude(j, job.Canceled, "the caller canceled it", 0)
@@ -166,8 +169,8 @@
 	m.conclude(j, job.Canceled, fmt.Sprintf("the caller canceled it %s ago", lag), lag)
 }
 
-// conclude gives a job its final state and stops what is left of it. lag is that
-// of the note.
+// conclude moves a job to a final state and stops its attempts. lag is the lag of
+// the emitted note.
 func (m *Machine) conclude(j *jobState, state job.State, reason string, lag time.Duration) {
 	j.state = state
 	if !m.wall.IsZero() {
@@ -194,7 +197,7 @@
 	m.dropIfFinal(j)
 }
 
-// dropIfFinal forgets a job that is over and stored and has no attempts.
+// dropIfFinal removes a job that is final, stored and without attempts.
 func (m *Machine) dropIfFinal(j *jobState) {
 	dirty := m.dirty.Has(j.id)
 	if j.state.Final() && j.attempts == 0 && !dirty {
@@ -204,15 +207,16 @@
 
 func (m *Machine) markDirty(j *jobState) { m.dirty.Set(j.id, struct{}{}) }
 
-// task returns the task with the key, or nil when its job is over or unknown
-// or the task has not become due.
+// task returns the task with the given key. It returns nil if the job is over or
+// unknown, or if the occurrence has not begun.
 func (m *Machine) task(key job.TaskKey) *task {
 	j := m.jobs.Get(key.Job)
 	if j == nil || j.state.Final() {
 		return nil
 	}
 	for j.recovered && key.Occurrence >= j.next && key.Occurrence < j.total() {
-		// An earlier leader began it, and those before it, and did not record that.
+		// An earlier leader began this occurrence, and those before it, without
+		// recording that.
 		m.beginOccurrence(j, attemptGap)
 	}
 	o := j.occurrences[key.Occurrence]
@@ -222,7 +226,7 @@
 	return o.steps[key.Step].tasks[key.Index]
 }
 
-// finishTask takes in that a task is done.
+// finishTask marks a task as done and stops its other attempts.
 func (m *Machine) finishTask(t *task) {
 	for _, a := range slices.Clone(t.attempts) {
 		m.requestStop(a, "another attempt is done")
@@ -230,7 +234,8 @@
 	m.markDone(t)
 }
 
-// markDone marks a task as done, and takes in what follows from it.
+// markDone marks a task as done, and with it whatever that completes: its step,
+// occurrence and job.
 func (m *Machine) markDone(t *task) {
 	o := t.step.occurrence
 	for _, s := range o.taskDone(t) {
@@ -242,8 +247,9 @@
 	m.concludeIfDone(o.job)
 }
 
-// countFailure takes in that a task, or its gang, has failed, each attempt
-// once, and gives the job up when that was the last attempt it had.
+// countFailure counts a failed attempt against a task, or against all members of
+// its gang. Each attempt is counted once. The job fails when a task has used up its
+// attempts.
 func (m *Machine) countFailure(t *task, attempt int) {
 	s := t.step
 	if s.spec.LongRunning || slices.Contains(t.failed, attempt) {
@@ -263,7 +269,7 @@
 	}
 }
 
-// waiting counts, by queue, the jobs without a schedule that have not begun.
+// waiting counts, by queue, the unscheduled jobs that have not begun.
 func (m *Machine) waiting() map[string]int {
 	counts := make(map[string]int)
 	for _, j := range m.jobs.All() {
@@ -274,11 +280,12 @@
 	return counts
 }
 
-// age returns for how long a job has been accepted.
+// age returns the time since the job was accepted.
 func (m *Machine) age(j *jobState) time.Duration { return m.since(j.record.AcceptedAtMs) }
 
 // since returns the time since a moment that another daemon has stored, in
-// milliseconds since 1970. That daemon's clock may be ahead of the leader's.
+// milliseconds since 1970. It is never negative, although that daemon's clock may
+// be ahead of the leader's.
 func (m *Machine) since(ms int64) time.Duration {
 	return max(m.wall.Sub(time.UnixMilli(ms)), 0).Round(time.Millisecond)
 }
--- a/core/jobsched/jobstate.go
+++ b/core/jobsched/jobstate.go
@@ -8,30 +8,29 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// jobState is a job whose state is not final, or some attempt of which may
-// still run.
+// jobState is a job that is not in a final state, or that is but still has attempts
+// that may be running.
 type jobState struct {
 	id     job.ID
 	record *job.Accepted
 	state  job.State
 	// overAtMs is as in job.Progress.
 	overAtMs int64
-	// begun is whether a task has started, which ends its being counted as
-	// waiting.
+	// begun is set once a task has started; until then the job counts as waiting.
 	begun bool
 	// recovered is set for a job that an earlier leader may have begun.
 	recovered bool
-	// wasUnreadable is set for a job that was set aside until its records could be read:
-	// attempts of it that were given up meanwhile are not known to its tasks.
+	// wasUnreadable is set for a job that was unreadable until its records could be
+	// read again. Its tasks have no record of attempts that were lost meanwhile.
 	wasUnreadable bool
-	// resumed is set once a task of a recovered job was started.
+	// resumed is set once a task of a recovered job has been started.
 	resumed     bool
 	occurrences map[int]*occurrence
 	// next is the number of the first occurrence that has not begun.
 	next int
-	// done counts the occurrences all of whose tasks are done.
+	// done counts the occurrences whose tasks are all done.
 	done int
-	// attempts counts the attempts of all its tasks that may run.
+	// attempts counts the attempts of all its tasks that may be running.
 	attempts int
 }
 
@@ -50,7 +49,8 @@
 	steps  []*step
 	// left counts the steps that are not done.
 	left int
-	// criticalPathMs is the longest chain of estimated work, in milliseconds.
+	// criticalPathMs is the longest chain of estimated work through the steps, in
+	// milliseconds.
 	criticalPathMs int64
 }
 
@@ -60,30 +60,31 @@
 	number     int
 	spec       *job.Step
 	tasks      []*task
-	// left counts the tasks that are not done, blocking the steps that must be
-	// done before.
+	// left counts the tasks that are not done. blocking counts the steps that must
+	// be done first.
 	left, blocking int
 	next           []*step
-	// checkpoint is the gang's last one, which is good for every member.
+	// checkpoint is the gang's last checkpoint, which is valid for every member.
 	checkpoint string
-	// lastPass is the number of the last pass in which the step had its lastPass.
+	// lastPass is the number of the last pass that processed the step.
 	lastPass uint64
-	// notBefore holds the step's next starts back after a refusal.
+	// notBefore delays the step's next starts after a refusal.
 	notBefore time.Time
-	// blamed is whether a worker was blamed for a failure of the step.
+	// blamed is set once a failure of the step has been counted against a worker.
 	blamed bool
-	// waitingSince is since when the step finds no worker, nextNoteAt when it may be
-	// noted again that it waits or is held back.
+	// waitingSince is since when no worker is found for the step. nextNoteAt is
+	// when the next note may report that it waits or is held back.
 	waitingSince, nextNoteAt time.Time
 	advice                   advice
-	// baseline is the step's baseline reading, worked out at calmAt.
+	// baseline is the step's baseline reading, computed at baselineAt.
 	baseline   float64
 	baselineAt time.Time
 }
 
 func (s *step) job() *jobState { return s.occurrence.job }
 
-// ready reports whether the steps before it are done and it is not.
+// ready reports whether all steps it depends on are done and the step itself is
+// not.
 func (s *step) ready() bool { return s.blocking == 0 && s.left > 0 }
 
 // task is one task of a step.
@@ -91,24 +92,26 @@
 	step  *step
 	index int
 	done  bool
-	// attempts holds those that may run; more than one only for a moment, or
-	// for speculative tasks.
+	// attempts holds the attempts that may be running. More than one exists only
+	// briefly, or for speculative tasks.
 	attempts []*attempt
 	// last is the highest attempt number that may have been used.
 	last int
-	// failed lists the attempts that failed.
+	// failed lists the numbers of the attempts that failed.
 	failed     []int
 	checkpoint string
-	// attemptLost is set once an attempt was given up without news of it.
+	// attemptLost is set once an attempt was declared lost without its end being
+	// known.
 	attemptLost bool
-	// crashes lists the attempts that ended with their worker since one ran for long.
+	// crashes lists the attempts that ended with their worker, since the last one
+	// that ran for stableRunTime.
 	crashes []job.Crash
 	trial   trial
-	// known is set once the machine itself has started or adopted an attempt.
+	// known is set once this machine itself has started or adopted an attempt.
 	known bool
-	// failedOn is the worker on which it failed last.
+	// failedOn is the worker on which the task last failed.
 	failedOn *worker
-	// reservedOn is where room was made for it last.
+	// reservedOn is the worker on which room was last reserved for the task.
 	reservedOn *worker
 }
 
@@ -117,12 +120,12 @@
 	return job.TaskKey{Job: s.job().id, Occurrence: s.occurrence.number, Step: s.number, Index: t.index}
 }
 
-// idle reports whether the task wants an attempt.
+// idle reports whether the task needs an attempt.
 func (t *task) idle() bool { return !t.done && len(t.attempts) == 0 }
 
-// interrupted reports whether the task is a long-running one that ran before and has
-// no attempt now. After a take-over all that have none count as such, since the
-// attempt numbers of recovered jobs begin above 0.
+// interrupted reports whether the task is a long-running one that ran before and
+// has no attempt now. After a takeover this holds for all such tasks without an
+// attempt, since the attempt numbers of recovered jobs start above 0.
 func (t *task) interrupted() bool { return t.idle() && t.step.spec.LongRunning && t.last > 0 }
 
 // interrupted reports whether any of the step's tasks is interrupted.
@@ -130,7 +133,7 @@
 	return s.spec.LongRunning && slices.ContainsFunc(s.tasks, (*task).interrupted)
 }
 
-// newOccurrence makes an occurrence none of whose tasks is done.
+// newOccurrence returns an occurrence without any progress.
 func newOccurrence(j *jobState, number int) *occurrence {
 	o := &occurrence{job: j, number: number, left: len(j.record.Spec.Steps)}
 	for i := range j.record.Spec.Steps {
@@ -157,7 +160,7 @@
 	return s
 }
 
-// taskDone marks a task as done and returns the steps that become ready by it.
+// taskDone marks a task as done and returns the steps that become ready.
 func (o *occurrence) taskDone(t *task) []*step {
 	if t.done {
 		return nil
@@ -179,8 +182,8 @@
 	return ready
 }
 
-// restore sets an occurrence to its recorded progress. attemptGap is added to
-// the recorded attempt numbers, for those that were used and not recorded.
+// restore applies recorded progress to an occurrence. attemptGap is added to the
+// recorded attempt numbers to skip those that were used but not recorded.
 func (o *occurrence) restore(p job.OccurrenceProgress, attemptGap int) {
 	for i := range min(len(p.Steps), len(o.steps)) {
 		s := o.steps[i]
@@ -216,14 +219,14 @@
 	}
 }
 
-// progressOf returns the job's record.
+// progressOf returns the progress record of a job.
 func (m *Machine) progressOf(j *jobState) *job.Progress {
 	p := j.progress()
 	p.Restarts = maps.Clone(m.restarts.requested[j.id])
 	return p
 }
 
-// progress returns what the job has reached.
+// progress returns the job's progress without its restarts.
 func (j *jobState) progress() *job.Progress {
 	p := &job.Progress{State: j.state}
 	if j.state.Final() {
@@ -273,8 +276,9 @@
 	return p
 }
 
-// needsRecord reports whether more is to be stored of a task that is not done than
-// its first attempt: whoever takes over skips the numbers that may have been used.
+// needsRecord reports whether the record of an unfinished task holds more than its
+// first attempt. That need not be stored: a leader that takes over skips the
+// numbers that may have been used.
 func (t *task) needsRecord() bool {
 	return t.last > 1 || len(t.failed) > 0 || t.checkpoint != "" || len(t.crashes) > 0 || t.trial.number > 0
 }
--- a/core/jobsched/machine.go
+++ b/core/jobsched/machine.go
@@ -12,31 +12,34 @@
 	"github.com/guavarill/guavarill/core/ordered"
 )
 
-// Options are the figures that the platform's contract gives.
+// Options are the limits that the platform's contract sets.
 type Options struct {
-	// Lease is how long what runs may go without a renewal.
+	// Lease is the length of an attempt's lease: how long an attempt may run
+	// without a renewal.
 	Lease time.Duration
-	// MaxLease is the longest lease that a worker takes; 0 stands for Lease.
+	// MaxLease is the longest lease that a worker accepts; 0 means Lease.
 	MaxLease time.Duration
-	// LeaderTTL is how long an earlier leader may go on after it has lost its
-	// right, without having heard.
+	// LeaderTTL is how long an earlier leader may keep acting after it lost the
+	// leadership, before it notices.
 	LeaderTTL time.Duration
 	// StopTime is how long a worker takes to stop an attempt.
 	StopTime time.Duration
-	// KeepFinal is how long the state of a job that is over can be read.
+	// KeepFinal is how long the state of a final job can still be read.
 	KeepFinal time.Duration
-	// ThrottleDelay is how long a throttle takes to work.
+	// ThrottleDelay is how long a throttle takes to have an effect.
 	ThrottleDelay time.Duration
-	// RoundBudget bounds the looks at a worker for a task in a round of placement;
-	// 0 stands for DefaultRoundLooks. A leader with a part of a core has as many
-	// less.
+	// RoundBudget bounds the checks of a worker for a task in one placement round;
+	// 0 means DefaultRoundBudget. A leader with a fraction of a core gets that
+	// fraction of the default.
 	RoundBudget int
-	// StartsInFlight bounds the starts that are sent and not answered; 0 stands
-	// for DefaultStartsInFlight. A leader with a part of a core has as many less.
+	// StartsInFlight bounds the starts that have been sent but not answered; 0
+	// means DefaultStartsInFlight. A leader with a fraction of a core gets that
+	// fraction of the default.
 	StartsInFlight int
 }
 
-// Machine is the state of the daemon that leads.
+// Machine is the scheduling state of the daemon that leads. It is not safe for
+// concurrent use.
 type Machine struct {
 	options Options
 	epoch   model.Epoch
@@ -45,54 +48,57 @@
 	jobs ordered.Map[job.ID, *jobState]
 	// unreadable holds the jobs whose records cannot be read.
 	unreadable map[job.ID]*unreadableJob
-	// final holds the jobs whose state is final, with the time at which their
-	// records may go.
+	// final maps each job in a final state to the time at which its record may be
+	// removed.
 	final map[job.ID]time.Time
-	// expiry lists the ids of final in the order of their times.
+	// expiry lists the ids of final in the order of their removal times.
 	expiry []job.ID
 
 	workers ordered.Map[model.Incarnation, *worker]
-	// incarnations holds the sessions by the workers' ids.
+	// incarnations groups the workers by id: one group for all incarnations of an
+	// id.
 	incarnations map[model.WorkerID]*workerIncarnations
-	// startTimesReported is whether workers say when they were started: an entry that does not is
-	// no worker's then.
+	// startTimesReported is set once any worker has reported its start time. From
+	// then on a list entry without a start time is unusable.
 	startTimesReported bool
 	// pending holds the steps that are ready and may have idle tasks.
 	pending ordered.Map[*step, struct{}]
-	// recoveredAt is when the machine took over.
+	// recoveredAt is when this machine took over.
 	recoveredAt time.Time
-	// unresolved holds the workers on which an earlier leader may have started
-	// what the machine does not know, until the time given.
+	// unresolved maps each worker that may run attempts unknown to this machine,
+	// started by an earlier leader, to the time at which the leases of such
+	// attempts have ended.
 	unresolved ordered.Map[model.Incarnation, time.Time]
-	// rosterLostUntil is until when attempts may run on workers that the machine
-	// does not know of, because the stored roster could not be read; else zero.
+	// rosterLostUntil is when the last attempts on workers unknown to this machine
+	// have lost their leases. It is set when the stored roster cannot be read, else
+	// zero.
 	rosterLostUntil time.Time
 
 	listed bool
 	roster rosterState
-	// entries follows the unusable entries of the platform's list.
+	// entries tracks the unusable entries of the platform's list.
 	entries entryTracker
 	deposed bool
-	// restarts holds the tasks that were started while an earlier attempt may
-	// have been done unheard.
+	// restarts records the tasks that were started again although an earlier
+	// attempt may have completed without the leader receiving its end.
 	restarts restarts
-	// unseenCrash is set from the moment at which a worker ended on which an earlier
-	// leader may have started what no later one knows, until all tasks that may have
-	// been there are known again.
+	// unseenCrash is set when a worker ends on which an earlier leader may have
+	// started attempts that no later leader knows of. It is cleared once every task
+	// that may have run there has been accounted for.
 	unseenCrash bool
-	// recentCrashes holds the workers that have crashed lately.
+	// recentCrashes holds the workers that crashed within crashRetention.
 	recentCrashes []workerCrash
-	// trials holds the attempts of tasks that are watched, triedAlone counts the tasks
-	// that are tried alone.
+	// trials holds the attempts of suspect tasks. isolatedTrials counts the tasks
+	// that are on trial alone on their workers.
 	trials         ordered.Map[*attempt, struct{}]
 	isolatedTrials int
 	// stops holds the attempts whose stop has not been acknowledged.
 	stops ordered.Map[*attempt, struct{}]
-	// sweptAt is when every attempt was looked at last.
+	// sweptAt is when all attempts were last checked.
 	sweptAt time.Time
-	// starting counts the attempts whose start is sent and not answered.
+	// starting counts the attempts whose start has been sent but not answered.
 	starting int
-	// orphans counts the attempts that no task wants.
+	// orphans counts the attempts without a task.
 	orphans int
 
 	dirty       ordered.Map[job.ID, struct{}]
@@ -100,54 +106,55 @@
 	commit      commitState
 	scheduledAt time.Time
 	changed     bool
-	// pass is the look at all steps that wait, crowded whether the last one left
-	// tasks over, and misfits what it found no place for.
+	// pass is the current pass over all pending steps. saturated is set if a pass
+	// left tasks without a worker. unplaceable remembers what could not be placed
+	// in this round.
 	pass        pass
 	saturated   bool
 	unplaceable unplaceable
-	// lowUtilization is whether best-effort work need not wait for better places.
+	// lowUtilization is set while so much capacity is free that best-effort work
+	// need not wait for better workers.
 	lowUtilization bool
 
 	learner *interference.Model
-	// lastLearnID numbers the attempts for the learner.
+	// lastLearnID is the id given last to an attempt in the interference learner.
 	lastLearnID uint64
-	// victims counts the serving tasks by the number of their image.
+	// victims counts the serving tasks by the index of their image.
 	victims []int
 	effects effectCache
 
 	now  time.Time
 	wall time.Time
-	// out holds the effects since the last Advance.
+	// out holds the effects emitted since the last Advance.
 	out []Effect
 }
 
-// Recovered is what a leader reads from the store when it takes over.
+// Recovered is the state that a leader reads from the store when it takes over.
 type Recovered struct {
-	// Wall is the time of day, zero if it is not known.
+	// Wall is the time of day; zero if unknown.
 	Wall     time.Time
 	Config   *job.Config
 	Accepted map[job.ID]*job.Accepted
 	Progress map[job.ID]*job.Progress
-	// Unreadable holds the jobs whose records cannot be read, with their accepted
-	// records where these can, else nil.
+	// Unreadable maps each job whose records cannot be read to its accepted record,
+	// or to nil if that cannot be read either.
 	Unreadable map[job.ID]*job.Accepted
-	// Roster is the one that was stored last.
+	// Roster is the roster stored last.
 	Roster []RosterEntry
-	// RosterValid and RosterAge are those of the last commit, whichever term made
-	// it.
+	// RosterValid and RosterAge are those of the last commit of any term.
 	RosterValid bool
 	RosterAge   time.Duration
-	// RosterLost is set when the stored roster cannot be read: it is not known
-	// where attempts may run.
+	// RosterLost is set when the stored roster cannot be read, so that attempts may
+	// run on unknown workers.
 	RosterLost bool
 	// RosterLostLeft and UnseenCrash are those of the last commit.
 	RosterLostLeft time.Duration
 	UnseenCrash    bool
-	// Learned is what was stored of interference.
+	// Learned holds the stored interference estimates.
 	Learned []interference.Effect
 }
 
-// New makes the machine of a leader that has just taken over.
+// New returns the machine of a leader that has just taken over.
 func New(now time.Time, epoch model.Epoch, o Options, r Recovered) *Machine {
 	m := &Machine{
 		options: o, epoch: epoch, config: r.Config, now: now, recoveredAt: now,
@@ -172,9 +179,9 @@
 	m.markAllUnreadable(r.Unreadable)
 	switch {
 	case r.RosterLost:
-		m.markRosterLost(m.earlierLeasesEnd(), "it cannot be read")
+		m.markRosterLost(m.earlierLeasesEnd(), "the stored roster cannot be read")
 	case r.RosterLostLeft > 0:
-		m.markRosterLost(now.Add(r.RosterLostLeft), "an earlier leader could not read it")
+		m.markRosterLost(now.Add(r.RosterLostLeft), "an earlier leader could not read the stored roster")
 	}
 	for _, entry := range r.Roster {
 		m.recoverWorker(entry, r.RosterValid, r.RosterAge)
@@ -182,8 +189,9 @@
 	return m
 }
 
-// Resume lets a machine go on that was without its right for a while in which
-// no other daemon led. The answers to its earlier orders come as before.
+// Resume continues a machine whose leadership had lapsed for a while, provided that
+// no other daemon led meanwhile. The answers to its earlier orders still arrive as
+// usual.
 func (m *Machine) Resume(now time.Time, epoch model.Epoch) {
 	m.now = now
 	m.epoch = epoch
@@ -192,7 +200,7 @@
 	}
 }
 
-// Handle takes an event in. The effects that follow come with Advance.
+// Handle applies an event. The resulting effects are returned by the next Advance.
 func (m *Machine) Handle(now time.Time, ev Event) {
 	m.now = now
 	switch ev := ev.(type) {
@@ -221,9 +229,9 @@
 	}
 }
 
-// Advance returns what is to be done. wall is the time of day, by which
-// repetitions are due. A daemon calls it after each batch of events, and at
-// least every TickInterval.
+// Advance returns the effects to carry out. wall is the time of day, which
+// determines when repetitions are due. A daemon calls it after each batch of
+// events, and at least every TickInterval.
 func (m *Machine) Advance(now, wall time.Time) []Effect {
 	m.now, m.wall = now, wall
 	if !m.deposed {
@@ -251,7 +259,8 @@
 	m.sendCommit()
 }
 
-// scheduleIfDue places tasks when something has changed, and from time to time.
+// scheduleIfDue runs a placement round when something has changed, and every
+// scheduleInterval otherwise. It waits while too many starts are unanswered.
 func (m *Machine) scheduleIfDue() {
 	if float64(m.starting) > resumeStarts*float64(m.options.StartsInFlight) {
 		return
@@ -262,7 +271,7 @@
 		return
 	}
 	if !m.pass.open {
-		// What changes from here on is for the pass that follows.
+		// Changes made during the pass trigger the next pass.
 		m.changed = false
 	}
 	m.schedule()
@@ -270,18 +279,17 @@
 }
 
 const (
-	// saturatedInterval is the least time between two rounds of placement while
-	// tasks wait for room: each end would cause one otherwise, and look at every
-	// waiting step.
+	// saturatedInterval is the minimum time between two placement rounds while
+	// tasks wait for capacity. Otherwise every end of an attempt would trigger a
+	// round that checks every waiting step.
 	saturatedInterval = 30 * time.Millisecond
-	// sweepInterval is the time between two looks at every attempt, for those
-	// that stand still or have another share than they should. Their readings
-	// are half a second old anyway.
+	// sweepInterval is the time between two checks of all attempts for stalls and
+	// for shares that have to change. Their readings are half a second old anyway.
 	sweepInterval = 45 * time.Millisecond
-	// TickInterval is how often Advance is to be called without an event.
+	// TickInterval is the maximum time between two calls of Advance.
 	TickInterval = 50 * time.Millisecond
-	// scheduleInterval is how often placement is tried when nothing changed:
-	// what holds a step or a worker back ends with time alone.
+	// scheduleInterval is how often placement is tried when nothing has changed:
+	// the delays that hold back a step or a worker end by time alone.
 	scheduleInterval = 200 * time.Millisecond
 )
 
@@ -298,9 +306,9 @@
 	}
 }
 
-// queue returns the queue of a job by the newer of the configuration in force
-// and the one that the job was accepted under. A queue that has gone keeps the
-// jobs it took.
+// queue returns the queue settings of a job from the newer of two configurations:
+// the one in force and the one the job was accepted under. A job whose queue was
+// removed keeps the settings it was accepted with.
 func (m *Machine) queue(j *jobState) *job.Queue {
 	if m.config != nil && m.config.Version >= j.record.ConfigVersion {
 		if q := m.config.Queues[j.record.Queue.Name]; q != nil {
@@ -310,7 +318,8 @@
 	return &j.record.Queue
 }
 
-// Jobs returns how many jobs are not over, and how many attempts may run.
+// Jobs returns the number of jobs that are not over and the number of attempts that
+// may be running.
 func (m *Machine) Jobs() (jobs, attempts int) {
 	for _, w := range m.workers.All() {
 		attempts += w.attempts.Len()
--- a/core/jobsched/misfit.go
+++ b/core/jobsched/misfit.go
@@ -6,39 +6,42 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// A full cluster leaves hundreds of steps waiting. Most of them ask for the same
-// as one that has found no place in the same round, or for more, and need not
-// look at every worker again. Within a round room only shrinks, so that what
-// fits nowhere once fits nowhere until its end.
+// In a full cluster hundreds of steps wait. Most of them need as much as a step
+// that could not be placed in the same round, or more, and need not check every
+// worker again: within a round free room only shrinks, so that what fits nowhere
+// once fits nowhere until the end of the round.
 //
-// Without this a round takes a good part of a second with some hundred workers and
-// waiting steps; one notices by orders, ends and cancellations that wait for it.
+// Without this, a round with some hundred workers and waiting steps takes a large
+// fraction of a second; this shows as orders, ends and cancellations that are
+// delayed.
 
-// placementDemand is what decides, besides its size, where a task fits.
+// placementDemand is what determines, besides its size, where a task fits.
 type placementDemand struct {
 	service, label string
 	bestEffort     bool
-	// image matters to best-effort work only, which is kept away from tasks that
-	// it would disturb unless it is starving.
+	// image is set for best-effort work only, which is kept away from tasks that it
+	// would disturb, unless it is starving.
 	image    string
 	starving bool
 }
 
-// preemptionDemand is what decides, besides its size, for whom room can be made.
+// preemptionDemand is what determines, besides its size, whether room can be made
+// for a task.
 type preemptionDemand struct {
 	service, label          string
 	priority                int
 	longRunning, waitedLong bool
 }
 
-// unplaceable remembers what found no place in the round, by what it asked for.
+// unplaceable remembers, by demand, the sizes that could not be placed in this
+// round.
 type unplaceable struct {
 	tasks       map[placementDemand][]model.Resources
 	gangs       map[placementDemand][]gangSize
 	preemptions map[preemptionDemand][]model.Resources
 }
 
-// gangSize is the size of a gang's members, and their number.
+// gangSize is the size of a gang's members and their number.
 type gangSize struct {
 	member model.Resources
 	count  int
@@ -50,9 +53,10 @@
 	u.preemptions = make(map[preemptionDemand][]model.Resources)
 }
 
-// isUnrestricted reports whether nothing but its demand and its size restricts where the
-// step's tasks fit. What a step with a bound on its tasks on one worker, or with
-// tickets for some, fails to find may be there for another.
+// isUnrestricted reports whether only demand and size restrict where the step's
+// tasks fit. If a step with a maximum number of tasks per worker, or with tickets
+// for some workers only, cannot be placed, another step with the same demand still
+// may.
 func (m *Machine) isUnrestricted(s *step) bool {
 	return s.spec.MaxPerWorker == 0 && !m.queue(s.job()).Advised
 }
@@ -79,8 +83,8 @@
 	return anyFitsIn(m.unplaceable.tasks[m.placementDemand(s)], s.spec.Size)
 }
 
-// recordUnplaceable remembers that a task was not placed, unless only its own bounds
-// kept it from a worker that has room.
+// recordUnplaceable records that a task was not placed, unless only its own
+// restrictions kept it from a worker with enough room.
 func (m *Machine) recordUnplaceable(t *task) {
 	s := t.step
 	if m.isUnrestricted(s) && !t.needsIsolation() || !m.roomAnywhere(t) {
@@ -88,17 +92,17 @@
 	}
 }
 
-// isGangUnplaceable reports whether a gang of no more members, which were no
-// larger, has found no place. Members are alike, so that it does not matter in
-// which order they are placed.
+// isGangUnplaceable reports whether a gang with at most as many members, none of
+// them larger, could not be placed. Members are alike, so that the order of their
+// placement does not matter.
 func (m *Machine) isGangUnplaceable(s *step) bool {
 	return slices.ContainsFunc(m.unplaceable.gangs[m.placementDemand(s)], func(known gangSize) bool {
 		return known.count <= len(s.tasks) && known.member.Fits(s.spec.Size)
 	})
 }
 
-// recordUnplaceableGang remembers that a gang found no place, unless it may be only for
-// its own bounds.
+// recordUnplaceableGang records that a gang could not be placed, unless its own
+// restrictions may be the reason.
 func (m *Machine) recordUnplaceableGang(s *step) {
 	if !m.isUnrestricted(s) {
 		return
@@ -107,8 +111,8 @@
 	m.unplaceable.gangs[d] = append(m.unplaceable.gangs[d], gangSize{member: s.spec.Size, count: len(s.tasks)})
 }
 
-// roomAnywhere reports whether any worker has room for a task, be it allowed
-// there or not.
+// roomAnywhere reports whether any worker has room for a task, whether or not the
+// task is allowed there.
 func (m *Machine) roomAnywhere(t *task) bool {
 	m.pass.spend(m.workers.Len())
 	for _, w := range m.workers.All() {
@@ -119,14 +123,14 @@
 	return false
 }
 
-// isPreemptionFutile reports whether it is known that no room can be made for a
-// task of the step.
+// isPreemptionFutile reports whether it is known that preemption cannot make room
+// for a task of the step.
 func (m *Machine) isPreemptionFutile(s *step) bool {
 	return anyFitsIn(m.unplaceable.preemptions[m.preemptionDemand(s)], s.spec.Committed())
 }
 
-// recordFutilePreemption remembers that no room can be made for a task of the
-// step, whatever its bounds.
+// recordFutilePreemption records that preemption cannot make room for a task of the
+// step, whatever its restrictions.
 func (m *Machine) recordFutilePreemption(s *step) {
 	if !m.queue(s.job()).Advised {
 		addMinimalSize(m.unplaceable.preemptions, m.preemptionDemand(s), s.spec.Committed())
@@ -138,7 +142,7 @@
 	return slices.ContainsFunc(sizes, func(known model.Resources) bool { return known.Fits(size) })
 }
 
-// addMinimalSize adds a size, and drops those that it makes needless.
+// addMinimalSize adds a size and drops those that are at least as large.
 func addMinimalSize[K comparable](sizes map[K][]model.Resources, key K, size model.Resources) {
 	kept := slices.DeleteFunc(sizes[key], func(known model.Resources) bool { return size.Fits(known) })
 	sizes[key] = append(kept, size)
--- a/core/jobsched/note.go
+++ b/core/jobsched/note.go
@@ -8,7 +8,7 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// noteAttempt notes a decision on one attempt.
+// noteAttempt emits a note about one attempt.
 func (m *Machine) noteAttempt(decision string, a *attempt, reason string) {
 	m.emit(Note{
 		Decision: decision, Job: a.key.task.Job, Task: a.key.task.String(), Attempt: a.key.attempt,
@@ -24,13 +24,13 @@
 }
 
 const (
-	// waitNoteDelay is how long a step waits for a worker before that is noted, and
-	// waitNotedAgain the time until the next note on it.
+	// waitNoteDelay is how long a step waits for a worker before that is noted.
+	// waitNoteInterval is the time until the next note about it.
 	waitNoteDelay    = time.Second
 	waitNoteInterval = 3 * time.Second
 )
 
-// noteWaiting notes why a step that is ready finds no worker.
+// noteWaiting notes why no worker is found for a ready step.
 func (m *Machine) noteWaiting(s *step) {
 	switch {
 	case s.waitingSince.IsZero():
@@ -44,20 +44,21 @@
 	}
 }
 
-// namedFilter is a filter, and the reason for which it rules a worker out.
+// namedFilter is a placement filter with the reason that it is reported under.
 type namedFilter struct {
 	name   string
 	filter placementFilter
 }
 
-// filterNames name the reasons for which placement rules a worker out.
+// filterNames lists the filters in the order in which ruledOut applies them.
 var filterNames = []namedFilter{
 	{"not usable", filterUsable}, {"other service", filterService}, {"label", filterLabel},
 	{"on probation", filterProbation}, {"no ticket", filterTicket}, {"no room", filterRoom},
 	{"spread", filterSpread}, {"on trial", filterTrial}, {"would disturb", filterInterference},
 }
 
-// ruledOut counts the workers by the first reason for which they do not do.
+// ruledOut counts the workers that cannot take the step's first task, by the first
+// filter that rejects each of them.
 func (m *Machine) ruledOut(s *step) string {
 	m.pass.spend(m.workers.Len())
 	counts := make([]int, len(filterNames))
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// roomPause closes a worker after it refused a task for want of room: its
-	// next report will show what the machine did not know of.
+	// roomPause is how long a worker gets no starts after it refused a task because
+	// it has no room: its next report will show what occupies it.
 	roomPause = 600 * time.Millisecond
-	// unhealthyPause closes a worker that said that it is not well.
+	// unhealthyPause is how long a worker gets no starts after it reported that it
+	// is unhealthy, was unreachable, or did not answer a start.
 	unhealthyPause = time.Second
-	// invalidPause holds a step back that a worker could not understand.
+	// invalidPause delays a step after a worker rejected its order as invalid.
 	invalidPause = 2 * time.Second
-	// stopRetry is the time after which a stop without an answer is sent again.
+	// stopRetry is the time after which an unanswered stop is sent again.
 	stopRetry = 400 * time.Millisecond
 )
 
-// addAttempt makes an attempt of a task on a worker.
+// addAttempt adds an attempt of a task to a worker.
 func (m *Machine) addAttempt(t *task, w *worker, number int, p phase) *attempt {
 	spec := t.step.spec
 	a := &attempt{
@@ -45,9 +46,9 @@
 	return a
 }
 
-// addOrphan makes an attempt that no task wants, or of which that is not known
-// because its job is set aside. The size of a task that is
-// not known is taken as the whole worker, so that nothing is started beside it.
+// addOrphan adds an attempt without a task: no task needs it, or its job is
+// unreadable. If the size of its task is unknown, it takes the whole worker, so
+// that nothing is started beside it.
 func (m *Machine) addOrphan(w *worker, r *RunningAttempt) *attempt {
 	a := &attempt{
 		key: attemptKey{task: r.Key, attempt: r.Attempt}, worker: w, phase: phaseRunning,
@@ -61,7 +62,7 @@
 	return a
 }
 
-// acceptedRecord returns the accepted record of a job, or nil when it is not known.
+// acceptedRecord returns the accepted record of a job, or nil if unknown.
 func (m *Machine) acceptedRecord(id job.ID) *job.Accepted {
 	if j := m.jobs.Get(id); j != nil {
 		return j.record
@@ -72,7 +73,7 @@
 	return nil
 }
 
-// startAttempt starts a task on a worker.
+// startAttempt starts a task on a worker under the given attempt number.
 func (m *Machine) startAttempt(t *task, w *worker, number int) {
 	reason := fmt.Sprintf("room %s, report %s old, configuration %d, score %.2f", w.room(),
 		m.now.Sub(w.clockAt).Round(time.Millisecond), m.configVersion(), m.score(t, w))
@@ -97,7 +98,7 @@
 	return t.checkpoint
 }
 
-// started takes in the answer to a start.
+// started handles the answer to a start.
 func (m *Machine) started(ev Started) {
 	w, a := m.findAttempt(ev.AttemptName)
 	if a == nil {
@@ -137,12 +138,12 @@
 	m.endAttempt(a, endLost, "")
 }
 
-// acceptStart takes in that a start was carried out, or that it may have been.
+// acceptStart handles the verdict that a start was, or may have been, carried out.
 func (m *Machine) acceptStart(a *attempt, v Verdict) {
 	switch {
 	case a.worker.ended:
 		m.countAttemptCrash(a, a.worker)
-		m.loseAttempt(a, "its worker has ended since")
+		m.loseAttempt(a, "its worker has ended in the meantime")
 	case v == VerdictDone:
 		m.markRunning(a)
 	default:
@@ -150,7 +151,7 @@
 	}
 }
 
-// markRunning takes in that a worker runs an attempt that was in question.
+// markRunning records that a worker runs an attempt of which that was not certain.
 func (m *Machine) markRunning(a *attempt) {
 	doubtful := a.phase == phaseDoubtful
 	a.startedAt = m.now
@@ -161,12 +162,12 @@
 	m.learnStart(a)
 	m.markBegun(a.task)
 	if doubtful {
-		// A stop is on its way already.
+		// A stop has been sent already.
 		m.beginStop(a)
 	}
 }
 
-// markBegun takes in that a task of the job has started.
+// markBegun records that a task of the job has started.
 func (m *Machine) markBegun(t *task) {
 	j := t.step.job()
 	if j.begun {
@@ -179,17 +180,17 @@
 	}
 }
 
-// markDoubtful takes in that a start got no answer. It may be carried out seconds
-// later, when the task runs elsewhere; so the worker is told to bar it, and
-// the task waits until that is certain.
+// markDoubtful handles a start without an answer. It may be carried out seconds
+// later, when the task runs elsewhere. So the worker is ordered to block it, and
+// the task waits until that is acknowledged.
 func (m *Machine) markDoubtful(a *attempt) {
 	m.setPhase(a, phaseDoubtful)
-	m.noteAttempt(joblog.MessageStartUnanswered, a, "it is barred before the task starts elsewhere")
+	m.noteAttempt(joblog.MessageStartUnanswered, a, "its start is blocked before the task starts elsewhere")
 	m.stops.Set(a, struct{}{})
 	a.worker.noStartsUntil = m.now.Add(unhealthyPause)
 }
 
-// requestStop stops an attempt.
+// requestStop stops an attempt, unless it is being stopped already.
 func (m *Machine) requestStop(a *attempt, reason string) {
 	if a.phase == phaseStopping {
 		return
@@ -199,7 +200,7 @@
 	m.noteAttempt(joblog.MessageAttemptStopped, a, reason)
 }
 
-// sendStops sends the stops that are due, and again those without an answer.
+// sendStops sends the stops that are due, and resends those without an answer.
 func (m *Machine) sendStops() {
 	for a := range m.stops.All() {
 		if m.now.Sub(a.stopSentAt) >= stopRetry {
@@ -209,8 +210,8 @@
 	}
 }
 
-// stopped takes in the answer to a stop. The attempt is over when a report
-// shows it.
+// stopped handles the answer to a stop. The attempt is over only when a report
+// confirms it.
 func (m *Machine) stopped(ev Stopped) {
 	w, a := m.findAttempt(ev.AttemptName)
 	if a == nil {
@@ -238,7 +239,7 @@
 	return w, w.attempts.Get(attemptKey{task: name.Key, attempt: name.Attempt})
 }
 
-// endAttempt forgets an attempt and settles its task.
+// endAttempt removes an attempt and applies its end to the task and the job.
 func (m *Machine) endAttempt(a *attempt, cause EndCause, checkpoint string) {
 	a.worker.remove(a)
 	m.countStarting(a, -1)
@@ -272,7 +273,7 @@
 	}
 }
 
-// applyEnd draws the consequence of an end for its task and its worker.
+// applyEnd applies an end to the health of the worker and the state of the task.
 func (m *Machine) applyEnd(t *task, a *attempt, cause EndCause) {
 	switch cause {
 	case EndDone:
@@ -290,9 +291,9 @@
 	}
 }
 
-// blame counts a step's first failure against the worker. Later ones say more
-// of the job than of the workers: without this a few hopeless jobs close many
-// sound workers, with one failing task on each.
+// blame counts the step's first failure against the worker. Later failures of the
+// step are not counted: they are more likely caused by the job, and otherwise a few
+// broken jobs would quarantine many healthy workers, with one failing task on each.
 func (m *Machine) blame(s *step, w *worker) {
 	if !s.blamed {
 		s.blamed = true
@@ -300,8 +301,8 @@
 	}
 }
 
-// taskEndedDone takes in the end of an attempt that did its work. One member
-// of a gang that is done stands for all; a long-running task starts again.
+// taskEndedDone handles an attempt that completed its work. A completed member
+// completes its whole gang; a long-running task is started again.
 func (m *Machine) taskEndedDone(t *task) {
 	if t.step.spec.LongRunning {
 		return
--- a/core/jobsched/preempt.go
+++ b/core/jobsched/preempt.go
@@ -8,22 +8,22 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// reservation keeps room on a worker for a task while others are stopped to
-// make it. Without it the room would go to whatever is placed next, and the
-// task would wait as long as smaller ones keep coming.
+// reservation keeps room on a worker for a task while other attempts are stopped to
+// free it. Otherwise the room would go to whatever task is placed next, and the
+// task would wait as long as smaller ones keep arriving.
 type reservation struct {
 	task  *task
 	size  model.Resources
 	until time.Time
-	// trial is set for a task that is about to be tried there.
+	// trial is set for a task that is about to go on trial there.
 	trial bool
 }
 
-// reservationSlack is how long a reservation outlasts the time of a stop: the
-// end of a stopped attempt is seen with the next report.
+// reservationSlack is how long a reservation outlasts StopTime: the end of a
+// stopped attempt only becomes known with the next report.
 const reservationSlack = 1500 * time.Millisecond
 
-// roomFor returns what is neither committed nor reserved for other tasks.
+// roomFor returns the room that is neither committed nor reserved for other tasks.
 func (w *worker) roomFor(t *task) model.Resources {
 	room := w.room()
 	for _, r := range w.reserved {
@@ -34,9 +34,9 @@
 	return room
 }
 
-// dropReservations ends the reservations that are over, or of a task that has started, is
-// not to be tried there any more, or whose job is over. A round of placement relies
-// on it that room comes free between two of them only.
+// dropReservations removes reservations that have expired, whose task has started
+// or is to be tried elsewhere, or whose job is over. It runs only between placement
+// rounds, because a round relies on room not increasing.
 func (w *worker) dropReservations(now time.Time) {
 	if len(w.reserved) == 0 {
 		return
@@ -47,21 +47,22 @@
 	})
 }
 
-// startReserved starts the tasks for which room was made on the worker as soon
-// as it is there. Left to their step's turn they might come too late: it ends
-// with the first of its tasks that fits nowhere.
+// startReserved starts the tasks with a reservation on the worker as soon as they
+// fit. Waiting for the step's turn might be too late: a turn ends with the first
+// task that fits nowhere.
 func (m *Machine) startReserved(w *worker) {
 	for _, r := range slices.Clone(w.reserved) {
 		t := r.task
 		if t.idle() && t.step.ready() && !m.startsHeldBack(t.step, m.now) && m.isFeasible(t, w) && m.ensureRestartStored(t) && m.mayStartAfterCrashes(t) && m.ensureTrialStored(t, w) {
 			m.startAttempt(t, w, t.last+1)
-			// Its reservation would count beside its attempt for those that follow.
+			// Otherwise the reservation would count in addition to the attempt for
+			// the following tasks.
 			w.dropReservations(m.now)
 		}
 	}
 }
 
-// isReserved reports whether room is being made for the task already.
+// isReserved reports whether room is already reserved for the task.
 func (m *Machine) isReserved(t *task) bool {
 	w := t.reservedOn
 	if w == nil || m.workers.Get(w.id) != w {
@@ -70,15 +71,15 @@
 	return slices.ContainsFunc(w.reserved, func(r reservation) bool { return r.task == t })
 }
 
-// hasWaitedLong reports whether the step's long-running tasks have waited too long
-// for room to be considerate.
+// hasWaitedLong reports whether the step's long-running tasks have waited long
+// enough for room to preempt short work of the same or higher priority.
 func (m *Machine) hasWaitedLong(s *step) bool {
 	return !s.waitingSince.IsZero() && m.now.Sub(s.waitingSince) >= longRunningMaxWait
 }
 
-// preempt makes room for a task that fits nowhere by stopping what is less
-// urgent, on the worker where that loses least. It returns false when no worker
-// has enough to stop.
+// preempt makes room for a task that fits nowhere by stopping less urgent attempts
+// on the worker where that loses the least work. It returns false if no worker has
+// enough of them.
 func (m *Machine) preempt(t *task) bool {
 	if t.step.spec.BestEffort || t.step.spec.Gang {
 		return false
@@ -95,12 +96,12 @@
 	}
 	m.reserve(t, best, m.options.StopTime+reservationSlack, false)
 	for _, a := range victims {
-		m.requestStop(a, "more urgent work needs its room: "+t.key().String())
+		m.requestStop(a, "preempted by a more urgent task: "+t.key().String())
 	}
 	return true
 }
 
-// reserve keeps room for a task on a worker.
+// reserve reserves room for a task on a worker for the duration d.
 func (m *Machine) reserve(t *task, w *worker, d time.Duration, forTrial bool) {
 	t.reservedOn = w
 	w.reserved = append(w.reserved, reservation{
@@ -108,8 +109,8 @@
 	})
 }
 
-// cheapestPreemption returns the worker on which room for a task loses least,
-// and what is to be stopped there; no worker when there is none.
+// cheapestPreemption returns the worker on which making room for a task loses the
+// least work, and the attempts to stop there. The worker is nil if there is none.
 func (m *Machine) cheapestPreemption(t *task) (*worker, []*attempt) {
 	m.pass.spend(m.workers.Len())
 	var best *worker
@@ -134,14 +135,16 @@
 	return best, victims
 }
 
-// fitsAfterPreemption reports whether the task would fit if everything on the worker that
-// may yield did. It spares the search on workers that long-running tasks fill.
+// fitsAfterPreemption reports whether the task would fit if all reclaimable room on
+// the worker were freed. It is a cheap check that skips workers filled by
+// long-running tasks.
 func (w *worker) fitsAfterPreemption(t *task) bool {
 	return t.step.spec.Committed().Fits(w.roomFor(t).Add(w.reclaimable))
 }
 
-// preemptionVictims returns attempts on w that leave enough room for the task when they
-// are stopped, those first that lose least, and the work lost in seconds.
+// preemptionVictims returns the attempts on w to stop so that the task fits, those
+// that lose least first, and the lost work in seconds. It returns false if stopping
+// all of them would not suffice.
 func (m *Machine) preemptionVictims(t *task, w *worker) ([]*attempt, float64, bool) {
 	need := t.step.spec.Committed()
 	room := w.roomFor(t)
@@ -166,8 +169,8 @@
 	return nil, 0, false
 }
 
-// preemptibleAttempts returns the attempts on w that the task may displace, those first
-// whose stop loses least.
+// preemptibleAttempts returns the attempts on w that the task may preempt, those
+// that lose least first.
 func (m *Machine) preemptibleAttempts(t *task, w *worker) []*attempt {
 	var list []*attempt
 	impatient := m.hasWaitedLong(t.step)
@@ -185,11 +188,11 @@
 }
 
 // longRunningMaxWait is how long a long-running task waits for room before it
-// displaces short work of its own priority. Such work comes and goes, and on a
-// crowded cluster always fills the gaps that a large task would need joined.
+// preempts short work of its own priority. Short work comes and goes, and on a
+// crowded cluster always fills the gaps that a large task would need combined.
 const longRunningMaxWait = time.Second
 
-// lostWork estimates, in seconds, what the stop of an attempt loses.
+// lostWork estimates the work, in seconds, that is lost by stopping an attempt.
 func (m *Machine) lostWork(a *attempt) float64 {
 	if a.step().spec.Checkpointing {
 		return checkpointedLoss
@@ -197,6 +200,7 @@
 	return m.now.Sub(a.startedAt).Seconds() + checkpointedLoss
 }
 
-// checkpointedLoss is what the stop of an attempt loses that resumes from a
-// checkpoint: the restoring, and the wait for another worker.
+// checkpointedLoss is the work, in seconds, that is lost by stopping any attempt,
+// even one that resumes from a checkpoint: restoring it and waiting for another
+// worker.
 const checkpointedLoss = 0.4
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// renewWait is how long a worker with attempts may wait for an end before
-	// it answers. It bounds the age of readings, which the worker itself takes
-	// over half a second.
+	// renewWait is how long a worker with attempts may delay its answer while it
+	// has no new end to report. It bounds the age of readings, which the worker
+	// itself takes over half a second.
 	renewWait = 500 * time.Millisecond
-	// idleInterval is the time between two looks at a worker without attempts:
-	// nothing there has a lease to renew.
+	// idleInterval is the time between calls to a worker without attempts, which
+	// has no lease to renew.
 	idleInterval = 2 * time.Second
-	// unackedEndsInterval is the time between looks while ends wait to be stored:
-	// a worker that has ends to tell answers at once.
+	// unackedEndsInterval is the time between calls while ends wait to be stored: a
+	// worker with unacknowledged ends answers without delay.
 	unackedEndsInterval = 200 * time.Millisecond
-	// minRetryDelay and retryMost bound the time between calls to a worker that
-	// does not answer.
+	// minRetryDelay and maxRetryDelay bound the delay between calls to an
+	// unreachable worker.
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
-	// notSentPause is the time before an order is tried again that was not sent:
-	// the daemon waits for its links to the carriers, or leads no longer.
+	// notSentPause is the delay before retrying an order that was not sent because
+	// the daemon is waiting for its connections to the daemons that send orders, or
+	// is no longer the leader.
 	notSentPause = 100 * time.Millisecond
-	// maxReportedEnds is how many ends a worker reports at a time.
+	// maxReportedEnds is how many ends a worker includes in a report.
 	maxReportedEnds = 500
 )
 
-// sendRenewals looks at every worker whose turn has come.
+// sendRenewals sends a Renew to every worker for which it is due.
 func (m *Machine) sendRenewals() {
 	for _, w := range m.workers.All() {
 		if w.renewing || w.ended || m.now.Before(w.renewAt) {
@@ -37,8 +38,9 @@
 		}
 		unstored := w.lastSeenEnd > w.lastAckedEnd
 		r := Renew{Order: m.order(w), AckedEnds: w.lastAckedEnd}
-		// The lease of a worker that does not answer is not renewed: the call may
-		// reach it all the same, and its attempts could never be declared lost.
+		// The lease of an unreachable worker is not renewed: the call may reach the
+		// worker although its answers are lost, and then its attempts could never
+		// be declared lost.
 		if w.attempts.Len() > 0 && w.unreachableSince.IsZero() {
 			if lease := m.leaseFor(w); lease > 0 {
 				r.UntilMs = w.until(m.now, lease)
@@ -53,10 +55,10 @@
 	}
 }
 
-// leaseFor returns for how long the leases on a worker are to be renewed: not at
-// all while the statements of the leader before still stand, or while the next
-// leader would not know of the worker, and not beyond what the stored roster says
-// of it.
+// leaseFor returns the length for which the leases on a worker are renewed. It is 0
+// before the first commit, while the guarantees of the previous leader's roster
+// still apply, and while the next leader would not know of the worker. It never
+// extends beyond the lease end on the stored roster.
 func (m *Machine) leaseFor(w *worker) time.Duration {
 	switch {
 	case !m.commit.stored || !w.onRoster && m.now.Before(m.rosterLostUntil):
@@ -67,7 +69,7 @@
 	return m.options.Lease
 }
 
-// renewed takes in a worker's report.
+// renewed handles the result of a Renew.
 func (m *Machine) renewed(ev Renewed) {
 	w := m.worker(ev.Worker)
 	if w == nil {
@@ -103,7 +105,7 @@
 	m.processReport(w, ev.SentAt, ev.Report)
 }
 
-// processReport takes in a worker's report, which was asked for at sentAt.
+// processReport applies a worker's report, which was requested at sentAt.
 func (m *Machine) processReport(w *worker, sentAt time.Time, r Report) {
 	m.markReachable(w)
 	w.sampleClock(m.now, r.ClockMs)
@@ -113,8 +115,8 @@
 	m.adjustThrottle(w)
 	w.renewAt = m.nextRenewal(w)
 	if len(r.Ended) > 0 && r.Ended[0].Number <= w.sentAckedEnd {
-		// The acknowledgement was held back, and a worker with ends to tell answers at
-		// once, each time.
+		// The acknowledgement was not sent in time for this report, and a worker
+		// with ends to report answers without delay each time.
 		w.renewAt = later(w.renewAt, m.now.Add(minRetryDelay))
 	}
 }
@@ -136,19 +138,19 @@
 	return m.now
 }
 
-// depose ends the machine: a later leader has spoken to a worker.
+// depose ends the machine after a worker has seen a later leader.
 func (m *Machine) depose(w *worker) {
 	if m.deposed {
 		return
 	}
 	m.deposed = true
-	// Orders that are not sent yet would only be refused.
+	// Orders that have not been sent yet would only be refused.
 	m.out = nil
-	m.emit(Note{Decision: "deposed", Worker: w.id, Reason: fmt.Sprintf("the worker has seen an epoch after %d", m.epoch)})
+	m.emit(Note{Decision: "deposed", Worker: w.id, Reason: fmt.Sprintf("the worker has seen a higher epoch than %d", m.epoch)})
 	m.emit(Deposed{Worker: w.id})
 }
 
-// processEnds takes in the ends that have not been taken in before.
+// processEnds processes the ends that are new.
 func (m *Machine) processEnds(w *worker, ends []EndedAttempt) {
 	for i := range ends {
 		e := &ends[i]
@@ -162,12 +164,12 @@
 	}
 }
 
-// noteGap notes ends that a worker numbers and has never told: something has made it
-// forget them, and what became of their attempts is not known.
+// noteGap notes ends that a worker has numbered but never reported. They have been
+// lost on the worker, and the outcome of their attempts is unknown.
 func (m *Machine) noteGap(w *worker, number int64) {
 	if w.lastSeenEnd > 0 && number > w.lastSeenEnd+1 {
 		m.emit(Note{Decision: joblog.MessageEndsNotReported, Worker: w.id, Reason: fmt.Sprintf(
-			"ends %d to %d were never told; up to %d were acknowledged", w.lastSeenEnd+1, number-1, w.lastAckedEnd)})
+			"ends %d to %d were never reported; up to %d were acknowledged", w.lastSeenEnd+1, number-1, w.lastAckedEnd)})
 	}
 }
 
@@ -187,8 +189,9 @@
 		return
 	}
 	if declared && e.Cause != EndDone {
-		// What it did is of no use any more, but a failure counts: it will be
-		// acknowledged, and the task has so many attempts less.
+		// The results of a lost attempt are of no use any more, but a failure
+		// counts: the end will be acknowledged, and the task has one attempt less
+		// left.
 		if t := m.task(e.Key); t != nil && e.Cause == EndFailed && !t.done {
 			m.countFailure(t, e.Attempt)
 		}
@@ -205,8 +208,8 @@
 	m.endAttempt(a, e.Cause, e.Checkpoint)
 }
 
-// adoptEnded makes an attempt of an end that an earlier leader started, so that
-// it is settled like any other. It returns nil when no task wants it.
+// adoptEnded adds an attempt for the end of one that an earlier leader started, so
+// that the end is processed like any other. It returns nil if no task needs it.
 func (m *Machine) adoptEnded(w *worker, e *EndedAttempt) *attempt {
 	t := m.task(e.Key)
 	if t == nil || t.done {
@@ -220,8 +223,8 @@
 	return m.addAttempt(t, w, e.Attempt, phaseRunning)
 }
 
-// reconcile compares the attempts that the worker reports with those that the
-// machine knows of. The report was asked for at sentAt.
+// reconcile compares the attempts in a worker's report, which was requested at
+// sentAt, with those that the machine knows.
 func (m *Machine) reconcile(w *worker, sentAt time.Time, report Report) {
 	listed := make(map[attemptKey]struct{}, len(report.Running))
 	for i := range report.Running {
@@ -235,7 +238,8 @@
 		m.observe(a, r)
 	}
 	if len(report.Ended) >= maxReportedEnds {
-		// The end of an attempt that is not listed may be among the others.
+		// The end of an attempt that is not listed may be among the ends that did
+		// not fit.
 		return
 	}
 	for _, a := range w.attempts.All() {
@@ -250,8 +254,9 @@
 	}
 }
 
-// isOverBy reports whether an attempt that a report asked for at sentAt does
-// not list is over: it was known to run before, or to be barred.
+// isOverBy reports whether an attempt missing from a report requested at sentAt is
+// over: before sentAt it was known to be running, or its stop had been
+// acknowledged.
 func (a *attempt) isOverBy(sentAt time.Time) bool {
 	switch a.phase {
 	case phaseRunning:
@@ -262,8 +267,9 @@
 	return false
 }
 
-// adoptRunning takes in an attempt that the machine did not start, or declared
-// lost. It is kept if its task has no other, and stopped otherwise.
+// adoptRunning adds a reported attempt that the machine did not start or had
+// declared lost. It is kept if its task has no other attempt, and stopped
+// otherwise.
 func (m *Machine) adoptRunning(w *worker, r *RunningAttempt) *attempt {
 	delete(w.lost, attemptKey{task: r.Key, attempt: r.Attempt})
 	if m.unreadable[r.Key.Job] != nil {
@@ -272,7 +278,7 @@
 	t := m.task(r.Key)
 	if t == nil || t.done {
 		a := m.addOrphan(w, r)
-		m.requestStop(a, "no task wants it")
+		m.requestStop(a, "no task needs it")
 		return a
 	}
 	if a := m.moveFromOtherIncarnation(t, w, r.Attempt); a != nil {
@@ -295,7 +301,7 @@
 	return a
 }
 
-// observe takes in what a report says of an attempt.
+// observe updates an attempt from a worker's report.
 func (m *Machine) observe(a *attempt, r *RunningAttempt) {
 	a.previousWorker = nil
 	if a.phase == phaseStarting || a.phase == phaseDoubtful {
--- a/core/jobsched/roster.go
+++ b/core/jobsched/roster.go
@@ -10,89 +10,93 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// A leader that takes over must not start a task that may run elsewhere. What it
-// knows of that comes from the workers that answer it and, for those that do not,
-// from the stored roster. Were the roster a mere list of workers, two things would
-// go wrong. One worker that cannot answer, because it has left or is cut off, would
-// hold back every job; and a bound that is counted from each take-over anew would
-// never end while leaders follow each other quickly. One would notice by
-// long-running tasks that are not started while daemons are restarted in turn and
-// workers are replaced.
+// A leader that takes over must not start a task that may be running elsewhere. It
+// learns what is running from the workers that answer it and, for those that do
+// not, from the stored roster. If the roster were a plain list of workers, two
+// things would go wrong. A single worker that cannot answer, because it has left or
+// is partitioned, would hold back every job. And a waiting time counted from each
+// takeover would never end while leaders change quickly. Both show as long-running
+// tasks that are not started while daemons are restarted one by one and workers are
+// replaced.
 //
-// So each leader writes down, as far as it knows, what may run on the workers
-// where it starts nothing, and how long leases last where it renews none: the
-// roster's statements. It keeps to them: to start something on such a worker, or
-// to renew a lease there, it stores a roster first that no longer says so.
+// So each leader stores guarantees in the roster: for workers on which it starts
+// nothing, which attempts may be running there, and for those whose leases it does
+// not renew, when they end. It keeps these guarantees: before it starts an attempt
+// on such a worker or renews a lease there, it stores a roster without them.
 //
-// The statements stand, which means that the next leader may rely on them, for as
-// long as their writer leads, and on from there until that next leader has stored
-// a commit of its own: only then may it start anything.
+// The guarantees are valid, so that the next leader may rely on them, while their
+// writer leads and after that until the next leader has stored its first commit.
+// The next leader starts nothing before that commit.
 
-// RosterEntry is a worker of the stored roster, with what its writer knew of it.
+// RosterEntry is a worker on the stored roster, with what the writer knew about it.
 type RosterEntry struct {
 	WorkerEntry
-	// Closed says that at most Attempts are there, and that nothing is started
-	// there before a later roster is stored. On a worker that is not closed
-	// anything may run.
+	// Closed guarantees that no attempts other than Attempts are on the worker, and
+	// that nothing is started there before a later roster is stored. On a worker
+	// that is not closed anything may be running.
 	Closed   bool            `json:",omitempty"`
 	Attempts []RosterAttempt `json:",omitempty"`
-	// Full is the largest capacity that is known of the worker's VM, in each
-	// dimension, if it is larger than Capacity.
+	// Full is the largest known capacity of the worker's VM, in each dimension;
+	// zero if it equals Capacity.
 	Full model.Resources `json:",omitzero"`
-	// Health is set if the worker fails what it starts.
+	// Health is set if the worker is on probation.
 	Health *WorkerHealth `json:",omitempty"`
-	// LeaseLeft is how long leases there last at most, from the moment of writing
-	// on; negative when they have ended. It is nil where leases may be renewed, so
-	// that no such bound is known.
+	// LeaseLeft is the maximum time until the leases there end, from the moment of
+	// writing; negative if they have ended. It is nil if leases may be renewed, so
+	// that their end is not bounded.
 	LeaseLeft *time.Duration `json:",omitempty"`
 }
 
-// FullCapacity returns the largest capacity that is known of the worker's VM.
+// FullCapacity returns the largest known capacity of the worker's VM.
 func (e *RosterEntry) FullCapacity() model.Resources { return e.Capacity.Max(e.Full) }
 
-// RosterAttempt is an attempt that may run, or whose end its worker may still
-// have to tell.
+// RosterAttempt is an attempt that may be running, or whose end the worker may
+// still report.
 type RosterAttempt struct {
 	Task    job.TaskKey `json:"task"`
 	Attempt int         `json:"n"`
-	// Lost is set when it was declared lost.
+	// Lost is set if the attempt was declared lost.
 	Lost bool `json:"givenUp,omitempty"`
-	// StalledFor is for how long it has stood still at Percent; 0 if it has not, or not
-	// for long.
+	// StalledFor is how long the attempt has made no progress beyond Percent; 0 if
+	// it is not stalled or only briefly.
 	StalledFor time.Duration `json:"still,omitempty"`
 	Percent    int           `json:"percent,omitempty"`
 }
 
-// rosterStatus is what a roster should say of a worker, in short. A roster is due
-// when a worker's mark is another one than when the stored roster was written.
+// rosterStatus is a short form of what the roster should state about a worker. A
+// roster is due when the status of a worker differs from the one on the stored
+// roster.
 type rosterStatus struct {
-	// closed is whether RosterEntry.Closed should be set, bounded whether there
-	// should be a LeaseLeft.
+	// closed is whether RosterEntry.Closed should be set; bounded is whether
+	// LeaseLeft should be set.
 	closed, bounded bool
-	// attempts is how many attempts should be listed.
+	// attempts is the number of attempts to list.
 	attempts int
-	// failures is RosterEntry.Health's, 0 without one.
+	// failures is the value in RosterEntry.Health, or 0 without one.
 	failures int
 }
 
-// rosterState follows what is stored of the roster.
+// rosterState tracks the stored roster.
 type rosterState struct {
-	// outdated is set when a roster is due whatever the marks are: a worker was
-	// forgotten, or the stored roster could not be read.
+	// outdated is set if a roster is due regardless of the workers' status: a
+	// worker was forgotten or its full capacity has grown, or the stored roster
+	// could not be read.
 	outdated bool
-	// checkedAt is when the workers' marks were compared with what is stored.
+	// checkedAt is when the workers' status was last compared with the stored
+	// roster.
 	checkedAt time.Time
-	// valid is whether the machine itself has stored a roster: its first commit
-	// ends what an earlier leader's roster says.
+	// valid is whether this machine has stored a roster: its first commit ends the
+	// guarantees of an earlier leader's roster.
 	valid bool
-	// sentAt is when the roster that was sent last was written.
+	// sentAt is when the last sent roster was written.
 	sentAt time.Time
 	// inFlight is the roster that is being stored.
 	inFlight []rosterLine
 }
 
-// rosterLine is a worker's part of a roster: mark is what should be said, entry
-// what is said. The two differ where there is no room for all attempts.
+// rosterLine is a worker's part of a roster. status is what the roster should
+// state; entry is what it does state. They differ if there is no room for all
+// attempts.
 type rosterLine struct {
 	worker *worker
 	status rosterStatus
@@ -100,33 +104,34 @@
 }
 
 const (
-	// rosterUnreachableAfter is how long a worker may be silent before the roster says that
-	// nothing is started there: a lost answer is followed by another within 0.5 s.
+	// rosterUnreachableAfter is how long a worker must be unreachable before the
+	// roster closes it: after a lost answer the next one arrives within 0.5 s.
 	rosterUnreachableAfter = time.Second
-	// firstAnswerTime is how long after a take-over the roster says nothing yet of
-	// workers that have not answered: those that are well answer within 0.5 s. If the
-	// leader is lost meanwhile, after its first commit, anything may run there to
-	// its successor.
+	// firstAnswerTime is how long after a takeover the roster makes no statement
+	// about workers that have not answered; healthy ones answer within 0.5 s. If
+	// the leader is lost in the meantime, after its first commit, its successor
+	// must assume that anything may be running there.
 	firstAnswerTime = 500 * time.Millisecond
-	// rosterInterval is the time between two looks at whether a roster is due, and
-	// rosterIntervalEach what each worker adds to it: a roster of 1,100 workers has
-	// 0.3 MB, and is stored at most once in 0.65 s.
+	// rosterInterval is the time between two checks whether a roster is due;
+	// rosterIntervalPerWorker is what each worker adds to it. A roster of 1,100
+	// workers has 0.3 MB and is stored at most once in 0.65 s.
 	rosterInterval          = 100 * time.Millisecond
 	rosterIntervalPerWorker = 500 * time.Microsecond
-	// maxRosterAttempts is how many attempts a roster lists at most, 45 bytes each:
-	// a value of the store has room for 1 MiB.
+	// maxRosterAttempts bounds the attempts listed on a roster, 45 bytes each: a
+	// value in the store may have 1 MiB.
 	maxRosterAttempts = 10_000
 	// rosterAgeInterval is the time between two commits, each with the age of the
-	// roster, while all older jobs wait for a worker. The next leader counts the
-	// bounds on from the last of them: up to this much longer is waited with each
-	// leader that is lost.
+	// roster, while older jobs are held back because of a worker. The next leader
+	// counts the bounds from the last of them, so that each lost leader prolongs
+	// the wait by up to this time.
 	rosterAgeInterval = 250 * time.Millisecond
-	// minLeaseLeft is the least LeaseLeft that is told. It is beyond
-	// silentPatience, the longest that a worker is waited for after its leases.
+	// minLeaseLeft is the lowest LeaseLeft that is stored. Its absolute value
+	// exceeds listedLossGrace, the longest time that a worker is waited for after
+	// its leases.
 	minLeaseLeft = -time.Minute
 )
 
-// rosterStatusOf returns what the roster should say of a worker now.
+// rosterStatusOf returns what the roster should state about a worker now.
 func (m *Machine) rosterStatusOf(w *worker) rosterStatus {
 	status := m.startStatusOf(w)
 	status.failures = 0
@@ -136,7 +141,8 @@
 	return status
 }
 
-// startStatusOf returns what it should say of starts and leases there.
+// startStatusOf returns what the roster should state about starts and leases on a
+// worker.
 func (m *Machine) startStatusOf(w *worker) rosterStatus {
 	switch {
 	case !w.answered && w.onRoster && m.now.Before(m.recoveredAt.Add(firstAnswerTime)):
@@ -151,15 +157,15 @@
 	return rosterStatus{closed: true, bounded: !w.answered, attempts: w.outstanding()}
 }
 
-// acceptsTasks reports whether tasks are to be started on the worker, now or as
-// soon as it answers.
+// acceptsTasks reports whether tasks may be started on the worker, now or as soon
+// as it answers.
 func (w *worker) acceptsTasks(now time.Time) bool {
 	silent := !w.unreachableSince.IsZero() && now.Sub(w.unreachableSince) >= rosterUnreachableAfter
 	return w.answered && w.listed && !w.entry.Draining && !silent
 }
 
-// outstanding counts the attempts that may run on the worker, or whose ends it may
-// still have to tell: those that rosterAttempts lists.
+// outstanding counts the attempts that may be running on the worker, or whose ends
+// it may still report: those that rosterAttempts lists.
 func (w *worker) outstanding() int {
 	if w.ended {
 		return w.attempts.Len()
@@ -167,8 +173,8 @@
 	return w.attempts.Len() + len(w.unackedEnds) + len(w.lost)
 }
 
-// rosterDue reports whether a roster is to be stored. It looks from time to time
-// only.
+// rosterDue reports whether a roster has to be stored. It checks this only once per
+// interval.
 func (m *Machine) rosterDue() bool {
 	r := &m.roster
 	interval := rosterInterval + time.Duration(m.workers.Len())*rosterIntervalPerWorker
@@ -187,9 +193,9 @@
 	return false
 }
 
-// addRoster adds a roster to a commit. What it rules out is kept to from now on,
-// what it no longer rules out is made use of when it is stored: which of the two
-// rosters the next leader reads is not known until then.
+// addRoster adds a roster to a commit. Its new guarantees are kept from now on,
+// while those it drops are kept until it is stored: until then it is unknown which
+// of the two rosters the next leader would read.
 func (m *Machine) addRoster(commit *Commit) {
 	r := &m.roster
 	lines := m.rosterLines(m.rosterStatusOf)
@@ -203,8 +209,8 @@
 	r.sentAt = m.now
 }
 
-// addRosterAge adds to a commit whether the statements of the stored roster stand,
-// and how old they are.
+// addRosterAge sets whether the guarantees of the stored roster are valid, and the
+// roster's age.
 func (m *Machine) addRosterAge(commit *Commit) {
 	commit.RosterValid = m.roster.valid || commit.Roster != nil
 	if commit.RosterValid {
@@ -212,7 +218,7 @@
 	}
 }
 
-// applyStoredRoster takes in that the roster which was sent last is stored.
+// applyStoredRoster updates the workers after the last sent roster has been stored.
 func (m *Machine) applyStoredRoster() {
 	r := &m.roster
 	if r.inFlight == nil {
@@ -228,11 +234,11 @@
 	m.changed = true
 }
 
-// HandOver returns the last commit of a leader that gives the lead up. Its roster
-// closes every worker of which it is known what may run there, so that the next
-// leader holds back only the tasks that were left on workers which do not answer
-// it. The notes are those of the events since the last Advance. The caller sends
-// no order any more: the roster would not list it.
+// HandOver returns the last commit of a leader that hands over the leadership. Its
+// roster closes every worker whose attempts are known, so that the next leader
+// holds back only tasks that were left on workers that do not answer it. The notes
+// are those emitted since the last Advance. The caller must send no further orders,
+// since the roster would not list them.
 func (m *Machine) HandOver(now, wall time.Time) (Commit, []Note) {
 	m.now, m.wall = now, wall
 	m.dropTrials()
@@ -246,7 +252,7 @@
 	return commit, m.drainNotes()
 }
 
-// drainNotes returns the notes among the effects that were not carried out.
+// drainNotes removes the pending effects and returns the notes among them.
 func (m *Machine) drainNotes() []Note {
 	var notes []Note
 	for _, e := range m.out {
@@ -258,7 +264,7 @@
 	return notes
 }
 
-// handoverStatusOf returns what the last roster of a leader says of a worker.
+// handoverStatusOf returns what the last roster of a leader states about a worker.
 func (m *Machine) handoverStatusOf(w *worker) rosterStatus {
 	if w.attemptsUnknown {
 		return rosterStatus{bounded: true}
@@ -266,8 +272,8 @@
 	return rosterStatus{closed: true, bounded: true, attempts: w.outstanding()}
 }
 
-// rosterOrder returns the workers in the order of the roster: those that take no
-// tasks first, so that their attempts find room on it before those of the others.
+// rosterOrder returns the workers in the order of the roster. Those that accept no
+// tasks come first, so that there is room for their attempts.
 func (m *Machine) rosterOrder() []*worker {
 	order := slices.Collect(m.everyWorker())
 	rank := func(w *worker) int {
@@ -280,8 +286,9 @@
 	return order
 }
 
-// rosterLines returns the roster with the marks given. A worker whose attempts
-// have no room on it is told as one on which anything may run.
+// rosterLines returns a roster with the status that statusOf returns for each
+// worker. A worker whose attempts do not fit is listed as not closed, so that
+// anything may be running there.
 func (m *Machine) rosterLines(statusOf func(*worker) rosterStatus) []rosterLine {
 	lines := make([]rosterLine, 0, m.workers.Len())
 	room := maxRosterAttempts
@@ -306,11 +313,12 @@
 	return lines
 }
 
-// minReportedStall is the least time without progress that is handed over: reports are
-// half a second apart, and most attempts advance with each.
+// minReportedStall is the minimum time without progress that is handed over:
+// reports are half a second apart, and most attempts advance with each.
 const minReportedStall = 750 * time.Millisecond
 
-// stalledFor returns for how long an attempt has stood still, 0 if that is not long.
+// stalledFor returns how long an attempt has made no progress; 0 if less than
+// minReportedStall.
 func (a *attempt) stalledFor(now time.Time) time.Duration {
 	stalled := now.Sub(a.lastAdvance())
 	if a.phase != phaseRunning || a.percent >= 100 || a.throttle < fullSpeed || stalled < minReportedStall {
@@ -319,7 +327,8 @@
 	return stalled
 }
 
-// rosterAttempts lists what may run on the worker, and what it may still tell of.
+// rosterAttempts lists the attempts that may be running on the worker, and those
+// whose ends it may still report.
 func (w *worker) rosterAttempts(now time.Time) []RosterAttempt {
 	var list []RosterAttempt
 	for key, a := range w.attempts.All() {
