--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -10,8 +10,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// schedule starts what is ready and fits, the most urgent first, until all steps
-// had their turn or the round has no looks left.
+// schedule runs a placement round: it starts ready tasks that fit, the most urgent
+// first, until every step has had its turn or the round's budget is used up.
 func (m *Machine) schedule() {
 	m.countTrials()
 	for _, w := range m.workers.All() {
@@ -37,8 +37,8 @@
 	m.pass.open = false
 }
 
-// startMostUrgent gives the most urgent steps their turn, whether or not they had one
-// in the pass, as far as the looks go. It returns how many.
+// startMostUrgent processes the most urgent steps, whether or not they had a turn
+// in this pass, until the budget is used up. It returns how many it processed.
 func (m *Machine) startMostUrgent(steps []pendingStep) int {
 	for i, p := range steps {
 		if !m.startPending(p) {
@@ -48,8 +48,8 @@
 	return len(steps)
 }
 
-// startPending starts what fits of a step. It returns false when the round has no
-// looks left for it.
+// startPending starts the tasks of a step that fit. It returns false if the round's
+// budget does not suffice.
 func (m *Machine) startPending(p pendingStep) bool {
 	s := p.step
 	if m.pass.isExhausted() {
@@ -71,19 +71,19 @@
 	return true
 }
 
-// pendingStep is a step that is ready, with what it is ordered by.
+// pendingStep is a ready step with its sort keys.
 type pendingStep struct {
 	*step
-	// interrupted is set for the turn of its interrupted tasks alone. Its other turn
-	// in the pass comes later.
+	// interrupted marks the turn that covers only the step's interrupted tasks. The
+	// step's other turn in the pass comes later.
 	interrupted bool
 	priority    int
 	lateness    lateness
 	objectiveMs int64
 }
 
-// pendingSteps returns the steps that are ready, the most urgent first. One with
-// interrupted tasks is there twice, first for these.
+// pendingSteps returns the ready steps, the most urgent first. A step with
+// interrupted tasks appears twice, the first time for those tasks alone.
 func (m *Machine) pendingSteps() []pendingStep {
 	steps := make([]pendingStep, 0, m.pending.Len())
 	for s := range m.pending.All() {
@@ -104,11 +104,11 @@
 	return steps
 }
 
-// compareUrgency puts long-running tasks first, since each second without them
-// is lost for good, and of these the interrupted ones: in a full cluster new jobs
-// would take each place that comes free, and what ran before would not run again.
-// Then comes the lower priority number; then jobs that can still meet their
-// objective, those that can only be late, and those that are too late to be of
+// compareUrgency puts long-running tasks first, since each second without them is
+// lost for good, and among these the interrupted ones: otherwise, in a full
+// cluster, new jobs would take every place that becomes free, and tasks that ran
+// before would not run again. Then come the lower priority number; then jobs that
+// can still meet their objective, those that are late, and those too late to be of
 // use; then the earlier objective.
 func compareUrgency(a, b pendingStep) int {
 	return cmp.Or(
@@ -134,7 +134,8 @@
 	return 1
 }
 
-// dueMs returns when the step's occurrence was due, or its job accepted.
+// dueMs returns when the step's occurrence was due, or when its job was accepted if
+// it has no schedule.
 func (s *step) dueMs() int64 {
 	if schedule := s.job().record.Spec.Schedule; schedule != nil {
 		return schedule.Due(s.occurrence.number).UnixMilli()
@@ -142,7 +143,7 @@
 	return s.job().record.AcceptedAtMs
 }
 
-// allowanceMs returns the time from its being due that the occurrence may take.
+// allowanceMs returns how long the occurrence may take after it is due.
 func (m *Machine) allowanceMs(s *step) int64 {
 	q := m.queue(s.job())
 	return int64(q.Stretch*float64(s.occurrence.criticalPathMs)) + q.LatencyTargetMs
@@ -151,22 +152,22 @@
 // objectiveMs returns the time by which the occurrence should be done.
 func (m *Machine) objectiveMs(s *step) int64 { return s.dueMs() + m.allowanceMs(s) }
 
-// lateFactor is how many times its allowance a job may take before it is of no
-// more use to its caller.
+// lateFactor is how many times its allowance a job may take before its result is of
+// no use to the caller.
 const lateFactor = 3
 
-// lateness tells how an occurrence stands to its objective.
+// lateness classifies an occurrence by its objective.
 type lateness int
 
-// The kinds of lateness, in the order of urgency.
+// The lateness values, in order of urgency.
 const (
 	inTime lateness = iota
 	late
 	tooLate
 )
 
-// lateness tells how far the step's occurrence is past its objective. Long-running
-// ones have no end that could be late: they are of use however late they run.
+// lateness returns whether the step's occurrence has passed its objective.
+// Long-running occurrences never end, so they are always in time.
 func (m *Machine) lateness(s *step) lateness {
 	switch now := m.wall.UnixMilli(); {
 	case s.spec.LongRunning:
@@ -181,8 +182,8 @@
 
 func (s *step) name() string { return s.tasks[0].key().StepName() }
 
-// startStep starts as many idle tasks of the step as fit. It returns false when
-// the round has no looks left for the rest of them.
+// startStep starts as many idle tasks of the step as fit. It returns false if the
+// round's budget does not suffice for the rest.
 func (m *Machine) startStep(s *step) bool {
 	switch m.startTasks(s, (*task).idle) {
 	case startBudgetSpent:
@@ -199,22 +200,24 @@
 	return true
 }
 
-// startOutcome tells how far the startOutcome of some tasks came. Later values outweigh
-// earlier ones where tasks differ.
+// startOutcome is the result of starting some tasks of a step. Where tasks differ,
+// the highest value applies.
 type startOutcome int
 
 const (
 	// startedAll: all were started.
 	startedAll startOutcome = iota
-	// startAwaitsRecord: the rest is to be stored first.
+	// startAwaitsRecord: a record has to be stored before the rest can start.
 	startAwaitsRecord
-	// startFoundNoWorker: there is no place for some.
+	// startFoundNoWorker: no worker was found for some.
 	startFoundNoWorker
-	// startBudgetSpent: the round has no looks left, or too many starts are in flight.
+	// startBudgetSpent: the round's budget is used up, or too many starts are in
+	// flight.
 	startBudgetSpent
 )
 
-// startTasks starts as many of the wanted tasks of the step as fit.
+// startTasks starts as many tasks of the step as fit, out of those for which wanted
+// returns true.
 func (m *Machine) startTasks(s *step, wanted func(*task) bool) startOutcome {
 	unplaceable := m.isUnplaceable(s)
 	result := startedAll
@@ -240,7 +243,8 @@
 		case t.trial.isAwaitingRecord():
 			result = max(result, startAwaitsRecord)
 		case t.isSuspect():
-			// It is restricted to other workers than the rest of the step.
+			// A suspect task is restricted to fewer workers than the rest of the
+			// step.
 			result = startFoundNoWorker
 			m.preempt(t)
 		default:
@@ -253,8 +257,9 @@
 	return result
 }
 
-// startOnBest starts a task on the best worker, and returns false if there
-// is none. places are the candidates for tasks of its step, nil before the first.
+// startOnBest starts a task on the best worker. It returns false if there is none,
+// or if a record has to be stored first. places holds the candidates for tasks of
+// the step; it points to nil until they have been computed.
 func (m *Machine) startOnBest(t *task, places **candidates) bool {
 	m.pass.spend(startCost)
 	if t.trial.isAwaitingRecord() {
@@ -267,7 +272,8 @@
 		}
 	}
 	if !m.isInterchangeable(t) {
-		// It changes what its worker is worth, which the candidates do not notice.
+		// Its start changes the score of its worker without updating the
+		// candidates.
 		*places = nil
 		return m.startOn(t, m.bestWorker(t))
 	}
@@ -281,7 +287,7 @@
 	return true
 }
 
-// startOn starts a task on the worker that was found for it, if one was.
+// startOn starts a task on w if w is not nil and no record has to be stored first.
 func (m *Machine) startOn(t *task, w *worker) bool {
 	if w == nil {
 		m.dropTrialOnWorker(t)
@@ -301,7 +307,7 @@
 	return m.bestOf(t, m.everyWorker())
 }
 
-// everyWorker iterates over the workers in one order.
+// everyWorker iterates over all workers in a fixed order.
 func (m *Machine) everyWorker() iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		for _, w := range m.workers.All() {
@@ -312,7 +318,8 @@
 	}
 }
 
-// bestOf returns the bestOf of some workers for the task, or nil if there is none.
+// bestOf returns the best of the given workers for the task, or nil if none is
+// feasible.
 func (m *Machine) bestOf(t *task, workers iter.Seq[*worker]) *worker {
 	var best *worker
 	bestScore := 0.0
@@ -328,9 +335,9 @@
 	return best
 }
 
-// startGang starts all tasks of a gang at once under one attempt number, when
-// all of them fit and none of an earlier attempt is left. The members wait for
-// each other only a short time, so none is started alone.
+// startGang starts all tasks of a gang together under one attempt number, if all of
+// them fit and no attempt of the gang is left. None is started alone, because the
+// members wait for each other only a short time.
 func (m *Machine) startGang(s *step) {
 	number := 0
 	for _, t := range s.tasks {
@@ -362,8 +369,8 @@
 	m.pending.Delete(s)
 }
 
-// placeGang finds a worker for each member, on one rack where that matters and
-// is possible.
+// placeGang finds a worker for each member, on a single rack if the step asks for
+// that and it is possible.
 func (m *Machine) placeGang(s *step) ([]*worker, bool) {
 	if m.isGangUnplaceable(s) {
 		return nil, false
@@ -383,10 +390,10 @@
 	return placed, ok
 }
 
-// placeGangOn places a gang on some workers. Each one's room is taken by trial
-// attempts that are taken back at the end. Whether there is room for all members
-// is counted first: trials look at all workers for each of them, which holds all
-// orders up for a gang of hundreds.
+// placeGangOn places a gang on the given workers. Provisional attempts take up the
+// room of each placed member and are removed at the end. It first counts whether
+// there is room for all members, because the provisional placement checks all
+// workers for each member, which delays all orders for a gang of hundreds.
 func (m *Machine) placeGangOn(s *step, workers []*worker) ([]*worker, bool) {
 	if !m.hasRoomForGang(s, workers) {
 		return nil, false
@@ -415,8 +422,8 @@
 	return placed, true
 }
 
-// hasRoomForGang reports whether some workers have room for all members of a gang,
-// going by what they have now.
+// hasRoomForGang reports whether the workers together have room for all members of
+// a gang.
 func (m *Machine) hasRoomForGang(s *step, workers []*worker) bool {
 	m.pass.spend(len(workers))
 	t := s.tasks[0]
@@ -445,15 +452,16 @@
 	return n
 }
 
-// rack is the workers of one rack, and their free processors.
+// rack is the workers of one rack and their uncommitted processors, in thousandths
+// of a core.
 type rack struct {
 	name    model.Rack
 	workers []*worker
 	freeCPU int64
 }
 
-// racks returns the racks of the workers, the one with the most free
-// processors first.
+// racks returns the racks of the workers, the one with the most free processors
+// first.
 func (m *Machine) racks() []*rack {
 	byName := make(map[model.Rack]*rack)
 	var racks []*rack
--- a/core/jobsched/score.go
+++ b/core/jobsched/score.go
@@ -1,7 +1,7 @@
 package jobsched
 
-// placementScore says how good a worker is for a task of the step; the highest
-// sum wins.
+// placementScore rates a worker for a task. The worker with the highest sum of
+// scores wins.
 type placementScore func(m *Machine, t *task, w *worker) float64
 
 var placementScores = []placementScore{
@@ -17,24 +17,25 @@
 }
 
 const (
-	// dataRackScore outweighs any difference in load: away from its data a task
+	// dataRackScore outweighs any difference in load: away from its data, a task
 	// takes two to three times as long.
 	dataRackScore = 10.0
 	sameRackScore = 10.0
-	// failedWorkerScore keeps a task off the worker that it failed on while
-	// there is any other.
+	// failedWorkerScore keeps a task off the worker that it failed on, as long as
+	// there is another.
 	failedWorkerScore = -20.0
-	// trialScore keeps tasks under which workers have crashed apart from each other:
-	// together they would all be blamed for what one of them does.
+	// trialScore separates tasks under which workers have crashed. On one worker,
+	// all of them would be blamed for a crash that one caused.
 	trialScore = -5.0
-	// servingScore keeps best-effort work off workers whose long-running tasks
-	// it would slow down, while there are others.
+	// servingScore keeps best-effort work off workers whose long-running tasks it
+	// would slow down, while there are others.
 	servingScore = -1.0
-	// sameImageScore puts serving tasks of one image together.
+	// sameImageScore groups serving tasks of the same image.
 	sameImageScore = 1.0
 )
 
-// scoreBalance prefers the worker that is least loaded in its fullest dimension.
+// scoreBalance prefers the worker with the largest free fraction of its scarcest
+// resource.
 func scoreBalance(_ *Machine, t *task, w *worker) float64 {
 	capacity := w.entry.Capacity
 	if t.step.spec.BestEffort {
@@ -58,7 +59,7 @@
 	return 0
 }
 
-// scoreSameRack keeps a step together that is slow on several racks.
+// scoreSameRack keeps together the tasks of a step that is slow across racks.
 func scoreSameRack(_ *Machine, t *task, w *worker) float64 {
 	if !t.step.spec.SameRack {
 		return 0
@@ -87,10 +88,10 @@
 	return trialScore * float64(w.trials)
 }
 
-// scoreServing keeps best-effort work away from tasks with a latency target,
-// the more the closer these are to it and the more it may slow them down; and
-// puts serving tasks together with others of their image, so that there are
-// workers left where a best-effort image disturbs nobody.
+// scoreServing keeps best-effort work away from tasks with a latency target: the
+// more, the closer these are to the target and the more they may be slowed down. It
+// also groups serving tasks by image, so that some workers remain where a
+// best-effort image disturbs no one.
 func scoreServing(m *Machine, t *task, w *worker) float64 {
 	spec := t.step.spec
 	switch {
@@ -102,8 +103,8 @@
 	return 0
 }
 
-// imageShare returns by how much the worker's serving tasks are of the image
-// rather than of others, from -1 to 1; 0 when there is none.
+// imageShare returns the fraction of the worker's serving tasks that run the image
+// minus the fraction that run others, from -1 to 1. It is 0 without serving tasks.
 func (m *Machine) imageShare(w *worker, image string) float64 {
 	if w.servingTasks == 0 {
 		return 0
--- a/core/jobsched/silence.go
+++ b/core/jobsched/silence.go
@@ -9,31 +9,33 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// A worker that has been silent for longer than its lease runs nothing any more.
-// What it ran may have ended before as done, though, and the end counts once it
-// is acknowledged; unless the lease has ended something after it, with which the
-// worker's earlier results are void. A task that is started again meanwhile is
-// then done twice; one notices by two attempts of it that are both done. So
-// attempts are given up late where nothing shows that the lease will end
-// something, and an end of an attempt that was given up is not acknowledged once
-// its task has been started again.
+// A worker that has been unreachable for longer than its lease runs nothing any
+// more. But an attempt there may have completed before, and its end counts once it
+// is acknowledged. The exception is if the lease ended any attempt after it: then
+// the worker's earlier results are void. If the task is started again in the
+// meantime, it is done twice; this shows as two attempts of a task that both end as
+// done. So attempts are declared lost late if nothing shows that the end of the
+// lease will end one of them, and the end of a lost attempt is not acknowledged
+// once its task has been started again.
 
 const (
-	// listedLossGrace is how long the attempts on a listed worker wait for news
-	// beyond its lease: it writes its entry, so that it lives and is cut off from
-	// the daemons, which it seldom is for longer.
+	// listedLossGrace is how long beyond its lease the attempts on a listed,
+	// unreachable worker are kept: the worker still writes its entry, so it is
+	// running but partitioned from the daemons, which rarely lasts longer.
 	listedLossGrace = 10 * time.Second
-	// unlistedLossGrace is the same for a worker that has left the list: its entry
-	// is back within 2 s of an outage of the store if it lives.
+	// unlistedLossGrace is the same for a worker that is no longer listed: if it is
+	// running, its entry is back within 2 s of an outage of the store.
 	unlistedLossGrace = 2 * time.Second
-	// maxUnackedEnds is how many ends a worker may keep before it gets no more tasks.
-	// It reports 500 at a time, and an end beyond them would not be heard of.
+	// maxUnackedEnds is how many unacknowledged ends a worker may have before it
+	// gets no more tasks. It reports 500 at a time, and ends beyond them would not
+	// be reported.
 	maxUnackedEnds = 400
 )
 
-// loseUnreachable declares attempts on a silent worker lost whose lease has ended: all of
-// them where nothing that was done there can count, or nobody can wait any longer;
-// else those that are never done.
+// loseUnreachable declares attempts on an unreachable worker lost after its lease
+// has ended. It declares all of them lost if no result from there can count any
+// more or lossGrace has passed, else only orphans and long-running ones, which
+// never complete.
 func (m *Machine) loseUnreachable(w *worker) {
 	all := w.endsWithLease() || !m.now.Before(w.leaseBound.Add(w.lossGrace()))
 	for _, a := range w.attempts.All() {
@@ -47,8 +49,8 @@
 	}
 }
 
-// lossGrace returns how long attempts wait for news of a silent worker beyond its
-// lease.
+// lossGrace returns how long beyond its lease the attempts on an unreachable worker
+// are kept.
 func (w *worker) lossGrace() time.Duration {
 	if w.listed {
 		return listedLossGrace
@@ -56,8 +58,8 @@
 	return unlistedLossGrace
 }
 
-// endsWithLease reports whether something certainly runs on the worker that the
-// end of its lease ends.
+// endsWithLease reports whether an attempt is certainly running on the worker that
+// the end of its lease will end.
 func (w *worker) endsWithLease() bool {
 	for _, a := range w.attempts.All() {
 		if a.longRunning && a.phase == phaseRunning {
@@ -67,8 +69,8 @@
 	return false
 }
 
-// releaseWithheldEnds takes in that the worker's lease has ended something: what it did
-// before does not count any more, and may be acknowledged.
+// releaseWithheldEnds allows withheld ends to be acknowledged after the worker's
+// lease has ended an attempt: the worker's earlier results no longer count.
 func (w *worker) releaseWithheldEnds() {
 	for i := range w.unackedEnds {
 		w.unackedEnds[i].withheld = false
@@ -76,7 +78,7 @@
 }
 
 // restartedAfter reports whether the task of an end was started again after the
-// attempt that ended had been given up.
+// ended attempt had been declared lost.
 func (m *Machine) restartedAfter(e *EndedAttempt) bool {
 	if m.restarts.requested[e.Key.Job][e.Key] > e.Attempt {
 		return true
@@ -85,56 +87,60 @@
 	return t != nil && slices.ContainsFunc(t.attempts, func(a *attempt) bool { return a.key.attempt > e.Attempt })
 }
 
-// withholdEnd keeps the end that was just taken in, and those after it, from being
-// acknowledged.
+// withholdEnd withholds the acknowledgement of the end that was just processed, and
+// thereby of those after it.
 func (m *Machine) withholdEnd(w *worker, e *EndedAttempt) {
 	w.unackedEnds[len(w.unackedEnds)-1].withheld = true
 	m.emit(Note{
 		Decision: joblog.MessageEndNotAcknowledged, Job: e.Key.Job, Task: e.Key.String(), Attempt: e.Attempt, Worker: w.id,
-		Reason: "it was given up, and its task has been started again; the end is not acknowledged",
+		Reason: "the attempt was declared lost and its task has been started again; the end is not acknowledged",
 	})
 }
 
-// restarts remembers the starts of tasks that may have been done before, by an
-// attempt of which nothing was heard. They are stored with the progress of their
-// jobs before they are made: the leader to whom the worker answers may be another
-// one, and the worker of the later attempt may be gone by then.
+// restarts records the starts of tasks that an earlier attempt may have completed
+// without the leader receiving its end. They are stored with the progress of their
+// jobs before the start is sent: by the time the worker of the earlier attempt
+// answers, another daemon may lead, and the worker of the later attempt may be
+// gone.
 type restarts struct {
-	// leaseExpiredUnanswered is set when a worker did not answer in the time in which an earlier
-	// leader's attempts may run there.
+	// leaseExpiredUnanswered is set when a worker did not answer before the leases
+	// of an earlier leader's attempts there had ended.
 	leaseExpiredUnanswered bool
-	// requested holds the number requested the last such start, stored what is stored requested it.
+	// requested holds the attempt number of the last such start of each task;
+	// stored holds those that have been stored.
 	requested, stored map[job.ID]job.Restarts
 }
 
-// mayBeDone reports whether the task may have been done by an attempt of which
-// nothing was heard. Long-running tasks are never done.
+// mayBeDone reports whether an attempt of the task may have completed without the
+// leader receiving its end. Long-running tasks never complete.
 func (m *Machine) mayBeDone(t *task) bool {
 	j := t.step.job()
 	return !t.step.spec.LongRunning && (t.attemptLost || j.wasUnreadable || m.restarts.leaseExpiredUnanswered && j.recovered)
 }
 
-// needsRestartRecord reports whether a start of the task is to be stored first.
+// needsRestartRecord reports whether the next start of the task has to be stored
+// first.
 func (m *Machine) needsRestartRecord(t *task) bool {
 	return m.mayBeDone(t) && m.restarts.stored[t.step.job().id][t.key()] <= t.last
 }
 
-// ensureRestartStored reports whether the task may be started as far as the memory of
-// restarts goes, and has its start stored if not.
+// ensureRestartStored reports whether the task may be started as far as its restart
+// record is concerned. If not, it requests that the record be stored.
 func (m *Machine) ensureRestartStored(t *task) bool {
 	if !m.needsRestartRecord(t) {
 		return true
 	}
 	if m.restarts.requested[t.step.job().id][t.key()] <= t.last {
-		// Earlier leaders may have used numbers that no record tells. An end under
-		// the number of the restart would be taken for that of the restart.
+		// Earlier leaders may have used attempt numbers that no record contains. An
+		// end with the number of the restart would be taken for the end of the
+		// restart.
 		t.last += attemptGap
 	}
 	m.requestRestart(t, t.last+1)
 	return false
 }
 
-// ensureRestartsStored is restartStored for all tasks of a step.
+// ensureRestartsStored calls ensureRestartStored for all tasks of a step.
 func (m *Machine) ensureRestartsStored(s *step) bool {
 	all := true
 	for _, t := range s.tasks {
@@ -143,8 +149,9 @@
 	return all
 }
 
-// recordAdopted takes in an attempt that an earlier leader started. Whether that
-// leader had heard of those before, and stored that it had not, is not known.
+// recordAdopted records an adopted attempt as a restart. It is not known whether
+// the leader that started it had received the ends of the earlier attempts, and if
+// not, had stored that.
 func (m *Machine) recordAdopted(t *task, number int) {
 	if number > 1 && !t.step.spec.LongRunning {
 		m.requestRestart(t, number)
@@ -160,13 +167,13 @@
 	m.markDirty(j)
 }
 
-// loadRestarts takes in what is stored of a job.
+// loadRestarts adds the stored restarts of a job.
 func (m *Machine) loadRestarts(id job.ID, stored job.Restarts) {
 	mergeRestarts(&m.restarts.requested, id, stored)
 	mergeRestarts(&m.restarts.stored, id, stored)
 }
 
-// mergeRestarts adds restarts of a job.
+// mergeRestarts adds restarts of a job to the map, which it creates if needed.
 func mergeRestarts(all *map[job.ID]job.Restarts, id job.ID, more job.Restarts) {
 	if len(more) == 0 {
 		return
@@ -180,7 +187,7 @@
 	maps.Copy((*all)[id], more)
 }
 
-// forget forgets a job whose records are removed.
+// forget removes a job whose records are removed.
 func (r *restarts) forget(id job.ID) {
 	delete(r.requested, id)
 	delete(r.stored, id)
--- a/core/jobsched/throttle.go
+++ b/core/jobsched/throttle.go
@@ -2,55 +2,59 @@
 
 import "time"
 
-// fullSpeed is the share of an attempt that is not throttled, in percent.
+// fullSpeed is the share, in percent, of an attempt that is not throttled.
 const fullSpeed = 100
 
-// throttleState follows how far the best-effort work of a worker is throttled
-// for the sake of its long-running tasks. Readings are late and rough, so the
-// share is cut at once and given back slowly.
+// throttleState is how far the best-effort work of a worker is throttled to protect
+// its long-running tasks. Readings are late and imprecise, so shares are reduced at
+// once and raised slowly.
 type throttleState struct {
-	// disturbingPercent is for the attempts that are known to disturb, otherPercent for the
-	// rest, which is cut only when that was not enough.
+	// disturbingPercent is the share of the attempts that are known to disturb.
+	// otherPercent is that of the other best-effort attempts, which is reduced only
+	// if that was not enough.
 	disturbingPercent, otherPercent int
-	// pressure is the worst reading over its target, smoothed; overSince is since
-	// when it is above the target, zero when it is not.
+	// pressure is the worst ratio of a reading to its target, smoothed. overSince
+	// is since when it has been above 1; zero if it is not. changeAt is when the
+	// shares may be changed again.
 	pressure            float64
 	overSince, changeAt time.Time
 }
 
 const (
-	// pressureHigh and pressureLow are the parts of the latency target above
-	// which best-effort work is slowed at once, and below which it is let go.
+	// pressureHigh is the fraction of the latency target above which disturbing
+	// work is slowed at once; pressureLow is the one below which shares are raised.
 	pressureHigh = 1.05
 	pressureLow  = 0.93
-	// pressureAim is the part of the target that a cut aims at.
+	// pressureAim is the fraction of the target that a reduction aims at.
 	pressureAim = 0.93
-	// pressureOver is the part from which work that is not known to disturb is
+	// pressureOver is the fraction above which work that is not known to disturb is
 	// slowed too.
 	pressureOver = 1.15
-	// sustainedOverTime is how long a task may be a little above its target before work is
-	// slowed all the same: a quarter of what the platform allows, so that several
-	// cuts come in time. They aim at longOverAim then.
+	// sustainedOverTime is how long a task may be slightly above its target before
+	// work is slowed anyway: a quarter of what the platform allows, which leaves
+	// time for several reductions. Those aim at sustainedOverAim.
 	sustainedOverTime = time.Second
 	sustainedOverAim  = 0.75
-	// throttleStep is what is given back at a time, in percent.
+	// throttleStep is by how much a share is raised at a time, in percent.
 	throttleStep = 25
-	// throttleFloor is the share below which work is stopped altogether: what
-	// goes on at a crawl still disturbs.
+	// throttleFloor is the share, in percent, below which work is stopped
+	// altogether: even at a very low speed it still disturbs.
 	throttleFloor = 10
-	// pressureWeight is the weight of a new, lower reading.
+	// pressureWeight is the weight of a new reading that is lower than the smoothed
+	// value.
 	pressureWeight = 0.7
-	// moveAfter is how long work that disturbs stands still before it is moved.
+	// moveAfter is how long disturbing work is held at a share of 0 before it is
+	// moved.
 	moveAfter = 600 * time.Millisecond
-	// maxMoveLoss is how much of its work, in percent, an attempt without
-	// checkpoints may lose by being moved.
+	// maxMoveLoss is the progress, in percent, from which an attempt without
+	// checkpoints is no longer moved.
 	maxMoveLoss = 30
 )
 
-// hasServingTasks reports whether a task with a latency target runs there.
+// hasServingTasks reports whether a task with a latency target is on the worker.
 func (w *worker) hasServingTasks() bool { return w.servingTasks > 0 }
 
-// measurePressure takes in the readings of a new report.
+// measurePressure updates the pressure from the readings of a new report.
 func (w *worker) measurePressure(now time.Time) {
 	worst := 0.0
 	for _, a := range w.attempts.All() {
@@ -72,8 +76,8 @@
 	}
 }
 
-// limits tells from which pressures on the worker's work is slowed, that which is
-// known to disturb and the rest, and what a cut aims at.
+// limits returns the pressures above which known disturbing work and other
+// best-effort work are slowed, and the pressure that a reduction aims at.
 func (t *throttleState) limits(now time.Time) (disturbing, other, aim float64) {
 	if !t.overSince.IsZero() && now.Sub(t.overSince) >= sustainedOverTime {
 		return 1, 1, sustainedOverAim
@@ -81,7 +85,7 @@
 	return pressureHigh, pressureOver, pressureAim
 }
 
-// adjustThrottle decides the shares for the worker's best-effort work.
+// adjustThrottle updates the shares for the worker's best-effort work.
 func (m *Machine) adjustThrottle(w *worker) {
 	w.measurePressure(m.now)
 	t := &w.throttle
@@ -103,15 +107,15 @@
 		t.disturbingPercent = min(t.disturbingPercent+throttleStep, fitting)
 	}
 	if t.disturbingPercent != before.disturbingPercent || t.otherPercent != before.otherPercent {
-		// A reading covers the last half second: the next one that shows the
-		// change comes after the delay and that long.
+		// A reading covers the last half second, so the first one that shows the
+		// change comes after the throttle delay plus that time.
 		t.changeAt = m.now.Add(m.options.ThrottleDelay + renewWait)
 	}
 }
 
-// reduceShare returns a lower share, by the part of the pressure that is aimed at.
-// Tails grow faster than the disturbance, so the square of what is too much is
-// taken off.
+// reduceShare returns a lower share, given the ratio of the intended to the present
+// pressure. Tails grow faster than the disturbance, so the share is multiplied by
+// the square of the ratio.
 func reduceShare(percent int, ratio float64) int {
 	percent = int(float64(percent) * ratio * ratio)
 	if percent < throttleFloor {
@@ -130,8 +134,8 @@
 	return false
 }
 
-// disturbs reports whether the attempt is best-effort work that is known to
-// slow down a serving task on its worker.
+// disturbs reports whether the attempt is best-effort work that is known to slow
+// down a serving task on its worker.
 func (m *Machine) disturbs(a *attempt) bool {
 	if a.bestEffortCPU == 0 || a.task == nil {
 		return false
@@ -139,7 +143,7 @@
 	return m.worstEffect(a.worker, a.step().spec.Image, a.bestEffortCPU) > harmfulEffect
 }
 
-// wantedShare returns the share at which an attempt should work.
+// wantedShare returns the share, in percent, at which an attempt should run.
 func (m *Machine) wantedShare(a *attempt) int {
 	if m.disturbs(a) {
 		return a.worker.throttle.disturbingPercent
@@ -147,8 +151,8 @@
 	return a.worker.throttle.otherPercent
 }
 
-// sendThrottles tells the workers the shares that they do not have yet, and
-// moves work that has stood still for long because it disturbs.
+// sendThrottles sends the shares that have changed, and moves work that has been
+// held at a share of 0 for too long.
 func (m *Machine) sendThrottles() {
 	searches := moveSearchesPerSweep
 	for _, w := range m.workers.All() {
@@ -169,15 +173,15 @@
 	}
 }
 
-// moveRetry is the time between two searches for another worker for an attempt
-// that stands still: each looks at all workers.
+// moveRetry is the time between two searches for another worker for such an
+// attempt: each checks all workers.
 const moveRetry = 500 * time.Millisecond
 
 // moveSearchesPerSweep is how many such searches a sweep makes.
 const moveSearchesPerSweep = 64
 
-// movable reports whether little is lost when the attempt is stopped, and
-// there is a worker that would take it. searches are what is left of the sweep's.
+// movable reports whether stopping the attempt loses little work and another worker
+// is feasible for it. searches is the number of searches left in the sweep.
 func (m *Machine) movable(a *attempt, searches *int) bool {
 	if !a.step().spec.Checkpointing && a.percent >= maxMoveLoss {
 		return false
--- a/core/jobsched/trial.go
+++ b/core/jobsched/trial.go
@@ -8,24 +8,25 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// An attempt of a task under which a worker may have crashed is a trial: its number
+// An attempt of a task under which a worker may have crashed is a trial. Its number
 // is stored before it is started, so that a leader that takes over knows of it even
-// if the worker and the leader before are both gone. Without that a task which
-// crashes its workers while leaders are lost is started again without end, as
-// nobody is left to count.
+// if both the worker and the previous leader are gone. Otherwise a task that
+// crashes its workers while leaders are being lost is started again without end,
+// because no one counts its crashes.
 
-// trial is an attempt that was started, or is about to be, after a crash.
+// trial is an attempt that was started, or is about to be, after a crash of its
+// task.
 type trial struct {
-	// number is the attempt's, or a lower one; 0 for none.
+	// number is that of the attempt, or a lower one; 0 if there is no trial.
 	number int
-	// worker is empty if it may be any.
+	// worker is the intended worker; empty if any will do.
 	worker model.Incarnation
-	// stored is whether that is stored, inherited whether an earlier leader stored
-	// it and no worker has told of the attempt yet.
+	// stored is whether the trial's record is stored. inherited is whether an
+	// earlier leader stored it and no worker has reported the attempt yet.
 	stored, inherited bool
 }
 
-// record returns the trial's stored form, nil for none.
+// record returns the stored form of the trial, or nil if there is none.
 func (t trial) record() *job.Trial {
 	if t.number == 0 {
 		return nil
@@ -33,18 +34,20 @@
 	return &job.Trial{Attempt: t.number, Worker: t.worker.ID, StartedMs: t.worker.StartedMs}
 }
 
-// namesWorker reports whether the trial is to be on a certain worker.
+// namesWorker reports whether the trial is bound to a certain worker.
 func (t trial) namesWorker() bool { return t.worker.ID != "" }
 
-// isAwaitingRecord reports whether the trial is to be stored before it may begin.
+// isAwaitingRecord reports whether the trial's record must be stored before the
+// trial may begin.
 func (t trial) isAwaitingRecord() bool { return t.number > 0 && !t.stored && !t.inherited }
 
-// trialReservationTime is how long room is kept for a trial that is being stored. Without it
-// the room goes to others meanwhile, and in a full cluster the task never starts.
+// trialReservationTime is how long room is reserved for a trial whose record is
+// being stored. Without the reservation other tasks would take the room, and in a
+// full cluster the task would never start.
 const trialReservationTime = 500 * time.Millisecond
 
-// needsTrial reports whether starts of the task are trials: a worker has crashed under
-// it, or one may have without anybody having seen it.
+// needsTrial reports whether starts of the task are trials: a worker has crashed
+// under it, or one may have crashed unseen.
 func (m *Machine) needsTrial(t *task) bool {
 	if len(t.crashes) > 0 || t.attemptLost {
 		return true
@@ -52,8 +55,8 @@
 	return !t.known && t.step.job().recovered && (m.unseenCrash || m.restarts.leaseExpiredUnanswered)
 }
 
-// checkUnseenCrash reports whether a task that waits may have been on a worker that
-// ended unseen, and ends unseenCrash if none may.
+// checkUnseenCrash reports whether a pending task may have been on a worker that
+// ended unseen. It clears unseenCrash if there is none.
 func (m *Machine) checkUnseenCrash() bool {
 	if !m.unseenCrash && !m.restarts.leaseExpiredUnanswered {
 		return false
@@ -67,19 +70,20 @@
 	return false
 }
 
-// maybeStartedEarlier reports whether the task waits, and may have been started by earlier
-// leaders only.
+// maybeStartedEarlier reports whether the task waits and may have been started only
+// by earlier leaders.
 func (t *task) maybeStartedEarlier() bool { return t.idle() && !t.known }
 
-// mayHaveCrashed reports whether an attempt of which nothing is heard any more is to
-// count as ended with its worker: a trial shortly after its start.
+// mayHaveCrashed reports whether an attempt on an unreachable worker must count as
+// ended by a crash: it is a trial that had run for less than stableRunTime.
 func (a *attempt) mayHaveCrashed() bool {
 	return a.task != nil && a.task.trial.number > 0 && a.observedRunTime() < stableRunTime
 }
 
-// resolveInheritedTrial settles a trial of an earlier leader of which no worker tells,
-// though nothing is waited for any more. If its worker has ended, it has ended with
-// it. One that names no worker may have, if any worker has ended unseen.
+// resolveInheritedTrial resolves a trial of an earlier leader that no worker has
+// reported, although no worker is being waited for any more. If the trial's worker
+// has ended, the attempt ended with it. A trial that names no worker may have ended
+// that way if any worker has ended unseen.
 func (m *Machine) resolveInheritedTrial(t *task) {
 	if !t.trial.inherited {
 		return
@@ -94,8 +98,8 @@
 	m.markDirty(t.step.job())
 }
 
-// trialIncarnation returns the session with the worker that a record names: with the latest
-// of its id if the record does not say which incarnation it was.
+// trialIncarnation returns the worker that a trial's record names. If the record
+// lacks the incarnation, that is the latest one of the id.
 func (m *Machine) trialIncarnation(id model.Incarnation) *worker {
 	if w := m.workers.Get(id); w != nil || id.StartedMs != 0 {
 		return w
@@ -103,9 +107,9 @@
 	return m.latestIncarnation(id.ID)
 }
 
-// ensureTrialStored reports whether the task may be started on the worker as far as the
-// record of its trial goes, and has it stored if not. The record names the worker of
-// a task that is watched, and room is kept there meanwhile.
+// ensureTrialStored reports whether the task may be started on the worker as far as
+// its trial record is concerned. If not, it requests that the record be stored. For
+// a suspect task the record names the worker, and room is reserved there meanwhile.
 func (m *Machine) ensureTrialStored(t *task, w *worker) bool {
 	switch {
 	case !m.needsTrial(t):
@@ -122,15 +126,16 @@
 	return t.trial.stored
 }
 
-// requestTrial has it stored that the task is about to be started, on the worker
-// that is named or on any.
+// requestTrial requests that a trial record for the next attempt be stored, bound
+// to a worker if one is given.
 func (m *Machine) requestTrial(t *task, on model.Incarnation) {
 	t.trial = trial{number: t.last + 1, worker: on}
 	m.markDirty(t.step.job())
 }
 
-// prepareRestart has stored what must be before a task is started again that has
-// just lost an attempt, together with that loss.
+// prepareRestart requests the records that must be stored before a task that has
+// just lost an attempt is started again, so that they are stored together with the
+// loss.
 func (m *Machine) prepareRestart(t *task) {
 	if t == nil || !t.idle() || t.step.job().state.Final() {
 		return
@@ -141,8 +146,8 @@
 	}
 }
 
-// startTrial starts a task whose trial is stored on the worker that the record
-// names, and takes the trial back if it can't go there any more.
+// startTrial starts a task, whose trial record is stored, on the worker in the
+// record. It drops the trial if that worker is no longer feasible.
 func (m *Machine) startTrial(t *task) bool {
 	w := m.workers.Get(t.trial.worker)
 	if w == nil || !m.isFeasible(t, w) {
@@ -153,7 +158,8 @@
 	return true
 }
 
-// ensureGangTrialsStored is trialStored for all members of a gang and their workers.
+// ensureGangTrialsStored calls ensureTrialStored for all members of a gang and
+// their workers.
 func (m *Machine) ensureGangTrialsStored(s *step, placed []*worker) bool {
 	all := true
 	for i, t := range s.tasks {
@@ -162,7 +168,7 @@
 	return all
 }
 
-// dropTrial takes back a trial that did not begin.
+// dropTrial drops a trial that has not begun.
 func (m *Machine) dropTrial(t *task) {
 	if t.trial.number == 0 || t.trial.inherited || !t.idle() {
 		return
@@ -171,15 +177,15 @@
 	m.markDirty(t.step.job())
 }
 
-// dropTrialOnWorker is dropTrial for a trial that names its worker: one that does not
-// is as good elsewhere.
+// dropTrialOnWorker drops a trial that has not begun if it is bound to a worker. A
+// trial that is not can begin on any other worker.
 func (m *Machine) dropTrialOnWorker(t *task) {
 	if t.trial.namesWorker() {
 		m.dropTrial(t)
 	}
 }
 
-// dropTrials takes back all trials that did not begin.
+// dropTrials drops all trials that have not begun.
 func (m *Machine) dropTrials() {
 	for s := range m.pending.All() {
 		for _, t := range s.tasks {
@@ -188,7 +194,7 @@
 	}
 }
 
-// adoptTrial takes in that an attempt which an earlier leader started runs.
+// adoptTrial records that an attempt started by an earlier leader is running.
 func (m *Machine) adoptTrial(t *task, attempt int, on model.Incarnation) {
 	if m.needsTrial(t) {
 		t.trial = trial{number: attempt, worker: on, stored: t.trial.inherited}
@@ -197,8 +203,8 @@
 	t.known = true
 }
 
-// endTrial takes in that an attempt has ended: otherwise than with its worker,
-// or its crash is counted already.
+// endTrial updates the trial and the crashes of a task after the end of an attempt.
+// The end is not a crash, or the crash has been counted already.
 func (m *Machine) endTrial(t *task, a *attempt, cause EndCause) {
 	ofTrial := t.trial.number > 0 && a.key.attempt >= t.trial.number
 	crashesCleared := cause != endLost && len(t.crashes) > 0 && a.observedRunTime() >= stableRunTime
@@ -213,7 +219,7 @@
 	}
 }
 
-// trialsIn returns the trials in some records.
+// trialsIn returns the trials in the given records.
 func trialsIn(records []ProgressRecord) map[job.TaskKey]job.Trial {
 	found := make(map[job.TaskKey]job.Trial)
 	for _, r := range records {
@@ -230,7 +236,7 @@
 	return found
 }
 
-// markTrialsStored takes in that trials are stored.
+// markTrialsStored marks trials as stored after a commit.
 func (m *Machine) markTrialsStored(stored map[job.TaskKey]job.Trial) {
 	for key, record := range stored {
 		if t := m.task(key); t != nil && t.trial.number == record.Attempt && t.trial.worker == record.Incarnation() {
--- a/core/jobsched/watch.go
+++ b/core/jobsched/watch.go
@@ -6,16 +6,18 @@
 )
 
 const (
-	// stallTimeout is how long an attempt may stand still, by its reports, before
-	// it is started elsewhere. Its share of done work grows by the percent, and
-	// the longest tasks of the users take some seconds for all hundred.
+	// stallTimeout is how long an attempt may report no progress before it is
+	// stopped and started elsewhere. Progress is reported in whole percent, and the
+	// longest tasks of the users take a few seconds for all hundred.
 	stallTimeout = 1500 * time.Millisecond
-	// bestEffortStallTimeout is the same for work that may find no processor free.
+	// bestEffortStallTimeout is the same for best-effort work, which may find no
+	// processor free.
 	bestEffortStallTimeout = 5 * time.Second
 )
 
-// checkAttempts stops attempts that are better run elsewhere, and notes those whose
-// workers do not answer.
+// checkAttempts stops stalled attempts and those that a draining worker would cut
+// short. It also updates the health of workers and notes attempts whose workers are
+// unreachable.
 func (m *Machine) checkAttempts() {
 	for _, w := range m.workers.All() {
 		if w.entry.Draining {
@@ -35,8 +37,8 @@
 	}
 }
 
-// isStalled reports whether the attempt has not advanced for long, although its
-// worker answers.
+// isStalled reports whether the attempt has made no progress for too long although
+// its worker is reachable.
 func (a *attempt) isStalled(now time.Time) bool {
 	if a.phase != phaseRunning || a.task == nil || !a.worker.unreachableSince.IsZero() {
 		return false
@@ -51,8 +53,8 @@
 	return now.Sub(a.lastAdvance()) > limit
 }
 
-// lastAdvance returns when the attempt was started or last advanced, as far as is
-// known.
+// lastAdvance returns the later of the attempt's start and its last progress, as
+// far as known.
 func (a *attempt) lastAdvance() time.Time {
 	if a.startedAt.After(a.advancedAt) {
 		return a.startedAt
@@ -60,13 +62,15 @@
 	return a.advancedAt
 }
 
-// inheritedStall is what an earlier leader saw of an attempt that stands still.
+// inheritedStall is the lack of progress of an attempt that an earlier leader
+// recorded.
 type inheritedStall struct {
 	percent int
 	since   time.Time
 }
 
-// applyInheritedStall counts the time without progress on that an earlier leader saw.
+// applyInheritedStall continues the stall that an earlier leader recorded, if the
+// attempt has made no progress since.
 func (a *attempt) applyInheritedStall(percent int) {
 	stall, ok := a.worker.inheritedStalls[a.key]
 	delete(a.worker.inheritedStalls, a.key)
@@ -75,9 +79,9 @@
 	}
 }
 
-// evacuate moves what a leaving worker would end. Long-running tasks go at
-// once; others go if they resume where they were stopped, and are not likely to
-// be done in time.
+// evacuate stops attempts that a draining worker would cut short, so that they run
+// elsewhere. Long-running tasks are stopped at once. Others are stopped only if
+// they resume from a checkpoint and are unlikely to finish in the remaining time.
 func (m *Machine) evacuate(w *worker) {
 	for _, a := range w.attempts.All() {
 		if a.phase != phaseRunning || a.task == nil || a.step().spec.Gang {
@@ -88,12 +92,13 @@
 		case spec.LongRunning:
 			m.requestStop(a, "its worker leaves")
 		case spec.Checkpointing && a.remaining(m.now) > w.entry.Remaining:
-			m.requestStop(a, "its worker leaves before it is done")
+			m.requestStop(a, "its worker leaves before it is expected to finish")
 		}
 	}
 }
 
-// remaining estimates how long the attempt still takes, by its pace so far.
+// remaining estimates the attempt's remaining run time from its progress so far, or
+// from the step's estimate if it has made none.
 func (a *attempt) remaining(now time.Time) time.Duration {
 	if a.percent <= 0 {
 		return time.Duration(a.step().spec.EstimateMs) * time.Millisecond
--- a/core/jobsched/watched.go
+++ b/core/jobsched/watched.go
@@ -7,37 +7,38 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// Tasks with suspicious crashes are watched: kept apart from each other, and in the
-// end tried alone, until they have run for longer than before their workers crashed.
-// Tasks that are placed together would all be blamed for what one of them does, and
-// a step whose tasks all crash their workers would take as many workers at a time.
+// Suspect tasks, those with suspicious crashes, are kept off each other's workers,
+// and after repeated crashes run isolated, until they have run for longer than
+// before their workers crashed. If they were placed together, all of them would be
+// blamed for a crash that one caused, and a step whose tasks all crash their
+// workers would take down that many workers at a time.
 
 const (
-	// isolateAfterSuspicious is from how many suspicious crashes on a task is tried alone: on
-	// a worker without another trial, and where nothing new is started beside it.
-	// aloneCrashes is the same for crashes of any kind.
+	// isolateAfterSuspicious is the number of suspicious crashes from which a task
+	// is isolated: its worker runs no other trial, and nothing new is started
+	// there. isolateAfterCrashes is the same for crashes of any kind.
 	isolateAfterSuspicious = 2
 	isolateAfterCrashes    = 3
-	// workersPerTrial is how many workers there are for each task that may be tried
-	// alone at a time: each may cost a worker and what runs there.
+	// workersPerTrial is the number of workers per isolated trial: each trial may
+	// cost a worker and everything that runs there.
 	workersPerTrial = 8
-	// defaultTrialTime is how long a trial lasts when it is not known how long the
-	// attempts before it ran.
+	// defaultTrialTime is the length of a trial if it is unknown how long the
+	// earlier attempts ran.
 	defaultTrialTime = 2 * time.Second
 )
 
-// needsIsolation reports whether the task is to be tried needsIsolation. Members of a gang run
-// together or not at all.
+// needsIsolation reports whether the task must run isolated. Members of a gang are
+// never isolated, because they only run together.
 func (t *task) needsIsolation() bool {
 	tried := t.countSuspicious() >= isolateAfterSuspicious || len(t.crashes) >= isolateAfterCrashes
 	return tried && !t.step.spec.Gang
 }
 
-// isSuspect reports whether attempts of the task are kept apart from each other until
-// they have outlasted the moment at which workers crashed.
+// isSuspect reports whether attempts of the task are kept apart from each other
+// until they have run for longer than the crashed ones.
 func (t *task) isSuspect() bool { return t.countSuspicious() > 0 || t.needsIsolation() }
 
-// countSuspicious counts the countSuspicious crashes under the task.
+// countSuspicious counts the task's suspicious crashes.
 func (t *task) countSuspicious() int {
 	n := 0
 	for _, c := range t.crashes {
@@ -48,8 +49,9 @@
 	return n
 }
 
-// trialTime returns how long an attempt of the task must be seen to run to show
-// that it outlasts the moment at which its workers crashed.
+// trialTime returns how long an attempt of the task must be observed running to
+// show that it has passed the point at which the earlier attempts crashed their
+// workers.
 func (t *task) trialTime() time.Duration {
 	longest := time.Duration(0)
 	for _, c := range t.crashes {
@@ -58,7 +60,7 @@
 		case c.ObservedRunMs == job.ObservedRunUnknown:
 			seen = defaultTrialTime
 		case seen >= stableRunTime:
-			// The start was not the cause.
+			// After that run time the start was not the cause.
 			seen = 0
 		}
 		longest = max(longest, seen)
@@ -66,13 +68,13 @@
 	return longest + reportDelay
 }
 
-// onTrial reports whether the attempt may still crash its worker, as earlier ones
-// of its task did or may have done.
+// onTrial reports whether the attempt has not yet run for its task's trialTime, so
+// that it may still crash its worker.
 func (a *attempt) onTrial() bool {
 	return a.observedRunTime() < a.task.trialTime()
 }
 
-// countTrials notes for the workers which of them have attempts on trial.
+// countTrials counts the attempts on trial, per worker and in total.
 func (m *Machine) countTrials() {
 	for _, w := range m.workers.All() {
 		w.trials, w.hasIsolatedTrial = 0, false
@@ -85,7 +87,7 @@
 	}
 }
 
-// countTrial notes that a task is on trial on a worker, or is about to be.
+// countTrial counts a task that is on trial on a worker, or about to be.
 func (m *Machine) countTrial(t *task, w *worker) {
 	w.trials++
 	if t.needsIsolation() {
@@ -94,7 +96,7 @@
 	}
 }
 
-// beginTrial follows an attempt of a task that is watched.
+// beginTrial tracks an attempt of a suspect task.
 func (m *Machine) beginTrial(a *attempt) {
 	if a.task.isSuspect() {
 		m.trials.Set(a, struct{}{})
@@ -102,13 +104,13 @@
 	}
 }
 
-// filterTrial keeps everything else off a worker on which a task is tried alone,
-// and such a task off workers with other trials.
+// filterTrial keeps other tasks off a worker with an isolated trial, and tasks that
+// need isolation off workers with other trials.
 func filterTrial(_ *Machine, t *task, w *worker) bool {
 	return !w.hasIsolatedTrial && (w.trials == 0 || !t.needsIsolation())
 }
 
-// mayStartAfterCrashes reports whether the task may be started as far as crashes under it go.
+// mayStartAfterCrashes reports whether the task's crashes permit a start now.
 func (m *Machine) mayStartAfterCrashes(t *task) bool {
 	m.resolveInheritedTrial(t)
 	switch {
@@ -120,9 +122,9 @@
 	return t.step.spec.Gang || t.countSuspicious() == 0 || !t.step.hasOtherTrial(t)
 }
 
-// hasOtherTrial reports whether another task of the step is on trial and none of the
-// step has outlasted that yet. If all tasks of a step crash their workers, one of
-// them is enough to find out.
+// hasOtherTrial reports whether another suspect task of the step is on trial while
+// no task of the step has run for trialTime. If all tasks of a step crash their
+// workers, one of them is enough to find out.
 func (s *step) hasOtherTrial(t *task) bool {
 	tries := false
 	for _, other := range s.tasks {
@@ -140,7 +142,8 @@
 	return tries
 }
 
-// mayStartGangAfterCrashes reports whether all members of a gang may be tried.
+// mayStartGangAfterCrashes reports whether the crashes of all members of a gang
+// permit a start now.
 func (m *Machine) mayStartGangAfterCrashes(s *step) bool {
 	return !slices.ContainsFunc(s.tasks, func(t *task) bool { return !m.mayStartAfterCrashes(t) })
 }
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -8,77 +8,80 @@
 	"github.com/guavarill/guavarill/core/ordered"
 )
 
-// worker is the session with one incarnation of a worker.
+// worker is the machine's state of one incarnation of a worker.
 type worker struct {
 	id    model.Incarnation
 	entry WorkerEntry
-	// siblings are the sessions with all incarnations of its id.
+	// siblings groups all known incarnations of its id, including itself.
 	siblings *workerIncarnations
-	// full is the largest capacity that is known of its VM, in each dimension: what
-	// it shows may shrink for a while.
+	// full is the largest known capacity of its VM, in each dimension: the capacity
+	// in the entry may shrink for a while.
 	full model.Resources
-	// listed is whether the last list had it.
+	// listed is whether it is in the latest list.
 	listed bool
-	// onRoster is whether it is on the stored roster, before which nothing is
-	// started on it; mark is what that roster should say of it.
+	// onRoster is whether it is on the stored roster; nothing is started on it
+	// before. rosterStatus is its status on that roster.
 	onRoster     bool
 	rosterStatus rosterStatus
-	// closed and bounded are set while a roster of this leader that is stored, or
-	// may be, says that nothing is started there, and when leases there end.
+	// closed and bounded are set while a roster of this leader, stored or being
+	// stored, guarantees that nothing is started on the worker, or when the leases
+	// there end.
 	closed, bounded bool
-	// attemptsUnknown is set while the machine does not know what an earlier leader may
-	// have started there.
+	// attemptsUnknown is set while an earlier leader may have started attempts
+	// there that this machine does not know of.
 	attemptsUnknown bool
 	// ended is set once another incarnation has answered at its address.
 	ended bool
-	// answered is whether it has answered under the machine's epoch; before
-	// that nothing is started on it.
+	// answered is whether it has answered under the machine's epoch; nothing is
+	// started on it before.
 	answered bool
-	// clockMs is the worker's clock, read at clockAt.
+	// clockMs is the worker's clock, as read at clockAt.
 	clockMs int64
 	clockAt time.Time
-	// leaseBound is when all that runs there has certainly lost its lease,
-	// unless the lease is renewed.
+	// leaseBound is when all attempts there have certainly lost their leases,
+	// unless they are renewed.
 	leaseBound time.Time
-	// unreachableSince is when the first of the unanswered calls was sent; zero when
-	// the last was answered.
+	// unreachableSince is when the first of the unanswered calls was sent; zero if
+	// the last call was answered.
 	unreachableSince time.Time
-	// lastReportAt is when it answered a renewal last.
+	// lastReportAt is when its last report arrived.
 	lastReportAt time.Time
 	renewing     bool
 	renewAt      time.Time
-	// lastSeenEnd numbers the last end taken in, ackedEnds the last one that the
-	// worker may forget; taken lists those between.
+	// lastSeenEnd is the number of the last processed end, lastAckedEnd that of the
+	// last acknowledged one, which the worker may forget. unackedEnds lists the
+	// ends between the two.
 	lastSeenEnd  int64
 	lastAckedEnd int64
-	// sentAckedEnd is what the last renewal acknowledged.
+	// sentAckedEnd is the number that the last renewal acknowledged.
 	sentAckedEnd int64
 	unackedEnds  []unackedEnd
 	attempts     ordered.Map[attemptKey, *attempt]
 	committed    model.Resources
-	// reclaimable is the part of committed that ends, or could be ended for more
-	// urgent work: all but that of long-running tasks which are not being stopped.
+	// reclaimable is the part of committed that is being freed or could be freed by
+	// preemption: all but that of long-running tasks which are not being stopped.
 	reclaimable model.Resources
-	// bestEffortCPU and longRunningCPU are sums over its attempts, in
-	// thousandths of a core; only the second is committed.
+	// bestEffortCPU and longRunningCPU are sums over its attempts, in thousandths
+	// of a core. Only the second is part of committed.
 	bestEffortCPU, longRunningCPU int64
-	// victims counts its serving tasks by the number of their image.
+	// victims counts its serving tasks by the index of their image.
 	victims      []int
 	servingTasks int
-	// lost are attempts that were declared lost with their lease. Their later
-	// ends say nothing.
+	// lost holds the attempts that were declared lost. Their later ends are
+	// ignored, except for ends as done and failures.
 	lost map[attemptKey]struct{}
-	// pendingStarts are those of them whose start was neither answered nor barred.
+	// pendingStarts holds the lost attempts whose start was neither answered nor
+	// blocked by an acknowledged stop.
 	pendingStarts map[attemptKey]struct{}
-	// inheritedStalls tells which attempts an earlier leader saw standing inheritedStalls.
+	// inheritedStalls holds the stalled attempts that an earlier leader recorded.
 	inheritedStalls map[attemptKey]inheritedStall
-	// trials counts its attempts on trial, triedAlone is whether one of them is of a
-	// task that is tried alone.
+	// trials counts its attempts on trial. hasIsolatedTrial is set if one of them
+	// requires isolation.
 	trials           int
 	hasIsolatedTrial bool
-	// noStartsUntil holds back new starts after a refusal.
+	// noStartsUntil delays new starts after a refusal.
 	noStartsUntil time.Time
-	// reserved is room that is being made for tasks.
+	// reserved holds the reservations of room on the worker.
 	reserved []reservation
 	health   health
 	throttle throttleState
@@ -91,26 +94,27 @@
 	}
 }
 
-// learnID names the session to the learner of interference.
+// learnID identifies the worker in the interference learner.
 func (w *worker) learnID() model.WorkerID { return model.WorkerID(w.id.String()) }
 
-// room returns what is not committed.
+// room returns the uncommitted capacity.
 func (w *worker) room() model.Resources { return w.entry.Capacity.Sub(w.committed) }
 
-// freeCPU estimates the processor time that best-effort work could use.
+// freeCPU estimates the processor time available to best-effort work, in
+// thousandths of a core.
 func (w *worker) freeCPU() int64 {
 	used := w.committed.MilliCPU - int64(float64(w.longRunningCPU)*(1-longRunningUse))
 	return w.entry.Capacity.MilliCPU - used - w.bestEffortCPU
 }
 
-// longRunningUse is the part of their committed processor time that
-// long-running tasks use. They declare what they need at the peak of a load
-// that swings about its half.
+// longRunningUse is the fraction of their committed processor time that
+// long-running tasks use on average. They declare what they need at peak load, and
+// their load swings around half of that.
 const longRunningUse = 0.5
 
 func (w *worker) hasLabel(label string) bool { return slices.Contains(w.entry.Labels, label) }
 
-// add takes an attempt in and commits its size.
+// add adds an attempt and commits its size.
 func (w *worker) add(a *attempt) {
 	w.attempts.Set(a.key, a)
 	w.tails.stale = true
@@ -124,7 +128,7 @@
 	}
 }
 
-// remove forgets an attempt and frees its size.
+// remove removes an attempt and frees its size.
 func (w *worker) remove(a *attempt) {
 	w.attempts.Delete(a.key)
 	w.tails.stale = true
@@ -138,17 +142,17 @@
 	}
 }
 
-// sampleClock notes a reading of the worker's clock.
+// sampleClock records a reading of the worker's clock.
 func (w *worker) sampleClock(now time.Time, clockMs int64) {
 	if clockMs > 0 {
 		w.clockMs, w.clockAt = clockMs, now
 	}
 }
 
-// until returns the end, on the worker's clock, of a lease of the given length
-// that begins now, and 0 while the worker's clock is not known. It moves the
-// bound after which nothing of the lease is left: the worker's clock may run
-// slow, and may have fallen behind since it was read.
+// until returns the end, on the worker's clock, of a lease that begins now, or 0 if
+// the worker's clock is unknown. It extends leaseBound to the time at which the
+// lease has certainly ended: the worker's clock may run slow, and may have fallen
+// behind since it was read.
 func (w *worker) until(now time.Time, lease time.Duration) int64 {
 	if w.clockAt.IsZero() {
 		return 0
@@ -161,11 +165,11 @@
 	return w.clockMs + (since + lease).Milliseconds()
 }
 
-// drift returns how much longer than a time the worker may take for it.
+// drift returns by how much the duration d on the worker's clock may exceed d.
 func (w *worker) drift(d time.Duration) time.Duration { return time.Duration(float64(d) * clockDrift) }
 
 // leaseWithin returns the longest lease that begins now and has certainly ended by
-// the bound given: the inverse of the bound in until, less a millisecond for the
+// the given bound. It is the inverse of the bound in until, less a millisecond for
 // rounding.
 func (w *worker) leaseWithin(now, bound time.Time) time.Duration {
 	since := time.Duration(float64(now.Sub(w.clockAt)) * clockDrift)
@@ -173,14 +177,15 @@
 }
 
 const (
-	// clockDrift is how slow a worker's clock may be: 2% by the platform's
-	// contract, and a little for the rounding.
+	// clockDrift is by how much a worker's clock may run slow: 2% by the platform's
+	// contract, plus a margin for rounding.
 	clockDrift = 0.025
-	// leaseSlack covers the worker's own delay in ending what has no lease.
+	// leaseSlack covers the worker's delay in ending attempts whose lease has
+	// expired.
 	leaseSlack = 200 * time.Millisecond
 )
 
-// isUsable reports whether new tasks may go there at all.
+// isUsable reports whether any new task may be started on the worker.
 func (w *worker) isUsable(now time.Time) bool {
 	allowed := w.listed && w.onRoster && !w.closed && !w.bounded && !w.entry.Draining && !w.ended && !w.isContested()
 	well := w.answered && w.unreachableSince.IsZero() && !w.clockAt.IsZero() && len(w.unackedEnds) < maxUnackedEnds
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -7,11 +7,11 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// workersListed takes the platform's list in. A worker that is missing from it
-// may have left, may have lost its entry in an outage of the platform's store,
-// or may be cut off and run on: nothing is started on it, and what runs there
-// is over when it says so or when its lease has certainly run out. An unusable
-// entry is as good as none.
+// workersListed applies the platform's list. A worker that is missing from it may
+// have left, may have lost its entry in an outage of the platform's store, or may
+// be partitioned and still running. Nothing is started on it, and its attempts are
+// over only when it reports that, or when their leases have certainly ended. An
+// unusable entry is treated as a missing one.
 func (m *Machine) workersListed(list WorkersListed) {
 	m.listed = true
 	for _, w := range m.workers.All() {
@@ -49,7 +49,7 @@
 	}
 }
 
-// fullSizes returns the full capacities of the VMs that are known.
+// fullSizes returns the largest known capacity of each VM.
 func (m *Machine) fullSizes() map[string]model.Resources {
 	sizes := make(map[string]model.Resources, m.workers.Len())
 	for _, w := range m.workers.All() {
@@ -60,18 +60,18 @@
 	return sizes
 }
 
-// earlierLeasesEnd returns when nothing runs any more under a lease that an
-// earlier leader gave.
+// earlierLeasesEnd returns when all leases granted by earlier leaders have ended.
 func (m *Machine) earlierLeasesEnd() time.Time {
 	bound := m.recoveredAt.Add(m.options.LeaderTTL + m.options.Lease)
 	return bound.Add(time.Duration(float64(m.options.Lease)*clockDrift) + leaseSlack)
 }
 
-// markRosterLost notes that the stored roster could not be read. Attempts may run on
-// any worker until the time given, also on one that the platform's list lacks, so
-// nothing is started before. Leases are renewed on workers that are on a roster
-// of this leader or a later one, and each commit says for how long that roster may
-// lack others: the next leader waits no longer than this one.
+// markRosterLost records that the stored roster could not be read. Until the given
+// time attempts may be running on any worker, even one missing from the platform's
+// list, so nothing is started before. Leases are renewed only on workers that are
+// on a roster of this leader or a later one, and each commit stores how much longer
+// the roster may lack workers, so that the next leader waits no longer than this
+// one.
 func (m *Machine) markRosterLost(until time.Time, reason string) {
 	m.rosterLostUntil = until
 	m.restarts.leaseExpiredUnanswered = true
@@ -80,14 +80,14 @@
 		m.rosterLostUntil.Sub(m.now).String() + " from now, when all earlier leases have ended"})
 }
 
-// rosterLostLeft returns how long the stored roster may still lack workers.
+// rosterLostLeft returns how much longer the stored roster may lack workers.
 func (m *Machine) rosterLostLeft() time.Duration { return max(m.rosterLostUntil.Sub(m.now), 0) }
 
-// startsHeld reports whether a task must wait because an earlier leader may have
-// started it on a worker that has not answered yet, or because the statements of
-// that leader's roster still stand: the first commit ends that. Jobs that came
-// after the take-over can have been started elsewhere only while that leader may
-// still have been at work.
+// startsHeld reports whether starts of the job are held back. That is so while an
+// earlier leader may have started its tasks on a worker that has not answered yet,
+// and until the first commit of this leader ends the guarantees of the earlier
+// leader's roster. Jobs accepted after the takeover can have been started elsewhere
+// only while the earlier leader may still have been acting, for LeaderTTL.
 func (m *Machine) startsHeld(j *jobState) bool {
 	if !m.commit.stored || m.now.Before(m.rosterLostUntil) {
 		return true
@@ -98,8 +98,8 @@
 	return j.recovered || m.now.Before(m.recoveredAt.Add(m.options.LeaderTTL))
 }
 
-// expireWorkers settles workers that have not answered for so long that
-// nothing can run there any more.
+// expireWorkers handles workers that have not answered for so long that their
+// leases have ended, and forgets those that have left.
 func (m *Machine) expireWorkers() {
 	for id, bound := range m.unresolved.All() {
 		if !m.now.Before(bound) {
@@ -119,11 +119,11 @@
 	}
 }
 
-// hasDeparted reports whether a worker has left: it is not on the list, and no attempt
-// may run there. That is enough where another incarnation has followed it. Where no
-// end is awaited from it either, it is enough that it said it would leave, or does
-// not answer. Else, or where it is not known what ran there, it must be silent until
-// its leases have ended.
+// hasDeparted reports whether a worker has left: it is not listed, and no attempt
+// may be running there. If another incarnation has followed it, that is enough. If
+// it has no ends left to report and its attempts are known, it must also be
+// draining or unreachable. Otherwise it must be unreachable until its leases have
+// ended.
 func (m *Machine) hasDeparted(w *worker) bool {
 	if !m.listed || w.listed || w.attempts.Len() > 0 {
 		return false
@@ -156,10 +156,10 @@
 	m.unresolved.Delete(w.id)
 	m.roster.outdated = true
 	m.learner.DropWorker(w.learnID())
-	m.emit(Note{Decision: "worker gone", Worker: w.id, Reason: "not listed, and nothing of it is left"})
+	m.emit(Note{Decision: "worker gone", Worker: w.id, Reason: "not listed, and none of its attempts is left"})
 }
 
-// endIncarnation takes in that the incarnation has ended, with all that ran on it.
+// endIncarnation marks an incarnation as ended, together with all attempts on it.
 func (m *Machine) endIncarnation(w *worker) {
 	if w.attemptsUnknown {
 		m.unseenCrash = true
@@ -170,7 +170,7 @@
 	m.unresolved.Delete(w.id)
 }
 
-// markUnreachable notes that a call to w got no answer.
+// markUnreachable records that a call to w got no answer.
 func (m *Machine) markUnreachable(w *worker, sentAt time.Time) {
 	if w.unreachableSince.IsZero() {
 		w.unreachableSince = sentAt
@@ -178,7 +178,7 @@
 	}
 }
 
-// markReachable notes that w has answered a Renew.
+// markReachable records that w has answered a Renew.
 func (m *Machine) markReachable(w *worker) {
 	if !w.unreachableSince.IsZero() {
 		m.emit(Note{Decision: "worker answers again", Worker: w.id,
@@ -198,5 +198,5 @@
 	}
 }
 
-// worker returns the session with the worker, or nil.
+// worker returns the given incarnation of a worker, or nil if unknown.
 func (m *Machine) worker(id model.Incarnation) *worker { return m.workers.Get(id) }
