--- a/core/jobsched/crash.go
+++ b/core/jobsched/crash.go
@@ -176,8 +176,8 @@
 		}
 	}
 	for _, other := range m.workers.All() {
-		silent := !other.ended && !other.unreachableSince.IsZero() && other.attempts.Len() > 0
-		if silent && together(other) && !other.mayRunStep(s) {
+		unreachable := !other.ended && !other.unreachableSince.IsZero() && other.attempts.Len() > 0
+		if unreachable && together(other) && !other.mayRunStep(s) {
 			others++
 		}
 	}
--- a/core/jobsched/entrytracker.go
+++ b/core/jobsched/entrytracker.go
@@ -128,11 +128,11 @@
 			continue
 		}
 		e.tracked.Delete(id)
-		turn := EntryGone
+		change := EntryGone
 		if w != nil && w.listed {
-			turn = EntryRepaired
+			change = EntryRepaired
 		}
-		m.entryChanged(id, turn, "was "+fault.String())
+		m.entryChanged(id, change, "was "+fault.String())
 	}
 	return unknown
 }
--- a/core/jobsched/incarnation.go
+++ b/core/jobsched/incarnation.go
@@ -28,15 +28,15 @@
 // addIncarnation adds an incarnation of a worker. If others of the same id are
 // known, orders to them may have reached this one, with leases of up to MaxLease.
 func (m *Machine) addIncarnation(w *worker) {
-	all := m.incarnations[w.id.ID]
-	if all == nil {
-		all = new(workerIncarnations)
-		m.incarnations[w.id.ID] = all
+	group := m.incarnations[w.id.ID]
+	if group == nil {
+		group = new(workerIncarnations)
+		m.incarnations[w.id.ID] = group
 	} else {
 		w.leaseBound = m.now.Add(m.options.MaxLease + w.drift(m.options.MaxLease) + leaseSlack)
 	}
-	all.all = append(all.all, w)
-	w.siblings = all
+	group.all = append(group.all, w)
+	w.siblings = group
 	m.workers.Set(w.id, w)
 }
 
@@ -52,11 +52,11 @@
 // latestIncarnation returns the incarnation of a worker that was added last, or nil
 // if there is none.
 func (m *Machine) latestIncarnation(id model.WorkerID) *worker {
-	all := m.incarnations[id]
-	if all == nil {
+	group := m.incarnations[id]
+	if group == nil {
 		return nil
 	}
-	return all.all[len(all.all)-1]
+	return group.all[len(group.all)-1]
 }
 
 // isContested reports whether another incarnation of the worker has answered as
--- a/core/jobsched/isolation.go
+++ b/core/jobsched/isolation.go
@@ -30,8 +30,8 @@
 // needsIsolation reports whether the task must run isolated. Members of a gang are
 // never isolated, because they only run together.
 func (t *task) needsIsolation() bool {
-	tried := t.countSuspicious() >= isolateAfterSuspicious || len(t.crashes) >= isolateAfterCrashes
-	return tried && !t.step.spec.Gang
+	repeated := t.countSuspicious() >= isolateAfterSuspicious || len(t.crashes) >= isolateAfterCrashes
+	return repeated && !t.step.spec.Gang
 }
 
 // isSuspect reports whether attempts of the task are kept apart from each other
@@ -126,7 +126,7 @@
 // no task of the step has run for trialTime. If all tasks of a step crash their
 // workers, one of them is enough to find out.
 func (s *step) hasOtherTrial(t *task) bool {
-	tries := false
+	found := false
 	for _, other := range s.tasks {
 		if other.done {
 			return false
@@ -137,9 +137,9 @@
 			}
 		}
 		about := len(other.attempts) > 0 || other.index < t.index && other.trial.isAwaitingRecord()
-		tries = tries || other != t && about && other.countSuspicious() > 0
+		found = found || other != t && about && other.countSuspicious() > 0
 	}
-	return tries
+	return found
 }
 
 // mayStartGangAfterCrashes reports whether the crashes of all members of a gang
--- a/core/jobsched/roster.go
+++ b/core/jobsched/roster.go
@@ -160,8 +160,8 @@
 // acceptsTasks reports whether tasks may be started on the worker, now or as soon
 // as it answers.
 func (w *worker) acceptsTasks(now time.Time) bool {
-	silent := !w.unreachableSince.IsZero() && now.Sub(w.unreachableSince) >= rosterUnreachableAfter
-	return w.answered && w.listed && !w.entry.Draining && !silent
+	unreachable := !w.unreachableSince.IsZero() && now.Sub(w.unreachableSince) >= rosterUnreachableAfter
+	return w.answered && w.listed && !w.entry.Draining && !unreachable
 }
 
 // outstanding counts the attempts that may be running on the worker, or whose ends
--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -188,6 +188,6 @@
 // isUsable reports whether any new task may be started on the worker.
 func (w *worker) isUsable(now time.Time) bool {
 	allowed := w.listed && w.onRoster && !w.closed && !w.bounded && !w.entry.Draining && !w.ended && !w.isContested()
-	well := w.answered && w.unreachableSince.IsZero() && !w.clockAt.IsZero() && len(w.unackedEnds) < maxUnackedEnds
-	return allowed && well && !now.Before(w.noStartsUntil) && w.health.isAvailable(now)
+	healthy := w.answered && w.unreachableSince.IsZero() && !w.clockAt.IsZero() && len(w.unackedEnds) < maxUnackedEnds
+	return allowed && healthy && !now.Before(w.noStartsUntil) && w.health.isAvailable(now)
 }
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -131,11 +131,11 @@
 	if w.ended {
 		return true
 	}
-	silent := !w.unreachableSince.IsZero()
+	unreachable := !w.unreachableSince.IsZero()
 	if !w.attemptsUnknown && w.outstanding() == 0 {
-		return silent || w.entry.Draining
+		return unreachable || w.entry.Draining
 	}
-	return silent && !m.now.Before(w.leaseBound)
+	return unreachable && !m.now.Before(w.leaseBound)
 }
 
 func (m *Machine) loseAttempt(a *attempt, reason string) {
