--- a/core/jobsched/worker.go
+++ b/core/jobsched/worker.go
@@ -165,7 +165,8 @@
 	return w.clockMs + (since + lease).Milliseconds()
 }
 
-// drift returns by how much the duration d on the worker's clock may exceed d.
+// drift returns how much longer than d it may take until d has passed on the worker's
+// clock, which may run slow.
 func (w *worker) drift(d time.Duration) time.Duration { return time.Duration(float64(d) * clockDrift) }
 
 // leaseWithin returns the longest lease that begins now and has certainly ended by
