--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -23,8 +23,8 @@
 	minRetryDelay = 100 * time.Millisecond
 	maxRetryDelay = 500 * time.Millisecond
 	// notSentPause is the delay before retrying an order that was not sent because
-	// the daemon is waiting for its connections to the daemons that send orders, or
-	// is no longer the leader.
+	// the daemon is waiting for its connections to the relays, or is no longer the
+	// leader.
 	notSentPause = 100 * time.Millisecond
 	// maxReportedEnds is how many ends a worker includes in a report.
 	maxReportedEnds = 500
