--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -15,11 +15,11 @@
 	at   time.Time
 }
 
-// record is what is known of one worker.
-type record struct {
+// workerRecord is what is known of one worker.
+type workerRecord struct {
 	failures []taskFailure
-	// worked holds the tasks that worked here, with the latest time.
-	worked map[model.TaskKey]time.Time
+	// succeeded holds the tasks that succeeded here, with the latest time.
+	succeeded map[model.TaskKey]time.Time
 	// latestFailed and latestAt describe the latest outcome.
 	latestFailed bool
 	latestAt     time.Time
@@ -28,21 +28,21 @@
 	until     time.Time
 	level     uint32
 	openSince time.Time
-	// probed holds the tasks that worked during this probation.
-	probed map[model.TaskKey]struct{}
-	// strikesFrom is the time from which failures count: those before the end
+	// probationTasks holds the tasks that worked during this probation.
+	probationTasks map[model.TaskKey]struct{}
+	// evidenceFrom is the time from which failures count: those before the end
 	// of the latest quarantine were paid for by it.
-	strikesFrom time.Time
+	evidenceFrom time.Time
 }
 
-func newRecord() *record {
-	return &record{
-		worked: make(map[model.TaskKey]time.Time),
-		probed: make(map[model.TaskKey]struct{}),
+func newWorkerRecord() *workerRecord {
+	return &workerRecord{
+		succeeded:      make(map[model.TaskKey]time.Time),
+		probationTasks: make(map[model.TaskKey]struct{}),
 	}
 }
 
-func (r *record) fail(now time.Time, task model.TaskKey) {
+func (r *workerRecord) recordFailure(now time.Time, task model.TaskKey) {
 	r.latestFailed, r.latestAt = true, now
 	for i := range r.failures {
 		if r.failures[i].task == task {
@@ -59,9 +59,9 @@
 	r.failures = append(r.failures, taskFailure{task, now})
 }
 
-func (r *record) work(now time.Time, task model.TaskKey) {
+func (r *workerRecord) recordSuccess(now time.Time, task model.TaskKey) {
 	r.latestFailed, r.latestAt = false, now
-	r.worked[task] = now
+	r.succeeded[task] = now
 	for i := range r.failures {
 		if r.failures[i].task == task {
 			r.failures = append(r.failures[:i], r.failures[i+1:]...)
@@ -71,7 +71,7 @@
 }
 
 // prune drops evidence from before horizon.
-func (r *record) prune(horizon time.Time) {
+func (r *workerRecord) prune(horizon time.Time) {
 	kept := r.failures[:0]
 	for _, f := range r.failures {
 		if !f.at.Before(horizon) {
@@ -79,32 +79,32 @@
 		}
 	}
 	r.failures = kept
-	for task, at := range r.worked {
+	for task, at := range r.succeeded {
 		if at.Before(horizon) {
-			delete(r.worked, task)
+			delete(r.succeeded, task)
 		}
 	}
 }
 
 // history is where a task or a workload worked and failed, by worker.
 type history struct {
-	worked map[model.WorkerID]time.Time
-	failed map[model.WorkerID]time.Time
-	// streak is how many failures there were since it last worked.
-	streak uint32
+	succeeded map[model.WorkerID]time.Time
+	failed    map[model.WorkerID]time.Time
+	// consecutiveFailures is how many failures there were since it last worked.
+	consecutiveFailures uint32
 }
 
 func newHistory() *history {
 	return &history{
-		worked: make(map[model.WorkerID]time.Time),
-		failed: make(map[model.WorkerID]time.Time),
+		succeeded: make(map[model.WorkerID]time.Time),
+		failed:    make(map[model.WorkerID]time.Time),
 	}
 }
 
 func (h *history) prune(horizon time.Time) {
-	for w, at := range h.worked {
+	for w, at := range h.succeeded {
 		if at.Before(horizon) {
-			delete(h.worked, w)
+			delete(h.succeeded, w)
 		}
 	}
 	for w, at := range h.failed {
@@ -114,15 +114,15 @@
 	}
 }
 
-func (h *history) empty() bool { return len(h.worked) == 0 && len(h.failed) == 0 }
+func (h *history) empty() bool { return len(h.succeeded) == 0 && len(h.failed) == 0 }
 
-// workedElsewhere reports whether it worked on another worker at or after
+// succeededElsewhere reports whether it worked on another worker at or after
 // since.
-func (h *history) workedElsewhere(than model.WorkerID, since time.Time) bool {
+func (h *history) succeededElsewhere(than model.WorkerID, since time.Time) bool {
 	if h == nil {
 		return false
 	}
-	for w, at := range h.worked {
+	for w, at := range h.succeeded {
 		if w != than && !at.Before(since) {
 			return true
 		}
--- a/core/quarantine/judge_test.go
+++ b/core/quarantine/judge_test.go
@@ -19,18 +19,18 @@
 // ledger is the ledger's side of the tasks: what a verdict says is counted is
 // handed back with the next outcome.
 type ledger struct {
-	failures map[model.TaskKey]uint32
-	workers  map[model.TaskKey][]model.WorkerID
-	attempts map[model.TaskKey]model.Attempt
-	gaveUp   map[model.TaskKey]*GaveUpError
-	closed   map[model.WorkerID]WorkerVerdict
+	failures    map[model.TaskKey]uint32
+	workers     map[model.TaskKey][]model.WorkerID
+	attempts    map[model.TaskKey]model.Attempt
+	gaveUp      map[model.TaskKey]*GaveUpError
+	quarantines map[model.WorkerID]WorkerVerdict
 }
 
 func newLedger() *ledger {
 	return &ledger{
 		failures: map[model.TaskKey]uint32{}, workers: map[model.TaskKey][]model.WorkerID{},
 		attempts: map[model.TaskKey]model.Attempt{}, gaveUp: map[model.TaskKey]*GaveUpError{},
-		closed: map[model.WorkerID]WorkerVerdict{},
+		quarantines: map[model.WorkerID]WorkerVerdict{},
 	}
 }
 
@@ -48,26 +48,26 @@
 		l.gaveUp[k] = v.Task.GaveUp
 	}
 	if v.Worker != nil {
-		l.keep(*v.Worker)
+		l.record(*v.Worker)
 	}
 	for _, other := range v.Others {
-		l.keep(other)
+		l.record(other)
 	}
 	return v
 }
 
-func (l *ledger) keep(v WorkerVerdict) {
-	delete(l.closed, v.Worker)
+func (l *ledger) record(v WorkerVerdict) {
+	delete(l.quarantines, v.Worker)
 	if v.State != Open {
-		l.closed[v.Worker] = v
+		l.quarantines[v.Worker] = v
 	}
 }
 
 func worker(i int) model.WorkerID { return model.WorkerID(fmt.Sprintf("w%02d", i)) }
 
-// run deals tasks over workers round by round. A task that failed is tried on
+// runTasks deals tasks over workers round by round. A task that failed is tried on
 // the next open worker. broken and poison say which workers and tasks fail.
-func run(j *Evaluator, l *ledger, workers, tasks int, broken func(model.WorkerID) bool, poison func(int) bool) {
+func runTasks(j *Evaluator, l *ledger, workers, tasks int, broken func(model.WorkerID) bool, poison func(int) bool) {
 	j.SetFleetSize(workers)
 	done := map[int]bool{}
 	for round := range 12 {
@@ -97,9 +97,9 @@
 // again it draws all work to it and ends every job.
 func TestBadWorkerIsQuarantinedAndItsTasksAreNotBlamed(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
-	run(j, l, 10, 40, func(w model.WorkerID) bool { return w == worker(3) }, never[int])
-	if len(l.closed) != 1 || l.closed[worker(3)].State != Quarantined {
-		t.Errorf("closed %v", l.closed)
+	runTasks(j, l, 10, 40, func(w model.WorkerID) bool { return w == worker(3) }, never[int])
+	if len(l.quarantines) != 1 || l.quarantines[worker(3)].State != Quarantined {
+		t.Errorf("closed %v", l.quarantines)
 	}
 	if len(l.gaveUp) != 0 {
 		t.Errorf("gave up %v", l.gaveUp)
@@ -109,9 +109,9 @@
 // Symptom: one job that can only fail closes worker after worker.
 func TestBadTasksAreGivenUpAndTheirWorkersStayOpen(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
-	run(j, l, 10, 40, never[model.WorkerID], func(i int) bool { return i%10 == 7 })
-	if len(l.closed) != 0 {
-		t.Errorf("closed %v", l.closed)
+	runTasks(j, l, 10, 40, never[model.WorkerID], func(i int) bool { return i%10 == 7 })
+	if len(l.quarantines) != 0 {
+		t.Errorf("closed %v", l.quarantines)
 	}
 	if len(l.gaveUp) != 4 {
 		t.Fatalf("gave up %d tasks, want 4", len(l.gaveUp))
@@ -127,9 +127,9 @@
 // given up or good workers closed. Both kinds must be found, and only they.
 func TestBadWorkerAndBadTasksAreToldApart(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
-	run(j, l, 10, 60, func(w model.WorkerID) bool { return w == worker(3) }, func(i int) bool { return i%10 == 7 })
-	if len(l.closed) != 1 || l.closed[worker(3)].State != Quarantined {
-		t.Errorf("closed %v", l.closed)
+	runTasks(j, l, 10, 60, func(w model.WorkerID) bool { return w == worker(3) }, func(i int) bool { return i%10 == 7 })
+	if len(l.quarantines) != 1 || l.quarantines[worker(3)].State != Quarantined {
+		t.Errorf("closed %v", l.quarantines)
 	}
 	if len(l.gaveUp) != 6 {
 		t.Errorf("gave up %d tasks, want 6", len(l.gaveUp))
@@ -152,8 +152,8 @@
 		l.report(j, at(3*i), key("good", i), w, Succeeded)
 		l.report(j, at(3*i+1), key("broken", i), w, Failed)
 	}
-	if len(l.closed) != 0 {
-		t.Errorf("closed %v", l.closed)
+	if len(l.quarantines) != 0 {
+		t.Errorf("closed %v", l.quarantines)
 	}
 }
 
@@ -170,8 +170,8 @@
 			l.report(j, at(60+60*round+i), key(fmt.Sprintf("job-%d", i%4), 100+i), worker((i+round)%10), Failed)
 		}
 	}
-	if len(l.closed) != 0 || len(l.gaveUp) != 0 {
-		t.Errorf("closed %d workers, gave up %d tasks", len(l.closed), len(l.gaveUp))
+	if len(l.quarantines) != 0 || len(l.gaveUp) != 0 {
+		t.Errorf("closed %d workers, gave up %d tasks", len(l.quarantines), len(l.gaveUp))
 	}
 }
 
@@ -180,7 +180,7 @@
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
 	for i := range 5 {
-		closeWorker(t, j, l, at(i), worker(i), i < 2)
+		failWorker(t, j, l, at(i), worker(i), i < 2)
 	}
 	for i := range 5 {
 		if got, want := j.State(at(10), worker(i)), Quarantined; (got == want) != (i < 2) {
@@ -189,23 +189,23 @@
 	}
 }
 
-// closeWorker has tasks fail on a worker and work elsewhere until it is no
+// failWorker has tasks fail on a worker and work elsewhere until it is no
 // longer open, and checks whether it is quarantined or only on probation.
-func closeWorker(t *testing.T, j *Evaluator, l *ledger, now time.Time, w model.WorkerID, quarantined bool) WorkerVerdict {
+func failWorker(t *testing.T, j *Evaluator, l *ledger, now time.Time, w model.WorkerID, quarantined bool) WorkerVerdict {
 	t.Helper()
-	level := l.closed[w].Level
+	level := l.quarantines[w].Level
 	for i := range 8 {
 		k := key("job", int(now.Unix())*10+i)
 		l.report(j, now, k, w, Failed)
 		l.report(j, now, k, "other", Succeeded)
-		if l.closed[w].Level > level {
+		if l.quarantines[w].Level > level {
 			break
 		}
 	}
 	if got := j.State(now, w) == Quarantined; got != quarantined {
 		t.Fatalf("%s: quarantined %v, want %v", w, got, quarantined)
 	}
-	return l.closed[w]
+	return l.quarantines[w]
 }
 
 // Symptom: a worker returns from quarantine, takes all waiting work at once and
@@ -217,7 +217,7 @@
 	now := at(0)
 	length := time.Duration(0)
 	for level := range uint32(4) {
-		v := closeWorker(t, j, l, now, "bad", true)
+		v := failWorker(t, j, l, now, "bad", true)
 		if v.Level != level+1 || v.Until.Sub(now) <= length {
 			t.Fatalf("level %d: %+v after %v", level+1, v, length)
 		}
@@ -246,7 +246,7 @@
 	if j.State(now.Add(time.Second), "bad") != Open {
 		t.Error("not open after the probation's tasks worked")
 	}
-	v := closeWorker(t, j, l, now.Add(time.Minute), "bad", true)
+	v := failWorker(t, j, l, now.Add(time.Minute), "bad", true)
 	if v.Level != 5 {
 		t.Errorf("level after a clean minute: %d, want 5", v.Level)
 	}
@@ -256,8 +256,8 @@
 func TestFailuresOnBadWorkersDoNotCount(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(20)
-	closeWorker(t, j, l, at(0), "bad1", true)
-	closeWorker(t, j, l, at(1), "bad2", true)
+	failWorker(t, j, l, at(0), "bad1", true)
+	failWorker(t, j, l, at(1), "bad2", true)
 	o := Outcome{Task: key("good", 1), Attempt: 3, FailedWorkers: []model.WorkerID{"bad1", "bad2"}, Failures: 2}
 	o.Worker = "bad1"
 	if v := j.Observe(at(100), o); v.Task.Blame != BlameWorker || v.Task.GaveUp != nil {
--- a/core/quarantine/strikes.go
+++ b/core/quarantine/strikes.go
@@ -28,25 +28,25 @@
 	proven, unproven float64
 }
 
-// strikes returns the weight that may close a worker. Without proof it stays
+// weight returns the weight that may close a worker. Without proof it stays
 // short of the threshold: bad tasks that happened to be dealt to one worker
 // look just like a bad worker until they are tried elsewhere.
-func (e evidence) strikes(threshold float64) float64 {
+func (e evidence) weight(threshold float64) float64 {
 	return e.proven + min(e.unproven, maxUnprovenShare*threshold)
 }
 
 // maxUnprovenShare is the part of a threshold that needs no proof.
 const maxUnprovenShare = 2.0 / 3
 
-// against gathers the evidence against a worker.
-func (j *Evaluator) against(w model.WorkerID, r *record) evidence {
+// evidenceAgainst gathers the evidence evidenceAgainst a worker.
+func (ev *Evaluator) evidenceAgainst(w model.WorkerID, r *workerRecord) evidence {
 	var e evidence
 	byWorkload := make(map[string]float64)
 	for _, f := range r.failures {
-		if f.at.Before(r.strikesFrom) {
+		if f.at.Before(r.evidenceFrom) {
 			continue
 		}
-		weight, limit := j.strike(w, f)
+		weight, limit := ev.failureWeight(w, f)
 		if limit == 0 {
 			e.proven += weight
 			continue
@@ -59,17 +59,17 @@
 	return e
 }
 
-// strike returns the weight of one failure, and the most that its workload can
+// failureWeight returns the weight of one failure, and the most that its workload can
 // add by such failures (0: no bound).
-func (j *Evaluator) strike(w model.WorkerID, f taskFailure) (weight, limit float64) {
-	task := j.tasks[f.task]
-	if task.workedElsewhere(w, f.at) {
+func (ev *Evaluator) failureWeight(w model.WorkerID, f taskFailure) (weight, limit float64) {
+	task := ev.tasks[f.task]
+	if task.succeededElsewhere(w, f.at) {
 		return provenWeight, 0
 	}
-	if task != nil && j.failedOnTrusted(task, w) {
+	if task != nil && ev.failedOnTrusted(task, w) {
 		return 0, 0
 	}
-	if j.workloads[f.task.Workload].workedElsewhere(w, time.Time{}) {
+	if ev.workloads[f.task.Workload].succeededElsewhere(w, time.Time{}) {
 		return siblingWeight, maxSiblingWeight
 	}
 	return unknownWeight, maxUnknownWeight
@@ -77,60 +77,60 @@
 
 // failedOnTrusted reports whether a task failed on another worker that is not
 // itself known to be bad.
-func (j *Evaluator) failedOnTrusted(task *history, than model.WorkerID) bool {
+func (ev *Evaluator) failedOnTrusted(task *history, than model.WorkerID) bool {
 	for w := range task.failed {
-		if w != than && !j.knownBad(w) {
+		if w != than && !ev.recentlyQuarantined(w) {
 			return true
 		}
 	}
 	return false
 }
 
-// knownBad reports whether a worker was quarantined not long ago.
-func (j *Evaluator) knownBad(w model.WorkerID) bool {
-	r, ok := j.workers[w]
+// recentlyQuarantined reports whether a worker was quarantined not long ago.
+func (ev *Evaluator) recentlyQuarantined(w model.WorkerID) bool {
+	r, ok := ev.workers[w]
 	return ok && (r.state == Quarantined || r.level > 0)
 }
 
-// large reports whether strikes are a large enough part of what ran on a
+// isSignificant reports whether strikes are a isSignificant enough part of what ran on a
 // worker since they count.
-func (j *Evaluator) large(strikes float64, r *record) bool {
-	worked := 0
-	for _, at := range r.worked {
-		if !at.Before(r.strikesFrom) {
-			worked++
+func (ev *Evaluator) isSignificant(weight float64, r *workerRecord) bool {
+	succeeded := 0
+	for _, at := range r.succeeded {
+		if !at.Before(r.evidenceFrom) {
+			succeeded++
 		}
 	}
-	return strikes >= j.options.MinFailureShare*(strikes+float64(worked))
+	return weight >= ev.options.MinFailureShare*(weight+float64(succeeded))
 }
 
-// suspectShare is the part of Strikes from which a worker is under suspicion.
-const suspectShare = 0.5
+// suspicionShare is the part of Strikes from which a worker is under suspicion.
+const suspicionShare = 0.5
 
-// suspect reports whether a worker is quarantined or on its way there, so that
+// isSuspect reports whether a worker is quarantined or on its way there, so that
 // failures on it do not count against tasks. Proof is needed for that: a task
 // that makes its workers look bad would otherwise never be blamed.
-func (j *Evaluator) suspect(w model.WorkerID) bool {
-	r, ok := j.workers[w]
+func (ev *Evaluator) isSuspect(w model.WorkerID) bool {
+	r, ok := ev.workers[w]
 	if !ok {
 		return false
 	}
 	if r.state != Open && r.level > 0 {
 		return true
 	}
-	e := j.against(w, r)
-	strikes := e.strikes(j.options.EvidenceThreshold)
-	return e.proven > 0 && strikes >= suspectShare*j.options.EvidenceThreshold && j.large(strikes, r)
+	e := ev.evidenceAgainst(w, r)
+	weight := e.weight(ev.options.EvidenceThreshold)
+	return e.proven > 0 && weight >= suspicionShare*ev.options.EvidenceThreshold && ev.isSignificant(weight, r)
 }
 
 // commonCause reports whether most of the workers that had an outcome lately
 // had a failure as their latest, over more than one workload. Then the cause
 // is a service that all tasks need, not the tasks or the workers; blaming
 // either would end every job or close every worker.
-func (j *Evaluator) commonCause(now time.Time) bool {
-	horizon := now.Add(-j.options.CommonWindow)
+func (ev *Evaluator) commonCause(now time.Time) bool {
+	horizon := now.Add(-ev.options.CommonWindow)
 	active, failing := 0, 0
-	for _, r := range j.workers {
+	for _, r := range ev.workers {
 		if r.latestAt.Before(horizon) {
 			continue
 		}
@@ -139,18 +139,18 @@
 			failing++
 		}
 	}
-	if active < j.options.CommonWorkers || float64(failing) < j.options.CommonShare*float64(active) {
+	if active < ev.options.CommonWorkers || float64(failing) < ev.options.CommonShare*float64(active) {
 		return false
 	}
-	return j.failingWorkloads(horizon) > 1
+	return ev.failingWorkloads(horizon) > 1
 }
 
 // failingWorkloads counts the workloads that failed somewhere since horizon
 // and worked nowhere since.
-func (j *Evaluator) failingWorkloads(horizon time.Time) int {
+func (ev *Evaluator) failingWorkloads(horizon time.Time) int {
 	n := 0
-	for _, h := range j.workloads {
-		if latest(h.failed).After(horizon) && latest(h.worked).Before(latest(h.failed)) {
+	for _, h := range ev.workloads {
+		if latest(h.failed).After(horizon) && latest(h.succeeded).Before(latest(h.failed)) {
 			n++
 		}
 	}
