--- a/core/quarantine/evidence.go
+++ b/core/quarantine/evidence.go
@@ -6,7 +6,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// maxFailures bounds the failures that are remembered of a worker.
+// maxFailures limits the failures that are kept for each worker.
 const maxFailures = 64
 
 // taskFailure is the latest failure of a task on a worker.
@@ -15,12 +15,14 @@
 	at   time.Time
 }
 
-// workerRecord is what is known of one worker.
+// workerRecord holds the evidence about one worker and its state.
 type workerRecord struct {
 	failures []taskFailure
-	// succeeded holds the tasks that succeeded here, with the latest time.
+	// succeeded holds the tasks that succeeded on the worker, each with the
+	// latest time.
 	succeeded map[model.TaskKey]time.Time
-	// latestFailed and latestAt describe the latest outcome.
+	// latestFailed and latestAt are the result and the time of the latest
+	// outcome.
 	latestFailed bool
 	latestAt     time.Time
 
@@ -28,10 +30,10 @@
 	until     time.Time
 	level     uint32
 	openSince time.Time
-	// probationTasks holds the tasks that worked during this probation.
+	// probationTasks holds the tasks that succeeded during this probation.
 	probationTasks map[model.TaskKey]struct{}
-	// evidenceFrom is the time from which failures count: those before the end
-	// of the latest quarantine were paid for by it.
+	// evidenceFrom is the time from which on failures count. Failures before
+	// the end of the latest quarantine do not lead to another one.
 	evidenceFrom time.Time
 }
 
@@ -51,9 +53,10 @@
 		}
 	}
 	if len(r.failures) == maxFailures {
-		// The oldest stay: proof against the worker comes when their tasks have
-		// worked elsewhere. A worker that fails many at once would otherwise
-		// push its own evidence out before any of it is proven.
+		// Drop the new failure and keep the oldest ones. A failure becomes proof
+		// only after its task succeeded elsewhere; a worker that fails many
+		// tasks at once would otherwise displace its own evidence before any
+		// of it is proven.
 		return
 	}
 	r.failures = append(r.failures, taskFailure{task, now})
@@ -70,7 +73,7 @@
 	}
 }
 
-// prune drops evidence from before horizon.
+// prune deletes evidence from before horizon.
 func (r *workerRecord) prune(horizon time.Time) {
 	kept := r.failures[:0]
 	for _, f := range r.failures {
@@ -86,11 +89,13 @@
 	}
 }
 
-// history is where a task or a workload worked and failed, by worker.
+// history holds the latest success and failure of a task or a workload on each
+// worker.
 type history struct {
 	succeeded map[model.WorkerID]time.Time
 	failed    map[model.WorkerID]time.Time
-	// consecutiveFailures is how many failures there were since it last worked.
+	// consecutiveFailures is the number of failures since the latest success.
+	// It is counted for tasks only.
 	consecutiveFailures uint32
 }
 
@@ -116,8 +121,8 @@
 
 func (h *history) empty() bool { return len(h.succeeded) == 0 && len(h.failed) == 0 }
 
-// succeededElsewhere reports whether it worked on another worker at or after
-// since.
+// succeededElsewhere reports whether the task or workload succeeded on another
+// worker at or after since. It returns false for a nil history.
 func (h *history) succeededElsewhere(than model.WorkerID, since time.Time) bool {
 	if h == nil {
 		return false
--- a/core/quarantine/judge.go
+++ b/core/quarantine/judge.go
@@ -11,7 +11,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Evaluator weighs the outcomes of attempts. It is not safe for concurrent use.
+// Evaluator evaluates the outcomes of attempts and keeps the state of workers.
+// It is not safe for concurrent use.
 type Evaluator struct {
 	options   Options
 	fleetSize int
@@ -31,21 +32,22 @@
 	}
 }
 
-// SetFleetSize tells how many workers there are, for Options.MaxShare.
+// SetFleetSize sets the number of workers to which Options.MaxShare applies.
 func (ev *Evaluator) SetFleetSize(workers int) { ev.fleetSize = workers }
 
-// Restore takes over a quarantine from the ledger after a change of owner.
+// Restore sets a quarantine from the ledger after the shard changed its owner.
 func (ev *Evaluator) Restore(w model.WorkerID, until time.Time, level uint32) {
 	r := ev.worker(w)
 	r.state, r.until, r.level = Quarantined, until, level
 	r.evidenceFrom = until
 }
 
-// Forget drops a worker that is gone for good. A worker that only restarts is
-// kept: the fault may be in its machine.
+// Forget deletes the evidence about a worker that is gone for good. It must not
+// be called for a worker that only restarts, because the fault may be in its
+// machine.
 func (ev *Evaluator) Forget(w model.WorkerID) { delete(ev.workers, w) }
 
-// State returns what new work a worker may get at a time.
+// State returns the state of a worker at a time. An unknown worker is open.
 func (ev *Evaluator) State(now time.Time, w model.WorkerID) State {
 	r, ok := ev.workers[w]
 	if !ok {
@@ -57,8 +59,8 @@
 	return r.state
 }
 
-// MayStart reports whether a worker that has running tasks of any kind may get
-// one more.
+// MayStart reports whether a worker may get another task when it already has
+// the given number of running tasks of any kind.
 func (ev *Evaluator) MayStart(now time.Time, w model.WorkerID, running int) bool {
 	switch ev.State(now, w) {
 	case Quarantined:
@@ -69,7 +71,8 @@
 	return true
 }
 
-// Observe weighs one outcome.
+// Observe evaluates one outcome and returns what follows for its task, its worker
+// and other workers.
 func (ev *Evaluator) Observe(now time.Time, o Outcome) Verdict {
 	ev.prune(now)
 	r := ev.worker(o.Worker)
@@ -104,8 +107,8 @@
 	return v
 }
 
-// countProbationTask counts a task that worked during a probation, and ends the probation
-// once enough distinct ones have.
+// countProbationTask counts a task that succeeded during a probation, and ends
+// the probation when enough distinct tasks have.
 func (ev *Evaluator) countProbationTask(now time.Time, o Outcome, r *workerRecord) *WorkerVerdict {
 	r.probationTasks[o.Task] = struct{}{}
 	if len(r.probationTasks) < ev.options.ProbationTasks {
@@ -116,8 +119,8 @@
 	return &WorkerVerdict{Worker: o.Worker, State: Open, Level: r.level}
 }
 
-// updateState moves a worker from quarantine to probation when its time is up, and
-// lowers the level of one that has long been open.
+// updateState moves a worker whose quarantine has expired to probation, and
+// lowers the level of an open worker by one for each Options.LevelDecay.
 func (ev *Evaluator) updateState(now time.Time, r *workerRecord) {
 	if r.state == Quarantined && !now.Before(r.until) {
 		r.state = Probation
@@ -129,8 +132,9 @@
 	}
 }
 
-// reevaluateOthers weighs again the other workers on which the task of an outcome
-// failed: what it did here is evidence for or against them.
+// reevaluateOthers evaluates the other workers on which the task of an outcome
+// failed, because the outcome changes the evidence against them. It returns the
+// workers whose state changed.
 func (ev *Evaluator) reevaluateOthers(now time.Time, o Outcome) []WorkerVerdict {
 	var changed []WorkerVerdict
 	for _, w := range slices.Sorted(maps.Keys(ev.task(o.Task).failed)) {
@@ -146,8 +150,9 @@
 	return changed
 }
 
-// evaluateWorker quarantines a worker when the evidence against it suffices, and puts
-// it on probation when it would but for the proof.
+// evaluateWorker quarantines a worker if the evidence against it is sufficient,
+// and puts it on probation if the evidence would be sufficient but is not
+// proven. It returns nil if the state does not change.
 func (ev *Evaluator) evaluateWorker(now time.Time, w model.WorkerID, r *workerRecord) *WorkerVerdict {
 	if r.state == Quarantined || ev.commonCause(now) {
 		return nil
@@ -164,8 +169,9 @@
 	return ev.evaluateUnproven(now, w, r, e)
 }
 
-// evaluateUnproven puts an open worker on probation on evidence without proof,
-// and lifts that probation when the evidence has turned against the tasks.
+// evaluateUnproven puts an open worker on probation if there is enough unproven
+// evidence against it. It ends such a probation when the evidence is no longer
+// sufficient, for example because the tasks failed on other workers too.
 func (ev *Evaluator) evaluateUnproven(now time.Time, w model.WorkerID, r *workerRecord, e evidence) *WorkerVerdict {
 	suspected := e.unproven >= ev.options.EvidenceThreshold && ev.isSignificant(e.unproven, r)
 	switch {
@@ -180,8 +186,9 @@
 	return &WorkerVerdict{Worker: w, State: r.state, Level: r.level}
 }
 
-// quarantine quarantines a worker, or puts it on probation when too many are
-// quarantined already.
+// quarantine quarantines a worker one level higher than before. It puts the
+// worker on probation instead if the share of quarantined workers is at its
+// limit.
 func (ev *Evaluator) quarantine(now time.Time, w model.WorkerID, r *workerRecord) *WorkerVerdict {
 	r.level++
 	r.failures = r.failures[:0]
@@ -229,7 +236,7 @@
 	return v
 }
 
-// pruneInterval is how often old evidence is dropped.
+// pruneInterval is the interval at which old evidence is deleted.
 const pruneInterval = time.Minute
 
 func (ev *Evaluator) prune(now time.Time) {
@@ -254,8 +261,8 @@
 	}
 }
 
-// jitter returns a number from 0 to 1 that depends on the attempt alone, so
-// that tasks that failed together do not return together.
+// jitter returns a number from 0 up to 1 that depends only on the attempt. It
+// spreads the retries of tasks that failed at the same time.
 func jitter(o Outcome) float64 {
 	key := model.AttemptKey{Task: o.Task, Attempt: o.Attempt}
 	return float64(xxhash.Sum64String(key.String())>>11) / (1 << 53)
--- a/core/quarantine/judge_test.go
+++ b/core/quarantine/judge_test.go
@@ -16,8 +16,8 @@
 	return model.TaskKey{Workload: workload, Generation: 1, Index: uint32(index)}
 }
 
-// ledger is the ledger's side of the tasks: what a verdict says is counted is
-// handed back with the next outcome.
+// ledger simulates the ledger: the counted failures of a verdict are passed back
+// with the next outcome of the task.
 type ledger struct {
 	failures    map[model.TaskKey]uint32
 	workers     map[model.TaskKey][]model.WorkerID
@@ -65,8 +65,9 @@
 
 func worker(i int) model.WorkerID { return model.WorkerID(fmt.Sprintf("w%02d", i)) }
 
-// runTasks deals tasks over workers round by round. A task that failed is tried on
-// the next open worker. broken and poison say which workers and tasks fail.
+// runTasks runs tasks on workers in rounds. In each round, an unfinished task is
+// tried on the next worker unless that is quarantined. broken and poison select
+// the workers and the tasks that fail.
 func runTasks(j *Evaluator, l *ledger, workers, tasks int, broken func(model.WorkerID) bool, poison func(int) bool) {
 	j.SetFleetSize(workers)
 	done := map[int]bool{}
@@ -93,25 +94,26 @@
 
 func never[T any](T) bool { return false }
 
-// Symptom: a worker fails everything it starts, and because it is always free
-// again it draws all work to it and ends every job.
+// Guards against a worker that fails every task, is therefore always free, gets
+// most of the work and makes every job fail.
 func TestBadWorkerIsQuarantinedAndItsTasksAreNotBlamed(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	runTasks(j, l, 10, 40, func(w model.WorkerID) bool { return w == worker(3) }, never[int])
 	if len(l.quarantines) != 1 || l.quarantines[worker(3)].State != Quarantined {
-		t.Errorf("closed %v", l.quarantines)
+		t.Errorf("not open: %v", l.quarantines)
 	}
 	if len(l.gaveUp) != 0 {
 		t.Errorf("gave up %v", l.gaveUp)
 	}
 }
 
-// Symptom: one job that can only fail closes worker after worker.
+// Guards against one job that always fails causing the quarantine of one worker
+// after the other.
 func TestBadTasksAreGivenUpAndTheirWorkersStayOpen(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	runTasks(j, l, 10, 40, never[model.WorkerID], func(i int) bool { return i%10 == 7 })
 	if len(l.quarantines) != 0 {
-		t.Errorf("closed %v", l.quarantines)
+		t.Errorf("not open: %v", l.quarantines)
 	}
 	if len(l.gaveUp) != 4 {
 		t.Fatalf("gave up %d tasks, want 4", len(l.gaveUp))
@@ -123,13 +125,14 @@
 	}
 }
 
-// Symptom: with a bad worker and bad tasks at the same time, good tasks are
-// given up or good workers closed. Both kinds must be found, and only they.
+// Guards against good tasks being given up, or good workers being quarantined,
+// when there are a bad worker and bad tasks at the same time. Exactly the bad
+// ones must be found.
 func TestBadWorkerAndBadTasksAreToldApart(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	runTasks(j, l, 10, 60, func(w model.WorkerID) bool { return w == worker(3) }, func(i int) bool { return i%10 == 7 })
 	if len(l.quarantines) != 1 || l.quarantines[worker(3)].State != Quarantined {
-		t.Errorf("closed %v", l.quarantines)
+		t.Errorf("not open: %v", l.quarantines)
 	}
 	if len(l.gaveUp) != 6 {
 		t.Errorf("gave up %d tasks, want 6", len(l.gaveUp))
@@ -141,9 +144,9 @@
 	}
 }
 
-// Symptom: a release breaks a whole workload, and every worker that its tasks
-// reach is quarantined. Nothing speaks against the workers: what fails there
-// fails everywhere.
+// Guards against a release that breaks a whole workload causing the quarantine
+// of every worker that runs one of its tasks. The tasks fail on every worker,
+// which is no evidence against the workers.
 func TestBrokenWorkloadClosesNoWorker(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
@@ -153,12 +156,12 @@
 		l.report(j, at(3*i+1), key("broken", i), w, Failed)
 	}
 	if len(l.quarantines) != 0 {
-		t.Errorf("closed %v", l.quarantines)
+		t.Errorf("not open: %v", l.quarantines)
 	}
 }
 
-// Symptom: a service that all tasks need is down for a while; afterwards every
-// job has been given up and every worker is quarantined.
+// Guards against every job being given up and every worker being quarantined
+// while a service that all tasks depend on is down.
 func TestCommonCauseBlamesNobody(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
@@ -171,11 +174,12 @@
 		}
 	}
 	if len(l.quarantines) != 0 || len(l.gaveUp) != 0 {
-		t.Errorf("closed %d workers, gave up %d tasks", len(l.quarantines), len(l.gaveUp))
+		t.Errorf("%d workers are not open, %d tasks were given up", len(l.quarantines), len(l.gaveUp))
 	}
 }
 
-// Symptom: half of the fleet is closed on the evidence of a bad hour.
+// Guards against half of the fleet being quarantined because of many failures in
+// a short time.
 func TestQuarantineIsBoundedToAPartOfTheFleet(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
@@ -189,8 +193,9 @@
 	}
 }
 
-// failWorker has tasks fail on a worker and work elsewhere until it is no
-// longer open, and checks whether it is quarantined or only on probation.
+// failWorker lets tasks fail on a worker and succeed elsewhere until the level of
+// the worker rises. It checks whether the worker is then quarantined, or only on
+// probation, and returns the verdict.
 func failWorker(t *testing.T, j *Evaluator, l *ledger, now time.Time, w model.WorkerID, quarantined bool) WorkerVerdict {
 	t.Helper()
 	level := l.quarantines[w].Level
@@ -208,9 +213,9 @@
 	return l.quarantines[w]
 }
 
-// Symptom: a worker returns from quarantine, takes all waiting work at once and
-// fails it. It must return one task at a time, and each time it fails again
-// stay away longer.
+// Guards against a worker getting all pending work at once after a quarantine,
+// and failing it. It must get one task at a time, and each further quarantine
+// must be longer.
 func TestProbationAndGrowingLevels(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
@@ -228,13 +233,14 @@
 		if !j.MayStart(v.Until, "bad", 0) || j.MayStart(v.Until, "bad", 1) {
 			t.Error("probation is not one task at a time")
 		}
-		// One that was running when the quarantine began is part of it.
+		// The failure of a task that was already running when the quarantine
+		// began does not count after it.
 		running := key("running", int(level))
 		l.report(j, now.Add(time.Second), running, "bad", Failed)
 		now = v.Until
 		l.report(j, now, running, "other", Succeeded)
-		// A task of which nothing is known says little, and what the worker
-		// was quarantined for is paid for.
+		// The failure of a task of an unknown workload has little weight, and
+		// the evidence that led to the quarantine no longer counts.
 		l.report(j, now, key(fmt.Sprintf("new-%d", level), 0), "bad", Failed)
 		if j.State(now, "bad") != Probation {
 			t.Error("quarantined again without new evidence")
@@ -244,7 +250,7 @@
 		l.report(j, now.Add(time.Second), key("good", i), "bad", Succeeded)
 	}
 	if j.State(now.Add(time.Second), "bad") != Open {
-		t.Error("not open after the probation's tasks worked")
+		t.Error("not open after the tasks of the probation succeeded")
 	}
 	v := failWorker(t, j, l, now.Add(time.Minute), "bad", true)
 	if v.Level != 5 {
@@ -252,7 +258,7 @@
 	}
 }
 
-// Symptom: good tasks are given up because they were dealt to bad workers.
+// Guards against good tasks being given up because they ran on bad workers.
 func TestFailuresOnBadWorkersDoNotCount(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(20)
@@ -269,7 +275,8 @@
 	}
 }
 
-// Symptom: after a change of owner a quarantined worker gets work at once.
+// Guards against a quarantined worker getting tasks after the shard changed its
+// owner.
 func TestRestore(t *testing.T) {
 	j := NewEvaluator(DefaultOptions())
 	j.Restore("bad", at(100), 3)
@@ -278,7 +285,8 @@
 	}
 }
 
-// Symptom: tasks that failed together come back together, as fast as they fail.
+// Guards against tasks that failed together being retried together and without
+// a growing delay.
 func TestBackoffGrowsIsBoundedAndSpread(t *testing.T) {
 	o := DefaultOptions()
 	o.DistinctWorkers, o.MaxAttempts = 100, 100
@@ -300,7 +308,7 @@
 	}
 }
 
-// A task whose attempts are used up ends with a typed reason.
+// A task that exhausted its attempts is given up with that reason.
 func TestAttemptsAreBounded(t *testing.T) {
 	j := NewEvaluator(DefaultOptions())
 	v := j.Observe(at(0), Outcome{Task: key("job", 1), Attempt: 2, Worker: "w", Failures: 1, MaxAttempts: 2})
@@ -309,10 +317,9 @@
 	}
 }
 
-// Symptom: a good task is given up, and its job never ends.
-// Sequence: the only worker with room fails all that it is told to start; the
-// task is tried there until its attempts are used up.
-// Cause: failures on one bad worker are counted like failures on several.
+// Guards against a good task being given up, so that its job never completes,
+// because the only worker with room fails every task. Failures on one worker
+// must not be counted like failures on several.
 func TestOneWorkerAloneDoesNotUseUpAttempts(t *testing.T) {
 	j := NewEvaluator(DefaultOptions())
 	failed := Outcome{Task: key("job", 1), Attempt: 9, Worker: "w", Failures: 8}
--- a/core/quarantine/options.go
+++ b/core/quarantine/options.go
@@ -2,45 +2,48 @@
 
 import "time"
 
-// Options sets the judge.
+// Options are the settings of an Evaluator.
 type Options struct {
-	// Window is how long evidence counts.
+	// Window is the age up to which evidence counts.
 	Window time.Duration
-	// EvidenceThreshold is the weight of evidence that quarantines an open worker,
-	// ProbationThreshold one on probation.
+	// EvidenceThreshold is the weight of evidence at which an open worker is
+	// quarantined, and ProbationThreshold the weight for a worker on probation.
+	// A proven failure of a task has weight 1.
 	EvidenceThreshold, ProbationThreshold float64
-	// MinFailureShare is the least part of a worker's recent tasks that must speak
-	// against it.
+	// MinFailureShare is the smallest share of a worker's recent tasks that
+	// must be evidence against it, from 0 to 1.
 	MinFailureShare float64
-	// BaseDuration is the length of a level 1 quarantine; it doubles with each level
-	// up to MaxDuration.
+	// BaseDuration is the duration of a quarantine of level 1. It doubles with
+	// each level up to MaxDuration.
 	BaseDuration, MaxDuration time.Duration
-	// ProbationTasks is how many distinct tasks must work on a worker on
-	// probation before it is open.
+	// ProbationTasks is the number of distinct tasks that must succeed on a
+	// worker on probation before it is open.
 	ProbationTasks int
-	// LevelDecay is how long an open worker must stay open to lose a level.
+	// LevelDecay is the time after which an open worker loses one level.
 	LevelDecay time.Duration
-	// MaxShare is the largest part of the workers that may be quarantined at
-	// once; a further one is put on probation instead.
+	// MaxShare is the largest share of the workers that may be quarantined at
+	// the same time, but at least one may be. Further workers are put on
+	// probation instead.
 	MaxShare float64
-	// DistinctWorkers is on how many workers above suspicion a task may fail
-	// before it is given up.
+	// DistinctWorkers is the number of workers that are not suspect on which a
+	// task must fail to be given up.
 	DistinctWorkers int
-	// MaxAttempts is how many counted failures a task may have unless its
-	// workload says otherwise.
+	// MaxAttempts is the number of counted failures at which a task is given
+	// up, unless its workload declares another one.
 	MaxAttempts int
-	// HardFailures bounds the failures of a task in a row, whatever the cause.
+	// HardFailures is the number of consecutive failures at which a task is
+	// given up whatever their causes are.
 	HardFailures uint32
-	// Backoff is the wait after a first failure; it doubles with each up to
-	// MaxBackoff.
+	// Backoff is the delay before the next attempt after a first failure. It
+	// doubles with each further failure up to MaxBackoff.
 	Backoff, MaxBackoff time.Duration
-	// CommonShare is the part of the active workers whose latest outcome must
-	// be a failure for a common cause to be assumed, CommonWorkers the least
-	// number of active workers for that.
+	// CommonShare is the share of the active workers whose latest outcome must
+	// be a failure for a common cause to be assumed. CommonWorkers is the
+	// smallest number of active workers for which it is assumed.
 	CommonShare   float64
 	CommonWorkers int
-	// CommonWindow is how recent an outcome must be for its worker to be
-	// active.
+	// CommonWindow is the age of the latest outcome up to which a worker counts
+	// as active.
 	CommonWindow time.Duration
 }
 
--- a/core/quarantine/strikes.go
+++ b/core/quarantine/strikes.go
@@ -6,39 +6,40 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// The weights of a distinct task's failure as evidence against its worker.
+// The weights of the failure of a task as evidence against its worker. Each
+// task counts once.
 const (
-	// provenWeight: the same task later worked elsewhere.
+	// provenWeight applies if the same task later succeeded elsewhere.
 	provenWeight = 1.0
-	// siblingWeight: tasks of its workload work elsewhere.
+	// siblingWeight applies if other tasks of its workload succeeded elsewhere.
 	siblingWeight = 0.5
-	// unknownWeight: nothing is known of its workload yet.
+	// unknownWeight applies if nothing is known about its workload yet.
 	unknownWeight = 0.5
-	// maxSiblingWeight and maxUnknownWeight bound what one workload can add
-	// without proof. A release that breaks a whole workload would otherwise
-	// quarantine every worker that its tasks reach.
+	// maxSiblingWeight and maxUnknownWeight limit the unproven weight that one
+	// workload adds. Otherwise a release that breaks a whole workload would
+	// quarantine every worker that runs one of its tasks.
 	maxSiblingWeight = 1.5
 	maxUnknownWeight = 0.5
 )
 
-// evidence is what speaks against a worker.
+// evidence is the evidence against a worker.
 type evidence struct {
-	// proven is the weight of tasks that later worked elsewhere, unproven that
-	// of tasks of which no more is known than that others like them work.
+	// proven is the weight of tasks that later succeeded elsewhere. unproven is
+	// the weight of the other tasks.
 	proven, unproven float64
 }
 
-// weight returns the weight that may close a worker. Without proof it stays
-// short of the threshold: bad tasks that happened to be dealt to one worker
-// look just like a bad worker until they are tried elsewhere.
+// weight returns the total weight to compare with a threshold. Unproven evidence
+// alone stays below the threshold: bad tasks that happen to run on one worker
+// look the same as a bad worker until they are retried elsewhere.
 func (e evidence) weight(threshold float64) float64 {
 	return e.proven + min(e.unproven, maxUnprovenShare*threshold)
 }
 
-// maxUnprovenShare is the part of a threshold that needs no proof.
+// maxUnprovenShare is the share of a threshold that unproven evidence can reach.
 const maxUnprovenShare = 2.0 / 3
 
-// evidenceAgainst gathers the evidence evidenceAgainst a worker.
+// evidenceAgainst returns the evidence against a worker.
 func (ev *Evaluator) evidenceAgainst(w model.WorkerID, r *workerRecord) evidence {
 	var e evidence
 	byWorkload := make(map[string]float64)
@@ -59,8 +60,10 @@
 	return e
 }
 
-// failureWeight returns the weight of one failure, and the most that its workload can
-// add by such failures (0: no bound).
+// failureWeight returns the weight of one failure as evidence against its worker,
+// and the largest weight that such failures of its workload can add in total. A
+// limit of 0 means that the failure is proven and its weight is not limited. A
+// task that failed on another trusted worker too has no weight.
 func (ev *Evaluator) failureWeight(w model.WorkerID, f taskFailure) (weight, limit float64) {
 	task := ev.tasks[f.task]
 	if task.succeededElsewhere(w, f.at) {
@@ -75,8 +78,8 @@
 	return unknownWeight, maxUnknownWeight
 }
 
-// failedOnTrusted reports whether a task failed on another worker that is not
-// itself known to be bad.
+// failedOnTrusted reports whether a task failed on another worker that was not
+// quarantined recently.
 func (ev *Evaluator) failedOnTrusted(task *history, than model.WorkerID) bool {
 	for w := range task.failed {
 		if w != than && !ev.recentlyQuarantined(w) {
@@ -86,14 +89,16 @@
 	return false
 }
 
-// recentlyQuarantined reports whether a worker was quarantined not long ago.
+// recentlyQuarantined reports whether a worker is quarantined, or was and its
+// level has not fallen back to 0.
 func (ev *Evaluator) recentlyQuarantined(w model.WorkerID) bool {
 	r, ok := ev.workers[w]
 	return ok && (r.state == Quarantined || r.level > 0)
 }
 
-// isSignificant reports whether strikes are a isSignificant enough part of what ran on a
-// worker since they count.
+// isSignificant reports whether the weight of the evidence is at least
+// Options.MinFailureShare of the sum of that weight and the tasks that succeeded
+// on the worker in the same period.
 func (ev *Evaluator) isSignificant(weight float64, r *workerRecord) bool {
 	succeeded := 0
 	for _, at := range r.succeeded {
@@ -104,12 +109,15 @@
 	return weight >= ev.options.MinFailureShare*(weight+float64(succeeded))
 }
 
-// suspicionShare is the part of Strikes from which a worker is under suspicion.
+// suspicionShare is the share of Options.EvidenceThreshold from which on a worker
+// is suspect.
 const suspicionShare = 0.5
 
-// isSuspect reports whether a worker is quarantined or on its way there, so that
-// failures on it do not count against tasks. Proof is needed for that: a task
-// that makes its workers look bad would otherwise never be blamed.
+// isSuspect reports whether a worker is quarantined, on probation after a
+// quarantine, or close to a quarantine. Failures on a suspect worker are not
+// counted against tasks. Being close to a quarantine requires some proven
+// evidence; otherwise a bad task would make each of its workers suspect and
+// would never be blamed.
 func (ev *Evaluator) isSuspect(w model.WorkerID) bool {
 	r, ok := ev.workers[w]
 	if !ok {
@@ -123,10 +131,10 @@
 	return e.proven > 0 && weight >= suspicionShare*ev.options.EvidenceThreshold && ev.isSignificant(weight, r)
 }
 
-// commonCause reports whether most of the workers that had an outcome lately
-// had a failure as their latest, over more than one workload. Then the cause
-// is a service that all tasks need, not the tasks or the workers; blaming
-// either would end every job or close every worker.
+// commonCause reports whether the latest outcome of most recently active workers
+// is a failure, and more than one workload fails. The assumed cause is then a
+// service that all tasks depend on. Blaming the tasks would end every job, and
+// blaming the workers would quarantine every worker.
 func (ev *Evaluator) commonCause(now time.Time) bool {
 	horizon := now.Add(-ev.options.CommonWindow)
 	active, failing := 0, 0
@@ -145,8 +153,8 @@
 	return ev.failingWorkloads(horizon) > 1
 }
 
-// failingWorkloads counts the workloads that failed somewhere since horizon
-// and worked nowhere since.
+// failingWorkloads returns the number of workloads that failed after horizon and
+// have not succeeded on any worker since.
 func (ev *Evaluator) failingWorkloads(horizon time.Time) int {
 	n := 0
 	for _, h := range ev.workloads {
--- a/core/quarantine/task.go
+++ b/core/quarantine/task.go
@@ -7,7 +7,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// evaluateTask says what becomes of a task that failed.
+// evaluateTask attributes the failure of a task to a cause, and decides whether
+// the task is given up or when it is retried.
 func (ev *Evaluator) evaluateTask(now time.Time, o Outcome) TaskVerdict {
 	distinct := ev.trustedFailures(o)
 	blame := ev.blame(now, o, distinct)
@@ -36,10 +37,10 @@
 	return BlameUnclear
 }
 
-// giveUpReason says whether the task is given up. Failures on one worker alone do not
-// use up its attempts, unless its workload bounds them itself: with no room
-// elsewhere a good task meets the same bad worker again and again, and would be
-// lost for it.
+// giveUpReason reports whether the task is given up, and why. Failures on a
+// single worker do not exhaust the default number of attempts, only a limit that
+// the workload itself declares: if no other worker has room, a good task is
+// retried on the same bad worker repeatedly and would be given up because of it.
 func (ev *Evaluator) giveUpReason(o Outcome, blame Blame, failures uint32, distinct int) (GiveUpReason, bool) {
 	limit := o.MaxAttempts
 	if limit <= 0 {
@@ -56,8 +57,8 @@
 	return "", false
 }
 
-// trustedFailures counts the distinct workers above suspicion on which a task
-// failed, by the ledger's record and this outcome.
+// trustedFailures returns the number of distinct workers that are not suspect
+// and on which the task failed, including the worker of this outcome.
 func (ev *Evaluator) trustedFailures(o Outcome) int {
 	seen := map[model.WorkerID]struct{}{}
 	for _, w := range append([]model.WorkerID{o.Worker}, o.FailedWorkers...) {
@@ -68,8 +69,9 @@
 	return len(seen)
 }
 
-// backoff doubles with each failure in a row and is spread by up to a quarter
-// either way, so that tasks that failed together do not come back together.
+// backoff returns the delay before the next attempt. It doubles with each
+// consecutive failure up to Options.MaxBackoff and is varied by up to a quarter
+// either way, so that tasks that failed together are not retried together.
 func (ev *Evaluator) backoff(o Outcome) time.Duration {
 	exponent := max(o.Failures, ev.tasks[o.Task].consecutiveFailures-1)
 	wait := float64(ev.options.Backoff) * math.Pow(2, float64(min(exponent, 30)))
