--- a/core/quarantine/evaluator_test.go
+++ b/core/quarantine/evaluator_test.go
@@ -147,7 +147,7 @@
 // Guards against a release that breaks a whole workload causing the quarantine
 // of every worker that runs one of its tasks. The tasks fail on every worker,
 // which is no evidence against the workers.
-func TestBrokenWorkloadClosesNoWorker(t *testing.T) {
+func TestBrokenWorkloadQuarantinesNoWorker(t *testing.T) {
 	j, l := NewEvaluator(DefaultOptions()), newLedger()
 	j.SetFleetSize(10)
 	for i := range 200 {
