--- a/core/quarantine/evaluator.go
+++ b/core/quarantine/evaluator.go
@@ -22,7 +22,7 @@
 	prunedAt  time.Time
 }
 
-// NewEvaluator returns a judge without evidence.
+// NewEvaluator returns an evaluator without evidence.
 func NewEvaluator(o Options) *Evaluator {
 	return &Evaluator{
 		options:   o,
