--- a/core/dissemination/dissemination_capacity_test.go
+++ b/core/dissemination/dissemination_capacity_test.go
@@ -152,8 +152,8 @@
 
 // capacityLocal is what the i-th of size daemons says of itself: its shards,
 // and that it has requests for some services.
-func capacityLocal(i, size, services int) membership.Local {
-	local := membership.Local{ConfigRevision: 40_000, Demand: make(map[string]membership.Demand)}
+func capacityLocal(i, size, services int) membership.LocalState {
+	local := membership.LocalState{ConfigRevision: 40_000, Demand: make(map[string]membership.Demand)}
 	for shard := i; shard < capacityShards; shard += size {
 		local.OwnedShards = append(local.OwnedShards, membership.ShardEpoch{
 			Shard: model.ShardID(shard), Epoch: 81_234,
--- a/core/dissemination/spread_test.go
+++ b/core/dissemination/spread_test.go
@@ -130,7 +130,7 @@
 	simnet.Call(d.f.net, d.id, to.id, timeout, func() *peerv1.ExchangeResponse {
 		return to.serve(req)
 	}, func(resp *peerv1.ExchangeResponse, err error) {
-		d.step(membership.Answered{Peer: peer, Resp: resp, Err: err})
+		d.step(membership.ExchangeDone{Peer: peer, Resp: resp, Err: err})
 		if err == nil {
 			d.note(d.composer.TakeResponse(d.f.net.Now(), resp), resp.GetConfig())
 		}
--- a/core/membership/answer.go
+++ b/core/membership/answer.go
@@ -22,7 +22,7 @@
 }
 
 // answered takes in the end of an exchange.
-func (m *Machine) answered(ev Answered) {
+func (m *Machine) answered(ev ExchangeDone) {
 	r := m.members[ev.Peer]
 	if r == nil {
 		return
--- a/core/membership/cluster_changes_test.go
+++ b/core/membership/cluster_changes_test.go
@@ -127,7 +127,7 @@
 		leaver.step(membership.Drain{})
 		told := c.await(t, time.Minute, "leaving everywhere", func(n *node) bool {
 			v := n.machine.View()
-			return !slices.Contains(v.Candidates(), "d001") && slices.Contains(v.ForShares(), "d001")
+			return !slices.Contains(v.Candidates(), "d001") && slices.Contains(v.Active(), "d001")
 		})
 		c.net.Run(10 * time.Second)
 		leaver.step(membership.Stop{})
@@ -151,11 +151,11 @@
 		c.settle(t)
 		silent := func(d time.Duration) {
 			for _, n := range c.nodes {
-				n.step(membership.Local{StoreSilent: d})
+				n.step(membership.LocalState{StoreSilent: d})
 			}
 		}
 		one := c.nodes[0]
-		one.step(membership.Local{StoreSilent: time.Minute})
+		one.step(membership.LocalState{StoreSilent: time.Minute})
 		c.net.Run(40 * time.Second)
 		if one.machine.StoreSilentMajority(c.net.Now()) {
 			t.Errorf("%d daemons: a majority for the silence of one", size)
--- a/core/membership/cluster_test.go
+++ b/core/membership/cluster_test.go
@@ -124,7 +124,7 @@
 		to.count(resp)
 		return resp
 	}, func(resp *peerv1.ExchangeResponse, err error) {
-		n.step(membership.Answered{Peer: cmd.Peer, Resp: resp, Err: err})
+		n.step(membership.ExchangeDone{Peer: cmd.Peer, Resp: resp, Err: err})
 	})
 }
 
--- a/core/membership/event.go
+++ b/core/membership/event.go
@@ -28,10 +28,10 @@
 	Members []*peerv1.Member
 }
 
-// Answered is the end of an exchange that ExchangeWith asked for, or of any
+// ExchangeDone is the end of an exchange that ExchangeWith asked for, or of any
 // other exchange this daemon started with the member. Err is a
 // *port.PeerError.
-type Answered struct {
+type ExchangeDone struct {
 	Peer model.DaemonID
 	Resp *peerv1.ExchangeResponse
 	Err  error
@@ -40,15 +40,15 @@
 	Started time.Time
 }
 
-// Local is what this daemon says of itself from now on.
-type Local struct {
+// LocalState is what this daemon says of itself from now on.
+type LocalState struct {
 	ConfigRevision model.Revision
 	Demand         map[string]Demand
 	// StoreSilent is how long ago the store last answered.
 	StoreSilent time.Duration
-	// AwaitsStore asks for a majority's answers as fast as in an outage, since
+	// AwaitsMajority asks for a majority's answers as fast as in an outage, since
 	// StoreKeptBy waits for nothing else.
-	AwaitsStore bool
+	AwaitsMajority bool
 	OwnedShards []ShardEpoch
 }
 
@@ -62,8 +62,8 @@
 func (Tick) event()      {}
 func (VMsListed) event() {}
 func (Received) event()  {}
-func (Answered) event()  {}
-func (Local) event()     {}
+func (ExchangeDone) event()  {}
+func (LocalState) event()     {}
 func (Drain) event()     {}
 func (Stop) event()      {}
 
--- a/core/membership/judge.go
+++ b/core/membership/judge.go
@@ -112,7 +112,7 @@
 		m.bury(r)
 	}
 	if held {
-		m.stats.Held++
+		m.stats.RemovalsHeld++
 	}
 }
 
@@ -137,7 +137,7 @@
 
 // adoptable is whether enough others removed the member.
 func (m *Machine) adoptable(r *record) bool {
-	return r.State != Dead && r.deadReports() >= m.o.AdoptReports
+	return r.State != Dead && r.deadReports() >= m.o.RemovalReports
 }
 
 // mayRemove is whether the evidence against a member whose time has come
@@ -151,7 +151,7 @@
 
 // gone is whether the platform stopped listing the member's VM.
 func (m *Machine) gone(r *record) bool {
-	return r.delisted && m.now.Sub(m.listedAt) <= m.o.ListFresh
+	return r.delisted && m.now.Sub(m.listedAt) <= m.o.ListMaxAge
 }
 
 // confirmations is how many other members' reports are needed about r: fewer
--- a/core/membership/kept.go
+++ b/core/membership/kept.go
@@ -9,7 +9,7 @@
 // answers it.
 type span struct{ begin, end time.Time }
 
-// StoreKeptBy reports whether it is certain that no daemon renews leases by the
+// OutageRenewalsEnded reports whether it is certain that no daemon renews leases by the
 // store's silence any more: there is a time S, not before after, such that a
 // majority of the known members said nothing else than that the store answers
 // them, each from S until S plus wait at least.
@@ -22,7 +22,7 @@
 //
 // Once true it is so for good; later calls can return false again, since only
 // the latest answer of each member is kept.
-func (m *Machine) StoreKeptBy(after time.Time, wait time.Duration) bool {
+func (m *Machine) OutageRenewalsEnded(after time.Time, wait time.Duration) bool {
 	if !m.listed() {
 		return false
 	}
--- a/core/membership/kept_test.go
+++ b/core/membership/kept_test.go
@@ -41,7 +41,7 @@
 func (m storeTeller) says(id string, s statement, silent time.Duration) {
 	from := peer(id, 100, alive)
 	from.StoreOkMillis, from.StoreSilentMillis = s.ok.Milliseconds(), silent.Milliseconds()
-	m.Step(at(s.came), membership.Answered{
+	m.Step(at(s.came), membership.ExchangeDone{
 		Peer: model.DaemonID(id), Started: at(s.asked), Resp: &peerv1.ExchangeResponse{Sender: from},
 	})
 }
@@ -70,10 +70,10 @@
 	}
 	for name, c := range cases {
 		m := newStoreTeller("a", "b", "c", "d")
-		m.Step(at(0), membership.Local{})
+		m.Step(at(0), membership.LocalState{})
 		m.says("a", long, 0)
 		m.says("b", c.b, 0)
-		if got := m.StoreKeptBy(at(after), wait); got != c.want {
+		if got := m.OutageRenewalsEnded(at(after), wait); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -87,44 +87,44 @@
 	const after, wait = 100 * time.Second, 50 * time.Second
 	long := statement{155 * time.Second, 156 * time.Second, 150 * time.Second}
 	unlisted := membership.New(membership.Member{ID: "self", Started: simnet.Start}, membership.Options{})
-	unlisted.Step(at(0), membership.Local{})
-	unlisted.Step(at(200*time.Second), membership.Local{})
-	if unlisted.StoreKeptBy(at(after), wait) {
+	unlisted.Step(at(0), membership.LocalState{})
+	unlisted.Step(at(200*time.Second), membership.LocalState{})
+	if unlisted.OutageRenewalsEnded(at(after), wait) {
 		t.Error("a daemon that knows no list counts as all daemons")
 	}
 	alone := newStoreTeller()
-	if alone.Step(at(0), membership.Local{}); alone.StoreKeptBy(at(0), 0) {
+	if alone.Step(at(0), membership.LocalState{}); alone.OutageRenewalsEnded(at(0), 0) {
 		t.Error("one of five is a majority")
 	}
 	unmet := newStoreTeller("a", "b", "c", "d", "e", "f")
-	unmet.Step(at(0), membership.Local{})
+	unmet.Step(at(0), membership.LocalState{})
 	unmet.says("a", long, 0)
 	unmet.says("b", long, 0)
-	if unmet.StoreKeptBy(at(after), wait) {
+	if unmet.OutageRenewalsEnded(at(after), wait) {
 		t.Error("listed daemons that were not met do not count as known")
 	}
 	unmet.says("c", long, 0)
-	if !unmet.StoreKeptBy(at(after), wait) {
+	if !unmet.OutageRenewalsEnded(at(after), wait) {
 		t.Error("four of seven are no majority")
 	}
 	unasked := newStoreTeller("a", "b", "c", "d")
-	unasked.Step(at(0), membership.Local{})
+	unasked.Step(at(0), membership.LocalState{})
 	for _, id := range []string{"a", "b", "c", "d"} {
 		from := peer(id, 100, alive)
 		from.StoreOkMillis = 150_000
 		unasked.Step(at(156*time.Second), membership.Received{From: from})
 	}
-	if unasked.StoreKeptBy(at(after), wait) {
+	if unasked.OutageRenewalsEnded(at(after), wait) {
 		t.Error("messages of unknown age count")
 	}
 	for _, silent := range []time.Duration{0, time.Minute} {
 		self := newStoreTeller("a", "b", "c", "d")
-		self.Step(at(0), membership.Local{})
-		self.Step(at(120*time.Second), membership.Local{StoreSilent: silent})
-		self.Step(at(121*time.Second), membership.Local{})
+		self.Step(at(0), membership.LocalState{})
+		self.Step(at(120*time.Second), membership.LocalState{StoreSilent: silent})
+		self.Step(at(121*time.Second), membership.LocalState{})
 		self.says("a", long, 0)
 		self.says("b", long, 0)
-		if got := self.StoreKeptBy(at(after), wait); got != (silent == 0) {
+		if got := self.OutageRenewalsEnded(at(after), wait); got != (silent == 0) {
 			t.Errorf("after a silence of %s here: %v", silent, got)
 		}
 	}
@@ -136,7 +136,7 @@
 // of the oldest that is needed.
 func TestStoreSilentAtIsTheOldestNeeded(t *testing.T) {
 	m := newStoreTeller("a", "b", "c", "d")
-	m.Step(at(100*time.Second), membership.Local{StoreSilent: 10 * time.Second})
+	m.Step(at(100*time.Second), membership.LocalState{StoreSilent: 10 * time.Second})
 	m.says("a", statement{asked: 80 * time.Second, came: 81 * time.Second}, 20*time.Second)
 	if got := m.StoreSilentAt(); !got.IsZero() {
 		t.Errorf("two of five: %v", got)
@@ -156,7 +156,7 @@
 	if got := m.StoreSilentAt(); !got.Equal(at(80 * time.Second)) {
 		t.Errorf("after c's store answered: %v", got)
 	}
-	m.Step(at(103*time.Second), membership.Local{})
+	m.Step(at(103*time.Second), membership.LocalState{})
 	if got := m.StoreSilentAt(); !got.IsZero() {
 		t.Errorf("after the own store answered: %v", got)
 	}
@@ -273,7 +273,7 @@
 		if !now.Before(f.silentUntil[n.name]) {
 			f.answered[n.name] = now
 		}
-		n.step(membership.Local{StoreSilent: now.Sub(f.answered[n.name]), AwaitsStore: true})
+		n.step(membership.LocalState{StoreSilent: now.Sub(f.answered[n.name]), AwaitsMajority: true})
 	}
 }
 
@@ -288,7 +288,7 @@
 		}
 	}
 	for _, q := range f.questions {
-		if q.answered || !f.nodes[q.by].machine.StoreKeptBy(q.after, flapGrace+flapLease) {
+		if q.answered || !f.nodes[q.by].machine.OutageRenewalsEnded(q.after, flapGrace+flapLease) {
 			continue
 		}
 		q.answered = true
@@ -326,7 +326,7 @@
 		c := newCluster(size, 3, *seed)
 		c.settle(t)
 		for _, n := range c.nodes {
-			n.step(membership.Local{})
+			n.step(membership.LocalState{})
 		}
 		for i, n := range c.nodes {
 			if c.zone(i) == "z0" {
@@ -335,11 +335,11 @@
 		}
 		owner, lost := c.nodes[1], c.net.Now()
 		c.net.Run(wait - tickEvery)
-		if owner.machine.StoreKeptBy(lost, wait) {
+		if owner.machine.OutageRenewalsEnded(lost, wait) {
 			t.Fatalf("%d daemons: known before its time", size)
 		}
-		owner.step(membership.Local{AwaitsStore: true})
-		known := func() bool { return owner.machine.StoreKeptBy(lost, wait) }
+		owner.step(membership.LocalState{AwaitsMajority: true})
+		known := func() bool { return owner.machine.OutageRenewalsEnded(lost, wait) }
 		if !c.net.RunUntil(20*time.Second, known) {
 			t.Errorf("%d daemons: not known 20 s after its time", size)
 		}
--- a/core/membership/list.go
+++ b/core/membership/list.go
@@ -25,7 +25,7 @@
 		m.takeVM(vm, byAddress)
 	}
 	if !m.trusted(len(entries)) {
-		m.stats.ListsDistrusted++
+		m.stats.ListsRejected++
 		return
 	}
 	m.listedAt = m.now
@@ -69,7 +69,7 @@
 	if m.distrusted.IsZero() {
 		m.distrusted = m.now
 	}
-	return m.now.Sub(m.distrusted) > m.o.ListFresh
+	return m.now.Sub(m.distrusted) > m.o.ListMaxAge
 }
 
 // takeVM notes one listed VM. A VM is matched with a known member by its ID,
--- a/core/membership/machine.go
+++ b/core/membership/machine.go
@@ -96,9 +96,9 @@
 		m.takeList(ev)
 	case Received:
 		m.received(ev)
-	case Answered:
+	case ExchangeDone:
 		m.answered(ev)
-	case Local:
+	case LocalState:
 		m.local(ev)
 	case Drain:
 		m.drain()
@@ -138,7 +138,7 @@
 	return v
 }
 
-func (m *Machine) local(ev Local) {
+func (m *Machine) local(ev LocalState) {
 	shards := slices.Clone(ev.OwnedShards)
 	slices.SortFunc(shards, func(a, b ShardEpoch) int { return cmp.Compare(a.Shard, b.Shard) })
 	if !slices.EqualFunc(shards, m.self.OwnedShards, sameShard) {
@@ -148,7 +148,7 @@
 	m.self.Demand = ev.Demand
 	m.self.StoreSilent = ev.StoreSilent
 	m.noteStore()
-	m.awaitsStore = ev.AwaitsStore
+	m.awaitsStore = ev.AwaitsMajority
 	m.self.OwnedShards = shards
 }
 
--- a/core/membership/machine_test.go
+++ b/core/membership/machine_test.go
@@ -71,11 +71,11 @@
 			case !ok:
 			case ask.Peer != "a":
 				said := []*peerv1.Member{peer("a", 100, suspect)}
-				m.Step(now, membership.Answered{Peer: ask.Peer, Resp: &peerv1.ExchangeResponse{
+				m.Step(now, membership.ExchangeDone{Peer: ask.Peer, Resp: &peerv1.ExchangeResponse{
 					Sender: peer(string(ask.Peer), 100, alive), Members: said,
 				}})
 			case now.Sub(simnet.Start) < 12*time.Second:
-				m.Step(now, membership.Answered{Peer: "a", Err: &port.PeerError{Kind: port.PeerUnreachable}})
+				m.Step(now, membership.ExchangeDone{Peer: "a", Err: &port.PeerError{Kind: port.PeerUnreachable}})
 			default:
 				// The last exchange stays without an end: the member's answer is
 				// still on its way when the suspicion's time is over.
@@ -104,9 +104,9 @@
 			switch {
 			case !ok:
 			case ask.Peer == "a":
-				m.Step(now, membership.Answered{Peer: "a", Err: &port.PeerError{Kind: port.PeerUnreachable}})
+				m.Step(now, membership.ExchangeDone{Peer: "a", Err: &port.PeerError{Kind: port.PeerUnreachable}})
 			default:
-				m.Step(now, membership.Answered{Peer: ask.Peer, Resp: &peerv1.ExchangeResponse{
+				m.Step(now, membership.ExchangeDone{Peer: ask.Peer, Resp: &peerv1.ExchangeResponse{
 					Sender: peer(string(ask.Peer), 100, alive),
 				}})
 			}
--- a/core/membership/member.go
+++ b/core/membership/member.go
@@ -71,6 +71,6 @@
 	// Options.StoreSilentAfter.
 	StoreOK     time.Duration
 	OwnedShards []ShardEpoch
-	// Heard is when this daemon last had a message from the member itself.
-	Heard time.Time
+	// LastHeard is when this daemon last had a message from the member itself.
+	LastHeard time.Time
 }
--- a/core/membership/merge.go
+++ b/core/membership/merge.go
@@ -19,7 +19,7 @@
 	}
 	r.directIncarnation = p.GetIncarnation()
 	if p.GetIncarnation() < r.Incarnation {
-		m.stats.OldRecords++
+		m.stats.StaleRecords++
 		return nil
 	}
 	m.takeRecord(r, r, p)
@@ -27,7 +27,7 @@
 		m.changed = true
 	}
 	r.takeOwn(p)
-	r.Heard = m.now
+	r.LastHeard = m.now
 	return r
 }
 
@@ -99,7 +99,7 @@
 		return
 	}
 	if p.GetIncarnation() < r.Incarnation {
-		m.stats.OldRecords++
+		m.stats.StaleRecords++
 		m.correct(r.ID)
 		return
 	}
--- a/core/membership/options.go
+++ b/core/membership/options.go
@@ -29,16 +29,16 @@
 	// Confirmations is how many other members must have failed to reach a
 	// suspect before it is removed, as far as there are others; 1.
 	Confirmations int
-	// AdoptReports is how many members' removals are believed without a failed
+	// RemovalReports is how many members' removals are believed without a failed
 	// exchange of one's own; 3.
-	AdoptReports int
+	RemovalReports int
 	// DeadRetention is how long a removed member stays known; 10 min.
 	DeadRetention time.Duration
-	// DeadRetry is the time between exchanges with dead members that the
+	// DeadRetryInterval is the time between exchanges with dead members that the
 	// platform still lists, all of them together; 5 s.
-	DeadRetry time.Duration
-	// ListFresh is how long an answer of the platform's list counts; 2 min.
-	ListFresh time.Duration
+	DeadRetryInterval time.Duration
+	// ListMaxAge is how long an answer of the platform's list counts; 2 min.
+	ListMaxAge time.Duration
 	// StoreSilentAfter is the silence from which the store counts as silent;
 	// 3 s.
 	StoreSilentAfter time.Duration
@@ -48,10 +48,10 @@
 	OutageGrace time.Duration
 	// MaxChanges bounds the recent changes in one message; 6.
 	MaxChanges int
-	// Rotating is how many other records a message carries; 2.
-	Rotating int
-	// MaxSync bounds the records in the first message to a member; 64.
-	MaxSync int
+	// RotatingRecords is how many other records a message carries; 2.
+	RotatingRecords int
+	// MaxSyncRecords bounds the records in the first message to a member; 64.
+	MaxSyncRecords int
 	// RelayFactor times log2 of the number of members is how often a change is
 	// passed on; 2.
 	RelayFactor int
@@ -68,8 +68,8 @@
 		{&o.SuspicionTimeout, 12 * time.Second},
 		{&o.LeaveTimeout, 3 * time.Second},
 		{&o.DeadRetention, 10 * time.Minute},
-		{&o.DeadRetry, 5 * time.Second},
-		{&o.ListFresh, 2 * time.Minute},
+		{&o.DeadRetryInterval, 5 * time.Second},
+		{&o.ListMaxAge, 2 * time.Minute},
 		{&o.StoreSilentAfter, 3 * time.Second},
 		{&o.OutageGrace, 20 * time.Second},
 	}
@@ -87,10 +87,10 @@
 		{&o.DoubtFanout, 2},
 		{&o.SuspectAfter, 3},
 		{&o.Confirmations, 1},
-		{&o.AdoptReports, 3},
+		{&o.RemovalReports, 3},
 		{&o.MaxChanges, 6},
-		{&o.Rotating, 2},
-		{&o.MaxSync, 64},
+		{&o.RotatingRecords, 2},
+		{&o.MaxSyncRecords, 64},
 		{&o.RelayFactor, 2},
 	}
 	for _, c := range counts {
--- a/core/membership/relay.go
+++ b/core/membership/relay.go
@@ -93,13 +93,13 @@
 // just started and knows few others.
 func (m *Machine) rotating(r *record) int {
 	if r == nil || r.synced || r.Incarnation == 0 {
-		return m.o.Rotating
+		return m.o.RotatingRecords
 	}
 	r.synced = true
 	if m.now.Sub(r.met) > startPeriods*m.o.Period {
-		return m.o.Rotating
+		return m.o.RotatingRecords
 	}
-	return m.o.MaxSync
+	return m.o.MaxSyncRecords
 }
 
 // addRotating adds the next n records in turn. They repair what the passing on
--- a/core/membership/round.go
+++ b/core/membership/round.go
@@ -188,7 +188,7 @@
 // After two sides of a cut removed each other, nobody else would start a
 // conversation between them.
 func (m *Machine) askDead() {
-	if m.now.Sub(m.lastRetry) < m.o.DeadRetry {
+	if m.now.Sub(m.lastRetry) < m.o.DeadRetryInterval {
 		return
 	}
 	var oldest *record
--- a/core/membership/stats.go
+++ b/core/membership/stats.go
@@ -15,11 +15,11 @@
 	Refutations uint64
 	// Removals counts members that became dead here.
 	Removals uint64
-	// Held counts rounds in which a removal was due and not made because this
+	// RemovalsHeld counts rounds in which a removal was due and not made because this
 	// daemon reaches no majority.
-	Held uint64
-	// OldRecords counts records refused for their incarnation.
-	OldRecords uint64
+	RemovalsHeld uint64
+	// StaleRecords counts records refused for their incarnation.
+	StaleRecords uint64
 	// AddressConflicts counts members whose address another member with a
 	// later start took over.
 	AddressConflicts uint64
@@ -28,5 +28,5 @@
 	// ListErrors counts failed reads of the platform's list, ListsDistrusted
 	// lists that were empty or lacked most of the VMs of the one before.
 	ListErrors      uint64
-	ListsDistrusted uint64
+	ListsRejected uint64
 }
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -30,10 +30,10 @@
 	return v.ids(func(m *Member) bool { return m.State == Alive && !m.VMLeaving })
 }
 
-// ForShares returns the daemons among which the slots of instances are
+// Active returns the daemons among which the slots of instances are
 // divided: all that may still send requests, leaving and suspect ones
 // included.
-func (v *View) ForShares() []model.DaemonID {
+func (v *View) Active() []model.DaemonID {
 	return v.ids(func(m *Member) bool {
 		return m.State == Alive || m.State == Leaving || m.State == Suspect
 	})
--- a/core/workersession/hosts_test.go
+++ b/core/workersession/hosts_test.go
@@ -77,7 +77,7 @@
 		if w.hasStore(h) {
 			h.answered = w.now
 		}
-		w.stepHost(h, membership.Local{StoreSilent: w.now.Sub(h.answered), AwaitsStore: h.awaits})
+		w.stepHost(h, membership.LocalState{StoreSilent: w.now.Sub(h.answered), AwaitsMajority: h.awaits})
 		w.stepHost(h, membership.Tick{Random: w.rnd.Uint64()})
 	}
 }
@@ -98,7 +98,7 @@
 	end := func(resp *peerv1.ExchangeResponse, err error) {
 		if !over {
 			over = true
-			w.stepHost(from, membership.Answered{Peer: ask.Peer, Resp: resp, Err: err})
+			w.stepHost(from, membership.ExchangeDone{Peer: ask.Peer, Resp: resp, Err: err})
 		}
 	}
 	w.post(ask.Timeout, from, func() { end(nil, &port.PeerError{Kind: port.PeerUnreachable}) })
--- a/core/workersession/world_test.go
+++ b/core/workersession/world_test.go
@@ -418,7 +418,7 @@
 		return
 	}
 	end := w.opt.PredecessorsEnd()
-	o.settled = o.host.machine.StoreKeptBy(o.acquired, end)
+	o.settled = o.host.machine.OutageRenewalsEnded(o.acquired, end)
 	o.host.awaits = !o.settled && !w.now.Before(o.acquired.Add(end))
 }
 
--- a/daemon/homes.go
+++ b/daemon/homes.go
@@ -63,7 +63,7 @@
 func dedupMember(m membership.Member) dedup.Member {
 	d := dedup.Member{ID: m.ID}
 	if m.State == membership.Dead {
-		d.LastKnown = m.Heard
+		d.LastKnown = m.LastHeard
 	}
 	return d
 }
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -78,7 +78,7 @@
 	if ev.pushed {
 		c.spreader.Answered(ev.peer, ev.err == nil)
 	}
-	c.stepMembers(membership.Answered{Peer: ev.peer, Started: ev.started, Resp: ev.resp, Err: ev.err})
+	c.stepMembers(membership.ExchangeDone{Peer: ev.peer, Started: ev.started, Resp: ev.resp, Err: ev.err})
 	if ev.err != nil {
 		return
 	}
@@ -147,12 +147,12 @@
 	c.view = c.members.View()
 	c.recordMembers(before)
 	c.offerCandidates(c.clock.Now())
-	c.spreader.SetMembers(c.view.ForShares())
+	c.spreader.SetMembers(c.view.Active())
 	c.homes.setView(c.view)
 	c.tables.dirty = true
 	c.chooseConfigWatch()
 	if budget, ok := c.o.Ports.Store.(storeBudget); ok {
-		budget.SetDaemons(max(1, len(c.view.ForShares())))
+		budget.SetDaemons(max(1, len(c.view.Active())))
 	}
 	if connections, ok := c.o.Ports.Peers.(peerConnections); ok {
 		connections.Retain(c.peerAddresses())
@@ -213,10 +213,10 @@
 
 // tellMembers refreshes what this daemon says of itself.
 func (c *control) tellMembers(now time.Time) {
-	local := membership.Local{
+	local := membership.LocalState{
 		ConfigRevision: c.config.Revision(),
 		StoreSilent:    now.Sub(c.storeAnswered),
-		AwaitsStore:    c.awaitsStore(now),
+		AwaitsMajority:    c.awaitsStore(now),
 	}
 	for _, id := range c.sortedShards() {
 		s := c.shards[id]
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -102,7 +102,7 @@
 // renewing, as long as it matters to one of its workers.
 func (s *shard) judgePredecessors() {
 	if s.awaitsPredecessors() {
-		s.predecessorsOver = s.c.members.StoreKeptBy(s.acquiredAt, s.c.o.Session.PredecessorsEnd())
+		s.predecessorsOver = s.c.members.OutageRenewalsEnded(s.acquiredAt, s.c.o.Session.PredecessorsEnd())
 	}
 }
 
--- a/daemon/tables.go
+++ b/daemon/tables.go
@@ -279,7 +279,7 @@
 // shareEntries are the entries among which slots are divided.
 func (c *control) shareEntries() []shares.Entry {
 	var entries []shares.Entry
-	for _, id := range c.view.ForShares() {
+	for _, id := range c.view.Active() {
 		m, _ := c.view.Member(id)
 		entries = append(entries, shares.Entry{ID: id, Zone: m.Zone, Weight: 1})
 	}
