--- a/core/dissemination/spreader.go
+++ b/core/dissemination/broadcaster.go
@@ -8,12 +8,12 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Spreader decides whom to push changes to. It is driven by one goroutine.
+// Broadcaster decides whom to push changes to. It is driven by one goroutine.
 //
 // A child has at most one push in flight. Changes that come meanwhile gather,
 // so that a child slower than the changes gets fewer, larger messages and not
 // a growing queue.
-type Spreader struct {
+type Broadcaster struct {
 	self    model.DaemonID
 	fanout  int
 	members []model.DaemonID
@@ -23,13 +23,13 @@
 	inFlight map[model.DaemonID]*outbox
 }
 
-// NewSpreader returns a spreader that knows no members yet; fanout is
+// NewBroadcaster returns a spreader that knows no members yet; fanout is
 // DefaultFanout when 0.
-func NewSpreader(self model.DaemonID, fanout int) *Spreader {
+func NewBroadcaster(self model.DaemonID, fanout int) *Broadcaster {
 	if fanout <= 0 {
 		fanout = DefaultFanout
 	}
-	return &Spreader{
+	return &Broadcaster{
 		self:     self,
 		fanout:   fanout,
 		pending:  make(map[model.DaemonID]*outbox),
@@ -40,7 +40,7 @@
 // SetMembers gives the daemons over which the trees go: View.Candidates and
 // those leaving, this daemon included. Changes that wait for a daemon no
 // longer among them are dropped; it repairs itself when it is back.
-func (s *Spreader) SetMembers(members []model.DaemonID) {
+func (s *Broadcaster) SetMembers(members []model.DaemonID) {
 	s.members = slices.Clone(members)
 	for id := range s.pending {
 		if !slices.Contains(s.members, id) {
@@ -50,15 +50,15 @@
 }
 
 // ListsChanged tells of lists that were installed, made here or pushed here.
-func (s *Spreader) ListsChanged(lists []*peerv1.ShardTargets) {
+func (s *Broadcaster) ListsChanged(lists []*peerv1.ShardTargets) {
 	for _, l := range lists {
 		owner := l.GetOwner()
 		s.list(topic{key: owner, root: model.DaemonID(owner)}, s.self, l.GetShard())
 	}
 }
 
-// Leaving tells of new hints, seen here first or pushed here.
-func (s *Spreader) Leaving(hints []*peerv1.LeavingTarget, seenHere bool) {
+// HintsAdded tells of new hints, seen here first or pushed here.
+func (s *Broadcaster) HintsAdded(hints []*peerv1.LeavingTarget, seenHere bool) {
 	for _, h := range hints {
 		t := topic{key: h.GetAddress()}
 		s.hint(t, s.self, h)
@@ -70,7 +70,7 @@
 
 // ConfigChanged tells of a configuration that was installed in place of the
 // one with revision base, read from the store here or pushed here.
-func (s *Spreader) ConfigChanged(base, revision uint64, readHere bool) {
+func (s *Broadcaster) ConfigChanged(base, revision uint64, readHere bool) {
 	t := topic{key: "config " + strconv.FormatUint(revision, 10)}
 	s.config(t, s.self, base)
 	if readHere {
@@ -78,33 +78,33 @@
 	}
 }
 
-func (s *Spreader) list(t topic, from model.DaemonID, shard uint32) {
+func (s *Broadcaster) list(t topic, from model.DaemonID, shard uint32) {
 	for _, child := range t.children(from, s.members, s.fanout) {
 		s.outbox(child).shards[shard] = t
 	}
 }
 
-func (s *Spreader) hint(t topic, from model.DaemonID, h *peerv1.LeavingTarget) {
+func (s *Broadcaster) hint(t topic, from model.DaemonID, h *peerv1.LeavingTarget) {
 	for _, child := range t.children(from, s.members, s.fanout) {
 		s.outbox(child).leaving[h.GetAddress()] = hintItem{t, h}
 	}
 }
 
-func (s *Spreader) config(t topic, from model.DaemonID, base uint64) {
+func (s *Broadcaster) config(t topic, from model.DaemonID, base uint64) {
 	for _, child := range t.children(from, s.members, s.fanout) {
 		s.outbox(child).addConfig(t, base)
 	}
 }
 
 // toTop sends a change to where its tree starts.
-func (s *Spreader) toTop(t topic, add func(*outbox)) {
+func (s *Broadcaster) toTop(t topic, add func(*outbox)) {
 	order := t.order(s.members)
 	if len(order) > 0 && order[0] != s.self {
 		add(s.outbox(order[0]))
 	}
 }
 
-func (s *Spreader) outbox(child model.DaemonID) *outbox {
+func (s *Broadcaster) outbox(child model.DaemonID) *outbox {
 	box := s.pending[child]
 	if box == nil {
 		box = newOutbox()
@@ -114,7 +114,7 @@
 }
 
 // Next returns the pushes to start now, by peer.
-func (s *Spreader) Next() []Push {
+func (s *Broadcaster) Next() []Push {
 	var out []Push
 	for _, id := range s.ready() {
 		box := s.pending[id]
@@ -125,7 +125,7 @@
 	return out
 }
 
-func (s *Spreader) ready() []model.DaemonID {
+func (s *Broadcaster) ready() []model.DaemonID {
 	var ids []model.DaemonID
 	for id := range s.pending {
 		if id != s.self && s.inFlight[id] == nil {
@@ -136,11 +136,11 @@
 	return ids
 }
 
-// Answered tells of the end of a push; call Next after it. A child that failed
+// PushDone tells of the end of a push; call Next after it. A child that failed
 // may never have got the changes, so its children are taken over: without that
 // one dead daemon near the root would leave up to a fanout-th of all entries
 // to slower repair.
-func (s *Spreader) Answered(peer model.DaemonID, ok bool) {
+func (s *Broadcaster) PushDone(peer model.DaemonID, ok bool) {
 	box := s.inFlight[peer]
 	delete(s.inFlight, peer)
 	if box == nil || ok {
--- a/core/dissemination/spread_test.go
+++ b/core/dissemination/broadcaster_test.go
@@ -47,7 +47,7 @@
 	table    *dissemination.Table
 	config   *config
 	composer *dissemination.Composer
-	spreader *dissemination.Spreader
+	spreader *dissemination.Broadcaster
 	bytes    int
 	sent     int
 	// learned are the times at which lists and configurations arrived.
@@ -81,7 +81,7 @@
 			ID: model.DaemonID(id), Address: id, Started: f.net.Now(),
 		}, membership.Options{}),
 		table: dissemination.NewTable(), config: &config{},
-		spreader: dissemination.NewSpreader(model.DaemonID(id), 0),
+		spreader: dissemination.NewBroadcaster(model.DaemonID(id), 0),
 		learned:  make(map[string]time.Time),
 	}
 	d.composer = dissemination.NewComposer("test", 1, 0, d.machine, d.table, d.config)
@@ -118,7 +118,7 @@
 func (d *daemon) push() {
 	for _, p := range d.spreader.Next() {
 		d.call(p.Peer, 750*time.Millisecond, d.composer.PushRequest(p), func(ok bool) {
-			d.spreader.Answered(p.Peer, ok)
+			d.spreader.PushDone(p.Peer, ok)
 			d.push()
 		})
 	}
@@ -132,7 +132,7 @@
 	}, func(resp *peerv1.ExchangeResponse, err error) {
 		d.step(membership.ExchangeDone{Peer: peer, Resp: resp, Err: err})
 		if err == nil {
-			d.note(d.composer.TakeResponse(d.f.net.Now(), resp), resp.GetConfig())
+			d.note(d.composer.MergeResponse(d.f.net.Now(), resp), resp.GetConfig())
 		}
 		done(err == nil)
 	})
@@ -140,9 +140,9 @@
 
 func (d *daemon) serve(req *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
 	d.step(membership.Received{From: req.GetSender(), Members: req.GetMembers()})
-	taken := d.composer.TakeRequest(d.f.net.Now(), req)
+	taken := d.composer.MergeRequest(d.f.net.Now(), req)
 	d.spreader.ListsChanged(taken.Lists)
-	d.spreader.Leaving(taken.Leaving, false)
+	d.spreader.HintsAdded(taken.Leaving, false)
 	if base, installed := d.config.apply(req.GetConfig()); installed {
 		d.spreader.ConfigChanged(base, d.config.revision, false)
 	}
@@ -153,7 +153,7 @@
 	return resp
 }
 
-func (d *daemon) note(taken dissemination.Taken, delta *peerv1.ConfigDelta) {
+func (d *daemon) note(taken dissemination.Changes, delta *peerv1.ConfigDelta) {
 	d.config.apply(delta)
 	now := d.f.net.Now()
 	for _, l := range taken.Lists {
@@ -229,7 +229,7 @@
 				from := f.net.Now()
 				d := f.daemons[0]
 				hint := []*peerv1.LeavingTarget{{Address: "10.0.0.1:8080", Task: "orders@1/1", Attempt: 1}}
-				d.spreader.Leaving(d.table.MarkLeaving(from, hint), true)
+				d.spreader.HintsAdded(d.table.MarkLeaving(from, hint), true)
 				d.learned["hint 10.0.0.1:8080"] = from
 				d.push()
 				median, worst = f.spread(t, "hint 10.0.0.1:8080", from, 10*time.Second)
@@ -237,7 +237,7 @@
 				from = f.net.Now()
 				d.config.revision = 1
 				d.spreader.ConfigChanged(0, 1, true)
-				d.note(dissemination.Taken{}, nil)
+				d.note(dissemination.Changes{}, nil)
 				d.push()
 				median, worst = f.spread(t, "config 1", from, 10*time.Second)
 				report(t, "config", dead, median, worst)
--- a/core/dissemination/composer.go
+++ b/core/dissemination/composer.go
@@ -131,30 +131,30 @@
 	}
 }
 
-// Taken is what a message brought that was new here.
-type Taken struct {
+// Changes is what a message brought that was new here.
+type Changes struct {
 	Lists   []*peerv1.ShardTargets
 	Leaving []*peerv1.LeavingTarget
 }
 
-// TakeRequest takes in the lists and hints of a request; call it before
+// MergeRequest takes in the lists and hints of a request; call it before
 // Response. What it returns is to be given to the Spreader, as it may have
 // come along a tree.
-func (c *Composer) TakeRequest(now time.Time, req *peerv1.ExchangeRequest) Taken {
-	return Taken{
-		Lists:   c.table.Take(req.GetTargets()),
+func (c *Composer) MergeRequest(now time.Time, req *peerv1.ExchangeRequest) Changes {
+	return Changes{
+		Lists:   c.table.Install(req.GetTargets()),
 		Leaving: c.table.MarkLeaving(now, req.GetLeaving()),
 	}
 }
 
-// TakeResponse takes in the lists, hints and digest of a response. What it
+// MergeResponse takes in the lists, hints and digest of a response. What it
 // returns repairs this daemon and is not to be pushed on: others that lack it
 // repair themselves, and a push by each of them would multiply the traffic.
-func (c *Composer) TakeResponse(now time.Time, resp *peerv1.ExchangeResponse) Taken {
-	taken := Taken{
-		Lists:   c.table.Take(resp.GetTargets()),
+func (c *Composer) MergeResponse(now time.Time, resp *peerv1.ExchangeResponse) Changes {
+	taken := Changes{
+		Lists:   c.table.Install(resp.GetTargets()),
 		Leaving: c.table.MarkLeaving(now, resp.GetLeaving()),
 	}
-	c.table.Note(resp.GetDigest().GetShards())
+	c.table.NoteDigest(resp.GetDigest().GetShards())
 	return taken
 }
--- a/core/dissemination/digest.go
+++ b/core/dissemination/digest.go
@@ -59,9 +59,9 @@
 	return shards[:min(len(shards), MaxWanted)]
 }
 
-// Note takes a digest from a peer: it remembers versions that are newer than
+// NoteDigest takes a digest from a peer: it remembers versions that are newer than
 // the ones held and whether the peer's summary differs.
-func (t *Table) Note(versions []*peerv1.ShardVersion) {
+func (t *Table) NoteDigest(versions []*peerv1.ShardVersion) {
 	t.differs = false
 	for _, v := range versions {
 		if v.GetShard() == SummaryShard {
@@ -86,7 +86,7 @@
 // less than half of the lists is told all versions, so that a daemon that just
 // started has every list after its second exchange.
 func (t *Table) answerDigest(theirs []*peerv1.ShardVersion) []*peerv1.ShardVersion {
-	t.Note(theirs)
+	t.NoteDigest(theirs)
 	held := int64(0)
 	for _, v := range theirs {
 		if v.GetShard() == SummaryShard {
--- a/core/dissemination/table.go
+++ b/core/dissemination/table.go
@@ -53,10 +53,10 @@
 
 // Merge installs the lists that are newer than those held and reports whether
 // there were any.
-func (t *Table) Merge(lists []*peerv1.ShardTargets) bool { return len(t.Take(lists)) > 0 }
+func (t *Table) Merge(lists []*peerv1.ShardTargets) bool { return len(t.Install(lists)) > 0 }
 
-// Take is Merge and returns the lists that were installed: those to push on.
-func (t *Table) Take(lists []*peerv1.ShardTargets) []*peerv1.ShardTargets {
+// Install is Merge and returns the lists that were installed: those to push on.
+func (t *Table) Install(lists []*peerv1.ShardTargets) []*peerv1.ShardTargets {
 	var taken []*peerv1.ShardTargets
 	for _, l := range lists {
 		if t.take(l) {
--- a/core/dissemination/table_test.go
+++ b/core/dissemination/table_test.go
@@ -120,9 +120,9 @@
 }
 
 func exchange(a, b *dissemination.Table) {
-	b.Note(a.Digest())
+	b.NoteDigest(a.Digest())
 	a.Merge(b.NewerThan(a.Digest()))
-	a.Note(b.Digest())
+	a.NoteDigest(b.Digest())
 }
 
 func (w *world) numbers() []number {
--- a/daemon/control.go
+++ b/daemon/control.go
@@ -36,7 +36,7 @@
 
 	members  *membership.Machine
 	composer *dissemination.Composer
-	spreader *dissemination.Spreader
+	spreader *dissemination.Broadcaster
 	table    *dissemination.Table
 	owner    *ownership.Machine
 	config   *config.State
@@ -117,7 +117,7 @@
 		engine:       engine,
 		homes:        h,
 		table:        dissemination.NewTable(),
-		spreader:     dissemination.NewSpreader(id.ID, 0),
+		spreader:     dissemination.NewBroadcaster(id.ID, 0),
 		owner:        ownership.New(id.ID, id.PeerAddress, withSeed(o.Ownership, o.Seed)),
 		config:       config.NewState(),
 		shards:       make(map[model.ShardID]*shard),
--- a/daemon/members.go
+++ b/daemon/members.go
@@ -76,14 +76,14 @@
 
 func (ev exchangeAnswered) apply(c *control) {
 	if ev.pushed {
-		c.spreader.Answered(ev.peer, ev.err == nil)
+		c.spreader.PushDone(ev.peer, ev.err == nil)
 	}
 	c.stepMembers(membership.ExchangeDone{Peer: ev.peer, Started: ev.started, Resp: ev.resp, Err: ev.err})
 	if ev.err != nil {
 		return
 	}
 	c.heardFrom(ev.resp.GetSender())
-	taken := c.composer.TakeResponse(c.clock.Now(), ev.resp)
+	taken := c.composer.MergeResponse(c.clock.Now(), ev.resp)
 	c.took(taken, false)
 	c.takeDelta(ev.resp.GetConfig(), false)
 	c.peersHeard[ev.peer] = true
@@ -99,7 +99,7 @@
 	sender := ev.req.GetSender()
 	c.stepMembers(membership.Received{From: sender, Members: ev.req.GetMembers()})
 	c.heardFrom(sender)
-	c.took(c.composer.TakeRequest(c.clock.Now(), ev.req), true)
+	c.took(c.composer.MergeRequest(c.clock.Now(), ev.req), true)
 	c.takeDelta(ev.req.GetConfig(), true)
 	for _, id := range ev.req.GetInboxNotices() {
 		c.noticeInbox(model.ShardID(id))
@@ -109,7 +109,7 @@
 
 // took acts on what an exchange brought. What came by push goes on along the
 // tree; what repaired this daemon does not.
-func (c *control) took(taken dissemination.Taken, pushed bool) {
+func (c *control) took(taken dissemination.Changes, pushed bool) {
 	if len(taken.Lists) > 0 {
 		c.tables.dirty = true
 	}
@@ -119,7 +119,7 @@
 	}
 	if pushed {
 		c.spreader.ListsChanged(taken.Lists)
-		c.spreader.Leaving(taken.Leaving, false)
+		c.spreader.HintsAdded(taken.Leaving, false)
 	}
 }
 
@@ -128,7 +128,7 @@
 	for _, push := range c.spreader.Next() {
 		member, known := c.view.Member(push.Peer)
 		if !known {
-			c.spreader.Answered(push.Peer, false)
+			c.spreader.PushDone(push.Peer, false)
 			continue
 		}
 		req := c.composer.PushRequest(push)
@@ -266,6 +266,6 @@
 		return
 	}
 	c.record(timeline.Event{Kind: timeline.TargetLeaving, Subject: ev.address, Detail: "its own word"})
-	c.spreader.Leaving(fresh, true)
+	c.spreader.HintsAdded(fresh, true)
 	c.tables.dirty = true
 }
--- a/daemon/tables.go
+++ b/daemon/tables.go
@@ -104,7 +104,7 @@
 	for _, hint := range fresh {
 		c.engine.MarkLeaving(hint.GetAddress())
 	}
-	c.spreader.Leaving(fresh, true)
+	c.spreader.HintsAdded(fresh, true)
 }
 
 // markListedLeaving stops this entry's new work to targets on VMs that the
