--- a/core/job/fleet_test.go
+++ b/core/job/fleet_test.go
@@ -15,22 +15,21 @@
 	return f
 }
 
-// A job that no worker could ever run was taken in and waited for ever, and its
-// caller was told that it is queued. Each reason is found out when it is handed
-// in.
-func TestFleetRulesOutWhatNoWorkerCouldRun(t *testing.T) {
+// A job that no worker could ever run must be rejected when it is submitted. Such
+// a job was once accepted and stayed pending forever, reported as queued.
+func TestFleetRejectsInfeasibleSteps(t *testing.T) {
 	size := func(cpu, memory, gpus int64) model.Resources {
 		return model.Resources{MilliCPU: cpu, MemoryMB: memory, Accelerators: gpus}
 	}
 	tests := map[string]struct {
-		step  Step
-		ruled bool
+		step           Step
+		wantInfeasible bool
 	}{
 		"fits on the largest":                     {Step{Count: 3, Size: size(16000, 64000, 0)}, false},
 		"more processors than any worker":         {Step{Count: 1, Size: size(16001, 1, 0)}, true},
 		"more memory than any worker":             {Step{Count: 1, Size: size(1, 128001, 0)}, true},
 		"each dimension fits, on other workers":   {Step{Count: 1, Size: size(16000, 128000, 0)}, true},
-		"accelerators that there are not":         {Step{Count: 1, Size: size(1, 1, 1)}, true},
+		"accelerators that no worker has":         {Step{Count: 1, Size: size(1, 1, 1)}, true},
 		"a label that a worker has":               {Step{Count: 1, Size: size(4000, 1, 0), Label: "r1"}, false},
 		"a label that no worker has":              {Step{Count: 1, Size: size(1, 1, 0), Label: "b"}, true},
 		"too large for the workers of a label":    {Step{Count: 1, Size: size(4001, 1, 0), Label: "r1"}, true},
@@ -41,18 +40,18 @@
 	}
 	for name, test := range tests {
 		err := testFleet().Check("pool", &Spec{Steps: []Step{{Count: 1}, test.step}})
-		var unservable *InfeasibleError
-		if ruled := errors.As(err, &unservable); ruled != test.ruled {
-			t.Errorf("%s: %v, want ruled out %t", name, err, test.ruled)
-		} else if ruled && unservable.Step != 1 {
-			t.Errorf("%s: step %d is blamed, want 1", name, unservable.Step)
+		var infeasible *InfeasibleError
+		if isInfeasible := errors.As(err, &infeasible); isInfeasible != test.wantInfeasible {
+			t.Errorf("%s: %v, want infeasible %t", name, err, test.wantInfeasible)
+		} else if isInfeasible && infeasible.Step != 1 {
+			t.Errorf("%s: step %d is named, want 1", name, infeasible.Step)
 		}
 	}
 }
 
-// TestFleetSaysNothingOfWhatIsNotKnown: before the first worker of a service is
-// known, or when no leader has written down what there is, jobs are taken in.
-func TestFleetSaysNothingOfWhatIsNotKnown(t *testing.T) {
+// Jobs must be accepted before the first worker of their service is known, and
+// when no leader has stored the fleet yet.
+func TestFleetAcceptsUnknownServices(t *testing.T) {
 	spec := &Spec{Steps: []Step{{Count: 1, Size: model.Resources{MilliCPU: 1 << 40}}}}
 	for name, f := range map[string]*Fleet{"empty": new(Fleet), "another service": testFleet()} {
 		if err := f.Check("other", spec); err != nil {
--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -671,7 +671,7 @@
 		c.checkSums(w)
 	}
 	for s := range m.pending.All() {
-		if !s.ready() || m.heldBack(s, m.now) {
+		if !s.ready() || m.startsHeldBack(s, m.now) {
 			continue
 		}
 		if s.spec.Gang {
@@ -679,12 +679,12 @@
 			continue
 		}
 		for _, t := range s.tasks {
-			if !t.idle() || m.restartUnstored(t) || m.waitsForTrial(t) {
+			if !t.idle() || m.needsRestartRecord(t) || m.waitsForTrial(t) {
 				// What may have been done unheard waits for the store, as do trials, and
 				// these for each other.
 				continue
 			}
-			if w := m.choose(t); w != nil {
+			if w := m.bestWorker(t); w != nil {
 				c.t.Errorf("%s: %s waits, and fits on %s", c.now.Sub(testEpoch), t.key(), w.id)
 			}
 			break
@@ -697,13 +697,13 @@
 func (c *cluster) checkGang(s *step) {
 	m := c.machine
 	for _, t := range s.tasks {
-		if len(t.attempts) > 0 || m.restartUnstored(t) || m.waitsForTrial(t) {
+		if len(t.attempts) > 0 || m.needsRestartRecord(t) || m.waitsForTrial(t) {
 			return
 		}
 	}
-	remembered := m.misfits
-	defer func() { m.misfits = remembered }()
-	m.misfits.reset()
+	remembered := m.unplaceable
+	defer func() { m.unplaceable = remembered }()
+	m.unplaceable.reset()
 	if _, fits := m.placeGang(s); fits {
 		c.t.Errorf("%s: gang %s waits, and fits", c.now.Sub(testEpoch), s.name())
 	}
@@ -714,12 +714,12 @@
 	var committed, yielding model.Resources
 	for _, a := range w.attempts.All() {
 		committed = committed.Add(a.size)
-		if a.yields() {
+		if a.isReclaimable() {
 			yielding = yielding.Add(a.size)
 		}
 	}
-	if committed != w.committed || yielding != w.yielding {
+	if committed != w.committed || yielding != w.reclaimable {
 		c.t.Errorf("%s: %s commits %s of which %s may yield, its attempts %s and %s",
-			c.now.Sub(testEpoch), w.id, w.committed, w.yielding, committed, yielding)
+			c.now.Sub(testEpoch), w.id, w.committed, w.reclaimable, committed, yielding)
 	}
 }
--- /dev/null
+++ b/core/jobsched/isolation.go
@@ -0,0 +1,149 @@
+package jobsched
+
+import (
+	"slices"
+	"time"
+
+	"github.com/guavarill/guavarill/core/job"
+)
+
+// Suspect tasks, those with suspicious crashes, are kept off each other's workers,
+// and after repeated crashes run isolated, until they have run for longer than
+// before their workers crashed. If they were placed together, all of them would be
+// blamed for a crash that one caused, and a step whose tasks all crash their
+// workers would take down that many workers at a time.
+
+const (
+	// isolateAfterSuspicious is the number of suspicious crashes from which a task
+	// is isolated: its worker runs no other trial, and nothing new is started
+	// there. isolateAfterCrashes is the same for crashes of any kind.
+	isolateAfterSuspicious = 2
+	isolateAfterCrashes    = 3
+	// workersPerTrial is the number of workers per isolated trial: each trial may
+	// cost a worker and everything that runs there.
+	workersPerTrial = 8
+	// defaultTrialTime is the length of a trial if it is unknown how long the
+	// earlier attempts ran.
+	defaultTrialTime = 2 * time.Second
+)
+
+// needsIsolation reports whether the task must run isolated. Members of a gang are
+// never isolated, because they only run together.
+func (t *task) needsIsolation() bool {
+	repeated := t.countSuspicious() >= isolateAfterSuspicious || len(t.crashes) >= isolateAfterCrashes
+	return repeated && !t.step.spec.Gang
+}
+
+// isSuspect reports whether attempts of the task are kept apart from each other
+// until they have run for longer than the crashed ones.
+func (t *task) isSuspect() bool { return t.countSuspicious() > 0 || t.needsIsolation() }
+
+// countSuspicious counts the task's suspicious crashes.
+func (t *task) countSuspicious() int {
+	n := 0
+	for _, c := range t.crashes {
+		if isSuspicious(c) {
+			n++
+		}
+	}
+	return n
+}
+
+// trialTime returns how long an attempt of the task must be observed running to
+// show that it has passed the point at which the earlier attempts crashed their
+// workers.
+func (t *task) trialTime() time.Duration {
+	longest := time.Duration(0)
+	for _, c := range t.crashes {
+		seen := time.Duration(c.ObservedRunMs) * time.Millisecond
+		switch {
+		case c.ObservedRunMs == job.ObservedRunUnknown:
+			seen = defaultTrialTime
+		case seen >= stableRunTime:
+			// After that run time the start was not the cause.
+			seen = 0
+		}
+		longest = max(longest, seen)
+	}
+	return longest + reportDelay
+}
+
+// onTrial reports whether the attempt has not yet run for its task's trialTime, so
+// that it may still crash its worker.
+func (a *attempt) onTrial() bool {
+	return a.observedRunTime() < a.task.trialTime()
+}
+
+// countTrials counts the attempts on trial, per worker and in total.
+func (m *Machine) countTrials() {
+	for _, w := range m.workers.All() {
+		w.trials, w.hasIsolatedTrial = 0, false
+	}
+	m.isolatedTrials = 0
+	for a := range m.trials.All() {
+		if a.task.isSuspect() && a.onTrial() {
+			m.countTrial(a.task, a.worker)
+		}
+	}
+}
+
+// countTrial counts a task that is on trial on a worker, or about to be.
+func (m *Machine) countTrial(t *task, w *worker) {
+	w.trials++
+	if t.needsIsolation() {
+		w.hasIsolatedTrial = true
+		m.isolatedTrials++
+	}
+}
+
+// beginTrial tracks an attempt of a suspect task.
+func (m *Machine) beginTrial(a *attempt) {
+	if a.task.isSuspect() {
+		m.trials.Set(a, struct{}{})
+		m.countTrial(a.task, a.worker)
+	}
+}
+
+// filterTrial keeps other tasks off a worker with an isolated trial, and tasks that
+// need isolation off workers with other trials.
+func filterTrial(_ *Machine, t *task, w *worker) bool {
+	return !w.hasIsolatedTrial && (w.trials == 0 || !t.needsIsolation())
+}
+
+// mayStartAfterCrashes reports whether the task's crashes permit a start now.
+func (m *Machine) mayStartAfterCrashes(t *task) bool {
+	m.resolveInheritedTrial(t)
+	switch {
+	case t.step.job().state.Final():
+		return false
+	case t.needsIsolation() && m.isolatedTrials >= max(m.workers.Len()/workersPerTrial, 1):
+		return false
+	}
+	return t.step.spec.Gang || t.countSuspicious() == 0 || !t.step.hasOtherTrial(t)
+}
+
+// hasOtherTrial reports whether another suspect task of the step is on trial while
+// no task of the step has run for trialTime. If all tasks of a step crash their
+// workers, one of them is enough to find out.
+func (s *step) hasOtherTrial(t *task) bool {
+	found := false
+	for _, other := range s.tasks {
+		if other.done {
+			return false
+		}
+		for _, a := range other.attempts {
+			if a.observedRunTime() >= t.trialTime() {
+				return false
+			}
+		}
+		about := len(other.attempts) > 0 || other.index < t.index && other.trial.isAwaitingRecord()
+		found = found || other != t && about && other.countSuspicious() > 0
+	}
+	return found
+}
+
+// mayStartGangAfterCrashes reports whether the crashes of all members of a gang
+// permit a start now.
+func (m *Machine) mayStartGangAfterCrashes(s *step) bool {
+	return !slices.ContainsFunc(s.tasks, func(t *task) bool { return !m.mayStartAfterCrashes(t) })
+}
--- a/core/jobsched/roster_test.go
+++ b/core/jobsched/roster_test.go
@@ -54,7 +54,7 @@
 	c.run(1500 * time.Millisecond)
 	c.storeDown = true
 	silent.cutOff = false
-	lease, bound := silent.lease, c.machine.latest("w001").leaseBound
+	lease, bound := silent.lease, c.machine.latestIncarnation("w001").leaseBound
 	for range 3 {
 		c.run(time.Second)
 		if silent.lease.After(bound) {
@@ -75,7 +75,7 @@
 // handed over, and the workers that had to tell of them were out of reach. They
 // must not be started again: the ends count once they are heard.
 func TestEndsThatAreNotStoredAreHandedOver(t *testing.T) {
-	const tasks = commitRecords + 8
+	const tasks = maxCommitEntries + 8
 	c := newCluster(t, 1, 5)
 	c.run(200 * time.Millisecond)
 	for i := range tasks {
@@ -112,13 +112,13 @@
 	c.run(20 * time.Second)
 	c.handOver()
 	key := job.TaskKey{Job: id}
-	if !c.machine.task(key).givenUp {
+	if !c.machine.task(key).attemptLost {
 		t.Error("the next leader does not know that an attempt was given up")
 	}
-	if len(c.machine.latest("w000").lost) != 1 {
+	if len(c.machine.latestIncarnation("w000").lost) != 1 {
 		t.Error("the next leader would take a failure of that attempt for one that is not known")
 	}
-	if !c.machine.restartUnstored(c.machine.task(key)) {
+	if !c.machine.needsRestartRecord(c.machine.task(key)) {
 		t.Error("the next leader would start the task again without storing that first")
 	}
 }
@@ -157,8 +157,8 @@
 func TestWorkerWithTooManyAttemptsStaysOpen(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
-	w := c.machine.latest("w000")
-	for i := range rosterAttemptsMost + 1 {
+	w := c.machine.latestIncarnation("w000")
+	for i := range maxRosterAttempts + 1 {
 		w.lost[attemptKey{task: job.TaskKey{Index: i}, attempt: 1}] = struct{}{}
 	}
 	last, _ := c.machine.HandOver(c.now, c.wall)
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -10,80 +10,80 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// schedule starts what is ready and fits, the most urgent first, until all steps
-// had their turn or the round has no looks left.
+// schedule runs a placement round: it starts ready tasks that fit, the most urgent
+// first, until every step has had its turn or the round's budget is used up.
 func (m *Machine) schedule() {
-	m.lookAtTrials()
+	m.countTrials()
 	for _, w := range m.workers.All() {
-		w.release(m.now)
+		w.dropReservations(m.now)
 		m.startReserved(w)
 	}
 	if m.pass.begin(m.options.RoundBudget) {
-		m.crowded = false
+		m.saturated = false
 	}
-	m.misfits.reset()
-	m.muchFree = m.isMuchFree()
+	m.unplaceable.reset()
+	m.lowUtilization = m.hasLowUtilization()
 	steps := m.pendingSteps()
-	front := m.startFront(steps)
+	started := m.startMostUrgent(steps)
 	m.pass.beginSecondHalf()
-	for _, p := range steps[front:] {
-		if p.turn == m.pass.number {
+	for _, p := range steps[started:] {
+		if p.lastPass == m.pass.number {
 			continue
 		}
-		if !m.takeTurn(p) {
+		if !m.startPending(p) {
 			return
 		}
 	}
 	m.pass.open = false
 }
 
-// startFront gives the most urgent steps their turn, whether or not they had one
-// in the pass, as far as the looks go. It returns how many.
-func (m *Machine) startFront(steps []pendingStep) int {
+// startMostUrgent processes the most urgent steps, whether or not they had a turn
+// in this pass, until the budget is used up. It returns how many it processed.
+func (m *Machine) startMostUrgent(steps []pendingStep) int {
 	for i, p := range steps {
-		if !m.takeTurn(p) {
+		if !m.startPending(p) {
 			return i
 		}
 	}
 	return len(steps)
 }
 
-// takeTurn starts what fits of a step. It returns false when the round has no
-// looks left for it.
-func (m *Machine) takeTurn(p pendingStep) bool {
+// startPending starts the tasks of a step that fit. It returns false if the round's
+// budget does not suffice.
+func (m *Machine) startPending(p pendingStep) bool {
 	s := p.step
-	if m.pass.spent() {
+	if m.pass.isExhausted() {
 		return false
 	}
 	switch {
 	case s.job().state.Final():
-	case m.held(s.job()):
+	case m.startsHeld(s.job()):
 		m.noteHeld(s)
 	case m.now.Before(s.notBefore):
 	case s.spec.Gang:
 		m.startGang(s)
 	case p.interrupted:
-		return m.startTasks(s, (*task).interrupted) != startsCut
+		return m.startTasks(s, (*task).interrupted) != startBudgetSpent
 	case !m.startStep(s):
 		return false
 	}
-	s.turn = m.pass.number
+	s.lastPass = m.pass.number
 	return true
 }
 
-// pendingStep is a step that is ready, with what it is ordered by.
+// pendingStep is a ready step with its sort keys.
 type pendingStep struct {
 	*step
-	// interrupted is set for the turn of its interrupted tasks alone. Its other turn
-	// in the pass comes later.
+	// interrupted marks the turn that covers only the step's interrupted tasks. The
+	// step's other turn in the pass comes later.
 	interrupted bool
 	priority    int
 	lateness    lateness
 	objectiveMs int64
 }
 
-// pendingSteps returns the steps that are ready, the most urgent first. One with
-// interrupted tasks is there twice, first for these.
+// pendingSteps returns the ready steps, the most urgent first. A step with
+// interrupted tasks appears twice, the first time for those tasks alone.
 func (m *Machine) pendingSteps() []pendingStep {
 	steps := make([]pendingStep, 0, m.pending.Len())
 	for s := range m.pending.All() {
@@ -104,11 +104,11 @@
 	return steps
 }
 
-// compareUrgency puts long-running tasks first, since each second without them
-// is lost for good, and of these the interrupted ones: in a full cluster new jobs
-// would take each place that comes free, and what ran before would not run again.
-// Then comes the lower priority number; then jobs that can still meet their
-// objective, those that can only be late, and those that are too late to be of
+// compareUrgency puts long-running tasks first, since each second without them is
+// lost for good, and among these the interrupted ones: otherwise, in a full
+// cluster, new jobs would take every place that becomes free, and tasks that ran
+// before would not run again. Then come the lower priority number; then jobs that
+// can still meet their objective, those that are late, and those too late to be of
 // use; then the earlier objective.
 func compareUrgency(a, b pendingStep) int {
 	return cmp.Or(
@@ -134,7 +134,8 @@
 	return 1
 }
 
-// dueMs returns when the step's occurrence was due, or its job accepted.
+// dueMs returns when the step's occurrence was due, or when its job was accepted if
+// it has no schedule.
 func (s *step) dueMs() int64 {
 	if schedule := s.job().record.Spec.Schedule; schedule != nil {
 		return schedule.Due(s.occurrence.number).UnixMilli()
@@ -142,31 +143,31 @@
 	return s.job().record.AcceptedAtMs
 }
 
-// allowanceMs returns the time from its being due that the occurrence may take.
+// allowanceMs returns how long the occurrence may take after it is due.
 func (m *Machine) allowanceMs(s *step) int64 {
 	q := m.queue(s.job())
-	return int64(q.Stretch*float64(s.occurrence.chainMs)) + q.LatencyTargetMs
+	return int64(q.Stretch*float64(s.occurrence.criticalPathMs)) + q.LatencyTargetMs
 }
 
 // objectiveMs returns the time by which the occurrence should be done.
 func (m *Machine) objectiveMs(s *step) int64 { return s.dueMs() + m.allowanceMs(s) }
 
-// lateFactor is how many times its allowance a job may take before it is of no
-// more use to its caller.
+// lateFactor is how many times its allowance a job may take before its result is of
+// no use to the caller.
 const lateFactor = 3
 
-// lateness tells how an occurrence stands to its objective.
+// lateness classifies an occurrence by its objective.
 type lateness int
 
-// The kinds of lateness, in the order of urgency.
+// The lateness values, in order of urgency.
 const (
 	inTime lateness = iota
 	late
 	tooLate
 )
 
-// lateness tells how far the step's occurrence is past its objective. Long-running
-// ones have no end that could be late: they are of use however late they run.
+// lateness returns whether the step's occurrence has passed its objective.
+// Long-running occurrences never end, so they are always in time.
 func (m *Machine) lateness(s *step) lateness {
 	switch now := m.wall.UnixMilli(); {
 	case s.spec.LongRunning:
@@ -181,70 +182,73 @@
 
 func (s *step) name() string { return s.tasks[0].key().StepName() }
 
-// startStep starts as many idle tasks of the step as fit. It returns false when
-// the round has no looks left for the rest of them.
+// startStep starts as many idle tasks of the step as fit. It returns false if the
+// round's budget does not suffice for the rest.
 func (m *Machine) startStep(s *step) bool {
 	switch m.startTasks(s, (*task).idle) {
-	case startsCut:
+	case startBudgetSpent:
 		return false
-	case startsWait:
-		m.crowded = true
+	case startFoundNoWorker:
+		m.saturated = true
 		m.noteWaiting(s)
 		m.askAdvice(s)
-	case startsAll:
+	case startedAll:
 		m.pending.Delete(s)
-		s.waitsSince = time.Time{}
-	case startsUnstored:
+		s.waitingSince = time.Time{}
+	case startAwaitsRecord:
 	}
 	return true
 }
 
-// starts tells how far the starts of some tasks came. Later values outweigh
-// earlier ones where tasks differ.
-type starts int
+// startOutcome is the result of starting some tasks of a step. Where tasks differ,
+// the highest value applies.
+type startOutcome int
 
 const (
-	// startsAll: all were started.
-	startsAll starts = iota
-	// startsUnstored: the rest is to be stored first.
-	startsUnstored
-	// startsWait: there is no place for some.
-	startsWait
-	// startsCut: the round has no looks left, or too many starts are in flight.
-	startsCut
+	// startedAll: all were started.
+	startedAll startOutcome = iota
+	// startAwaitsRecord: a record has to be stored before the rest can start.
+	startAwaitsRecord
+	// startFoundNoWorker: no worker was found for some.
+	startFoundNoWorker
+	// startBudgetSpent: the round's budget is used up, or too many starts are in
+	// flight.
+	startBudgetSpent
 )
 
-// startTasks starts as many of the wanted tasks of the step as fit.
-func (m *Machine) startTasks(s *step, wanted func(*task) bool) starts {
-	full := m.fitsNowhere(s)
-	result := startsAll
+// startTasks starts as many tasks of the step as fit, out of those for which wanted
+// returns true.
+func (m *Machine) startTasks(s *step, wanted func(*task) bool) startOutcome {
+	unplaceable := m.isUnplaceable(s)
+	result := startedAll
 	var places *candidates
 	for _, t := range s.tasks {
 		if !wanted(t) {
 			continue
 		}
-		if m.pass.spent() || m.starting >= m.options.StartsInFlight {
-			return startsCut
+		if m.pass.isExhausted() || m.starting >= m.options.StartsInFlight {
+			return startBudgetSpent
 		}
-		if !m.restartStored(t) {
-			result = max(result, startsUnstored)
+		if !m.ensureRestartStored(t) {
+			result = max(result, startAwaitsRecord)
 			continue
 		}
-		if !m.mayTry(t) {
-			m.dropNamedTrial(t)
-			result = startsWait
+		if !m.mayStartAfterCrashes(t) {
+			m.dropTrialOnWorker(t)
+			result = startFoundNoWorker
 			continue
 		}
 		switch {
-		case !full && m.startSomewhere(t, &places):
-		case t.trial.awaited():
-			result = max(result, startsUnstored)
-		case t.watched():
-			// It is restricted to other workers than the rest of the step.
-			result = startsWait
+		case !unplaceable && m.startOnBest(t, &places):
+		case t.trial.isAwaitingRecord():
+			result = max(result, startAwaitsRecord)
+		case t.isSuspect():
+			// A suspect task is restricted to fewer workers than the rest of the
+			// step.
+			result = startFoundNoWorker
 			m.preempt(t)
 		default:
-			result, full = startsWait, true
+			result, unplaceable = startFoundNoWorker, true
 			if !m.preempt(t) {
 				return result
 			}
@@ -253,23 +257,25 @@
 	return result
 }
 
-// startSomewhere starts a task on the best worker, and returns false if there
-// is none. places are the candidates for tasks of its step, nil before the first.
-func (m *Machine) startSomewhere(t *task, places **candidates) bool {
-	m.pass.look(startLooks)
-	if t.trial.awaited() {
+// startOnBest starts a task on the best worker. It returns false if there is none,
+// or if a record has to be stored first. places holds the candidates for tasks of
+// the step; it points to nil until they have been computed.
+func (m *Machine) startOnBest(t *task, places **candidates) bool {
+	m.pass.spend(startCost)
+	if t.trial.isAwaitingRecord() {
 		return false
 	}
-	if t.trial.stored && t.trial.named() {
+	if t.trial.stored && t.trial.namesWorker() {
 		*places = nil
 		if m.startTrial(t) {
 			return true
 		}
 	}
-	if !m.alike(t) {
-		// It changes what its worker is worth, which the candidates do not notice.
+	if !m.isInterchangeable(t) {
+		// Its start changes the score of its worker without updating the
+		// candidates.
 		*places = nil
-		return m.startOn(t, m.choose(t))
+		return m.startOn(t, m.bestWorker(t))
 	}
 	if *places == nil {
 		*places = m.newCandidates(t)
@@ -281,27 +287,27 @@
 	return true
 }
 
-// startOn starts a task on the worker that was found for it, if one was.
+// startOn starts a task on w if w is not nil and no record has to be stored first.
 func (m *Machine) startOn(t *task, w *worker) bool {
 	if w == nil {
-		m.dropNamedTrial(t)
-		m.noteMisfit(t)
+		m.dropTrialOnWorker(t)
+		m.recordUnplaceable(t)
 		return false
 	}
-	if !m.trialStored(t, w) {
+	if !m.ensureTrialStored(t, w) {
 		return false
 	}
 	m.startAttempt(t, w, t.last+1)
 	return true
 }
 
-// choose returns the best worker for the task, or nil if there is none.
-func (m *Machine) choose(t *task) *worker {
-	m.pass.look(m.workers.Len())
-	return m.best(t, m.everyWorker())
+// bestWorker returns the best worker for the task, or nil if there is none.
+func (m *Machine) bestWorker(t *task) *worker {
+	m.pass.spend(m.workers.Len())
+	return m.bestOf(t, m.everyWorker())
 }
 
-// everyWorker iterates over the workers in one order.
+// everyWorker iterates over all workers in a fixed order.
 func (m *Machine) everyWorker() iter.Seq[*worker] {
 	return func(yield func(*worker) bool) {
 		for _, w := range m.workers.All() {
@@ -312,12 +318,13 @@
 	}
 }
 
-// best returns the best of some workers for the task, or nil if there is none.
-func (m *Machine) best(t *task, workers iter.Seq[*worker]) *worker {
+// bestOf returns the best of the given workers for the task, or nil if none is
+// feasible.
+func (m *Machine) bestOf(t *task, workers iter.Seq[*worker]) *worker {
 	var best *worker
 	bestScore := 0.0
 	for w := range workers {
-		if !m.allowed(t, w) {
+		if !m.isFeasible(t, w) {
 			continue
 		}
 		score := m.score(t, w)
@@ -328,9 +335,9 @@
 	return best
 }
 
-// startGang starts all tasks of a gang at once under one attempt number, when
-// all of them fit and none of an earlier attempt is left. The members wait for
-// each other only a short time, so none is started alone.
+// startGang starts all tasks of a gang together under one attempt number, if all of
+// them fit and no attempt of the gang is left. None is started alone, because the
+// members wait for each other only a short time.
 func (m *Machine) startGang(s *step) {
 	number := 0
 	for _, t := range s.tasks {
@@ -339,20 +346,20 @@
 		}
 		number = max(number, t.last)
 	}
-	if !m.restartsStored(s) || !m.gangMayTry(s) {
+	if !m.ensureRestartsStored(s) || !m.mayStartGangAfterCrashes(s) {
 		return
 	}
 	placed, ok := m.placeGang(s)
 	if !ok {
 		for _, t := range s.tasks {
-			m.dropNamedTrial(t)
+			m.dropTrialOnWorker(t)
 		}
-		m.crowded = true
+		m.saturated = true
 		m.noteWaiting(s)
 		m.askAdvice(s)
 		return
 	}
-	if !m.trialsOfGangStored(s, placed) {
+	if !m.ensureGangTrialsStored(s, placed) {
 		return
 	}
 	for i, t := range s.tasks {
@@ -362,14 +369,14 @@
 	m.pending.Delete(s)
 }
 
-// placeGang finds a worker for each member, on one rack where that matters and
-// is possible.
+// placeGang finds a worker for each member, on a single rack if the step asks for
+// that and it is possible.
 func (m *Machine) placeGang(s *step) ([]*worker, bool) {
-	if m.gangFitsNowhere(s) {
+	if m.isGangUnplaceable(s) {
 		return nil, false
 	}
 	if s.spec.SameRack {
-		m.pass.look(m.workers.Len())
+		m.pass.spend(m.workers.Len())
 		for _, rack := range m.racks() {
 			if placed, ok := m.placeGangOn(s, rack.workers); ok {
 				return placed, true
@@ -378,17 +385,17 @@
 	}
 	placed, ok := m.placeGangOn(s, slices.Collect(m.everyWorker()))
 	if !ok {
-		m.noteGangMisfit(s)
+		m.recordUnplaceableGang(s)
 	}
 	return placed, ok
 }
 
-// placeGangOn places a gang on some workers. Each one's room is taken by trial
-// attempts that are taken back at the end. Whether there is room for all members
-// is counted first: trials look at all workers for each of them, which holds all
-// orders up for a gang of hundreds.
+// placeGangOn places a gang on the given workers. Provisional attempts take up the
+// room of each placed member and are removed at the end. It first counts whether
+// there is room for all members, because the provisional placement checks all
+// workers for each member, which delays all orders for a gang of hundreds.
 func (m *Machine) placeGangOn(s *step, workers []*worker) ([]*worker, bool) {
-	if !m.holdsGang(s, workers) {
+	if !m.hasRoomForGang(s, workers) {
 		return nil, false
 	}
 	var placed []*worker
@@ -399,8 +406,8 @@
 		}
 	}()
 	for _, t := range s.tasks {
-		m.pass.look(len(workers))
-		w := m.best(t, slices.Values(workers))
+		m.pass.spend(len(workers))
+		w := m.bestOf(t, slices.Values(workers))
 		if w == nil {
 			return nil, false
 		}
@@ -415,15 +422,15 @@
 	return placed, true
 }
 
-// holdsGang reports whether some workers have room for all members of a gang,
-// going by what they have now.
-func (m *Machine) holdsGang(s *step, workers []*worker) bool {
-	m.pass.look(len(workers))
+// hasRoomForGang reports whether the workers together have room for all members of
+// a gang.
+func (m *Machine) hasRoomForGang(s *step, workers []*worker) bool {
+	m.pass.spend(len(workers))
 	t := s.tasks[0]
 	left := len(s.tasks)
 	for _, w := range workers {
-		if m.allowed(t, w) {
-			left -= min(w.holds(t), left)
+		if m.isFeasible(t, w) {
+			left -= min(w.countFitting(t), left)
 		}
 		if left <= 0 {
 			return true
@@ -432,8 +439,8 @@
 	return false
 }
 
-// holds returns how many tasks like t the worker has room for.
-func (w *worker) holds(t *task) int {
+// countFitting returns how many tasks like t the worker has room for.
+func (w *worker) countFitting(t *task) int {
 	spec := t.step.spec
 	n := spec.Committed().FitCount(w.roomFor(t))
 	if spec.BestEffort {
@@ -445,15 +452,16 @@
 	return n
 }
 
-// rack is the workers of one rack, and their free processors.
+// rack is the workers of one rack and their uncommitted processors, in thousandths
+// of a core.
 type rack struct {
 	name    model.Rack
 	workers []*worker
 	freeCPU int64
 }
 
-// racks returns the racks of the workers, the one with the most free
-// processors first.
+// racks returns the racks of the workers, the one with the most free processors
+// first.
 func (m *Machine) racks() []*rack {
 	byName := make(map[model.Rack]*rack)
 	var racks []*rack
