--- a/core/admission/load.go
+++ b/core/admission/load.go
@@ -30,13 +30,13 @@
 	decayedAt time.Time
 }
 
-func newLoad(service time.Duration) load { return load{serviceTime: service} }
+func newLoad(serviceTime time.Duration) load { return load{serviceTime: serviceTime} }
 
-func (l *load) observe(service time.Duration) {
-	if service <= 0 {
+func (l *load) observe(serviceTime time.Duration) {
+	if serviceTime <= 0 {
 		return
 	}
-	l.serviceTime += time.Duration(serviceGain * float64(service-l.serviceTime))
+	l.serviceTime += time.Duration(serviceGain * float64(serviceTime-l.serviceTime))
 }
 
 func (l *load) arrived(now time.Time, p model.Priority) {
