--- a/core/dedup/homes_test.go
+++ b/core/dedup/homes_test.go
@@ -242,11 +242,11 @@
 func TestLostHomesMakeARepeatUnsure(t *testing.T) {
 	members := []model.DaemonID{"a", "b", "c"}
 	homes := map[model.DaemonID]*dedup.ClaimStore{"a": oldClaims(), "b": oldClaims(), "c": oldClaims()}
-	claim := func(claimant string, away model.DaemonID) dedup.Outcome {
+	claim := func(claimant string, unavailable model.DaemonID) dedup.Outcome {
 		c := dedup.NewClaim(dedup.HomesFor("s", "r", members))
 		for _, m := range members {
 			v := dedup.Unsure
-			if m != away {
+			if m != unavailable {
 				v = homes[m].Claim(start, request("r", claimant))
 			}
 			c.Add(m, v)
