--- a/core/routing/balancer_test.go
+++ b/core/routing/balancer_test.go
@@ -215,14 +215,14 @@
 		x := newFixture(t, targets(10, 2))
 		x.serve(200, usualResult)
 		x.serve(400, func(string) Result { return Result{Latency: usual, Outcome: outcome} })
-		resting := 0
+		ejected := 0
 		for _, s := range x.b.Snapshot() {
 			if s.State == Ejected && !x.b.targets[s.Address].lastResort {
-				resting++
+				ejected++
 			}
 		}
-		if resting > 5 {
-			t.Errorf("outcome %d: %d of 10 targets are ejected", outcome, resting)
+		if ejected > 5 {
+			t.Errorf("outcome %d: %d of 10 targets are ejected", outcome, ejected)
 		}
 	}
 }
@@ -231,7 +231,7 @@
 // unanswered while new connections to the same target work. The target must not
 // be ejected for its connection, and not every old connection may cost another
 // request.
-func TestSilenceBlamesTheConnectionFirst(t *testing.T) {
+func TestFirstSilenceIsAttributedToTheConnection(t *testing.T) {
 	x := newFixture(t, targets(1, 2))
 	x.serve(50, usualResult)
 	lost, _ := x.pick(Query{NonIdempotent: true})
@@ -296,7 +296,7 @@
 	}
 }
 
-func TestSecondSilenceBlamesTheTarget(t *testing.T) {
+func TestSecondSilenceEjectsTheTarget(t *testing.T) {
 	x := newFixture(t, targets(8, 2))
 	x.serve(200, usualResult)
 	x.serve(200, resultOnBad(Result{Latency: 10 * usual, Outcome: Silent}))
