--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -239,7 +239,8 @@
 	}
 }
 
-// ledger records which tickets are in the queue and the first inconsistency.
+// accounting records which tickets are in the queue and the first
+// inconsistency.
 type accounting struct {
 	queued map[uint64]bool
 	err    string
