--- a/core/dedup/claimstore.go
+++ b/core/dedup/claimstore.go
@@ -50,9 +50,9 @@
 	o       Options
 	booted  time.Time
 	records map[key]record
-	// expiryQueue holds the records from the oldest to the newest, starting at
-	// head. Entries whose record was released or claimed again since are
-	// skipped on expiry.
+	// expiryQueue holds the keys of the records from the oldest to the newest,
+	// starting at head. Elements whose record was released or replaced since
+	// are skipped on expiry.
 	expiryQueue []expiryEntry
 	head        int
 }
