--- a/core/routing/balancer.go
+++ b/core/routing/balancer.go
@@ -28,7 +28,7 @@
 	mean          float64 // mean latency of all responses, in nanoseconds
 	deviation     float64 // mean absolute deviation from it, in nanoseconds
 	// silenceFactor multiplies OverdueAfter and SilenceAfter. It grows with
-	// each silence, so that a class of slow but rare responses is not abandoned
+	// each silence, so that responses that are rare and slow are not abandoned
 	// again and again.
 	silenceFactor         float64
 	silenceFactorRaisedAt time.Time
--- a/core/routing/balancer_test.go
+++ b/core/routing/balancer_test.go
@@ -239,7 +239,7 @@
 	lost.ReportOverdue(x.now)
 	c, _ := x.pick(Query{})
 	if c.RequiresNewConnection() || !c.TrustSince().After(start) || c.TrustSince().After(x.now) {
-		t.Fatalf("after an overdue exchange: fresh %v, trust since %v", c.RequiresNewConnection(), c.TrustSince())
+		t.Fatalf("after an overdue exchange: new connection required %v, trust since %v", c.RequiresNewConnection(), c.TrustSince())
 	}
 	c.Done(x.now, Result{Outcome: Canceled})
 
--- a/core/routing/learn.go
+++ b/core/routing/learn.go
@@ -232,7 +232,8 @@
 		b.probes.schedule(t, now.Add(b.probeDelay(t)))
 		return
 	}
-	// A target that fails about as often as all targets is not at fault.
+	// A target that fails at most twice as often as the average is not at
+	// fault.
 	if t.failuresInRow >= failuresToEject && t.failureRate > 2*peers {
 		b.eject(t, now)
 	}
--- a/core/routing/routing.go
+++ b/core/routing/routing.go
@@ -85,7 +85,7 @@
 // Address returns the target's address.
 func (c *Choice) Address() string { return c.address }
 
-// Task returns the task attempt that runs the target.
+// Task returns the task attempt that the target runs.
 func (c *Choice) Task() model.AttemptKey { return c.task }
 
 // RequiresNewConnection reports that the request must use a new connection: an
