--- a/daemon/members.go
+++ b/daemon/members.go
@@ -216,7 +216,7 @@
 	local := membership.LocalState{
 		ConfigRevision: c.config.Revision(),
 		StoreSilent:    now.Sub(c.storeAnswered),
-		AwaitsMajority:    c.awaitsStore(now),
+		AwaitsMajority: c.awaitsStore(now),
 	}
 	for _, id := range c.sortedShards() {
 		s := c.shards[id]
