--- a/core/ownership/command.go
+++ b/core/ownership/command.go
@@ -70,8 +70,8 @@
 	LostLeaseLapsed LostReason = "lease lapsed"
 	// LostLeaseGone: the store does not know the lease.
 	LostLeaseGone LostReason = "lease gone"
-	// LostLedger: the ledger stood down.
-	LostLedger LostReason = "ledger stood down"
+	// LostLedgerStoodDown: the ledger stood down.
+	LostLedgerStoodDown LostReason = "ledger stood down"
 	// LostHandedOver: released for the daemon that should own it.
 	LostHandedOver LostReason = "handed over"
 	// LostDrained: released by a planned stop.
--- a/core/ownership/event.go
+++ b/core/ownership/event.go
@@ -57,9 +57,9 @@
 	Err   error
 }
 
-// Vacated says that a daemon was heard to have given the shard up. It saves the
+// ShardReleased says that a daemon was heard to have given the shard up. It saves the
 // right owner the wait until its next look at the owner key.
-type Vacated struct{ Shard model.ShardID }
+type ShardReleased struct{ Shard model.ShardID }
 
 // StoreSilence says since when a majority of the known members, this daemon
 // included, have confirmed that the store does not answer them: the time of the
@@ -83,6 +83,6 @@
 func (AcquireAnswered) event() {}
 func (ReleaseAnswered) event() {}
 func (StoreSilence) event()    {}
-func (Vacated) event()         {}
+func (ShardReleased) event()         {}
 func (LedgerStoodDown) event() {}
 func (Drain) event()           {}
--- a/core/ownership/giveup.go
+++ b/core/ownership/giveup.go
@@ -85,5 +85,5 @@
 	}
 	s.penalty = min(max(2*s.penalty, m.options.RetryMax), maxPenalty)
 	s.restUntil = now.Add(s.penalty)
-	return m.giveUp(s, LostLedger)
+	return m.giveUp(s, LostLedgerStoodDown)
 }
--- a/core/ownership/lease.go
+++ b/core/ownership/lease.go
@@ -58,7 +58,7 @@
 		return m.lease.expires
 	}
 	confirmed := m.silentAt.Add(m.options.OutageGrace)
-	return latest(m.lease.expires, confirmed).Add(m.options.SilenceFresh)
+	return latest(m.lease.expires, confirmed).Add(m.options.LapsedLeaseRetention)
 }
 
 func latest(a, b time.Time) time.Time {
--- a/core/ownership/machine.go
+++ b/core/ownership/machine.go
@@ -79,7 +79,7 @@
 		m.releaseAnswered(now, ev)
 	case StoreSilence:
 		m.storeSilence(ev)
-	case Vacated:
+	case ShardReleased:
 		m.vacated(now, ev)
 	case LedgerStoodDown:
 		return m.ledgerStoodDown(now, ev)
@@ -90,7 +90,7 @@
 }
 
 // vacated looks at the owner key at once if this daemon should own the shard.
-func (m *Machine) vacated(now time.Time, ev Vacated) {
+func (m *Machine) vacated(now time.Time, ev ShardReleased) {
 	s := m.find(ev.Shard)
 	if s != nil && !s.owned && s.rightOwner == m.self {
 		s.nextCall = now
--- a/core/ownership/options.go
+++ b/core/ownership/options.go
@@ -14,7 +14,7 @@
 	DefaultLeaseTTL      = 15 * time.Second
 	DefaultMargin        = 2 * time.Second
 	DefaultOutageGrace   = 20 * time.Second
-	DefaultSilenceFresh  = 15 * time.Second
+	DefaultLapsedLeaseRetention  = 15 * time.Second
 	DefaultSettleTime    = 10 * time.Second
 	DefaultFallbackAfter = 30 * time.Second
 	DefaultRetryMin      = 200 * time.Millisecond
@@ -33,9 +33,9 @@
 	// is silent lets an owner without a lease renew its workers' leases. A new
 	// owner reckons with it, so it must be the same on all daemons.
 	OutageGrace time.Duration
-	// SilenceFresh is how long an owner whose lease has ended, and that may not
+	// LapsedLeaseRetention is how long an owner whose lease has ended, and that may not
 	// renew, keeps its shards for the case that the lease still holds.
-	SilenceFresh time.Duration
+	LapsedLeaseRetention time.Duration
 	// SettleTime is how long another daemon must have been the right owner
 	// before a shard is handed over to it.
 	SettleTime time.Duration
@@ -54,7 +54,7 @@
 	setDefault(&o.LeaseTTL, DefaultLeaseTTL)
 	setDefault(&o.Margin, DefaultMargin)
 	setDefault(&o.OutageGrace, DefaultOutageGrace)
-	setDefault(&o.SilenceFresh, DefaultSilenceFresh)
+	setDefault(&o.LapsedLeaseRetention, DefaultLapsedLeaseRetention)
 	setDefault(&o.SettleTime, DefaultSettleTime)
 	setDefault(&o.FallbackAfter, DefaultFallbackAfter)
 	setDefault(&o.RetryMin, DefaultRetryMin)
--- a/core/ownership/session_test.go
+++ b/core/ownership/session_test.go
@@ -40,7 +40,7 @@
 	s := &session{t: t, start: start, now: start}
 	s.machine = New(self, "10.0.0.1:7000", Options{
 		KeyPrefix: testPrefix, LeaseTTL: 15 * time.Second, Margin: 2 * time.Second,
-		OutageGrace: testGrace, SilenceFresh: 10 * time.Second, Seed: 1,
+		OutageGrace: testGrace, LapsedLeaseRetention: 10 * time.Second, Seed: 1,
 	})
 	s.step(Members{Candidates: candidates})
 	return s
--- a/daemon/peershards.go
+++ b/daemon/peershards.go
@@ -35,7 +35,7 @@
 	for _, id := range sortedKeys(c.peerShards) {
 		if c.peerShards[id].owner == owner && !named[id] {
 			delete(c.peerShards, id)
-			c.stepOwner(ownership.Vacated{Shard: id})
+			c.stepOwner(ownership.ShardReleased{Shard: id})
 		}
 	}
 }
