--- a/core/ownership/acquire.go
+++ b/core/ownership/acquire.go
@@ -14,11 +14,11 @@
 // mayAcquire reports whether this daemon may acquire the shard if it has no
 // owner.
 func (m *Machine) mayAcquire(now time.Time, s *shard) bool {
-	if s.rightOwner == m.self {
+	if s.assignedOwner == m.self {
 		return true
 	}
 	waited := !s.absentSince.IsZero() && !now.Before(s.absentSince.Add(m.options.FallbackAfter))
-	return s.second && waited
+	return s.isFallback && waited
 }
 
 func (m *Machine) ownerAbsent(now time.Time, s *shard) []Command {
@@ -26,10 +26,10 @@
 		s.absentSince = now
 	}
 	if m.draining || !m.mayAcquire(now, s) {
-		s.nextCall = m.nextLook(now, s)
+		s.nextCall = m.nextRead(now, s)
 		return nil
 	}
-	if !m.lease.sure(now, m.options.Margin) {
+	if !m.lease.validWithMargin(now, m.options.Margin) {
 		s.nextCall = s.retry.next(now)
 		return nil
 	}
@@ -85,8 +85,8 @@
 	case ev.Err != nil && kindOf(ev.Err) == port.StoreLeaseGone:
 		return m.leaseGone(now)
 	case ev.Err != nil:
-		if !notMade(ev.Err) {
-			s.doubtUntil = now.Add(doubtLeases * m.options.LeaseTTL)
+		if !isNotDone(ev.Err) {
+			s.doubtUntil = now.Add(inDoubtLeases * m.options.LeaseTTL)
 		}
 		s.nextCall = s.retry.next(now)
 		return nil
@@ -105,15 +105,15 @@
 	s.doubtUntil = time.Time{}
 	s.absentSince = time.Time{}
 	s.retry.reset()
-	if m.draining || s.rightOwner != m.self && !s.second {
+	if m.draining || s.assignedOwner != m.self && !s.isFallback {
 		s.releasing = true
 		return m.release(s)
 	}
 	s.owned = true
 	s.acquiredAt = now
-	if s.rightOwner != m.self {
-		s.hold = min(max(2*s.hold, 2*m.options.FallbackAfter), maxHold)
-		s.holdUntil = now.Add(s.hold)
+	if s.assignedOwner != m.self {
+		s.fallbackHold = min(max(2*s.fallbackHold, 2*m.options.FallbackAfter), maxFallbackHold)
+		s.fallbackHoldUntil = now.Add(s.fallbackHold)
 	}
 	return []Command{ShardAcquired{Shard: s.id, Epoch: epoch, At: now, Clean: s.clean}}
 }
--- a/core/ownership/assign.go
+++ b/core/ownership/assign.go
@@ -103,13 +103,13 @@
 		if !ok {
 			return
 		}
-		displaced, full := a.offer(shard, daemon)
+		evicted, full := a.offer(shard, daemon)
 		if !full {
 			return
 		}
-		w := a.weight(displaced, daemon)
-		a.refused[displaced] = &w
-		shard = displaced
+		w := a.weight(evicted, daemon)
+		a.refused[evicted] = &w
+		shard = evicted
 	}
 }
 
@@ -132,7 +132,7 @@
 
 // offer gives the shard to the daemon and returns the shard that it gives up
 // for it, if it was full.
-func (a *assignment) offer(shard model.ShardID, daemon int) (displaced model.ShardID, full bool) {
+func (a *assignment) offer(shard model.ShardID, daemon int) (evicted model.ShardID, full bool) {
 	held := append(a.held[daemon], shard)
 	a.held[daemon] = held
 	if len(held) <= a.capacity {
@@ -144,9 +144,9 @@
 			least = i
 		}
 	}
-	displaced = held[least]
+	evicted = held[least]
 	a.held[daemon] = slices.Delete(held, least, least+1)
-	return displaced, true
+	return evicted, true
 }
 
 func (a *assignment) owners() []model.DaemonID {
@@ -159,10 +159,10 @@
 	return owners
 }
 
-// secondChoice returns the candidate other than the right owner that weighs
+// fallbackOwner returns the candidate other than the right owner that weighs
 // most with the shard: the one that stands in for a right owner that does not
 // act.
-func secondChoice(shard model.ShardID, owner model.DaemonID, candidates []model.DaemonID) model.DaemonID {
+func fallbackOwner(shard model.ShardID, owner model.DaemonID, candidates []model.DaemonID) model.DaemonID {
 	var second model.DaemonID
 	var highest uint64
 	for _, daemon := range candidates {
--- a/core/ownership/assign_test.go
+++ b/core/ownership/assign_test.go
@@ -12,7 +12,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-func names(n int) []model.DaemonID {
+func daemonNames(n int) []model.DaemonID {
 	ids := make([]model.DaemonID, n)
 	for i := range ids {
 		ids[i] = model.DaemonID(fmt.Sprintf("entry-%03d", i))
@@ -25,7 +25,7 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("balanced, and independent of order", prop.ForAll(
 		func(shards uint32, daemons int) string {
-			candidates := names(daemons)
+			candidates := daemonNames(daemons)
 			owners := Assign(shards, candidates)
 			slices.Reverse(candidates)
 			if !slices.Equal(owners, Assign(shards, candidates)) {
@@ -54,7 +54,7 @@
 		daemons, atMost  int
 		ownAmongAllMoved int
 	}{{220, 300, 8, 1}, {7, 8, 7, 1}, {220, 100, 12, 3}} {
-		candidates := names(c.daemons)
+		candidates := daemonNames(c.daemons)
 		before := Assign(c.shards, candidates)
 		worst, total := 0, 0
 		for i := range candidates {
@@ -77,7 +77,7 @@
 }
 
 func BenchmarkAssign(b *testing.B) {
-	candidates := names(300)
+	candidates := daemonNames(300)
 	for b.Loop() {
 		Assign(220, candidates)
 	}
--- a/core/ownership/giveup.go
+++ b/core/ownership/giveup.go
@@ -23,11 +23,11 @@
 // owner. It is among the candidates, so it is alive. A stand-in holds on for
 // longer each time, since the right owner did not act before.
 func (m *Machine) shouldHandOver(now time.Time, s *shard) bool {
-	if s.rightOwner == "" || s.rightOwner == m.self || !m.MayCommit(now) {
+	if s.assignedOwner == "" || s.assignedOwner == m.self || !m.MayCommit(now) {
 		return false
 	}
-	settled := !now.Before(s.ownerSince.Add(m.options.SettleTime))
-	return settled && !now.Before(s.holdUntil)
+	settled := !now.Before(s.assignedSince.Add(m.options.SettleTime))
+	return settled && !now.Before(s.fallbackHoldUntil)
 }
 
 // giveUp stops acting on a shard and then releases it.
@@ -80,10 +80,10 @@
 	if s == nil || !s.owned {
 		return nil
 	}
-	if now.Sub(s.acquiredAt) > maxPenalty {
-		s.penalty = 0
+	if now.Sub(s.acquiredAt) > maxCooldown {
+		s.cooldown = 0
 	}
-	s.penalty = min(max(2*s.penalty, m.options.RetryMax), maxPenalty)
-	s.restUntil = now.Add(s.penalty)
+	s.cooldown = min(max(2*s.cooldown, m.options.RetryMax), maxCooldown)
+	s.cooldownUntil = now.Add(s.cooldown)
 	return m.giveUp(s, LostLedgerStoodDown)
 }
--- a/core/ownership/lease.go
+++ b/core/ownership/lease.go
@@ -7,9 +7,9 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// renewals is how many times a lease is renewed in its time, so that two may
+// renewalsPerTTL is how many times a lease is renewed in its time, so that two may
 // fail before it is unsure.
-const renewals = 3
+const renewalsPerTTL = 3
 
 // lease is this daemon's lease in the store.
 type lease struct {
@@ -22,10 +22,10 @@
 	expires time.Time
 	// nextCall is when to renew, or to ask for a lease again.
 	nextCall time.Time
-	// unanswered is set when the last renewal failed for want of an answer. It
+	// renewalUnanswered is set when the last renewal failed for want of an answer. It
 	// tells an outage, in which this daemon tried, from a pause, in which it
 	// did not.
-	unanswered bool
+	renewalUnanswered bool
 	retry      backoff
 }
 
@@ -35,29 +35,29 @@
 	}}
 }
 
-// sure reports whether the lease holds with the margin to spare.
-func (l *lease) sure(now time.Time, margin time.Duration) bool {
+// validWithMargin reports whether the lease holds with the margin to spare.
+func (l *lease) validWithMargin(now time.Time, margin time.Duration) bool {
 	return l.id != 0 && now.Before(l.expires.Add(-margin))
 }
 
 // checkLease gives all shards up when the lease's time has run out.
 func (m *Machine) checkLease(now time.Time) []Command {
-	if m.lease.id == 0 || now.Before(m.lostAt()) {
+	if m.lease.id == 0 || now.Before(m.giveUpAt()) {
 		return nil
 	}
-	commands := m.loseAll(now, LostLeaseLapsed)
+	commands := m.giveUpAll(now, LostLeaseLapsed)
 	return append(commands, m.revoke()...)
 }
 
-// lostAt is when the shards are given up. After renewals that the store did
+// giveUpAt is when the shards are given up. After renewals that the store did
 // not answer they are kept, without acting on them unless MayRenew says so, as
 // long as the outage is confirmed and a while longer: the store extends leases
 // over its own outages, and the lease may turn out to hold.
-func (m *Machine) lostAt() time.Time {
-	if !m.lease.unanswered {
+func (m *Machine) giveUpAt() time.Time {
+	if !m.lease.renewalUnanswered {
 		return m.lease.expires
 	}
-	confirmed := m.silentAt.Add(m.options.OutageGrace)
+	confirmed := m.silenceConfirmedAt.Add(m.options.OutageGrace)
 	return latest(m.lease.expires, confirmed).Add(m.options.LapsedLeaseRetention)
 }
 
@@ -68,14 +68,14 @@
 	return b
 }
 
-// loseAll gives up all shards and forgets the lease's calls about them.
-func (m *Machine) loseAll(now time.Time, reason LostReason) []Command {
+// giveUpAll gives up all shards and forgets the lease's calls about them.
+func (m *Machine) giveUpAll(now time.Time, reason LostReason) []Command {
 	var commands []Command
 	for _, s := range m.shards {
 		if s.owned {
 			commands = append(commands, ShardLost{Shard: s.id, Reason: reason})
 		}
-		s.lose()
+		s.clearOwnership()
 		s.nextCall = s.retry.next(now)
 	}
 	return commands
@@ -135,13 +135,13 @@
 		return
 	}
 	m.lease.id = ev.ID
-	m.leaseHolds(ev.SentAt, ev.TTL)
+	m.leaseExtended(ev.SentAt, ev.TTL)
 }
 
-func (m *Machine) leaseHolds(sentAt time.Time, ttl time.Duration) {
+func (m *Machine) leaseExtended(sentAt time.Time, ttl time.Duration) {
 	m.lease.expires = latest(m.lease.expires, sentAt.Add(ttl))
-	m.lease.nextCall = sentAt.Add(ttl / renewals)
-	m.lease.unanswered = false
+	m.lease.nextCall = sentAt.Add(ttl / renewalsPerTTL)
+	m.lease.renewalUnanswered = false
 	m.lease.retry.reset()
 }
 
@@ -152,26 +152,26 @@
 	m.lease.renewing = false
 	switch {
 	case ev.Err == nil && ev.TTL > 0:
-		m.leaseHolds(ev.SentAt, ev.TTL)
+		m.leaseExtended(ev.SentAt, ev.TTL)
 		return nil
 	case ev.Err == nil || kindOf(ev.Err) == port.StoreLeaseGone:
 		return m.leaseGone(now)
 	}
 	m.lease.nextCall = m.lease.retry.next(now)
-	m.lease.unanswered = m.lease.unanswered || noAnswer(kindOf(ev.Err))
+	m.lease.renewalUnanswered = m.lease.renewalUnanswered || isUnanswered(kindOf(ev.Err))
 	return nil
 }
 
 // leaseGone gives all shards up because the store does not know the lease.
 func (m *Machine) leaseGone(now time.Time) []Command {
-	commands := m.loseAll(now, LostLeaseGone)
+	commands := m.giveUpAll(now, LostLeaseGone)
 	m.lease = m.noLease()
 	return commands
 }
 
-// noAnswer reports whether a call failed for want of the store's answer,
+// isUnanswered reports whether a call failed for want of the store's answer,
 // rather than because this daemon did not make it.
-func noAnswer(kind port.StoreErrorKind) bool {
+func isUnanswered(kind port.StoreErrorKind) bool {
 	return kind != port.StoreThrottled && kind != port.StoreCallCanceled
 }
 
@@ -183,8 +183,8 @@
 	return port.StoreUnavailable
 }
 
-// notMade reports whether a change was certainly not made.
-func notMade(err error) bool {
+// isNotDone reports whether a change was certainly not made.
+func isNotDone(err error) bool {
 	var failure *port.StoreError
 	return errors.As(err, &failure) && failure.Outcome == port.OutcomeNotDone
 }
--- a/core/ownership/machine.go
+++ b/core/ownership/machine.go
@@ -23,9 +23,9 @@
 	shards []*shard
 	lease  lease
 
-	// silentAt is when a majority last confirmed the store's silence; silent is
+	// silenceConfirmedAt is when a majority last confirmed the store's silence; silent is
 	// whether the last event named one.
-	silentAt time.Time
+	silenceConfirmedAt time.Time
 	silent   bool
 
 	draining bool
@@ -80,7 +80,7 @@
 	case StoreSilence:
 		m.storeSilence(ev)
 	case ShardReleased:
-		m.vacated(now, ev)
+		m.shardReleased(now, ev)
 	case LedgerStoodDown:
 		return m.ledgerStoodDown(now, ev)
 	case Drain:
@@ -89,17 +89,17 @@
 	return nil
 }
 
-// vacated looks at the owner key at once if this daemon should own the shard.
-func (m *Machine) vacated(now time.Time, ev ShardReleased) {
+// shardReleased looks at the owner key at once if this daemon should own the shard.
+func (m *Machine) shardReleased(now time.Time, ev ShardReleased) {
 	s := m.find(ev.Shard)
-	if s != nil && !s.owned && s.rightOwner == m.self {
+	if s != nil && !s.owned && s.assignedOwner == m.self {
 		s.nextCall = now
 	}
 }
 
 // MayCommit reports whether the lease surely holds, so that commits and
 // commands to workers may be sent for the owned shards.
-func (m *Machine) MayCommit(now time.Time) bool { return m.lease.sure(now, m.options.Margin) }
+func (m *Machine) MayCommit(now time.Time) bool { return m.lease.validWithMargin(now, m.options.Margin) }
 
 // MayRenew reports whether the leases of tasks on the shard's workers may be
 // renewed: while the lease holds, and after its end, for any time, while a
@@ -113,7 +113,7 @@
 }
 
 func (m *Machine) mayRenewInOutage(now time.Time) bool {
-	return m.silent && m.lease.unanswered && now.Before(m.silentAt.Add(m.options.OutageGrace))
+	return m.silent && m.lease.renewalUnanswered && now.Before(m.silenceConfirmedAt.Add(m.options.OutageGrace))
 }
 
 // Owned returns the owned shards in order.
@@ -138,7 +138,7 @@
 
 func (m *Machine) storeSilence(ev StoreSilence) {
 	m.silent = !ev.ConfirmedAt.IsZero()
-	m.silentAt = latest(m.silentAt, ev.ConfirmedAt)
+	m.silenceConfirmedAt = latest(m.silenceConfirmedAt, ev.ConfirmedAt)
 }
 
 func (m *Machine) find(id model.ShardID) *shard {
@@ -175,21 +175,21 @@
 	}
 	for i, owner := range owners {
 		id := model.ShardID(i)
-		second := secondChoice(id, owner, m.candidates) == m.self
+		second := fallbackOwner(id, owner, m.candidates) == m.self
 		known := m.find(id)
 		if owner != m.self && !second && known == nil {
 			continue
 		}
 		s := m.ensure(id)
-		s.setOwner(now, owner)
-		s.second = second
+		s.setAssigned(now, owner)
+		s.isFallback = second
 	}
 }
 
 // forgetShards drops the shards that do not concern this daemon any more.
 func (m *Machine) forgetShards(now time.Time) {
 	m.shards = slices.DeleteFunc(m.shards, func(s *shard) bool {
-		wanted := s.rightOwner == m.self || s.second
+		wanted := s.assignedOwner == m.self || s.isFallback
 		return !wanted && !s.owned && !s.releasing && s.call == noCall && !s.inDoubt(now)
 	})
 }
--- a/core/ownership/machine_test.go
+++ b/core/ownership/machine_test.go
@@ -295,10 +295,10 @@
 // owner is believed alive and does not acquire. Cause it guards against: only
 // one daemon ever trying. The stand-in keeps the shard for longer each time,
 // so that a right owner that cannot act does not get it back at once.
-func TestStandIn(t *testing.T) {
+func TestFallbackOwner(t *testing.T) {
 	candidates := []model.DaemonID{"d1", "d2"}
 	right := Owner(0, 1, candidates)
-	s := newSession(t, secondChoice(0, right, candidates), candidates...)
+	s := newSession(t, fallbackOwner(0, right, candidates), candidates...)
 	s.step(Shards{Count: 1})
 	s.step(OwnerRead{Shard: 0})
 	commands := s.tick(DefaultFallbackAfter)
@@ -356,7 +356,7 @@
 // that it is to own or to stand in for, and those seldom while they are owned.
 func TestReadsAreFew(t *testing.T) {
 	const shards, daemons, sampled, seconds = 220, 300, 30, 120
-	candidates := names(daemons)
+	candidates := daemonNames(daemons)
 	reads := 0
 	for _, self := range candidates[:sampled] {
 		s := newSession(t, self, candidates...)
--- a/core/ownership/shard.go
+++ b/core/ownership/shard.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// doubtLeases is for how many lease times an acquire without an answer is
+	// inDoubtLeases is for how many lease times an acquire without an answer is
 	// looked for when the shard is not wanted any more.
-	doubtLeases = 4
-	// maxHold and maxPenalty bound the doubling times for which a stand-in
+	inDoubtLeases = 4
+	// maxFallbackHold and maxPenalty bound the doubling times for which a stand-in
 	// keeps a shard, and for which a shard whose ledger stood down is left.
-	maxHold    = 10 * time.Minute
-	maxPenalty = time.Minute
+	maxFallbackHold    = 10 * time.Minute
+	maxCooldown = time.Minute
 )
 
 // call is the store call about a shard that is under way.
@@ -34,12 +34,12 @@
 // shard is what this daemon knows of one shard.
 type shard struct {
 	id model.ShardID
-	// rightOwner is the daemon that should own the shard, since ownerSince;
+	// assignedOwner is the daemon that should own the shard, since ownerSince;
 	// empty when unknown.
-	rightOwner model.DaemonID
-	ownerSince time.Time
-	// second is whether this daemon stands in when the right owner does not act.
-	second bool
+	assignedOwner model.DaemonID
+	assignedSince time.Time
+	// isFallback is whether this daemon stands in when the right owner does not act.
+	isFallback bool
 
 	owned bool
 	epoch model.Epoch
@@ -65,29 +65,29 @@
 	// doubtUntil is set after an acquire whose outcome is not known.
 	doubtUntil time.Time
 
-	// hold is for how long a stand-in keeps the shard.
-	hold      time.Duration
-	holdUntil time.Time
-	// penalty is for how long the shard is left alone after its ledger stood
+	// fallbackHold is for how long a stand-in keeps the shard.
+	fallbackHold      time.Duration
+	fallbackHoldUntil time.Time
+	// cooldown is for how long the shard is left alone after its ledger stood
 	// down.
-	penalty    time.Duration
-	restUntil  time.Time
+	cooldown    time.Duration
+	cooldownUntil  time.Time
 	acquiredAt time.Time
 }
 
-func (s *shard) setOwner(now time.Time, owner model.DaemonID) {
-	if owner == s.rightOwner {
+func (s *shard) setAssigned(now time.Time, owner model.DaemonID) {
+	if owner == s.assignedOwner {
 		return
 	}
-	s.rightOwner = owner
-	s.ownerSince = now
+	s.assignedOwner = owner
+	s.assignedSince = now
 }
 
 func (s *shard) inDoubt(now time.Time) bool { return now.Before(s.doubtUntil) }
 
-// lose forgets what was held under a lease that is over. A call under way stays
+// clearOwnership forgets what was held under a lease that is over. A call under way stays
 // so until its answer comes, which finds another lease and is ignored.
-func (s *shard) lose() {
+func (s *shard) clearOwnership() {
 	s.owned = false
 	s.releasing = false
 	s.epoch = 0
@@ -107,18 +107,18 @@
 	switch {
 	case s.releasing:
 		return m.release(s)
-	case now.Before(s.restUntil):
+	case now.Before(s.cooldownUntil):
 		return nil
 	case s.inDoubt(now):
 		return m.read(s)
 	case m.draining:
 		return nil
-	case s.rightOwner == m.self:
+	case s.assignedOwner == m.self:
 		// Without a lease there is nothing to do with the answer yet.
-		if m.lease.sure(now, m.options.Margin) {
+		if m.lease.validWithMargin(now, m.options.Margin) {
 			return m.read(s)
 		}
-	case s.second:
+	case s.isFallback:
 		return m.read(s)
 	}
 	return nil
@@ -151,7 +151,7 @@
 		s.clean = s.clean && s.acquireLease == m.lease.id
 		return m.acquired(now, s, model.Epoch(owner.CreateRevision))
 	}
-	s.nextCall = m.nextLook(now, s)
+	s.nextCall = m.nextRead(now, s)
 	return nil
 }
 
@@ -184,9 +184,9 @@
 	return owner.GetDaemon() == string(m.self)
 }
 
-// nextLook is when to read the owner key again.
-func (m *Machine) nextLook(now time.Time, s *shard) time.Time {
-	if s.rightOwner == m.self || s.inDoubt(now) {
+// nextRead is when to read the owner key again.
+func (m *Machine) nextRead(now time.Time, s *shard) time.Time {
+	if s.assignedOwner == m.self || s.inDoubt(now) {
 		return s.retry.next(now)
 	}
 	return now.Add(m.options.FallbackAfter)
