--- a/core/ownership/acquire.go
+++ b/core/ownership/acquire.go
@@ -11,8 +11,9 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// mayAcquire reports whether this daemon may acquire the shard if it has no
-// owner.
+// mayAcquire reports whether this daemon may acquire the shard if the shard has
+// no owner: as the assigned owner at once, as the fallback owner after
+// FallbackAfter.
 func (m *Machine) mayAcquire(now time.Time, s *shard) bool {
 	if s.assignedOwner == m.self {
 		return true
@@ -36,8 +37,8 @@
 	return m.acquire(now, s)
 }
 
-// acquire puts the owner key if there is none; a shard is never taken from an
-// owner.
+// acquire writes the owner key on the condition that it is absent: a shard is
+// never taken from an owner.
 func (m *Machine) acquire(now time.Time, s *shard) []Command {
 	clean := s.released != 0
 	if s.inDoubt(now) {
@@ -65,8 +66,8 @@
 func (m *Machine) ownerValue() []byte {
 	value, err := proto.Marshal(&ledgerv1.Owner{Daemon: string(m.self), Address: m.address})
 	if err != nil {
-		// Only a name that is not UTF-8 fails; without a value the key is no
-		// less an owner key.
+		// Encoding fails only for a name that is not valid UTF-8. The owner key
+		// is effective without a value, too.
 		return nil
 	}
 	return value
@@ -98,7 +99,8 @@
 	return m.acquired(now, s, model.Epoch(ev.Result.Revision))
 }
 
-// acquired takes the shard over, or releases it when it is not wanted any
+// acquired makes this daemon the owner of the shard, or releases the shard if
+// the daemon is draining or is neither its assigned nor its fallback owner any
 // more.
 func (m *Machine) acquired(now time.Time, s *shard, epoch model.Epoch) []Command {
 	s.epoch = epoch
--- a/core/ownership/assign.go
+++ b/core/ownership/assign.go
@@ -9,15 +9,17 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Assign returns the right owner of each of count shards, in shard order; nil
-// without candidates. It depends on the set of candidates alone.
+// Assign returns the assigned owner of each of count shards, in shard order, or
+// nil if there are no candidates. The result depends on count and the set of
+// candidates alone, not on their order.
 //
-// No daemon is given more than count/len(candidates) shards, rounded up. Each
-// shard goes to the daemon with the highest weight of the pair, unless that
-// daemon is full of shards that weigh more with it. Since both sides order by
-// the same weights, the result is the one stable matching, and a daemon that
-// comes or goes displaces shards only along a chain of falling weights: few
-// move. Many move only when the rounded-up bound itself changes.
+// No daemon is assigned more than count/len(candidates) shards, rounded up. Each
+// shard is assigned to the daemon with the highest rendezvous weight for the
+// pair, unless that daemon is full of shards with higher weights. Shards and
+// daemons rank each other by the same weights, so there is exactly one stable
+// matching. A daemon that joins or leaves moves shards only along a chain of
+// decreasing weights, which is short. Many shards move only when the rounded-up
+// limit itself changes.
 func Assign(count uint32, candidates []model.DaemonID) []model.DaemonID {
 	if len(candidates) == 0 || count == 0 {
 		return nil
@@ -29,8 +31,8 @@
 	return a.owners()
 }
 
-// Owner returns the right owner of one of count shards; empty without
-// candidates.
+// Owner returns the assigned owner of one of count shards. It is empty if there
+// are no candidates or shard is not below count.
 func Owner(shard model.ShardID, count uint32, candidates []model.DaemonID) model.DaemonID {
 	if uint32(shard) >= count {
 		return ""
@@ -42,19 +44,20 @@
 	return owners[shard]
 }
 
-// assignment is a matching under way.
+// assignment is a partially computed matching of shards and daemons.
 type assignment struct {
 	daemons  []model.DaemonID
 	capacity int
 	count    uint32
-	// held are each daemon's shards.
+	// held are the shards of each daemon.
 	held [][]model.ShardID
-	// refused is, per shard, the pair that refused it last, nil before the
-	// first refusal; only pairs that weigh less remain for it.
+	// refused is, per shard, the pair that was refused last, nil before the
+	// first refusal. Only pairs with lower weights remain for the shard.
 	refused []*pairWeight
 }
 
-// pairWeight orders pairs of a shard and a daemon; no two pairs are equal.
+// pairWeight is the weight of a pair of a shard and a daemon. The weights are
+// totally ordered; no two pairs are equal.
 type pairWeight struct {
 	hash   uint64
 	shard  model.ShardID
@@ -89,14 +92,15 @@
 	return pairWeight{hash: weight(shard, a.daemons[daemon]), shard: shard, daemon: daemon}
 }
 
-// weight is the rendezvous weight of a pair.
+// weight returns the rendezvous hash of a shard and a daemon.
 func weight(shard model.ShardID, daemon model.DaemonID) uint64 {
 	var buffer [64]byte
 	b := binary.BigEndian.AppendUint32(buffer[:0], uint32(shard))
 	return xxhash.Sum64(append(b, daemon...))
 }
 
-// place finds a daemon for a shard and, in turn, for each shard displaced.
+// place finds a daemon for a shard and, in turn, for each shard that is evicted
+// from its daemon by that.
 func (a *assignment) place(shard model.ShardID) {
 	for {
 		daemon, ok := a.best(shard)
@@ -113,8 +117,8 @@
 	}
 }
 
-// best returns the daemon of the highest weight with the shard, among those
-// that have not refused it.
+// best returns the daemon with the highest weight for the shard among those
+// that have not refused the shard, or false if all have refused it.
 func (a *assignment) best(shard model.ShardID) (int, bool) {
 	best, found := pairWeight{}, false
 	refused := a.refused[shard]
@@ -130,8 +134,8 @@
 	return best.daemon, found
 }
 
-// offer gives the shard to the daemon and returns the shard that it gives up
-// for it, if it was full.
+// offer assigns the shard to the daemon. If the daemon was full, offer removes
+// its shard with the lowest weight, which may be the new one, and returns it.
 func (a *assignment) offer(shard model.ShardID, daemon int) (evicted model.ShardID, full bool) {
 	held := append(a.held[daemon], shard)
 	a.held[daemon] = held
@@ -159,9 +163,9 @@
 	return owners
 }
 
-// fallbackOwner returns the candidate other than the right owner that weighs
-// most with the shard: the one that stands in for a right owner that does not
-// act.
+// fallbackOwner returns the candidate with the highest weight for the shard,
+// other than the assigned owner. It acquires the shard if the assigned owner
+// does not.
 func fallbackOwner(shard model.ShardID, owner model.DaemonID, candidates []model.DaemonID) model.DaemonID {
 	var second model.DaemonID
 	var highest uint64
--- a/core/ownership/assign_test.go
+++ b/core/ownership/assign_test.go
@@ -47,7 +47,7 @@
 }
 
 // TestAssignMovesLittle checks how many shards move when one daemon of many
-// goes and the bound per daemon stays the same.
+// leaves and the limit per daemon stays the same.
 func TestAssignMovesLittle(t *testing.T) {
 	for _, c := range []struct {
 		shards           uint32
--- a/core/ownership/command.go
+++ b/core/ownership/command.go
@@ -7,74 +7,77 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Command is what Step asks for. GrantLease, KeepAlive, ReadOwner, Acquire and
-// Release are calls of the store, each answered by exactly one event, with Err
-// set when the call failed or timed out.
+// Command is an output of Machine.Step. GrantLease, KeepAlive, ReadOwner,
+// Acquire and Release are calls to the store. The caller must report the result
+// of each with exactly one event, with Err set if the call failed or timed out.
 type Command interface{ command() }
 
-// GrantLease asks for this daemon's lease, answered by LeaseGranted.
+// GrantLease requests a lease for this daemon. Its result is LeaseGranted.
 type GrantLease struct{ TTL time.Duration }
 
-// KeepAlive asks for a renewal, answered by KeptAlive.
+// KeepAlive requests a renewal of the lease. Its result is KeptAlive.
 type KeepAlive struct{ ID port.LeaseID }
 
-// RevokeLease ends a lease that is not used any more. It has no answer; when
-// it fails the lease lapses by itself.
+// RevokeLease ends a lease that is not used any more. Its result is not
+// reported: if it fails, the lease expires by itself.
 type RevokeLease struct{ ID port.LeaseID }
 
-// ReadOwner asks for all keys under Prefix, answered by OwnerRead.
+// ReadOwner requests all keys under Prefix. Its result is OwnerRead.
 type ReadOwner struct {
 	Shard  model.ShardID
 	Prefix string
 }
 
-// Acquire asks for one transaction, answered by AcquireAnswered.
+// Acquire requests one transaction that writes the owner key. Its result is
+// AcquireAnswered.
 type Acquire struct {
 	Shard      model.ShardID
 	Conditions []port.Condition
 	Ops        []port.Op
 }
 
-// Release asks for one transaction, answered by ReleaseAnswered.
+// Release requests one transaction that deletes the owner key and writes the
+// released key. Its result is ReleaseAnswered.
 type Release struct {
 	Shard      model.ShardID
 	Conditions []port.Condition
 	Ops        []port.Op
 }
 
-// ShardAcquired says that this daemon owns the shard from now on.
+// ShardAcquired reports that this daemon owns the shard from now on.
 type ShardAcquired struct {
 	Shard model.ShardID
 	Epoch model.Epoch
 	At    time.Time
-	// Clean is whether the previous owner released the shard itself: it sent
-	// nothing to the shard's workers after its release.
+	// Clean is whether the previous owner released the shard voluntarily and
+	// therefore sent nothing to the shard's workers after the release.
 	Clean bool
 }
 
-// ShardLost says that this daemon must at once stop acting for the shard.
+// ShardLost reports that this daemon must stop acting for the shard at once.
 type ShardLost struct {
 	Shard  model.ShardID
 	Reason LostReason
 }
 
-// Drained says that no shard and no lease is held after Drain.
+// Drained reports that, after Drain, the daemon holds no shard and no lease any
+// more.
 type Drained struct{}
 
-// LostReason is why a shard is not owned any more.
+// LostReason is the reason why a shard is not owned any more.
 type LostReason string
 
-// The reasons for losing a shard.
+// The reasons of ShardLost.
 const (
-	// LostLeaseLapsed: the lease's time ran out by this daemon's clock.
+	// LostLeaseLapsed: the lease expired by this daemon's clock.
 	LostLeaseLapsed LostReason = "lease lapsed"
 	// LostLeaseGone: the store does not know the lease.
 	LostLeaseGone LostReason = "lease gone"
-	// LostLedgerStoodDown: the ledger stood down.
+	// LostLedgerStoodDown: the shard's ledger stood down, see LedgerStoodDown.
 	LostLedgerStoodDown LostReason = "ledger stood down"
-	// LostHandedOver: released for the daemon that should own it.
+	// LostHandedOver: the shard was released for its assigned owner.
 	LostHandedOver LostReason = "handed over"
-	// LostDrained: released by a planned stop.
+	// LostDrained: the shard was released in a planned stop.
 	LostDrained LostReason = "drained"
 )
 
--- a/core/ownership/event.go
+++ b/core/ownership/event.go
@@ -7,21 +7,23 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Event is what Step is told.
+// Event is an input of Machine.Step.
 type Event interface{ event() }
 
-// Tick lets time pass. It should come several times per Margin.
+// Tick reports the passage of time. It should be given several times per
+// Margin.
 type Tick struct{}
 
-// Members says which daemons may own shards: those believed alive and not
+// Members reports which daemons may own shards: those considered alive and not
 // leaving.
 type Members struct{ Candidates []model.DaemonID }
 
-// Shards says how many shards there are.
+// Shards reports the number of shards. The number never decreases; a lower
+// Count is ignored.
 type Shards struct{ Count uint32 }
 
-// LeaseGranted answers GrantLease. SentAt is when the request was sent, with a
-// monotonic reading.
+// LeaseGranted is the result of GrantLease. SentAt is when the request was sent
+// and must include a monotonic clock reading.
 type LeaseGranted struct {
 	ID     port.LeaseID
 	TTL    time.Duration
@@ -29,7 +31,9 @@
 	Err    error
 }
 
-// KeptAlive answers KeepAlive for the lease ID.
+// KeptAlive is the result of KeepAlive for the lease ID. SentAt is when the
+// request was sent, as in LeaseGranted. A TTL of 0 without an error means that
+// the lease does not exist any more.
 type KeptAlive struct {
 	ID     port.LeaseID
 	TTL    time.Duration
@@ -37,41 +41,42 @@
 	Err    error
 }
 
-// OwnerRead answers ReadOwner with the keys found under its prefix.
+// OwnerRead is the result of ReadOwner: the keys found under its prefix.
 type OwnerRead struct {
 	Shard model.ShardID
 	KVs   []port.KeyValue
 	Err   error
 }
 
-// AcquireAnswered answers Acquire.
+// AcquireAnswered is the result of Acquire.
 type AcquireAnswered struct {
 	Shard  model.ShardID
 	Result port.TxnResult
 	Err    error
 }
 
-// ReleaseAnswered answers Release.
+// ReleaseAnswered is the result of Release.
 type ReleaseAnswered struct {
 	Shard model.ShardID
 	Err   error
 }
 
-// ShardReleased says that a daemon was heard to have given the shard up. It saves the
-// right owner the wait until its next look at the owner key.
+// ShardReleased reports that another daemon announced the release of the shard. It
+// saves the assigned owner the wait until its next read of the owner key.
 type ShardReleased struct{ Shard model.ShardID }
 
-// StoreSilence says since when a majority of the known members, this daemon
-// included, have confirmed that the store does not answer them: the time of the
-// oldest of the confirmations that are needed. Zero says that no majority does.
-// It must be repeated whenever that changes.
+// StoreSilence reports whether a majority of the known members, including this
+// daemon, confirms that the store does not answer them. ConfirmedAt is the time
+// of the oldest confirmation needed for the majority, or zero if there is no
+// majority. The event must be given whenever ConfirmedAt changes.
 type StoreSilence struct{ ConfirmedAt time.Time }
 
-// LedgerStoodDown says that the shard's ledger found itself not to be, or not
-// surely, the owner's.
+// LedgerStoodDown reports that the shard's ledger stopped because it found that
+// this daemon is not, or may not be, the shard's owner, or because the stored
+// ledger is corrupt.
 type LedgerStoodDown struct{ Shard model.ShardID }
 
-// Drain begins a planned stop: all shards are released and none acquired.
+// Drain starts a planned stop: all shards are released and none is acquired.
 type Drain struct{}
 
 func (Tick) event()            {}
@@ -83,6 +88,6 @@
 func (AcquireAnswered) event() {}
 func (ReleaseAnswered) event() {}
 func (StoreSilence) event()    {}
-func (ShardReleased) event()         {}
+func (ShardReleased) event()   {}
 func (LedgerStoodDown) event() {}
 func (Drain) event()           {}
--- a/core/ownership/giveup.go
+++ b/core/ownership/giveup.go
@@ -7,8 +7,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// driveOwned gives the shard up when this daemon drains or another one should
-// own it.
+// driveOwned gives the shard up if this daemon drains or should hand the shard
+// over.
 func (m *Machine) driveOwned(now time.Time, s *shard) []Command {
 	switch {
 	case m.draining:
@@ -19,9 +19,10 @@
 	return nil
 }
 
-// shouldHandOver reports whether another daemon has for a while been the right
-// owner. It is among the candidates, so it is alive. A stand-in holds on for
-// longer each time, since the right owner did not act before.
+// shouldHandOver reports whether another daemon has been the assigned owner for
+// SettleTime. That daemon is a candidate and is therefore considered alive. A
+// fallback owner keeps the shard for longer each time, because the assigned
+// owner did not acquire it before.
 func (m *Machine) shouldHandOver(now time.Time, s *shard) bool {
 	if s.assignedOwner == "" || s.assignedOwner == m.self || !m.MayCommit(now) {
 		return false
@@ -30,15 +31,16 @@
 	return settled && !now.Before(s.fallbackHoldUntil)
 }
 
-// giveUp stops acting on a shard and then releases it.
+// giveUp reports the shard as lost and then releases it, so that this daemon
+// stops acting for the shard before the next owner can acquire it.
 func (m *Machine) giveUp(s *shard, reason LostReason) []Command {
 	s.owned = false
 	s.releasing = true
 	return append([]Command{ShardLost{Shard: s.id, Reason: reason}}, m.release(s)...)
 }
 
-// release deletes the owner key if it is still this owner's, and leaves the
-// sign that nothing more is sent under its epoch.
+// release deletes the owner key if it is still this owner's, and writes the
+// released key, which proves that nothing more is sent under this epoch.
 func (m *Machine) release(s *shard) []Command {
 	s.call = releaseCall
 	key := ledger.OwnerKey(m.options.KeyPrefix, s.id)
@@ -73,8 +75,9 @@
 	s.nextCall = now.Add(m.options.RetryMax)
 }
 
-// ledgerStoodDown gives up a shard whose ledger does not trust it, and leaves
-// it alone for a while, longer each time.
+// ledgerStoodDown gives up a shard whose ledger stood down, and does not acquire
+// it again during a cooldown. The cooldown doubles each time, unless the shard
+// was owned for longer than maxCooldown in between.
 func (m *Machine) ledgerStoodDown(now time.Time, ev LedgerStoodDown) []Command {
 	s := m.find(ev.Shard)
 	if s == nil || !s.owned {
--- a/core/ownership/lease.go
+++ b/core/ownership/lease.go
@@ -7,26 +7,26 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// renewalsPerTTL is how many times a lease is renewed in its time, so that two may
-// fail before it is unsure.
+// renewalsPerTTL is the number of renewals within one LeaseTTL, such that two can
+// fail before the lease gets close to its expiry.
 const renewalsPerTTL = 3
 
 // lease is this daemon's lease in the store.
 type lease struct {
-	// id is 0 while there is none.
+	// id is 0 while the daemon has no lease.
 	id       port.LeaseID
 	granting bool
 	renewing bool
-	// expires is before the store lets the lease lapse: it counts from when the
-	// last answered request was sent, which is before the store received it.
+	// expires is earlier than the expiry in the store: it is counted from when
+	// the last answered request was sent, which is before the store received it.
 	expires time.Time
-	// nextCall is when to renew, or to ask for a lease again.
+	// nextCall is the time of the next renewal or request for a lease.
 	nextCall time.Time
-	// renewalUnanswered is set when the last renewal failed for want of an answer. It
-	// tells an outage, in which this daemon tried, from a pause, in which it
-	// did not.
+	// renewalUnanswered is set when the store did not answer a renewal, and
+	// cleared by a successful one. It distinguishes an outage, during which
+	// this daemon tried to renew, from a pause, during which it did not.
 	renewalUnanswered bool
-	retry      backoff
+	retry             backoff
 }
 
 func (m *Machine) noLease() lease {
@@ -35,12 +35,13 @@
 	}}
 }
 
-// validWithMargin reports whether the lease holds with the margin to spare.
+// validWithMargin reports whether the lease has more than margin left.
 func (l *lease) validWithMargin(now time.Time, margin time.Duration) bool {
 	return l.id != 0 && now.Before(l.expires.Add(-margin))
 }
 
-// checkLease gives all shards up when the lease's time has run out.
+// checkLease gives up all shards and revokes the lease once it has expired and
+// the shards are not retained any longer.
 func (m *Machine) checkLease(now time.Time) []Command {
 	if m.lease.id == 0 || now.Before(m.giveUpAt()) {
 		return nil
@@ -49,10 +50,11 @@
 	return append(commands, m.revoke()...)
 }
 
-// giveUpAt is when the shards are given up. After renewals that the store did
-// not answer they are kept, without acting on them unless MayRenew says so, as
-// long as the outage is confirmed and a while longer: the store extends leases
-// over its own outages, and the lease may turn out to hold.
+// giveUpAt returns the time at which the shards are given up. After renewals
+// that the store did not answer, the shards are kept while the outage is
+// confirmed and for LapsedLeaseRetention after that, because the store extends
+// leases over its own outages and the lease may still be valid. The daemon does
+// not act for the shards in that time, except as MayRenew permits.
 func (m *Machine) giveUpAt() time.Time {
 	if !m.lease.renewalUnanswered {
 		return m.lease.expires
@@ -68,7 +70,8 @@
 	return b
 }
 
-// giveUpAll gives up all shards and forgets the lease's calls about them.
+// giveUpAll gives up all shards. Responses to acquires under the lease that are
+// still in flight will be ignored.
 func (m *Machine) giveUpAll(now time.Time, reason LostReason) []Command {
 	var commands []Command
 	for _, s := range m.shards {
@@ -81,8 +84,9 @@
 	return commands
 }
 
-// revoke ends the lease, so that the shards under it need not wait for its
-// time, and keys that a lost acquire may have put go with it.
+// revoke ends the lease, so that other daemons need not wait for its expiry.
+// The store deletes with it any owner key that was written by an acquire whose
+// response was lost.
 func (m *Machine) revoke() []Command {
 	id := m.lease.id
 	m.lease = m.noLease()
@@ -92,7 +96,8 @@
 	return []Command{RevokeLease{ID: id}}
 }
 
-// driveLease asks for a lease when one is needed, and renews it.
+// driveLease requests a lease when one is needed, renews it when due, and
+// revokes it when it is not needed any more.
 func (m *Machine) driveLease(now time.Time) []Command {
 	l := &m.lease
 	switch {
@@ -162,15 +167,15 @@
 	return nil
 }
 
-// leaseGone gives all shards up because the store does not know the lease.
+// leaseGone gives up all shards because the store does not know the lease.
 func (m *Machine) leaseGone(now time.Time) []Command {
 	commands := m.giveUpAll(now, LostLeaseGone)
 	m.lease = m.noLease()
 	return commands
 }
 
-// isUnanswered reports whether a call failed for want of the store's answer,
-// rather than because this daemon did not make it.
+// isUnanswered reports whether a call failed because the store did not answer,
+// and not because this daemon did not make the call.
 func isUnanswered(kind port.StoreErrorKind) bool {
 	return kind != port.StoreThrottled && kind != port.StoreCallCanceled
 }
@@ -183,7 +188,7 @@
 	return port.StoreUnavailable
 }
 
-// isNotDone reports whether a change was certainly not made.
+// isNotDone reports whether a failed transaction was certainly not applied.
 func isNotDone(err error) bool {
 	var failure *port.StoreError
 	return errors.As(err, &failure) && failure.Outcome == port.OutcomeNotDone
--- a/core/ownership/machine.go
+++ b/core/ownership/machine.go
@@ -9,8 +9,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Machine is the state machine of one daemon's ownership. It is driven by one
-// goroutine.
+// Machine is the ownership state machine of one daemon. It is not safe for
+// concurrent use.
 type Machine struct {
 	self    model.DaemonID
 	address string
@@ -19,21 +19,23 @@
 
 	candidates []model.DaemonID
 	count      uint32
-	// shards are those that concern this daemon, in order.
+	// shards are sorted by ID. They are the shards that this daemon owns, is
+	// releasing, or is the assigned or fallback owner of, and those with a call
+	// in flight or an acquire in doubt.
 	shards []*shard
 	lease  lease
 
-	// silenceConfirmedAt is when a majority last confirmed the store's silence; silent is
-	// whether the last event named one.
+	// silenceConfirmedAt is the latest ConfirmedAt of a StoreSilence event.
+	// silent is whether the last such event reported a majority.
 	silenceConfirmedAt time.Time
-	silent   bool
+	silent             bool
 
 	draining bool
 	drained  bool
 }
 
-// New returns a machine that owns nothing. address is where other daemons
-// reach this one; it is written into owner keys.
+// New returns a Machine that owns no shards. address is the address at which
+// other daemons reach this one; it is written into owner keys.
 func New(self model.DaemonID, address string, o Options) *Machine {
 	m := &Machine{
 		self:    self,
@@ -45,10 +47,10 @@
 	return m
 }
 
-// Step takes one event and returns what is to be done, in order.
+// Step handles one event and returns the commands to execute, in order.
 func (m *Machine) Step(now time.Time, ev Event) []Command {
-	// The lease is looked at before the event: after a pause the event that
-	// wakes the daemon may be an answer that it must not act on any more.
+	// The lease is checked before the event is handled: after a pause of the
+	// daemon, the first event may be a response that arrived too late to act on.
 	commands := m.checkLease(now)
 	commands = append(commands, m.handle(now, ev)...)
 	commands = append(commands, m.driveLease(now)...)
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// shardReleased looks at the owner key at once if this daemon should own the shard.
+// shardReleased reads the owner key at once if this daemon is the assigned owner.
 func (m *Machine) shardReleased(now time.Time, ev ShardReleased) {
 	s := m.find(ev.Shard)
 	if s != nil && !s.owned && s.assignedOwner == m.self {
@@ -97,13 +99,15 @@
 	}
 }
 
-// MayCommit reports whether the lease surely holds, so that commits and
-// commands to workers may be sent for the owned shards.
-func (m *Machine) MayCommit(now time.Time) bool { return m.lease.validWithMargin(now, m.options.Margin) }
+// MayCommit reports whether the lease has more than Margin left, so that commits
+// and commands to workers may be sent for the owned shards.
+func (m *Machine) MayCommit(now time.Time) bool {
+	return m.lease.validWithMargin(now, m.options.Margin)
+}
 
 // MayRenew reports whether the leases of tasks on the shard's workers may be
-// renewed: while the lease holds, and after its end, for any time, while a
-// majority confirms that the store is down.
+// renewed: until the daemon's lease expires and, after that, for as long as a
+// majority confirms that the store is silent, without a time limit.
 func (m *Machine) MayRenew(now time.Time, shard model.ShardID) bool {
 	s := m.find(shard)
 	if s == nil || !s.owned {
@@ -116,7 +120,7 @@
 	return m.silent && m.lease.renewalUnanswered && now.Before(m.silenceConfirmedAt.Add(m.options.OutageGrace))
 }
 
-// Owned returns the owned shards in order.
+// Owned returns the owned shards, sorted by ID.
 func (m *Machine) Owned() []model.ShardID {
 	var owned []model.ShardID
 	for _, s := range m.shards {
@@ -127,7 +131,8 @@
 	return owned
 }
 
-// Epoch returns the epoch under which the shard is owned; false when it is not.
+// Epoch returns the epoch under which the shard is owned, or false if this
+// daemon does not own it.
 func (m *Machine) Epoch(shard model.ShardID) (model.Epoch, bool) {
 	s := m.find(shard)
 	if s == nil || !s.owned {
@@ -166,8 +171,8 @@
 	return m.shards[i]
 }
 
-// reassign works out anew which shards this daemon is to own or to stand in
-// for.
+// reassign recomputes the shards of which this daemon is the assigned or the
+// fallback owner.
 func (m *Machine) reassign(now time.Time) {
 	owners := Assign(m.count, m.candidates)
 	if owners == nil {
@@ -186,7 +191,8 @@
 	}
 }
 
-// forgetShards drops the shards that do not concern this daemon any more.
+// forgetShards drops the shards that this daemon neither owns nor may acquire
+// and for which no call or acquire is outstanding.
 func (m *Machine) forgetShards(now time.Time) {
 	m.shards = slices.DeleteFunc(m.shards, func(s *shard) bool {
 		wanted := s.assignedOwner == m.self || s.isFallback
@@ -194,7 +200,8 @@
 	})
 }
 
-// finishDrain ends the lease once nothing is held under it.
+// finishDrain revokes the lease and reports Drained once no shard is held under
+// the lease.
 func (m *Machine) finishDrain() []Command {
 	if !m.draining || m.drained {
 		return nil
--- a/core/ownership/machine_test.go
+++ b/core/ownership/machine_test.go
@@ -10,10 +10,10 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Symptom: two owners act for one shard. Sequence: the owner is paused past
-// its lease; the answer to a renewal sent before the pause is what wakes it.
-// Cause it guards against: counting the lease from the answer, or acting on
-// the event before looking at the clock.
+// TestPausedOwner guards against two owners acting for one shard. The owner is
+// paused past its lease, and the first event after the pause is the response to
+// a renewal sent before it. The fault would be to count the lease from the
+// response, or to handle the event before checking the clock.
 func TestPausedOwner(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.own()
@@ -31,10 +31,11 @@
 	s.golden("paused_owner")
 }
 
-// Symptom: after a planned change of owner the shard waits as if its owner had
-// died. Sequence: another daemon becomes the right owner and stays so; this
-// one stops acting, then releases; the other acquires. Cause it guards
-// against: not telling a release from a lapse.
+// TestGracefulHandover guards against a planned change of owner that takes as
+// long as after the death of the owner. Another daemon becomes and stays the
+// assigned owner; this one stops acting and then releases the shard; the other
+// one acquires it. The fault would be not to distinguish a release from a
+// lapsed lease.
 func TestGracefulHandover(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.own()
@@ -64,10 +65,11 @@
 	s.golden("graceful_handover")
 }
 
-// Symptom: an outage of the store stops all work, or work goes on in two
-// places. Sequence: the store stops answering; its silence is confirmed by the
-// members; it comes back and the lease has held. Cause it guards against:
-// giving shards up because the store is down, and going on unconfirmed.
+// TestStoreOutage guards against a store outage that stops all tasks or lets
+// tasks run in two places. The store stops answering, the members confirm its
+// silence, and it returns with the lease still valid. The faults would be to
+// give up shards because the store is down, and to continue without
+// confirmation.
 func TestStoreOutage(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.own()
@@ -89,7 +91,7 @@
 	s.golden("store_outage")
 }
 
-// outage lets time pass with all renewals failing.
+// outage advances the time by d while all lease renewals fail.
 func (s *session) outage(d time.Duration, confirmed bool) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		if confirmed {
@@ -101,7 +103,7 @@
 	}
 }
 
-// untilRenewal lets time pass until the machine asks to renew its lease.
+// untilRenewal advances the time until the machine requests a lease renewal.
 func (s *session) untilRenewal() {
 	for range 100 {
 		if _, ok := find[KeepAlive](s.tick(100 * time.Millisecond)); ok {
@@ -140,9 +142,9 @@
 	}
 }
 
-// Symptom: all tasks of the fleet end in a long outage of the store.
-// Sequence: the store is down for an hour, which a majority confirms all the
-// time. Cause it guards against: a bound on the length of an outage.
+// TestOutageOfAnHour guards against the end of all tasks of the fleet in a long
+// store outage. The store is down for an hour, and a majority confirms it all
+// the time. The fault would be a limit on the length of an outage.
 func TestOutageOfAnHour(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.own()
@@ -165,12 +167,13 @@
 	}
 }
 
-// Symptom: worker leases are renewed by an owner of which a new one knows that
-// it cannot be renewing. Sequence: a majority confirmed the outage once, and
-// the same confirmations are named again and again; or the daemon is paused
-// after a confirmation, and what wakes it is the next one. Cause it guards
-// against: counting a confirmation from when it is named, and taking up renewing
-// again after a break.
+// TestOutageRenewalNeedsFreshConfirmations guards against an owner that renews
+// task leases when a new owner may already assume that it does not. A majority
+// confirmed the outage once, and the same confirmations are reported again and
+// again; or the daemon is paused after a confirmation, and the first event after
+// the pause is the next confirmation. The faults would be to count the age of a
+// confirmation from when it is reported, and to resume renewals after an
+// interruption.
 func TestOutageRenewalNeedsFreshConfirmations(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.own()
@@ -203,9 +206,10 @@
 	}
 }
 
-// Symptom: a shard is held under a lease of which nobody knows. Sequence: the
-// acquire is made, its answer lost. Cause it guards against: giving up on it,
-// or taking an owner key of an earlier lease for the present one's.
+// TestLostAcquireAnswer guards against a shard that is held under a lease
+// without any daemon acting as its owner. The acquire is applied, but its
+// response is lost. The faults would be to forget the acquire, and to mistake
+// an owner key of an earlier lease for one of the current lease.
 func TestLostAcquireAnswer(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.step(Shards{Count: 1})
@@ -225,9 +229,10 @@
 	s.golden("lost_acquire_answer")
 }
 
-// Symptom: a shard that is not wanted any more stays locked. Sequence: the
-// acquire's answer is lost, and meanwhile another daemon is the right owner.
-// Cause it guards against: forgetting the acquire with the wish for it.
+// TestLostAcquireOfUnwantedShard guards against a shard that stays locked by a
+// daemon that does not want it any more. The response to the acquire is lost,
+// and another daemon becomes the assigned owner in the meantime. The fault would
+// be to forget the acquire when the assignment changes.
 func TestLostAcquireOfUnwantedShard(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.step(Shards{Count: 1})
@@ -245,9 +250,10 @@
 	}
 }
 
-// Symptom: an acquire answered late makes a daemon act under a lease that is
-// gone. Sequence: the daemon is paused between sending and answer. Cause it
-// guards against: matching answers by shard alone.
+// TestAcquireAnsweredAfterLapse guards against a daemon that acts under a lapsed
+// lease because of a late response to an acquire. The daemon is paused between
+// the request and the response. The fault would be to match responses by shard
+// alone.
 func TestAcquireAnsweredAfterLapse(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.step(Shards{Count: 1})
@@ -260,9 +266,9 @@
 	}
 }
 
-// Symptom: the owner believes in its lease for longer than the store does.
-// Sequence: the answer to a renewal is slow. Cause it guards against: counting
-// the lease's time from the answer.
+// TestLeaseCountsFromSending guards against an owner that assumes a longer lease
+// than the store does. The response to a renewal is slow. The fault would be to
+// count the lease from the response.
 func TestLeaseCountsFromSending(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.own()
@@ -291,10 +297,11 @@
 	s.golden("drain")
 }
 
-// Symptom: a shard has no owner though daemons are alive. Sequence: the right
-// owner is believed alive and does not acquire. Cause it guards against: only
-// one daemon ever trying. The stand-in keeps the shard for longer each time,
-// so that a right owner that cannot act does not get it back at once.
+// TestFallbackOwner guards against a shard without an owner while daemons are
+// alive. The assigned owner is considered alive but does not acquire the shard.
+// The fault would be that only one daemon ever tries. The fallback owner keeps
+// the shard for longer each time, so that an assigned owner that cannot act does
+// not get it back at once.
 func TestFallbackOwner(t *testing.T) {
 	candidates := []model.DaemonID{"d1", "d2"}
 	right := Owner(0, 1, candidates)
@@ -325,7 +332,7 @@
 }
 
 // TestLedgerStoodDown checks that a shard whose ledger stood down is released
-// and left alone, longer each time.
+// and not acquired again during a cooldown that grows each time.
 func TestLedgerStoodDown(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.own()
@@ -353,7 +360,8 @@
 }
 
 // TestReadsAreFew checks that a daemon reads the owner keys only of the shards
-// that it is to own or to stand in for, and those seldom while they are owned.
+// of which it is the assigned or the fallback owner, and those at a low rate
+// while they are owned.
 func TestReadsAreFew(t *testing.T) {
 	const shards, daemons, sampled, seconds = 220, 300, 30, 120
 	candidates := daemonNames(daemons)
@@ -372,8 +380,8 @@
 	}
 }
 
-// readsOfOwned answers the commands, with another daemon owning every shard,
-// and returns how many owner keys were read.
+// readsOfOwned answers the commands as if another daemon owned every shard, and
+// returns how many owner keys were read.
 func (s *session) readsOfOwned(commands []Command) int {
 	reads := 0
 	for _, c := range commands {
@@ -391,9 +399,9 @@
 	return reads
 }
 
-// Symptom: a store that refuses calls is flooded with them. Sequence: the read
-// of an owner key fails at once, again and again. Cause it guards against:
-// reading again without a delay.
+// TestFailedReadWaits guards against flooding a store that refuses calls. The
+// read of an owner key fails immediately, again and again. The fault would be to
+// read again without a delay.
 func TestFailedReadWaits(t *testing.T) {
 	s := newSession(t, "d1", "d1")
 	s.step(Shards{Count: 1})
--- a/core/ownership/options.go
+++ b/core/ownership/options.go
@@ -11,42 +11,45 @@
 
 // The defaults of Options.
 const (
-	DefaultLeaseTTL      = 15 * time.Second
-	DefaultMargin        = 2 * time.Second
-	DefaultOutageGrace   = 20 * time.Second
-	DefaultLapsedLeaseRetention  = 15 * time.Second
-	DefaultSettleTime    = 10 * time.Second
-	DefaultFallbackAfter = 30 * time.Second
-	DefaultRetryMin      = 200 * time.Millisecond
-	DefaultRetryMax      = 5 * time.Second
+	DefaultLeaseTTL             = 15 * time.Second
+	DefaultMargin               = 2 * time.Second
+	DefaultOutageGrace          = 20 * time.Second
+	DefaultLapsedLeaseRetention = 15 * time.Second
+	DefaultSettleTime           = 10 * time.Second
+	DefaultFallbackAfter        = 30 * time.Second
+	DefaultRetryMin             = 200 * time.Millisecond
+	DefaultRetryMax             = 5 * time.Second
 )
 
-// Options are the machine's settings. A zero duration takes its default.
+// Options configures a Machine. A duration of zero or less selects its default.
 type Options struct {
 	// KeyPrefix is the cluster's prefix in the store, ending in a slash.
 	KeyPrefix string
-	// LeaseTTL is the time of the daemon's lease in the store.
+	// LeaseTTL is the time to live of the daemon's lease in the store.
 	LeaseTTL time.Duration
-	// Margin is how long before the lease's end the daemon counts as unsure.
+	// Margin is how long before the lease expires the daemon stops committing
+	// and sending commands to workers.
 	Margin time.Duration
-	// OutageGrace is the age up to which a member's confirmation that the store
-	// is silent lets an owner without a lease renew its workers' leases. A new
-	// owner reckons with it, so it must be the same on all daemons.
+	// OutageGrace is the maximum age of a member's confirmation that the store
+	// is silent for which an owner whose lease has expired may renew the leases
+	// of its workers' tasks. A new owner derives from it when its predecessor's
+	// renewals end, so it must be the same on all daemons.
 	OutageGrace time.Duration
-	// LapsedLeaseRetention is how long an owner whose lease has ended, and that may not
-	// renew, keeps its shards for the case that the lease still holds.
+	// LapsedLeaseRetention is how long an owner whose lease has expired and which
+	// may not renew keeps its shards, because the store may have extended the
+	// lease over its own outage.
 	LapsedLeaseRetention time.Duration
-	// SettleTime is how long another daemon must have been the right owner
+	// SettleTime is how long another daemon must have been the assigned owner
 	// before a shard is handed over to it.
 	SettleTime time.Duration
-	// FallbackAfter is how long a shard must have had no owner before the
-	// second choice acquires it.
+	// FallbackAfter is how long a shard must have been without an owner before
+	// its fallback owner acquires it.
 	FallbackAfter time.Duration
-	// RetryMin and RetryMax bound the doubling, jittered delay between calls
-	// about one shard or the lease.
+	// RetryMin and RetryMax bound the exponential backoff with jitter between
+	// calls for one shard or for the lease.
 	RetryMin time.Duration
 	RetryMax time.Duration
-	// Seed feeds the jitter, together with the daemon's name.
+	// Seed and the daemon's ID together seed the jitter.
 	Seed uint64
 }
 
@@ -68,7 +71,7 @@
 	}
 }
 
-// backoff is a doubling delay with jitter.
+// backoff is an exponential backoff with jitter.
 type backoff struct {
 	min, max time.Duration
 	random   *rand.Rand
@@ -79,8 +82,9 @@
 	return rand.New(rand.NewPCG(seed, xxhash.Sum64String(string(self))))
 }
 
-// next returns the time of the next try, between half a delay and a whole one
-// from now, so that daemons that failed together do not retry together.
+// next returns the time of the next attempt, between half the delay and the
+// full delay from now. The jitter keeps daemons that failed together from
+// retrying together.
 func (b *backoff) next(now time.Time) time.Time {
 	b.delay = min(max(2*b.delay, b.min), b.max)
 	half := b.delay / 2
--- a/core/ownership/ownership_capacity_test.go
+++ b/core/ownership/ownership_capacity_test.go
@@ -11,8 +11,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// BenchmarkCapacityAssign is the choice of the owners of 220 shards, made by
-// each daemon whenever its view of the members changes.
+// BenchmarkCapacityAssign measures Assign for 220 shards, which each daemon runs
+// whenever its view of the members changes.
 func BenchmarkCapacityAssign(b *testing.B) {
 	for _, daemons := range []int{8, 50, 300} {
 		b.Run(fmt.Sprintf("daemons=%d", daemons), func(b *testing.B) {
@@ -27,8 +27,8 @@
 	}
 }
 
-// BenchmarkCapacityCalls counts the calls of the store that the owner of one
-// shard makes for its lease and its ownership while nothing changes.
+// BenchmarkCapacityCalls measures the rate of store calls that the owner of no
+// shard or one shard makes for its lease and ownership while nothing changes.
 func BenchmarkCapacityCalls(b *testing.B) {
 	for _, shards := range []int{0, 1} {
 		b.Run(fmt.Sprintf("owned=%d", shards), func(b *testing.B) {
@@ -45,7 +45,9 @@
 // capacityLease is the default of --lease-ttl.
 const capacityLease = 10 * time.Second
 
-// capacityCalls runs the owner of all of the given shards, alone, for an hour.
+// capacityCalls runs a single daemon that owns all of the given number of shards
+// for a simulated hour. It returns the store calls per second after the first
+// minute, by kind.
 func capacityCalls(shards int) map[string]float64 {
 	const warm, hour = time.Minute, time.Hour
 	now := time.Unix(1_800_000_000, 0)
--- a/core/ownership/session_test.go
+++ b/core/ownership/session_test.go
@@ -25,7 +25,7 @@
 	errGone    = &port.StoreError{Call: "KeepAlive", Kind: port.StoreLeaseGone, Outcome: port.OutcomeNotDone}
 )
 
-// session drives one machine and writes down events and commands.
+// session drives one Machine and records its events and commands.
 type session struct {
 	t       *testing.T
 	start   time.Time
@@ -61,7 +61,7 @@
 
 var ownerValue = regexp.MustCompile(`Value:\[[0-9 ]+\]`)
 
-// strip leaves out what differs between places and runs.
+// strip removes the parts of a text that differ between machines and runs.
 func (s *session) strip(text string) string {
 	text = strings.ReplaceAll(text, testPrefix, "")
 	text = strings.ReplaceAll(text, s.now.String(), "now")
@@ -82,7 +82,7 @@
 	return s.step(Tick{})
 }
 
-// lease answers the request for a lease.
+// lease answers GrantLease.
 func (s *session) lease() {
 	s.step(LeaseGranted{ID: testLease, TTL: 15 * time.Second, SentAt: s.now})
 }
--- a/core/ownership/shard.go
+++ b/core/ownership/shard.go
@@ -12,16 +12,18 @@
 )
 
 const (
-	// inDoubtLeases is for how many lease times an acquire without an answer is
-	// looked for when the shard is not wanted any more.
+	// inDoubtLeases is the number of LeaseTTLs for which the owner key is read
+	// after an acquire with an unknown outcome, even when the shard is not
+	// wanted any more.
 	inDoubtLeases = 4
-	// maxFallbackHold and maxPenalty bound the doubling times for which a stand-in
-	// keeps a shard, and for which a shard whose ledger stood down is left.
-	maxFallbackHold    = 10 * time.Minute
-	maxCooldown = time.Minute
+	// maxFallbackHold and maxCooldown bound two doubling times: for how long a
+	// fallback owner keeps a shard, and for how long a shard whose ledger stood
+	// down is not acquired again.
+	maxFallbackHold = 10 * time.Minute
+	maxCooldown     = time.Minute
 )
 
-// call is the store call about a shard that is under way.
+// call is the kind of the store call in flight for a shard.
 type call uint8
 
 const (
@@ -31,48 +33,51 @@
 	releaseCall
 )
 
-// shard is what this daemon knows of one shard.
+// shard is the state of one shard on this daemon.
 type shard struct {
 	id model.ShardID
-	// assignedOwner is the daemon that should own the shard, since ownerSince;
-	// empty when unknown.
+	// assignedOwner is the daemon that Assign selects for the shard, since
+	// assignedSince; empty when unknown.
 	assignedOwner model.DaemonID
 	assignedSince time.Time
-	// isFallback is whether this daemon stands in when the right owner does not act.
+	// isFallback is whether this daemon acquires the shard if the assigned owner
+	// does not.
 	isFallback bool
 
 	owned bool
 	epoch model.Epoch
 	// releasing is set from when the shard is given up until the store has
-	// confirmed it.
+	// confirmed the release.
 	releasing bool
 
 	call     call
 	nextCall time.Time
 	retry    backoff
 
-	// absentSince is when the owner key was first seen absent, zero when it is
-	// not.
+	// absentSince is when the owner key was first read as absent; zero when it
+	// is present or unknown.
 	absentSince time.Time
-	// released is the mod revision of the key left by an owner that gave the
-	// shard up of itself, 0 when absent.
+	// released is the mod revision of the released key, which the previous owner
+	// wrote when it released the shard voluntarily; 0 when absent.
 	released int64
 
-	// acquireLease is the lease of the last acquire, and clean whether every
-	// acquire that may have been made followed a release.
+	// acquireLease is the lease of the last acquire. clean is whether every
+	// acquire that may have been applied was conditional on the released key.
 	acquireLease port.LeaseID
 	clean        bool
-	// doubtUntil is set after an acquire whose outcome is not known.
+	// doubtUntil is set after an acquire with an unknown outcome. Until then
+	// the owner key may still turn out to be this daemon's.
 	doubtUntil time.Time
 
-	// fallbackHold is for how long a stand-in keeps the shard.
+	// fallbackHold is the minimum time for which a fallback owner keeps the
+	// shard. It doubles with each acquire.
 	fallbackHold      time.Duration
 	fallbackHoldUntil time.Time
-	// cooldown is for how long the shard is left alone after its ledger stood
-	// down.
-	cooldown    time.Duration
-	cooldownUntil  time.Time
-	acquiredAt time.Time
+	// cooldown is for how long the shard is not acquired again after its
+	// ledger stood down.
+	cooldown      time.Duration
+	cooldownUntil time.Time
+	acquiredAt    time.Time
 }
 
 func (s *shard) setAssigned(now time.Time, owner model.DaemonID) {
@@ -85,8 +90,9 @@
 
 func (s *shard) inDoubt(now time.Time) bool { return now.Before(s.doubtUntil) }
 
-// clearOwnership forgets what was held under a lease that is over. A call under way stays
-// so until its answer comes, which finds another lease and is ignored.
+// clearOwnership resets what was held under a lease that has ended. A call in
+// flight remains until its response arrives, which is then ignored because it
+// belongs to another lease.
 func (s *shard) clearOwnership() {
 	s.owned = false
 	s.releasing = false
@@ -96,7 +102,7 @@
 	s.absentSince = time.Time{}
 }
 
-// driveShard makes the next call about a shard when it is due.
+// driveShard makes the next call for a shard if it is due.
 func (m *Machine) driveShard(now time.Time, s *shard) []Command {
 	if s.owned {
 		return m.driveOwned(now, s)
@@ -114,7 +120,7 @@
 	case m.draining:
 		return nil
 	case s.assignedOwner == m.self:
-		// Without a lease there is nothing to do with the answer yet.
+		// Without a valid lease the shard could not be acquired anyway.
 		if m.lease.validWithMargin(now, m.options.Margin) {
 			return m.read(s)
 		}
@@ -155,8 +161,8 @@
 	return nil
 }
 
-// parseOwner notes whether the last owner released the shard of itself, and
-// returns the owner key if there is one.
+// parseOwner returns the owner key if present, and records whether the previous
+// owner released the shard voluntarily.
 func (m *Machine) parseOwner(s *shard, kvs []port.KeyValue) (owner port.KeyValue, held bool) {
 	s.released = 0
 	for _, kv := range kvs {
@@ -170,9 +176,9 @@
 	return owner, held
 }
 
-// isOurs reports whether the owner key was put by this daemon under its
-// present lease. A key under an earlier lease is another owner's: it was
-// given up.
+// isOurs reports whether the owner key was written by this daemon under its
+// current lease. A key under an earlier lease does not count: this daemon gave
+// up its shards together with that lease.
 func (m *Machine) isOurs(kv port.KeyValue) bool {
 	if m.lease.id == 0 || kv.Lease != m.lease.id {
 		return false
@@ -184,7 +190,9 @@
 	return owner.GetDaemon() == string(m.self)
 }
 
-// nextRead is when to read the owner key again.
+// nextRead returns when to read the owner key again: with backoff while this
+// daemon is the assigned owner or an acquire is in doubt, otherwise after
+// FallbackAfter.
 func (m *Machine) nextRead(now time.Time, s *shard) time.Time {
 	if s.assignedOwner == m.self || s.inDoubt(now) {
 		return s.retry.next(now)
