--- a/core/workersession/bench_test.go
+++ b/core/workersession/bench_test.go
@@ -40,7 +40,7 @@
 		Flaws:    flaws,
 	})
 	l.session = workersession.New("w1", 7, 5, l.now, true, o)
-	l.step(workersession.MayAct{Full: true})
+	l.step(workersession.Permission{Full: true})
 	l.step(workersession.Desired{})
 	l.answer()
 	l.step(workersession.Desired{Tasks: benchDesired(tasks, workersession.Start)})
--- a/core/workersession/event.go
+++ b/core/workersession/event.go
@@ -77,9 +77,9 @@
 // Tick lets time pass. It is due several times per Options.RetryEvery.
 type Tick struct{}
 
-// MayAct says what the owner's own lease on the shard allows. With neither
+// Permission says what the owner's own lease on the shard allows. With neither
 // set the session sends nothing.
-type MayAct struct {
+type Permission struct {
 	// Full allows everything.
 	Full bool
 	// RenewOnly allows renewals: the store is down and nothing new can be
@@ -106,6 +106,6 @@
 func (Desired) event()  {}
 func (Answered) event() {}
 func (Tick) event()     {}
-func (MayAct) event()   {}
+func (Permission) event()   {}
 func (VMGone) event()   {}
 func (VMListed) event() {}
--- a/core/workersession/golden_test.go
+++ b/core/workersession/golden_test.go
@@ -94,7 +94,7 @@
 func TestDelayedStartOfPausedOwnerIsRefused(t *testing.T) {
 	s := newScript()
 	old := begin(s, "old", 5)
-	old.event(workersession.MayAct{Full: true, Until: s.now.Add(10 * time.Second)})
+	old.event(workersession.Permission{Full: true, Until: s.now.Add(10 * time.Second)})
 	old.want(task(1, workersession.Start))
 	delayed := old.last()
 	s.note("old is paused, its start is under way")
@@ -111,7 +111,7 @@
 	old.tick()
 	fresh.idle(5 * time.Second)
 	old.fail(delayed.ID)
-	old.event(workersession.MayAct{Full: true})
+	old.event(workersession.Permission{Full: true})
 	old.answer()
 	golden(t, s)
 }
@@ -175,7 +175,7 @@
 	stop.Attempt.Task.Index = 2
 	start := task(1, workersession.Start)
 	start.Attempt.Task.Index = 1
-	p.event(workersession.MayAct{RenewOnly: true, Until: s.now.Add(7 * time.Second)})
+	p.event(workersession.Permission{RenewOnly: true, Until: s.now.Add(7 * time.Second)})
 	p.want(keep, start, stop)
 	p.idle(10 * time.Second)
 	s.note("nothing was sent after 7 s; the store is back")
--- a/core/workersession/inherit_test.go
+++ b/core/workersession/inherit_test.go
@@ -10,7 +10,7 @@
 
 // overAt lets time pass without an answer and returns when the attempt was
 // found over, zero if it was not.
-func (p *peer) overAt(d time.Duration, act workersession.MayAct) time.Duration {
+func (p *peer) overAt(d time.Duration, act workersession.Permission) time.Duration {
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.pass(time.Second)
 		for _, c := range append(p.session.Step(p.now, act), p.session.Step(p.now, workersession.Tick{})...) {
@@ -38,7 +38,7 @@
 	p.full()
 	p.want(task(1, workersession.Keep))
 	p.failed(p.last().ID)
-	act := workersession.MayAct{Full: true}
+	act := workersession.Permission{Full: true}
 	if at := p.overAt(10*time.Minute, act); at != 0 || !p.session.AwaitsPredecessors() {
 		t.Fatalf("over after %s though an earlier owner may be renewing\n%s", at, &s.text)
 	}
@@ -77,7 +77,7 @@
 	old.answer()
 	old.want(task(1, workersession.Keep))
 	p := s.owner("new", 9)
-	p.event(workersession.MayAct{RenewOnly: true})
+	p.event(workersession.Permission{RenewOnly: true})
 	p.want(task(1, workersession.Stop))
 	p.failed(p.last().ID)
 	old.idle(5 * time.Minute)
@@ -87,7 +87,7 @@
 	if p.session.AwaitsPredecessors() {
 		t.Error("waits though the agent knows the new owner")
 	}
-	at := p.overAt(time.Minute, workersession.MayAct{Full: true})
+	at := p.overAt(time.Minute, workersession.Permission{Full: true})
 	if at != answered+34*time.Second {
 		t.Errorf("over %s after the first answer\n%s", at-answered, &s.text)
 	}
--- a/core/workersession/options.go
+++ b/core/workersession/options.go
@@ -56,11 +56,11 @@
 	UnreachableAfter time.Duration
 }
 
-// PredecessorsEnd is how long after a moment from which on no majority can
+// PredecessorExpiry is how long after a moment from which on no majority can
 // have confirmed an outage of the store everything is over that earlier owners
 // renewed: the latest confirmation counts for OutageGrace, and a renewal for
 // Lease after it. A lease that ended is not taken up again.
-func (o Options) PredecessorsEnd() time.Duration {
+func (o Options) PredecessorExpiry() time.Duration {
 	o = o.withDefaults()
 	return o.OutageGrace + o.Lease + o.Margin
 }
--- a/core/workersession/property_test.go
+++ b/core/workersession/property_test.go
@@ -241,7 +241,7 @@
 		}
 		w.cuts[1] = cut{until: lost.Add(time.Hour)}
 		// A round of questions to a majority follows the time itself.
-		wait := storeLease + w.opt.PredecessorsEnd() + 6*worldPeriod
+		wait := storeLease + w.opt.PredecessorExpiry() + 6*worldPeriod
 		w.length += wait
 		w.run()
 		if w.problem != "" || w.committed(1) > 0 || len(w.old) != 1 {
--- a/core/workersession/renew_test.go
+++ b/core/workersession/renew_test.go
@@ -104,7 +104,7 @@
 	p.want(long(0, workersession.Keep), long(1, workersession.Keep))
 	p.idle(12 * time.Second)
 	s.note("the second is to stop, and the store is down")
-	p.event(workersession.MayAct{RenewOnly: true})
+	p.event(workersession.Permission{RenewOnly: true})
 	p.want(long(0, workersession.Keep), long(1, workersession.Stop))
 	p.idle(40 * time.Second)
 	s.note("the store is back")
--- a/core/workersession/script_test.go
+++ b/core/workersession/script_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func (p *peer) full()                               { p.event(workersession.MayAct{Full: true}) }
+func (p *peer) full()                               { p.event(workersession.Permission{Full: true}) }
 func (p *peer) want(t ...workersession.DesiredTask) { p.event(workersession.Desired{Tasks: t}) }
 func (p *peer) tick()                               { p.event(workersession.Tick{}) }
 func (p *peer) last() workersession.Send            { return p.sent[len(p.sent)-1] }
--- a/core/workersession/session.go
+++ b/core/workersession/session.go
@@ -25,7 +25,7 @@
 	attempts attemptSet
 	desired  bool // a first Desired was given
 
-	act     MayAct
+	act     Permission
 	fenced  bool
 	gone    bool
 	leaving bool
@@ -129,7 +129,7 @@
 	case Answered:
 		now = ev.received(now)
 		s.onAnswered(now, ev)
-	case MayAct:
+	case Permission:
 		s.onMayAct(now, ev)
 	case VMGone:
 		s.gone = true
@@ -146,16 +146,16 @@
 func (s *Session) emit(c Command) { s.out = append(s.out, c) }
 
 // mode is what the session may send at now.
-func (s *Session) mode(now time.Time) MayAct {
+func (s *Session) mode(now time.Time) Permission {
 	if !s.act.Until.IsZero() && !now.Before(s.act.Until) {
-		return MayAct{}
+		return Permission{}
 	}
 	return s.act
 }
 
 // onMayAct notes a new permission. Silence while the session was not allowed
 // to ask is not the worker's silence.
-func (s *Session) onMayAct(now time.Time, ev MayAct) {
+func (s *Session) onMayAct(now time.Time, ev Permission) {
 	before := s.mode(now)
 	s.act = ev
 	s.settled = s.settled || ev.PredecessorsOver
--- a/core/workersession/workersession_capacity_test.go
+++ b/core/workersession/workersession_capacity_test.go
@@ -66,7 +66,7 @@
 		for l.now.Sub(start) < 20*time.Second {
 			l.now = l.now.Add(100 * time.Millisecond)
 			begin := measure.Processor()
-			l.step(workersession.MayAct{Full: true})
+			l.step(workersession.Permission{Full: true})
 			l.step(workersession.Tick{})
 			spent += measure.Processor() - begin
 			if l.sent == nil {
--- a/core/workersession/world_test.go
+++ b/core/workersession/world_test.go
@@ -398,8 +398,8 @@
 
 // mayAct is what an owner may do: everything under its lease, and renew
 // without one while a majority of the hosts confirm an outage.
-func (w *world) mayAct(o *owner) workersession.MayAct {
-	may := workersession.MayAct{PredecessorsOver: o.settled || w.skipProof}
+func (w *world) mayAct(o *owner) workersession.Permission {
+	may := workersession.Permission{PredecessorsOver: o.settled || w.skipProof}
 	if o.lost {
 		return may
 	}
@@ -417,7 +417,7 @@
 	if o.settled || o != w.current {
 		return
 	}
-	end := w.opt.PredecessorsEnd()
+	end := w.opt.PredecessorExpiry()
 	o.settled = o.host.machine.StoreKeptBy(o.acquired, end)
 	o.host.awaits = !o.settled && !w.now.Before(o.acquired.Add(end))
 }
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -102,7 +102,7 @@
 // renewing, as long as it matters to one of its workers.
 func (s *shard) judgePredecessors() {
 	if s.awaitsPredecessors() {
-		s.predecessorsOver = s.c.members.StoreKeptBy(s.acquiredAt, s.c.o.Session.PredecessorsEnd())
+		s.predecessorsOver = s.c.members.StoreKeptBy(s.acquiredAt, s.c.o.Session.PredecessorExpiry())
 	}
 }
 
@@ -122,7 +122,7 @@
 // settle what a shard's workers wait for. Earlier answers cannot.
 func (c *control) awaitsStore(now time.Time) bool {
 	for _, s := range c.shards {
-		due := s.acquiredAt.Add(c.o.Session.PredecessorsEnd())
+		due := s.acquiredAt.Add(c.o.Session.PredecessorExpiry())
 		if !now.Before(due) && s.awaitsPredecessors() {
 			return true
 		}
--- a/daemon/worker.go
+++ b/daemon/worker.go
@@ -123,7 +123,7 @@
 func (s *shard) stepSession(w *worker, ev workersession.Event) {
 	now := s.c.clock.Now()
 	full, renewOnly := s.c.mayAct(now, s)
-	s.doSession(w, w.session.Step(now, workersession.MayAct{
+	s.doSession(w, w.session.Step(now, workersession.Permission{
 		Full: full, RenewOnly: renewOnly, PredecessorsOver: s.predecessorsOver,
 	}))
 	s.doSession(w, w.session.Step(now, ev))
