--- a/core/ledger/event.go
+++ b/core/ledger/event.go
@@ -50,18 +50,18 @@
 	Err error
 }
 
-// Lost says that this daemon does not own the shard any more.
-type Lost struct{}
+// OwnershipLost says that this daemon does not own the shard any more.
+type OwnershipLost struct{}
 
 // Tick lets time pass: due commits and retries are made.
 type Tick struct{}
 
-func (Acquired) event()     {}
-func (LoadAnswered) event() {}
-func (Propose) event()      {}
-func (TxnAnswered) event()  {}
-func (ReadAnswered) event() {}
-func (InboxNotice) event()  {}
-func (InboxListed) event()  {}
-func (Lost) event()         {}
-func (Tick) event()         {}
+func (Acquired) event()      {}
+func (LoadAnswered) event()  {}
+func (Propose) event()       {}
+func (TxnAnswered) event()   {}
+func (ReadAnswered) event()  {}
+func (InboxNotice) event()   {}
+func (InboxListed) event()   {}
+func (OwnershipLost) event() {}
+func (Tick) event()          {}
--- a/core/ledger/interleaving_test.go
+++ b/core/ledger/interleaving_test.go
@@ -124,7 +124,7 @@
 		case ownership.ShardAcquired:
 			w.ledger(d, c.Shard, ledger.Acquired{Epoch: c.Epoch})
 		case ownership.ShardLost:
-			w.ledger(d, c.Shard, ledger.Lost{})
+			w.ledger(d, c.Shard, ledger.OwnershipLost{})
 		default:
 			w.send(d, c)
 		}
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -107,7 +107,7 @@
 		return l.inboxNotice()
 	case InboxListed:
 		return l.inboxListed(now, ev)
-	case Lost:
+	case OwnershipLost:
 		return l.abandon()
 	case Tick:
 		return l.tick(now)
--- a/core/workersession/event.go
+++ b/core/workersession/event.go
@@ -103,9 +103,9 @@
 // VMListed takes back VMGone.
 type VMListed struct{}
 
-func (Desired) event()  {}
-func (Answered) event() {}
-func (Tick) event()     {}
-func (Permission) event()   {}
-func (VMGone) event()   {}
-func (VMListed) event() {}
+func (Desired) event()    {}
+func (Answered) event()   {}
+func (Tick) event()       {}
+func (Permission) event() {}
+func (VMGone) event()     {}
+func (VMListed) event()   {}
--- a/daemon/owner.go
+++ b/daemon/owner.go
@@ -95,7 +95,7 @@
 	c.log.WithField("shard", cmd.Shard).WithField("reason", cmd.Reason).Info("shard lost")
 	delete(c.shards, cmd.Shard)
 	s.lost = true
-	s.stepLedger(ledger.Lost{})
+	s.stepLedger(ledger.OwnershipLost{})
 }
 
 // judgePredecessors finds out whether earlier owners of the shard can still be
