--- a/core/workersession/answer.go
+++ b/core/workersession/answer.go
@@ -42,10 +42,10 @@
 		s.takeMissing(call, ev.Resp.GetTasks())
 	}
 	s.dropForgotten(call)
-	s.holdOpen(now, call)
+	s.delayOpenCommands(now, call)
 	s.takeRenewal(now, call, ev.Resp)
 	s.takeLeaving(ev.Resp.GetLeaving())
-	s.hastenPoll(now)
+	s.advanceNextCall(now)
 }
 
 // received returns now, or the time of receipt if that is later: permission to
@@ -75,9 +75,9 @@
 	restarted := s.grant != nil && s.grant.GetBootId() != g.GetBootId()
 	s.grant = g
 	s.grantAt = receivedAt
-	s.settle()
+	s.endPredecessors()
 	if restarted {
-		s.agreed = false
+		s.hashMatched = false
 		s.endAll()
 	}
 	if !usable && s.anyRenewable() {
@@ -139,7 +139,7 @@
 	switch r.GetOutcome() {
 	case workerv1.Outcome_OUTCOME_DONE:
 		a.stopAcked = true
-		a.saved = r.GetCheckpoint()
+		a.stopCheckpoint = r.GetCheckpoint()
 	case workerv1.Outcome_OUTCOME_STALE:
 		a.sentKind = sentStale // as for a start
 	}
@@ -172,10 +172,10 @@
 	s.attempts.removeIf(func(a *attempt) bool { return a.forgetCall == call.id })
 }
 
-// holdOpen keeps commands back for a while when one that call carried was not
+// delayOpenCommands keeps commands back for a while when one that call carried was not
 // carried out. Without the pause an agent that declines a command without
 // ending it would be asked again as fast as it answers.
-func (s *Session) holdOpen(now time.Time, call *call) {
+func (s *Session) delayOpenCommands(now time.Time, call *call) {
 	for _, a := range s.attempts.sorted {
 		if a.sentCall == call.id && a.open() {
 			s.retryAt = now.Add(s.opt.RetryEvery)
@@ -192,14 +192,14 @@
 	s.emit(Leaving{})
 }
 
-// hastenPoll brings the next message forward while a stop or a service's start
+// advanceNextCall brings the next message forward while a stop or a service's start
 // is under way at the agent.
-func (s *Session) hastenPoll(now time.Time) {
+func (s *Session) advanceNextCall(now time.Time) {
 	soon := now.Add(s.opt.RetryEvery)
 	if !soon.Before(s.nextCall) {
 		return
 	}
-	if slices.ContainsFunc(s.attempts.sorted, (*attempt).unsettled) {
+	if slices.ContainsFunc(s.attempts.sorted, (*attempt).awaitsReport) {
 		s.nextCall = soon
 	}
 }
--- a/core/workersession/attempt.go
+++ b/core/workersession/attempt.go
@@ -28,7 +28,7 @@
 	// What was sent.
 	started   bool   // a Start left, so it may run
 	stopAcked bool   // the agent carried out or began the stop
-	lost      bool   // a whole report lacked it
+	missing   bool   // a whole report lacked it
 	sentCall  uint64 // the call that carried its latest command
 	sentKind  sentKind
 
@@ -37,15 +37,15 @@
 	throttleConfirm time.Time // when it is to be sent once more; zero: not
 
 	// What is known.
-	running    bool
-	address    string
-	saved      string // checkpoint that the answer to a stop carried
-	measuredAt int64
-	bound      time.Time
-	over       bool
-	ended      bool    // the owner asked to forget it without having wanted it here
-	end        Command // how its end was told to the owner; nil: not told
-	forgetCall uint64  // the call that carried its forget
+	running        bool
+	address        string
+	stopCheckpoint string // checkpoint that the answer to a stop carried
+	measuredAt     int64
+	bound          time.Time
+	over           bool
+	forgetOnly     bool    // the owner asked to forget it without having wanted it here
+	end            Command // how its end was told to the owner; nil: not told
+	forgetCall     uint64  // the call that carried its forget
 }
 
 // sentKind is the kind of command that was sent for an attempt.
@@ -64,18 +64,18 @@
 
 // startOpen reports whether its Start has yet to be answered.
 func (a *attempt) startOpen() bool {
-	return a.wanted && !a.over && !a.lost && a.kind == Start && !a.running
+	return a.wanted && !a.over && !a.missing && a.kind == Start && !a.running
 }
 
 // stopOpen reports whether it is to be stopped and the agent has yet to say
 // that it did.
 func (a *attempt) stopOpen() bool {
-	return !a.over && !a.stopAcked && (a.kind == Stop || a.lost)
+	return !a.over && !a.stopAcked && (a.kind == Stop || a.missing)
 }
 
 // throttleOpen reports whether the agent has yet to confirm the throttle.
 func (a *attempt) throttleOpen() bool {
-	return a.wanted && a.running && !a.over && a.kind != Stop && !a.lost &&
+	return a.wanted && a.running && !a.over && a.kind != Stop && !a.missing &&
 		a.throttle != a.throttleAcked
 }
 
@@ -88,7 +88,7 @@
 // lapses if the worker is not heard, except that an attempt whose progress is
 // to be saved lives until the agent has the order to save it.
 func (a *attempt) renewable() bool {
-	if a.over || a.lost || !a.wanted {
+	if a.over || a.missing || !a.wanted {
 		return false
 	}
 	if a.kind == Stop {
--- a/core/workersession/bound.go
+++ b/core/workersession/bound.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// settle notes the first answer under this epoch. The agent has seen the epoch
+// endPredecessors notes the first answer under this epoch. The agent has seen the epoch
 // and obeys no earlier owner from then on, and the leases of what one renewed
 // before count from grants that it issued before this answer's.
 //
@@ -14,11 +14,11 @@
 // by a bound on that time, a task would run there and elsewhere at once, with
 // the old owner's renewals still being answered. So the session waits until it
 // is told that this cannot be.
-func (s *Session) settle() {
-	if s.settled {
+func (s *Session) endPredecessors() {
+	if s.predecessorsOver {
 		return
 	}
-	s.settled = true
+	s.predecessorsOver = true
 	bound := s.grantAt.Add(s.opt.Lease + s.opt.Margin)
 	if bound.After(s.inheritedBound) {
 		s.inheritedBound = bound
@@ -45,7 +45,7 @@
 // predecessors are over, not even an attempt that this owner never sent ends by
 // time: it does not trust that its first Desired named everything inherited.
 func (s *Session) expire(now time.Time) {
-	if !s.settled {
+	if !s.predecessorsOver {
 		return
 	}
 	for _, a := range s.attempts.sorted {
@@ -54,7 +54,7 @@
 		}
 		if a.mayRun() {
 			s.finish(a, Over{Attempt: a.key, Reason: LeaseExpired})
-		} else if s.reach.lost || s.gone {
+		} else if s.reach.unreachable || s.gone {
 			s.finish(a, Over{Attempt: a.key, Reason: NeverSent})
 		}
 	}
--- a/core/workersession/desired.go
+++ b/core/workersession/desired.go
@@ -64,7 +64,7 @@
 	if a != nil {
 		return // not wanted any more, which forgets it once it is over
 	}
-	s.attempts.add(&attempt{name: name, number: number, key: key, kind: Stop, over: true, ended: true})
+	s.attempts.add(&attempt{name: name, number: number, key: key, kind: Stop, over: true, forgetOnly: true})
 }
 
 // repeat tells the owner again of what its ledger does not show yet, and
@@ -93,7 +93,7 @@
 // can have told the agent.
 func (s *Session) dropUnsent() {
 	s.attempts.removeIf(func(a *attempt) bool {
-		return !a.wanted && !a.ended && !a.mayRun()
+		return !a.wanted && !a.forgetOnly && !a.mayRun()
 	})
 }
 
--- a/core/workersession/reach.go
+++ b/core/workersession/reach.go
@@ -4,21 +4,21 @@
 
 // reach tells a silent worker from one that answers.
 type reach struct {
-	heard      time.Time // the latest answer, or the session's begin
-	askedSince time.Time // since when the session may ask
-	failures   int       // calls failed in a row
-	lost       bool
+	answeredAt  time.Time // the latest answer, or the session's begin
+	askedSince  time.Time // since when the session may ask
+	failures    int       // calls failed in a row
+	unreachable bool
 }
 
 // checkReach reports the worker unreachable after too many failed calls or
 // too long a silence. A VM missing from the platform's list plays no part: the
 // list is late and has been seen empty.
 func (s *Session) checkReach(now time.Time) {
-	mode := s.mode(now)
-	if s.reach.lost || !s.desired || (!mode.Full && !mode.RenewOnly) {
+	mode := s.permission(now)
+	if s.reach.unreachable || !s.desired || (!mode.Full && !mode.RenewOnly) {
 		return
 	}
-	silentSince := s.reach.heard
+	silentSince := s.reach.answeredAt
 	if s.reach.askedSince.After(silentSince) {
 		silentSince = s.reach.askedSince
 	}
@@ -26,18 +26,18 @@
 	if !silent && s.reach.failures < s.opt.UnreachableCalls {
 		return
 	}
-	s.reach.lost = true
-	s.emit(Unreachable{Since: s.reach.heard})
+	s.reach.unreachable = true
+	s.emit(Unreachable{Since: s.reach.answeredAt})
 }
 
 // answered notes that the agent answered at the given time.
 func (s *Session) answered(at time.Time) {
-	s.reach.heard = at
+	s.reach.answeredAt = at
 	s.reach.failures = 0
-	if !s.reach.lost {
+	if !s.reach.unreachable {
 		return
 	}
-	s.reach.lost = false
+	s.reach.unreachable = false
 	s.emit(Reachable{})
 }
 
@@ -47,10 +47,10 @@
 	s.call = nil
 	s.reach.failures++
 	s.renewedAt = time.Time{}
-	s.agreed = false // until an answer says so again
+	s.hashMatched = false // until an answer says so again
 	s.retryAt = now.Add(s.opt.RetryEvery)
 	s.nextCall = s.retryAt
-	if s.reach.lost {
+	if s.reach.unreachable {
 		s.nextCall = now.Add(s.opt.RenewEvery)
 		s.retryAt = s.nextCall
 	}
--- a/core/workersession/renew.go
+++ b/core/workersession/renew.go
@@ -19,7 +19,7 @@
 	call.hashed = true
 	listed := s.renewals()
 	var set []*workerv1.TaskAttempt
-	byHash := s.agreed
+	byHash := s.hashMatched
 	for _, a := range s.attempts.sorted {
 		if a.heldAfter(call.id) {
 			set = append(set, a.id())
@@ -80,8 +80,8 @@
 	if !call.hashed {
 		return
 	}
-	s.agreed = resp.GetRenewMatched()
-	if s.agreed || !call.byHash {
+	s.hashMatched = resp.GetRenewMatched()
+	if s.hashMatched || !call.byHash {
 		return
 	}
 	s.reportAt = time.Time{}
--- a/core/workersession/report.go
+++ b/core/workersession/report.go
@@ -53,7 +53,7 @@
 // takeStopped takes a stopped attempt. One that was stopped only because the
 // agent did not know it never ran there in this boot.
 func (s *Session) takeStopped(a *attempt, r *workerv1.TaskReport) {
-	if a.lost {
+	if a.missing {
 		s.finish(a, Over{Attempt: a.key, Reason: NotKnown})
 		return
 	}
@@ -63,7 +63,7 @@
 func (s *Session) observeEnd(a *attempt, state State, r *workerv1.TaskReport) {
 	checkpoint := r.GetCheckpoint()
 	if checkpoint == "" {
-		checkpoint = a.saved
+		checkpoint = a.stopCheckpoint
 	}
 	s.finish(a, Observed{
 		Attempt:    a.key,
@@ -111,7 +111,7 @@
 	case a.stopAcked:
 		s.finish(a, Over{Attempt: a.key, Reason: NotKnown})
 	case a.running || a.inherited:
-		a.lost = true
+		a.missing = true
 		a.running = false
 	}
 }
--- a/core/workersession/send.go
+++ b/core/workersession/send.go
@@ -9,7 +9,7 @@
 
 // pump sends the next message if one is due and no call is in flight.
 func (s *Session) pump(now time.Time) {
-	mode := s.mode(now)
+	mode := s.permission(now)
 	if s.call != nil || !s.desired || (!mode.Full && !mode.RenewOnly) {
 		return
 	}
@@ -72,15 +72,15 @@
 	if s.grant == nil || !now.Before(s.reportAt) {
 		return true
 	}
-	if !s.agreed && !now.Before(s.usageAt) {
+	if !s.hashMatched && !now.Before(s.usageAt) {
 		return true
 	}
-	return slices.ContainsFunc(s.attempts.sorted, (*attempt).unsettled)
+	return slices.ContainsFunc(s.attempts.sorted, (*attempt).awaitsReport)
 }
 
-// unsettled reports whether the next report is awaited for a: a service
+// awaitsReport reports whether the next report is awaited for a: a service
 // without address, or a stop that the agent has begun.
-func (a *attempt) unsettled() bool {
+func (a *attempt) awaitsReport() bool {
 	if a.over {
 		return false
 	}
@@ -110,7 +110,7 @@
 		a.started = true
 		s.extend(a)
 		return &workerv1.Command{Kind: &workerv1.Command_Start{Start: a.start}}
-	case a.throttleOpen() || a.throttleUnsure(now):
+	case a.throttleOpen() || a.throttleResendDue(now):
 		s.mark(a, sentThrottle)
 		a.throttleSent = a.throttle
 		return throttleCommand(a)
@@ -126,10 +126,10 @@
 	a.sentKind = kind
 }
 
-// throttleUnsure reports whether the throttle is to be sent once more. A copy
+// throttleResendDue reports whether the throttle is to be sent once more. A copy
 // of an earlier message that arrives late could undo it, unnoticed; after one
 // lease such a copy's grant is too old to be obeyed.
-func (a *attempt) throttleUnsure(now time.Time) bool {
+func (a *attempt) throttleResendDue(now time.Time) bool {
 	return a.wanted && a.running && !a.over && a.kind != Stop &&
 		!a.throttleConfirm.IsZero() && !now.Before(a.throttleConfirm)
 }
--- a/core/workersession/session.go
+++ b/core/workersession/session.go
@@ -19,27 +19,27 @@
 	// inheritedBound is by when everything that earlier owners started or
 	// renewed is over unless this owner renewed it, given settled.
 	inheritedBound time.Time
-	// settled is whether no earlier owner can be renewing here any more.
-	settled bool
+	// predecessorsOver is whether no earlier owner can be renewing here any more.
+	predecessorsOver bool
 
 	attempts attemptSet
 	desired  bool // a first Desired was given
 
-	act     Permission
+	granted Permission
 	fenced  bool
 	gone    bool
 	leaving bool
 
-	grant     *workerv1.Grant
-	grantAt   time.Time // when the response that carried grant was received
-	call      *call
-	calls     uint64
-	nextCall  time.Time // when the next renewal is due
-	retryAt   time.Time // commands wait until then
-	renewedAt time.Time // when the latest renewal was sent
-	reportAt  time.Time // when the next whole report is due
-	usageAt   time.Time // when the next measurements are due
-	agreed    bool      // the agent's latest answer found the same hash
+	grant       *workerv1.Grant
+	grantAt     time.Time // when the response that carried grant was received
+	call        *call
+	calls       uint64
+	nextCall    time.Time // when the next renewal is due
+	retryAt     time.Time // commands wait until then
+	renewedAt   time.Time // when the latest renewal was sent
+	reportAt    time.Time // when the next whole report is due
+	usageAt     time.Time // when the next measurements are due
+	hashMatched bool      // the agent's latest answer found the same hash
 
 	reach reach
 
@@ -71,14 +71,14 @@
 ) *Session {
 	o = o.withDefaults()
 	return &Session{
-		worker:         worker,
-		shard:          shard,
-		epoch:          epoch,
-		opt:            o,
-		inheritedBound: acquiredAt.Add(o.Lease + o.Margin),
-		settled:        clean,
-		attempts:       newAttemptSet(),
-		reach:          reach{heard: acquiredAt},
+		worker:           worker,
+		shard:            shard,
+		epoch:            epoch,
+		opt:              o,
+		inheritedBound:   acquiredAt.Add(o.Lease + o.Margin),
+		predecessorsOver: clean,
+		attempts:         newAttemptSet(),
+		reach:            reach{answeredAt: acquiredAt},
 	}
 }
 
@@ -89,14 +89,14 @@
 func (s *Session) Epoch() model.Epoch { return s.epoch }
 
 // Unreachable reports whether the worker counts as unreachable.
-func (s *Session) Unreachable() bool { return s.reach.lost }
+func (s *Session) Unreachable() bool { return s.reach.unreachable }
 
 // Fenced reports whether a newer owner was seen.
 func (s *Session) Fenced() bool { return s.fenced }
 
 // AwaitsPredecessors reports whether an attempt cannot be found over by time
 // before MayAct says that the predecessors are over.
-func (s *Session) AwaitsPredecessors() bool { return !s.settled && !s.Idle() }
+func (s *Session) AwaitsPredecessors() bool { return !s.predecessorsOver && !s.Idle() }
 
 // Idle reports whether no attempt is wanted or may be running, so that the
 // session of a VM that is gone can be dropped.
@@ -111,7 +111,7 @@
 // session does not know the attempt, or an earlier owner may still renew it.
 func (s *Session) Bound(key model.AttemptKey) (time.Time, bool) {
 	a := s.attempts.find(key.Task.String(), uint32(key.Attempt))
-	if a == nil || !s.settled {
+	if a == nil || !s.predecessorsOver {
 		return time.Time{}, false
 	}
 	return a.bound, true
@@ -130,7 +130,7 @@
 		now = ev.received(now)
 		s.onAnswered(now, ev)
 	case Permission:
-		s.onMayAct(now, ev)
+		s.onPermission(now, ev)
 	case VMGone:
 		s.gone = true
 	case VMListed:
@@ -145,20 +145,20 @@
 
 func (s *Session) emit(c Command) { s.out = append(s.out, c) }
 
-// mode is what the session may send at now.
-func (s *Session) mode(now time.Time) Permission {
-	if !s.act.Until.IsZero() && !now.Before(s.act.Until) {
+// permission is what the session may send at now.
+func (s *Session) permission(now time.Time) Permission {
+	if !s.granted.Until.IsZero() && !now.Before(s.granted.Until) {
 		return Permission{}
 	}
-	return s.act
+	return s.granted
 }
 
-// onMayAct notes a new permission. Silence while the session was not allowed
+// onPermission notes a new permission. Silence while the session was not allowed
 // to ask is not the worker's silence.
-func (s *Session) onMayAct(now time.Time, ev Permission) {
-	before := s.mode(now)
-	s.act = ev
-	s.settled = s.settled || ev.PredecessorsOver
+func (s *Session) onPermission(now time.Time, ev Permission) {
+	before := s.permission(now)
+	s.granted = ev
+	s.predecessorsOver = s.predecessorsOver || ev.PredecessorsOver
 	if !before.Full && !before.RenewOnly {
 		s.reach.askedSince = now
 	}
--- a/core/workersession/world_test.go
+++ b/core/workersession/world_test.go
@@ -96,15 +96,15 @@
 
 // owner is one daemon that owns or owned the shard.
 type owner struct {
-	host     *host
-	epoch    model.Epoch
-	acquired time.Time
-	settled  bool // its predecessors are over
-	sessions []*workersession.Session
-	leaseEnd time.Time
-	lost     bool       // the store told it that its lease is gone
-	inbox    []delivery // answers that wait until it runs
-	ledger   []taskRow  // its own view, which goes stale once it is replaced
+	host             *host
+	epoch            model.Epoch
+	acquired         time.Time
+	predecessorsOver bool // its predecessors are over
+	sessions         []*workersession.Session
+	leaseEnd         time.Time
+	lost             bool       // the store told it that its lease is gone
+	inbox            []delivery // answers that wait until it runs
+	ledger           []taskRow  // its own view, which goes stale once it is replaced
 }
 
 // delivery is a message on its way.
@@ -206,13 +206,13 @@
 		epoch = w.current.epoch + 1
 		w.old = append(w.old, w.current)
 	}
-	o := &owner{host: h, epoch: epoch, acquired: w.now, settled: clean, leaseEnd: w.now.Add(storeLease)}
+	o := &owner{host: h, epoch: epoch, acquired: w.now, predecessorsOver: clean, leaseEnd: w.now.Add(storeLease)}
 	for i := range w.agents {
 		id := model.WorkerID(fmt.Sprintf("w%d", i))
 		o.sessions = append(o.sessions, workersession.New(id, 0, epoch, w.now, clean, w.opt))
 	}
 	w.current = o
-	w.wish(o)
+	w.sendDesired(o)
 }
 
 // run plays the world to its end.
@@ -222,7 +222,7 @@
 		for _, a := range w.agents {
 			a.Advance()
 		}
-		w.strike()
+		w.applyDueFaults()
 		w.driveHosts()
 		w.takeOverIfLapsed()
 		w.deliver()
@@ -237,8 +237,8 @@
 // noisy reports whether faults still happen.
 func (w *world) noisy() bool { return w.now.Sub(epochTime) < w.noise }
 
-// strike lets the faults happen that are due.
-func (w *world) strike() {
+// applyDueFaults lets the faults happen that are due.
+func (w *world) applyDueFaults() {
 	for len(w.faults) > 0 && w.now.Sub(epochTime) >= w.faults[0].At {
 		w.apply(w.faults[0])
 		w.faults = w.faults[1:]
@@ -296,7 +296,7 @@
 	}
 	o.leaseEnd = w.now
 	o.lost = true
-	w.takeOver(o.settled || w.eagerClean)
+	w.takeOver(o.predecessorsOver || w.eagerClean)
 }
 
 func attemptName(task string, attempt uint32) string {
@@ -311,7 +311,7 @@
 	row.stopping = true
 	row.discard = discard
 	w.dropped[attemptName(row.key.String(), uint32(row.attempt))] = discard
-	w.wish(w.current)
+	w.sendDesired(w.current)
 }
 
 // deliver carries out what the network has for now.
@@ -377,8 +377,8 @@
 			o.leaseEnd = w.now.Add(storeLease)
 		}
 	}
-	w.judgePredecessors(o)
-	may := w.mayAct(o)
+	w.updatePredecessors(o)
+	may := w.permission(o)
 	for i := range o.sessions {
 		w.step(o, i, may)
 	}
@@ -396,10 +396,10 @@
 	}
 }
 
-// mayAct is what an owner may do: everything under its lease, and renew
+// permission is what an owner may do: everything under its lease, and renew
 // without one while a majority of the hosts confirm an outage.
-func (w *world) mayAct(o *owner) workersession.Permission {
-	may := workersession.Permission{PredecessorsOver: o.settled || w.skipProof}
+func (w *world) permission(o *owner) workersession.Permission {
+	may := workersession.Permission{PredecessorsOver: o.predecessorsOver || w.skipProof}
 	if o.lost {
 		return may
 	}
@@ -413,13 +413,13 @@
 	return may
 }
 
-func (w *world) judgePredecessors(o *owner) {
-	if o.settled || o != w.current {
+func (w *world) updatePredecessors(o *owner) {
+	if o.predecessorsOver || o != w.current {
 		return
 	}
 	end := w.opt.PredecessorExpiry()
-	o.settled = o.host.machine.StoreKeptBy(o.acquired, end)
-	o.host.awaits = !o.settled && !w.now.Before(o.acquired.Add(end))
+	o.predecessorsOver = o.host.machine.StoreKeptBy(o.acquired, end)
+	o.host.awaits = !o.predecessorsOver && !w.now.Before(o.acquired.Add(end))
 }
 
 func (w *world) step(o *owner, i int, ev workersession.Event) {
@@ -464,7 +464,7 @@
 	row := &w.ledger[c.Attempt.Task.Index]
 	if o == w.current && row.attemptKey() == c.Attempt && !row.running {
 		row.running = true
-		w.wish(o)
+		w.sendDesired(o)
 	}
 }
 
@@ -481,7 +481,7 @@
 	row.running = false
 	row.stopping = false
 	row.discard = false
-	w.wish(o)
+	w.sendDesired(o)
 }
 
 // schedule commits pending tasks to workers with room.
@@ -503,7 +503,7 @@
 		placed = true
 	}
 	if placed {
-		w.wish(o)
+		w.sendDesired(o)
 	}
 }
 
@@ -517,8 +517,8 @@
 	return n
 }
 
-// wish gives the committed ledger to the owner's sessions.
-func (w *world) wish(o *owner) {
+// sendDesired gives the committed ledger to the owner's sessions.
+func (w *world) sendDesired(o *owner) {
 	o.ledger = slices.Clone(w.ledger)
 	for i := range o.sessions {
 		w.step(o, i, workersession.Desired{Tasks: desiredTasks(o.ledger, i)})
