--- a/core/workersession/answer.go
+++ b/core/workersession/answer.go
@@ -8,9 +8,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// onAnswered takes the end of a call. Only the call in flight counts: a
-// completion that was given up on, or comes twice, describes the worker before
-// a later answer, and taking it would bring back what is over.
+// onAnswered handles the result of a call. Only the call in flight counts: the
+// result of an abandoned call, or a duplicate, describes a state of the worker
+// from before a later response and could revive attempts that are over.
 func (s *Session) onAnswered(now time.Time, ev Answered) {
 	if s.call == nil || ev.ID != s.call.id {
 		return
@@ -26,7 +26,7 @@
 	}
 	receivedAt := ev.ReceivedAt
 	if receivedAt.IsZero() {
-		receivedAt = now // too late only lengthens bounds
+		receivedAt = now // a time that is too late only extends the bounds
 	}
 	call := s.call
 	s.call = nil
@@ -48,8 +48,8 @@
 	s.advanceNextCall(now)
 }
 
-// received returns now, or the time of receipt if that is later: permission to
-// act must be judged no earlier than the receipt of the grant that is used.
+// received returns the later of now and the time of receipt. The permission to
+// act must be evaluated no earlier than the receipt of the grant that is used.
 func (ev Answered) received(now time.Time) time.Time {
 	if ev.ReceivedAt.After(now) {
 		return ev.ReceivedAt
@@ -57,8 +57,8 @@
 	return now
 }
 
-// usable reports whether the call was answered by an agent that follows the
-// protocol.
+// usable reports whether the call succeeded and its response is valid: it either
+// refuses the epoch in favour of a higher one or carries a grant.
 func (ev Answered) usable(epoch model.Epoch) bool {
 	if ev.Err != nil || ev.Resp == nil {
 		return false
@@ -67,9 +67,10 @@
 	return refused > epoch || refused == 0 && ev.Resp.GetGrant() != nil
 }
 
-// takeGrant keeps the grant for the next message. A new boot id says that the
-// agent lost its tasks. Everything that may have begun is then over for good:
-// messages of before carry a grant of the old boot, which the new one refuses.
+// takeGrant stores the grant for the next message. A new boot ID means that the
+// agent restarted and lost its tasks. Every attempt that may have started is
+// then over for good, because earlier messages carry a grant of the old boot,
+// which the agent refuses after its restart.
 func (s *Session) takeGrant(now time.Time, g *workerv1.Grant, receivedAt time.Time) {
 	usable := s.grantValid(now)
 	restarted := s.grant != nil && s.grant.GetBootId() != g.GetBootId()
@@ -81,12 +82,12 @@
 		s.endAll()
 	}
 	if !usable && s.anyRenewable() {
-		s.nextCall = now // renew at once what could not be renewed before
+		s.nextCall = now // renew at once: without a valid grant it was impossible
 		s.renewedAt = time.Time{}
 	}
 }
 
-// endAll ends every attempt that may have begun before a restart.
+// endAll ends every attempt that may have started before a restart of the agent.
 func (s *Session) endAll() {
 	for _, a := range s.attempts.sorted {
 		if !a.over && a.mayRun() {
@@ -95,7 +96,7 @@
 	}
 }
 
-// takeResults takes the outcomes of the commands that call carried.
+// takeResults handles the results of the commands that call carried.
 func (s *Session) takeResults(now time.Time, call *call, results []*workerv1.CommandResult) {
 	for _, r := range results {
 		a := s.attempts.find(r.GetTask(), r.GetAttempt())
@@ -113,8 +114,9 @@
 	}
 }
 
-// startResult takes the outcome of a Start. A refusal for want of room or by
-// failure is final: the agent remembers it and refuses late copies too.
+// startResult handles the result of a Start. A refusal because of missing
+// resources or a failure is final: the agent remembers it and refuses late
+// copies, too.
 func (s *Session) startResult(a *attempt, r *workerv1.CommandResult) {
 	switch r.GetOutcome() {
 	case workerv1.Outcome_OUTCOME_DONE:
@@ -128,20 +130,20 @@
 			Detail:  r.GetDetail(),
 		})
 	case workerv1.Outcome_OUTCOME_STALE:
-		a.sentKind = sentStale // takeStale ends it unless its report does
+		a.sentKind = sentStale // takeStale ends it unless a report in this response does
 	}
 }
 
-// stopResult takes the outcome of a Stop. Done means that the agent has
-// stopped it or, when a checkpoint takes time, is about to; only a report that
-// shows its end ends it.
+// stopResult handles the result of a Stop. DONE means that the agent has stopped
+// the attempt or, if the checkpoint takes time, is about to. The attempt ends
+// only when a report shows its end.
 func (s *Session) stopResult(a *attempt, r *workerv1.CommandResult) {
 	switch r.GetOutcome() {
 	case workerv1.Outcome_OUTCOME_DONE:
 		a.stopAcked = true
 		a.stopCheckpoint = r.GetCheckpoint()
 	case workerv1.Outcome_OUTCOME_STALE:
-		a.sentKind = sentStale // as for a start
+		a.sentKind = sentStale // see startResult
 	}
 }
 
@@ -157,8 +159,8 @@
 	a.throttleConfirm = now.Add(s.opt.Lease)
 }
 
-// takeStale ends the attempts whose command the agent called stale and that
-// it did not report: it knows a newer attempt of the task.
+// takeStale ends the attempts whose command the agent rejected as stale and that
+// it did not report as over. The agent knows a newer attempt of the task.
 func (s *Session) takeStale(call *call) {
 	for _, a := range s.attempts.sorted {
 		if !a.over && a.sentCall == call.id && a.sentKind == sentStale {
@@ -167,14 +169,14 @@
 	}
 }
 
-// dropForgotten drops the attempts that call told the agent to forget.
+// dropForgotten drops the attempts for which call carried a Forget command.
 func (s *Session) dropForgotten(call *call) {
 	s.attempts.removeIf(func(a *attempt) bool { return a.forgetCall == call.id })
 }
 
-// delayOpenCommands keeps commands back for a while when one that call carried was not
-// carried out. Without the pause an agent that declines a command without
-// ending it would be asked again as fast as it answers.
+// delayOpenCommands holds all commands back for RetryEvery if a command that call
+// carried was not executed. Without the delay, a command that the agent declines
+// without ending the attempt would be repeated as fast as the agent responds.
 func (s *Session) delayOpenCommands(now time.Time, call *call) {
 	for _, a := range s.attempts.sorted {
 		if a.sentCall == call.id && a.open() {
@@ -192,8 +194,8 @@
 	s.emit(Leaving{})
 }
 
-// advanceNextCall brings the next message forward while a stop or a service's start
-// is under way at the agent.
+// advanceNextCall schedules the next message early while the agent is stopping an
+// attempt or starting a service.
 func (s *Session) advanceNextCall(now time.Time) {
 	soon := now.Add(s.opt.RetryEvery)
 	if !soon.Before(s.nextCall) {
--- a/core/workersession/attempt.go
+++ b/core/workersession/attempt.go
@@ -11,44 +11,45 @@
 
 const unthrottled = 100
 
-// attempt is what the session knows of one attempt on its worker.
+// attempt is the session's state of one attempt on its worker.
 type attempt struct {
-	name   string // the task's name towards the agent
+	name   string // the task's name in the protocol
 	number uint32
 	key    model.AttemptKey
 
-	// What the owner wants.
+	// The desired state.
 	wanted     bool // in the latest Desired
-	inherited  bool // in the first Desired, or found at the agent
+	inherited  bool // in the first Desired, first desired as Keep, or reported by the agent
 	kind       Kind
 	start      *workerv1.Start
 	checkpoint bool
 	throttle   uint32
 
 	// What was sent.
-	started   bool   // a Start left, so it may run
-	stopAcked bool   // the agent carried out or began the stop
-	missing   bool   // a whole report lacked it
+	started   bool   // a Start was sent, so it may be running
+	stopAcked bool   // the agent executed or began the stop
+	missing   bool   // a full report did not contain it
 	sentCall  uint64 // the call that carried its latest command
 	sentKind  sentKind
 
 	throttleSent    uint32    // percent in the latest Throttle
 	throttleAcked   uint32    // 0: not known
-	throttleConfirm time.Time // when it is to be sent once more; zero: not
+	throttleConfirm time.Time // when to send the throttle once more; zero: not needed
 
-	// What is known.
+	// The state as reported by the agent.
 	running        bool
 	address        string
-	stopCheckpoint string // checkpoint that the answer to a stop carried
+	stopCheckpoint string // checkpoint from the result of a stop
 	measuredAt     int64
 	bound          time.Time
 	over           bool
-	forgetOnly     bool    // the owner asked to forget it without having wanted it here
-	end            Command // how its end was told to the owner; nil: not told
-	forgetCall     uint64  // the call that carried its forget
+	forgetOnly     bool    // added by Desired.Forget, never desired in this session
+	end            Command // the command that reported its end; nil: none
+	forgetCall     uint64  // the call that carried its Forget command
 }
 
-// sentKind is the kind of command that was sent for an attempt.
+// sentKind is the kind of the latest command sent for an attempt. sentStale
+// replaces it when the agent answered that the command is stale.
 type sentKind uint8
 
 const (
@@ -59,34 +60,35 @@
 	sentStale
 )
 
-// mayRun reports whether it can have begun on the worker.
+// mayRun reports whether the attempt may have started on the worker.
 func (a *attempt) mayRun() bool { return a.started || a.running || a.inherited }
 
-// startOpen reports whether its Start has yet to be answered.
+// startOpen reports whether a Start has to be sent or has not been answered yet.
 func (a *attempt) startOpen() bool {
 	return a.wanted && !a.over && !a.missing && a.kind == Start && !a.running
 }
 
-// stopOpen reports whether it is to be stopped and the agent has yet to say
-// that it did.
+// stopOpen reports whether the attempt must be stopped and the agent has not
+// confirmed the stop yet.
 func (a *attempt) stopOpen() bool {
 	return !a.over && !a.stopAcked && (a.kind == Stop || a.missing)
 }
 
-// throttleOpen reports whether the agent has yet to confirm the throttle.
+// throttleOpen reports whether the agent has not confirmed the throttle yet.
 func (a *attempt) throttleOpen() bool {
 	return a.wanted && a.running && !a.over && a.kind != Stop && !a.missing &&
 		a.throttle != a.throttleAcked
 }
 
-// open reports whether any command for it waits to be sent.
+// open reports whether any command for the attempt is pending.
 func (a *attempt) open() bool {
 	return a.stopOpen() || a.throttleOpen() || a.startOpen()
 }
 
-// renewable reports whether its lease is to be prolonged. What is to stop
-// lapses if the worker is not heard, except that an attempt whose progress is
-// to be saved lives until the agent has the order to save it.
+// renewable reports whether the attempt's lease is to be renewed. The lease of an
+// attempt to be stopped is left to expire in case the worker is unreachable. An
+// attempt that is stopped with a checkpoint is renewed until the agent has
+// acknowledged the stop.
 func (a *attempt) renewable() bool {
 	if a.over || a.missing || !a.wanted {
 		return false
@@ -97,14 +99,14 @@
 	return a.mayRun()
 }
 
-// attemptID is an attempt as the agent names it.
+// attemptID identifies an attempt in the protocol.
 type attemptID struct {
 	name   string
 	number uint32
 }
 
-// attemptSet holds attempts by name, and sorted so that messages and commands
-// come out in the same order every time.
+// attemptSet holds attempts by ID and in sorted order. The order makes messages
+// and commands deterministic.
 type attemptSet struct {
 	byID   map[attemptID]*attempt
 	sorted []*attempt
--- a/core/workersession/bench_test.go
+++ b/core/workersession/bench_test.go
@@ -13,10 +13,11 @@
 	"github.com/guavarill/guavarill/standin/worker"
 )
 
-// benchTasks is how many tasks run on a worker: 47,000 on 3,500 workers.
+// benchTasks is the number of tasks on a worker, a little more than the average of
+// 47,000 tasks on 3,500 workers.
 const benchTasks = 15
 
-// loop is a session and its agent without a network between them.
+// loop is a session and its agent, connected without a network.
 type loop struct {
 	now     time.Time
 	agent   *worker.Agent
@@ -94,7 +95,7 @@
 	l.step(workersession.Answered{ID: send.ID, Resp: l.agent.Apply(send.Req), ReceivedAt: l.now})
 }
 
-// untilSend lets time pass until the session sends.
+// untilSend advances the time until the session sends a message.
 func (l *loop) untilSend() *workersession.Send {
 	for l.sent == nil {
 		l.now = l.now.Add(200 * time.Millisecond)
@@ -103,7 +104,7 @@
 	return l.sent
 }
 
-// BenchmarkTick is a Step in which nothing is due.
+// BenchmarkTick measures a Step in which nothing is due.
 func BenchmarkTick(b *testing.B) {
 	l := newLoop(benchTasks)
 	b.ReportAllocs()
@@ -112,9 +113,9 @@
 	}
 }
 
-// BenchmarkRenewal is a renewal of 15 tasks with and without a whole report,
-// alternately: the Step that sends and the Step that takes the answer. The
-// agent's work is included in neither.
+// BenchmarkRenewal measures renewals of 15 tasks, alternately with and without a full
+// report: the Step that sends the message and the Step that handles the response. The
+// agent's work is excluded.
 func BenchmarkRenewal(b *testing.B) {
 	l := newLoop(benchTasks)
 	b.ReportAllocs()
@@ -134,8 +135,8 @@
 	}
 }
 
-// BenchmarkBytes measures messages as encoded, without framing: renewals by
-// hash and measurements by position, and, with an agent that knows neither,
+// BenchmarkBytes measures the encoded size of messages, without framing: renewals by
+// hash with measurements by position, and, with an agent that supports neither,
 // renewals and measurements by name.
 func BenchmarkBytes(b *testing.B) {
 	for _, mode := range renewModes {
@@ -161,7 +162,7 @@
 	b.ReportMetric(sizes.report, "B/report")
 }
 
-// sizes are the latest sizes of messages of each kind.
+// sizes are the sizes of the latest message of each kind.
 type sizes struct{ renewal, answer, usage, report float64 }
 
 func (s *sizes) take(req *workerv1.ApplyRequest, agent *worker.Agent) {
@@ -177,8 +178,8 @@
 	}
 }
 
-// renewModes are the ways in which leases are renewed: by hash, and by name
-// with agents that do not know the hash.
+// renewModes are the ways to renew leases: by hash, and by name with agents that do
+// not support the hash.
 var renewModes = []struct {
 	name  string
 	flaws worker.Flaws
@@ -194,7 +195,7 @@
 	return s
 }
 
-// BenchmarkMessageRate counts the messages of one worker on which nothing
+// BenchmarkMessageRate measures the message rate of one worker on which nothing
 // changes.
 func BenchmarkMessageRate(b *testing.B) {
 	for _, tasks := range []int{0, benchTasks} {
--- a/core/workersession/bound.go
+++ b/core/workersession/bound.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// endPredecessors notes the first answer under this epoch. The agent has seen the epoch
-// and obeys no earlier owner from then on, and the leases of what one renewed
-// before count from grants that it issued before this answer's.
+// endPredecessors handles the first response under this epoch. From then on the
+// agent has seen the epoch and refuses earlier owners. The leases that those
+// renewed before count from grants that the agent issued before the grant of
+// this response.
 //
-// Without contact, what earlier owners did is over a lease after the shard was
-// acquired, as far as they did it under their own leases on the shard: an owner
-// checks before each message that it may act, and uses a grant that it received
-// before that check. But one of them may be cut off with a majority that finds
-// the store silent, and go on renewing for as long as that lasts. Taken for over
-// by a bound on that time, a task would run there and elsewhere at once, with
-// the old owner's renewals still being answered. So the session waits until it
-// is told that this cannot be.
+// Without a response, attempts of earlier owners are over one lease after the
+// shard was acquired, as far as those owners acted under their own leases on the
+// shard: an owner checks its permission before each message and uses a grant that
+// it received before that check. But an earlier owner may be partitioned together
+// with a majority that finds the store silent, and then keeps renewing as long as
+// this lasts. With a fixed limit on that time, a task would be started elsewhere
+// while the agent still accepts the old owner's renewals. The session therefore
+// waits for an event with PredecessorsOver.
 func (s *Session) endPredecessors() {
 	if s.predecessorsOver {
 		return
@@ -28,10 +29,10 @@
 	}
 }
 
-// extend moves a's bound for a message that carries the current grant. The
+// extend extends a's bound for a message that carries the current grant. The
 // agent counts the lease from when it issued the grant, which was before
-// grantAt. Counting from when the message is sent would be wrong the other
-// way round: the message can be late, but never prolong the lease.
+// grantAt. The time at which the message is sent does not matter: a late message
+// does not extend the lease beyond that.
 func (s *Session) extend(a *attempt) {
 	bound := s.grantAt.Add(s.opt.Lease + s.opt.Margin)
 	if bound.After(a.bound) {
@@ -39,11 +40,11 @@
 	}
 }
 
-// expire tells the owner of each attempt that is certainly over by time.
-// Without the bound an unreachable worker's tasks could never start again;
-// with a bound that is too low they would run in two places at once. Until the
-// predecessors are over, not even an attempt that this owner never sent ends by
-// time: it does not trust that its first Desired named everything inherited.
+// expire ends the attempts whose bound has passed. Without a bound, the tasks of
+// an unreachable worker could never start again; with a bound that is too low,
+// they would run in two places at once. Until the predecessors are over, not even
+// an attempt that this owner never sent ends in this way, because the session
+// does not rely on the first Desired to name every inherited attempt.
 func (s *Session) expire(now time.Time) {
 	if !s.predecessorsOver {
 		return
@@ -60,7 +61,7 @@
 	}
 }
 
-// finish marks a as over and tells the owner if it wants to know.
+// finish marks a as over, and emits end if the attempt is desired.
 func (s *Session) finish(a *attempt, end Command) {
 	a.over = true
 	a.running = false
--- a/core/workersession/command.go
+++ b/core/workersession/command.go
@@ -7,28 +7,28 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Command is what Step asks its caller to do or to know.
+// Command is an output of Session.Step: a call to make or a fact to record.
 type Command interface{ command() }
 
-// Send asks for one call to the worker's agent, to be ended by an Answered
-// with the same ID. Req must not be changed.
+// Send requests one call to the worker's agent. The caller must report its
+// result with an Answered of the same ID and must not modify Req.
 type Send struct {
 	ID      uint64
 	Req     *workerv1.ApplyRequest
 	Timeout time.Duration
 }
 
-// State is what the agent said of an attempt.
+// State is the state of an attempt as reported by the agent.
 type State uint8
 
-// The states of an attempt. All but StateRunning are ends: the attempt is
+// The states of an attempt. All but StateRunning are final: the attempt is
 // certainly over and cannot start again.
 const (
 	StateRunning State = iota + 1
 	StateSucceeded
 	StateFailed
 	StateStopped
-	// StateRefused: the agent declined to start it; Outcome says why.
+	// StateRefused: the agent refused to start it; Outcome has the reason.
 	StateRefused
 )
 
@@ -42,61 +42,65 @@
 	return stateNames[s]
 }
 
-// Observed is a change in what the agent says of an attempt. It is repeated
-// after each Desired that still disagrees with it, so a receiver that lost one
-// gets it again and must take repeats.
+// Observed reports a change of an attempt's state at the agent. It is repeated
+// after each Desired that does not reflect it yet. A receiver that lost one
+// therefore gets it again, and must tolerate repeats.
 type Observed struct {
 	Attempt model.AttemptKey
 	State   State
-	// Address is where a running service takes requests.
+	// Address is the address at which a running service accepts requests.
 	Address string
-	// Checkpoint is what the task can resume from after StateStopped.
+	// Checkpoint is the checkpoint from which the task can resume after
+	// StateStopped.
 	Checkpoint string
 	// Outcome is set with StateRefused.
 	Outcome workerv1.Outcome
 	Detail  string
 }
 
-// OverReason says why an attempt is over when the agent did not report its
-// end.
+// OverReason is the reason why an attempt whose end the agent did not report is
+// certainly over.
 type OverReason string
 
 // The reasons of Over.
 const (
-	// LeaseExpired: the bound on its lease has passed.
+	// LeaseExpired: the upper bound on the end of its lease has passed.
 	LeaseExpired OverReason = "lease expired"
-	// WorkerRestarted: the agent began a new boot and lost its tasks.
+	// WorkerRestarted: the agent restarted and lost its tasks.
 	WorkerRestarted OverReason = "worker restarted"
-	// NotKnown: the agent, told to stop it, does not know it.
+	// NotKnown: the agent does not know it and has executed a command to stop
+	// it, so that a late copy of a start has no effect.
 	NotKnown OverReason = "not known to the worker"
 	// Superseded: the agent knows a newer attempt of the task.
 	Superseded OverReason = "superseded"
-	// NeverSent: no start of it can have left for the worker.
+	// NeverSent: no start of it can have been sent to the worker.
 	NeverSent OverReason = "never sent"
 )
 
-// Over says that an attempt is certainly over although the agent did not
-// report its end. Like Observed it is repeated until the ledger agrees.
+// Over reports that an attempt is certainly over although the agent did not
+// report its end. Like Observed, it is repeated until the ledger reflects it.
 type Over struct {
 	Attempt model.AttemptKey
 	Reason  OverReason
 }
 
-// Fenced says that the agent has seen a newer owner. The session does nothing
-// from then on.
+// Fenced reports that the agent has seen a newer owner, whose epoch is Epoch.
+// The session ignores all events from then on.
 type Fenced struct{ Epoch model.Epoch }
 
-// Unreachable says that the agent has not answered since Since. Its tasks may
-// run on.
+// Unreachable reports that the agent has not responded since Since. Its tasks
+// may still be running.
 type Unreachable struct{ Since time.Time }
 
-// Reachable ends Unreachable.
+// Reachable reports that the agent of an unreachable worker responded again.
 type Reachable struct{}
 
-// Leaving says that the agent announced its VM's end. It is given once.
+// Leaving reports that the agent announced the removal of its VM. It is emitted
+// once.
 type Leaving struct{}
 
-// Usage is a measurement of one running attempt, as old as the agent's lag.
+// Usage is a usage measurement of one running attempt. MeasuredAt is when the
+// agent measured it, which is earlier than the response that reports it.
 type Usage struct {
 	Attempt    model.AttemptKey
 	MilliCPU   int64
--- a/core/workersession/desired.go
+++ b/core/workersession/desired.go
@@ -7,7 +7,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// onDesired replaces the owner's wishes.
+// onDesired replaces the desired state.
 func (s *Session) onDesired(ev Desired) {
 	first := !s.desired
 	s.desired = true
@@ -26,7 +26,7 @@
 	s.dropUnsent()
 }
 
-// want notes the wish for one attempt.
+// want records the desired state of one attempt.
 func (s *Session) want(t *DesiredTask, first bool) {
 	name, number := t.Attempt.Task.String(), uint32(t.Attempt.Attempt)
 	a := s.attempts.find(name, number)
@@ -57,18 +57,18 @@
 	}
 }
 
-// forget notes an attempt whose record the agent can drop.
+// forget records an attempt whose record the agent can drop.
 func (s *Session) forget(key model.AttemptKey) {
 	name, number := key.Task.String(), uint32(key.Attempt)
 	a := s.attempts.find(name, number)
 	if a != nil {
-		return // not wanted any more, which forgets it once it is over
+		return // not desired any more, so it is forgotten once it is over
 	}
 	s.attempts.add(&attempt{name: name, number: number, key: key, kind: Stop, over: true, forgetOnly: true})
 }
 
-// repeat tells the owner again of what its ledger does not show yet, and
-// stops what the ledger does not want.
+// repeat emits again what the ledger does not reflect yet, and stops an attempt
+// that is not desired.
 func (s *Session) repeat(a *attempt) {
 	switch {
 	case !a.wanted:
@@ -80,8 +80,8 @@
 	}
 }
 
-// emitRunning tells the owner that a runs. A service runs, as far as the owner
-// is concerned, once its address is known.
+// emitRunning reports that a is running. A service is reported as running only
+// once its address is known.
 func (s *Session) emitRunning(a *attempt) {
 	if a.start.GetService() && a.address == "" {
 		return
@@ -89,17 +89,17 @@
 	s.emit(Observed{Attempt: a.key, State: StateRunning, Address: a.address})
 }
 
-// dropUnsent forgets attempts that are no longer wanted and of which nobody
-// can have told the agent.
+// dropUnsent drops attempts that are not desired any more and that cannot have
+// been sent to the agent.
 func (s *Session) dropUnsent() {
 	s.attempts.removeIf(func(a *attempt) bool {
 		return !a.wanted && !a.forgetOnly && !a.mayRun()
 	})
 }
 
-// orphan notes an attempt that the agent reports and the ledger does not have
-// on this worker: one of an older owner whose end is long committed. Whatever
-// lease it has came from a grant issued before this answer's.
+// orphan adds an attempt that the agent reports and that the ledger does not have
+// on this worker: an attempt of an earlier owner whose end is already committed.
+// Its lease counts from a grant issued no later than that of this response.
 func (s *Session) orphan(r *workerv1.TaskReport) *attempt {
 	a := &attempt{
 		name:      r.GetTask(),
--- a/core/workersession/event.go
+++ b/core/workersession/event.go
@@ -7,19 +7,19 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Event is what Step is told.
+// Event is an input of Session.Step.
 type Event interface{ event() }
 
-// Kind is what the owner wants of an attempt.
+// Kind is the action that the owner desires for an attempt.
 type Kind uint8
 
-// The kinds of wish. An attempt that was once to stop is never started or
-// kept again.
+// The desired actions. Once the action was Stop, it does not change back to
+// Start or Keep.
 const (
-	// Start asks for an attempt that is committed to the worker and not yet
-	// known to run.
+	// Start starts an attempt that is committed to the worker and not yet known
+	// to be running.
 	Start Kind = iota + 1
-	// Keep renews an attempt that the ledger has as running.
+	// Keep renews an attempt that the ledger records as running.
 	Keep
 	// Stop ends an attempt.
 	Stop
@@ -35,37 +35,38 @@
 	return kindNames[k]
 }
 
-// DesiredTask is the owner's wish for one attempt.
+// DesiredTask is the desired state of one attempt.
 type DesiredTask struct {
 	Attempt model.AttemptKey
 	Kind    Kind
-	// Start is needed when Kind is Start. The session fills in its task and
-	// attempt and does not change it otherwise.
+	// Start is required if Kind is Start. The session works on a copy in which
+	// it sets the task and attempt.
 	Start *workerv1.Start
-	// Checkpoint asks for a checkpoint before a stop.
+	// Checkpoint requests a checkpoint before a stop.
 	Checkpoint bool
 	// Throttle is the percentage of its processors that a running task may
-	// use; 0 stands for 100.
+	// use; 0 means 100.
 	Throttle uint32
 }
 
-// Desired replaces everything that the owner wants of the worker, by the
-// committed ledger: Tasks holds each attempt that holds room on it. What the
-// session or the agent knows beyond that is stopped, and then forgotten.
+// Desired replaces the desired state of the worker, as derived from the
+// committed ledger. Tasks contains every attempt whose size is committed on the
+// worker. All other attempts that the session or the agent knows are stopped and
+// then forgotten.
 //
-// The session sends nothing before its first Desired. The attempts in the
-// first one are taken as inherited from an earlier owner, so a session is
-// given one at its creation even when that is empty.
+// The session sends nothing before its first Desired. The attempts in the first
+// Desired are treated as inherited from an earlier owner, so a new session must
+// be given a Desired immediately, even if it is empty.
 type Desired struct {
 	Tasks []DesiredTask
-	// Forget names further attempts whose end is committed, so that the agent
-	// can drop its record of them.
+	// Forget names additional attempts whose end is committed, so that the agent
+	// can drop its records of them.
 	Forget []model.AttemptKey
 }
 
-// Answered is the end of the call that Send numbered ID. Exactly one of Resp
-// and Err is set. ReceivedAt is read from the same clock as Step's now, after
-// the response arrived, and must not be earlier than its arrival.
+// Answered is the result of the Send with the same ID. Exactly one of Resp and
+// Err is set. ReceivedAt is the time of receipt by the clock of Step's now. It
+// must not be earlier than the actual arrival of the response.
 type Answered struct {
 	ID         uint64
 	Resp       *workerv1.ApplyResponse
@@ -74,33 +75,35 @@
 	ReceivedAt time.Time
 }
 
-// Tick lets time pass. It is due several times per Options.RetryEvery.
+// Tick reports the passage of time. It should be given several times per
+// Options.RetryEvery.
 type Tick struct{}
 
-// Permission says what the owner's own lease on the shard allows. With neither
-// set the session sends nothing.
+// Permission reports what the owner's own lease on the shard permits. With
+// neither Full nor RenewOnly set, the session sends nothing.
 type Permission struct {
-	// Full allows everything.
+	// Full permits all messages.
 	Full bool
-	// RenewOnly allows renewals: the store is down and nothing new can be
+	// RenewOnly permits only renewals: the store is down and nothing new can be
 	// committed.
 	RenewOnly bool
-	// Until, when not zero, is when the permission ends by itself. Without
-	// it an owner that was paused would act on a permission from before the
-	// pause.
+	// Until, if not zero, is when the permission expires. Without it, an owner
+	// that was paused would act on a permission from before the pause.
 	Until time.Time
-	// PredecessorsOver says that everything that earlier owners of the shard
-	// renewed through an outage of the store is over for certain, by
-	// Options.PredecessorsEnd. Once said it holds.
+	// PredecessorsOver states that every attempt that earlier owners of the
+	// shard renewed through a store outage is certainly over, as determined with
+	// Options.PredecessorExpiry. Once set it stays in effect, even if later
+	// events do not set it.
 	PredecessorsOver bool
 }
 
-// VMGone says that the platform no longer lists the worker's VM. The list is
-// late and can be wrong, so nothing more is started there, and what runs there
-// is neither given up nor thought to be over any earlier.
+// VMGone reports that the platform no longer lists the worker's VM. Nothing more
+// is started on it. The list is delayed and can be wrong, so running attempts
+// are neither given up nor considered over any earlier.
 type VMGone struct{}
 
-// VMListed takes back VMGone.
+// VMListed reports that the platform lists the worker's VM again. It revokes
+// VMGone.
 type VMListed struct{}
 
 func (Desired) event()    {}
--- a/core/workersession/golden_test.go
+++ b/core/workersession/golden_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// begin brings up an owner whose session has its first grant.
+// begin returns an owner whose session has received its first grant.
 func begin(s *script, name string, epoch model.Epoch, tasks ...workersession.DesiredTask) *peer {
 	p := s.owner(name, epoch)
 	p.full()
@@ -35,10 +35,10 @@
 	goldie.New(t).Assert(t, t.Name(), []byte(s.text.String()))
 }
 
-// Symptom: a task begins twice, or is taken for not started while it runs.
-// Events: the agent starts it and its answer is lost; the answer arrives after
-// all, after the call was given up; the start is sent again.
-// Cause: a lost answer was taken for a start that did not happen.
+// TestStartWithLostAnswer guards against a task that starts twice or is considered
+// not started while it is running. The agent starts the task, and its response
+// arrives only after the call was abandoned; the start is sent again. The fault
+// would be to treat a lost response as a start that did not happen.
 func TestStartWithLostAnswer(t *testing.T) {
 	s := newScript()
 	p := begin(s, "owner", 5)
@@ -54,11 +54,11 @@
 	golden(t, s)
 }
 
-// Symptom: a task whose worker went silent never starts again, or starts while
-// it may still run.
-// Events: the worker stops answering; the platform's list drops its VM at once;
-// the bound on the lease passes; the worker comes back.
-// Cause: the end of the lease was reckoned too early or not at all.
+// TestSilentWorkerIsOverByItsBound guards against a task of an unreachable worker
+// that never starts again, or starts while it may still be running. The worker
+// stops responding, the platform's list drops its VM at once, the bound on the
+// lease passes, and the worker returns. The fault would be to compute the end of
+// the lease too early or not at all.
 func TestSilentWorkerIsOverByItsBound(t *testing.T) {
 	s := newScript()
 	p := begin(s, "owner", 5)
@@ -85,12 +85,12 @@
 	golden(t, s)
 }
 
-// Symptom: a task that was moved on runs on its old worker too.
-// Events: an owner is paused after it committed a start and sent it; the
-// message is delayed; a new owner takes over, ends the attempt, and the message
-// arrives. In the end the old owner wakes up.
-// Cause: the agent obeyed an owner that had been replaced, or a message from
-// before the attempt's end.
+// TestDelayedStartOfPausedOwnerIsRefused guards against a task that still runs on
+// its old worker after it was moved. An owner is paused after it committed and
+// sent a start, and the message is delayed. A new owner takes over and ends the
+// attempt, and then the message arrives. Finally the old owner resumes. The fault
+// would be an agent that accepts messages of a replaced owner or from before the
+// end of the attempt.
 func TestDelayedStartOfPausedOwnerIsRefused(t *testing.T) {
 	s := newScript()
 	old := begin(s, "old", 5)
@@ -116,11 +116,10 @@
 	golden(t, s)
 }
 
-// Symptom: tasks are lost from sight when an agent restarts, or a restarted
-// one is thought to run them still.
-// Events: one attempt runs and another's start is unanswered when the agent
-// restarts.
-// Cause: the new boot was not noticed.
+// TestAgentRestart guards against tasks that are lost track of, or are considered
+// running, after a restart of the agent. One attempt is running and the start of
+// another is unanswered when the agent restarts. The fault would be not to detect
+// the new boot.
 func TestAgentRestart(t *testing.T) {
 	s := newScript()
 	p := begin(s, "owner", 5)
@@ -136,10 +135,10 @@
 	golden(t, s)
 }
 
-// Symptom: work that is evicted resumes from nothing, or twice.
-// Events: a task is throttled, then evicted with a checkpoint; its end is
-// committed; it is started again from the checkpoint.
-// Cause: the checkpoint was lost between agent and ledger.
+// TestEvictionWithCheckpoint guards against an evicted task that resumes without
+// its checkpoint, or twice. A task is throttled and then evicted with a checkpoint;
+// its end is committed; it is started again from the checkpoint. The fault would
+// be to lose the checkpoint between the agent and the ledger.
 func TestEvictionWithCheckpoint(t *testing.T) {
 	s := newScript()
 	p := begin(s, "owner", 5)
@@ -161,10 +160,11 @@
 	golden(t, s)
 }
 
-// Symptom: tasks die, or new ones start, while the store is down.
-// Events: the owner may only renew for a while; a start and a stop wait; then
-// it may do nothing, then everything again, and the VM is about to leave.
-// Cause: the session did not follow its permission.
+// TestRenewOnlyDuringStoreOutage guards against tasks that end, or new ones that
+// start, while the store is down. For a while the owner may only renew, with a
+// start and a stop pending; then it may do nothing; then everything again, and the
+// VM is about to leave. The fault would be a session that does not follow its
+// permission.
 func TestRenewOnlyDuringStoreOutage(t *testing.T) {
 	s := newScript()
 	p := begin(s, "owner", 5)
--- a/core/workersession/hosts_test.go
+++ b/core/workersession/hosts_test.go
@@ -10,8 +10,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// The hosts of a world are the daemons that own its shard in turn. A majority
-// of them is three.
+// The hosts of a world are the daemons that own its shard in turn. A majority of them
+// is three.
 const (
 	worldHosts      = 5
 	exchangeTimeout = 300 * time.Millisecond
@@ -24,24 +24,25 @@
 		ExchangeTimeout:  exchangeTimeout,
 		StoreSilentAfter: 400 * time.Millisecond,
 		OutageGrace:      worldGrace,
-		// That views of who is known agree is what all of this rests on.
+		// The majorities of the hosts must be of the same set of members, so a
+		// suspected host is not declared dead.
 		SuspicionTimeout: time.Hour,
 	}
 }
 
-// host is one daemon's process: its view of the members, and its own way to
-// the store.
+// host is one daemon: its view of the members, and its own connection to the store.
 type host struct {
 	index       int
 	machine     *membership.Machine
 	pausedUntil time.Time
-	cutOff      time.Time // from the store, until then
+	cutOff      time.Time // until when it does not reach the store
 	answered    time.Time // when the store last answered it
-	side        int       // hosts of different sides do not reach each other
+	side        int       // hosts on different sides do not reach each other
 	awaits      bool
 }
 
-// mail is what happens between hosts at a given time.
+// mail is an action that is due at a given time at a host, such as the receipt of a
+// message.
 type mail struct {
 	at time.Time
 	to *host
@@ -67,7 +68,7 @@
 func (w *world) paused(h *host) bool   { return w.now.Before(h.pausedUntil) }
 func (w *world) hasStore(h *host) bool { return !w.paused(h) && !w.now.Before(h.cutOff) }
 
-// driveHosts lets each host look at the store and ask the others.
+// driveHosts lets each host check the store and exchange with the others.
 func (w *world) driveHosts() {
 	w.deliverMail()
 	for _, h := range w.hosts {
@@ -90,7 +91,7 @@
 	}
 }
 
-// exchange carries a request and its answer, or ends in a timeout.
+// exchange delivers a request and its response, or ends in a timeout.
 func (w *world) exchange(from *host, ask membership.ExchangeWith) {
 	to := w.hosts[int(ask.Address[0]-'0')]
 	self, records := from.machine.OutgoingTo(ask.Peer)
@@ -130,7 +131,8 @@
 	w.mail = append(w.mail, mail{w.now.Add(after), to, do})
 }
 
-// deliverMail carries out what is due. A paused host takes it when it wakes.
+// deliverMail executes the mail that is due. The mail of a paused host is executed
+// when it resumes.
 func (w *world) deliverMail() {
 	for i := 0; i < len(w.mail); i++ {
 		if m := w.mail[i]; !m.at.After(w.now) && !w.paused(m.to) {
@@ -141,7 +143,7 @@
 	}
 }
 
-// nextHost is a host that can acquire the shard, or nil.
+// nextHost returns the next host that can acquire the shard, or nil.
 func (w *world) nextHost() *host {
 	first := 0
 	if w.current != nil {
@@ -155,8 +157,8 @@
 	return nil
 }
 
-// cutOffStore takes the store from the owner's host and n others, of which
-// target is the first.
+// cutOffStore makes the store unreachable for the owner's host and n others, starting
+// with target.
 func (w *world) cutOffStore(target, n int, d time.Duration) {
 	until := w.now.Add(d)
 	w.current.host.cutOff = until
@@ -169,7 +171,7 @@
 	}
 }
 
-// split parts the hosts that have no store from the others.
+// split separates the hosts that do not reach the store from the others.
 func (w *world) split(d time.Duration) {
 	for _, h := range w.hosts {
 		if !w.hasStore(h) {
--- a/core/workersession/inherit_test.go
+++ b/core/workersession/inherit_test.go
@@ -8,8 +8,8 @@
 	"github.com/guavarill/guavarill/core/workersession"
 )
 
-// overAt lets time pass without an answer and returns when the attempt was
-// found over, zero if it was not.
+// overAt advances the time by d without any response from the worker. It returns
+// when the attempt was reported over, or zero if it was not.
 func (p *peer) overAt(d time.Duration, act workersession.Permission) time.Duration {
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.pass(time.Second)
@@ -26,12 +26,11 @@
 	return 0
 }
 
-// Symptom: a task on a worker that its new owner does not reach runs there and
-// elsewhere, or never again anywhere.
-// Events: a new owner inherits a running task; the worker never answers; after
-// ten minutes the owner learns that its predecessors are over, and is told so
-// once only.
-// Cause: a bound in time on what an earlier owner may renew.
+// TestInheritedWaitsForPredecessorsEnd guards against an inherited task on an
+// unreachable worker that runs in two places or never again. A new owner inherits
+// a running task, and the worker never responds. After ten minutes the owner is
+// informed, only once, that its predecessors are over. The fault would be a fixed
+// time limit on the renewals of earlier owners.
 func TestInheritedWaitsForPredecessorsEnd(t *testing.T) {
 	s := newScript()
 	p := s.owner("new", 9)
@@ -43,13 +42,13 @@
 		t.Fatalf("over after %s though an earlier owner may be renewing\n%s", at, &s.text)
 	}
 	if _, bounded := p.session.Bound(task(1, workersession.Keep).Attempt); bounded {
-		t.Error("a bound is named that does not hold")
+		t.Error("Bound returns a bound that is not valid")
 	}
 	told := act
 	told.PredecessorsOver = true
 	p.event(told)
 	if p.session.AwaitsPredecessors() || !strings.Contains(s.text.String(), "over ladder@1/0#1: lease expired") {
-		t.Errorf("not over when told\n%s", &s.text)
+		t.Errorf("not over after PredecessorsOver\n%s", &s.text)
 	}
 	later := s.owner("later", 10)
 	later.event(told)
@@ -57,17 +56,17 @@
 	later.failed(later.last().ID)
 	began := s.now.Sub(epochTime)
 	if at := later.overAt(time.Minute, act); at != began+34*time.Second {
-		t.Errorf("over %s after the takeover, by a permission that does not repeat the word", at-began)
+		t.Errorf("over %s after the takeover, with a permission that does not repeat PredecessorsOver", at-began)
 	}
 }
 
-// Symptom: a task whose worker answered its new owner, and then went silent,
-// runs there and elsewhere, or waits for daemons that nobody needs to ask.
-// Events: an earlier owner renews for five minutes through an outage; then the
-// worker answers the new owner once, which may only renew at that time and wants
-// the task stopped.
-// Cause: the agent obeys no older owner from its first answer on, but what one
-// renewed just before lasts a lease from there.
+// TestFirstAnswerEndsPredecessors guards against a task that runs in two places,
+// or waits for other daemons without need, after its worker responded to the new
+// owner once and then became silent. An earlier owner renews for five minutes
+// through an outage. Then the worker responds once to the new owner, which may
+// only renew at that time and wants the task stopped. From its first response on,
+// the agent refuses the earlier owner, but a lease that was renewed just before
+// lasts for one Lease from there.
 func TestFirstAnswerEndsPredecessors(t *testing.T) {
 	s := newScript()
 	old := begin(s, "old", 5)
@@ -85,7 +84,7 @@
 	p.answer()
 	answered := s.now.Sub(epochTime)
 	if p.session.AwaitsPredecessors() {
-		t.Error("waits though the agent knows the new owner")
+		t.Error("waits for predecessors although the agent knows the new owner")
 	}
 	at := p.overAt(time.Minute, workersession.Permission{Full: true})
 	if at != answered+34*time.Second {
--- a/core/workersession/options.go
+++ b/core/workersession/options.go
@@ -20,52 +20,55 @@
 	callTimeoutsBeforeGiveUp = 2
 )
 
-// Options are the times of the protocol with one worker. All owners of a
-// cluster must use the same Lease, Margin and OutageGrace: a new owner reckons
-// with what its predecessor may have granted. A zero field takes its default.
+// Options configures the protocol with one worker. All owners of a cluster must
+// use the same Lease, Margin and OutageGrace, because a new owner derives from
+// them when the leases of its predecessors end. A zero field selects its
+// default.
 type Options struct {
-	// Lease is how long an attempt may go on after the agent issued the grant
-	// that its latest start or renewal carried.
+	// Lease is how long an attempt may run after the agent issued the grant
+	// that its latest start or renewal named.
 	Lease time.Duration
 	// Margin is added to every bound on the end of an attempt. It covers the
-	// difference in rate between the owner's and the agent's clock over one
-	// Lease, and the time an agent takes to stop a task.
+	// clock drift between the owner and the agent over one Lease, and the time
+	// that an agent takes to stop a task.
 	Margin time.Duration
-	// RenewEvery is the time between two renewals. Lease must be at least
-	// three times as long, or one lost message ends the worker's tasks.
+	// RenewEvery is the interval between renewals. Lease must be at least three
+	// times as long, otherwise one lost message ends the worker's tasks.
 	RenewEvery time.Duration
-	// UsageEvery is the time between two requests for measurements.
+	// UsageEvery is the interval between requests for usage measurements.
 	UsageEvery time.Duration
-	// ReportEvery is the time between two requests for a whole report of an
-	// agent that agrees on what it runs. Of one that does not, or does not know
-	// the hash of a renewal, one is asked for every UsageEvery.
+	// ReportEvery is the interval between requests for a full report from an
+	// agent that confirms the hash of its attempts. An agent that does not, or
+	// that does not support the hash, is asked every UsageEvery.
 	ReportEvery time.Duration
-	// RetryEvery is the time before a failed call, or a command that the agent
-	// could not carry out yet, is tried again.
+	// RetryEvery is the delay before a failed call, or a command that the agent
+	// could not execute yet, is retried.
 	RetryEvery time.Duration
-	// OutageGrace is the age up to which a member's confirmation that the store
-	// is silent lets an owner without a lease go on renewing.
+	// OutageGrace is the maximum age of a member's confirmation that the store
+	// is silent for which an owner whose lease has expired may continue to
+	// renew.
 	OutageGrace time.Duration
-	// CallTimeout is how long one call may take.
+	// CallTimeout is the timeout of one call.
 	CallTimeout time.Duration
-	// UnreachableCalls is how many calls in a row must fail before the worker
-	// is reported unreachable.
+	// UnreachableCalls is the number of consecutive failed calls after which the
+	// worker is reported unreachable.
 	UnreachableCalls int
-	// UnreachableAfter is the silence after which it is so reported whatever
-	// the number of calls.
+	// UnreachableAfter is the time without a response after which the worker is
+	// reported unreachable regardless of the number of failed calls.
 	UnreachableAfter time.Duration
 }
 
-// PredecessorExpiry is how long after a moment from which on no majority can
-// have confirmed an outage of the store everything is over that earlier owners
-// renewed: the latest confirmation counts for OutageGrace, and a renewal for
-// Lease after it. A lease that ended is not taken up again.
+// PredecessorExpiry returns the time after which every attempt renewed by earlier
+// owners is over, counted from a time after which no majority can have confirmed
+// a store outage. The latest confirmation permits renewals for OutageGrace, and
+// a renewal extends a lease by Lease; Margin is added as for every bound. An
+// owner does not resume renewals once they were interrupted.
 func (o Options) PredecessorExpiry() time.Duration {
 	o = o.withDefaults()
 	return o.OutageGrace + o.Lease + o.Margin
 }
 
-// withDefaults returns o with its zero fields filled in.
+// withDefaults returns o with its zero fields set to their defaults.
 func (o Options) withDefaults() Options {
 	o.Lease = cmp.Or(o.Lease, DefaultLease)
 	o.Margin = cmp.Or(o.Margin, DefaultMargin)
--- a/core/workersession/property_test.go
+++ b/core/workersession/property_test.go
@@ -16,7 +16,7 @@
 
 const (
 	propertyRuns = 200
-	// noticeRuns is how many worlds may pass before a flaw must show.
+	// noticeRuns is the number of worlds within which a flaw must be detected.
 	noticeRuns = 1000
 	maxFaults  = 40
 )
@@ -33,7 +33,7 @@
 	return kinds
 }
 
-// genFaults makes up to maxFaults faults of the given kinds.
+// genFaults generates up to maxFaults faults of the given kinds.
 func genFaults(kinds ...faultKind) gopter.Gen {
 	one := gopter.CombineGens(
 		gen.IntRange(0, len(kinds)-1),
@@ -51,7 +51,8 @@
 	return gen.SliceOf(one)
 }
 
-// check runs worlds with random faults and returns what gopter found.
+// check runs worlds with random faults. It returns the result of gopter and the
+// number of attempts that were started.
 func check(
 	runs, shrink int,
 	opt workersession.Options,
@@ -75,7 +76,7 @@
 	return property.Check(params), starts
 }
 
-// verdict returns what went wrong in a world that was run, or "".
+// verdict returns the problem found in a world after its run, or "".
 func (w *world) verdict() string {
 	if w.problem != "" {
 		return w.problem
@@ -91,27 +92,27 @@
 	return ""
 }
 
-// Symptom: a task runs on two workers at once, or an attempt begins twice.
-// Events: owners are paused, replaced and wake up again, or renew through an
-// outage, also one of a majority of the daemons only; daemons lose the store in
-// turn, and each other; messages are lost, copied, and delayed for longer than
-// a lease; agents restart and are cut off; tasks are evicted; agents' clocks run fast
-// and slow.
-// Cause: the next attempt was committed before the previous one was over for
-// certain, or the agent obeyed a message that it should have refused.
+// TestOnePlaceAtATime guards against a task that runs on two workers at once and an
+// attempt that starts twice. Owners are paused, replaced and resume, or renew through
+// an outage, including an outage for only a majority of the daemons; daemons lose the
+// store in turn, and each other; messages are lost, duplicated, and delayed for longer
+// than a lease; agents restart and are partitioned; tasks are evicted; the agents'
+// clocks run fast and slow. The fault would be to commit the next attempt before the
+// previous one is certainly over, or an agent that accepts a message that it should
+// have refused.
 func TestOnePlaceAtATime(t *testing.T) {
 	result, starts := check(propertyRuns, 1000, worldOptions(), worker.Flaws{}, asIs, allFaults()...)
 	if !result.Passed() {
 		t.Fatalf("%v: %v %v", result.Status, result.Labels, result.Args)
 	}
 	if starts < propertyRuns*worldTasks {
-		t.Fatalf("only %d starts: the worlds show nothing", starts)
+		t.Fatalf("only %d starts: the worlds do not exercise the protocol", starts)
 	}
 }
 
-// Symptom: the property above holds although the protocol is incomplete.
-// Events: the same worlds, each time without one mechanism.
-// Cause: a test that cannot fail.
+// TestPropertyNoticesEachMechanism checks that the property of TestOnePlaceAtATime
+// fails if any one mechanism of the protocol is left out, to guard against a test
+// that cannot fail.
 func TestPropertyNoticesEachMechanism(t *testing.T) {
 	noMargin := worldOptions()
 	noMargin.Margin = time.Nanosecond
@@ -136,14 +137,15 @@
 		t.Run(c.name, func(t *testing.T) {
 			result, _ := check(noticeRuns, 1, c.opt, c.flaws, c.change, c.kinds...)
 			if result.Passed() {
-				t.Fatal("not noticed")
+				t.Fatal("the property holds without the mechanism")
 			}
 			t.Log(result.Labels, result.Args)
 		})
 	}
 }
 
-// breaks makes worlds with the given faults and counts those that went wrong.
+// breaks runs 20 worlds with the given faults and returns the number of worlds in
+// which a problem was found.
 func breaks(faults []fault, opt workersession.Options, change func(*world)) int {
 	problems := 0
 	for seed := range int64(20) {
@@ -157,14 +159,13 @@
 	return problems
 }
 
-// Symptom: a task runs on two workers at once after a store outage.
-// Events: the owner is cut off from the store, and so are two more of five
-// daemons: it goes on renewing. The store serves the other two, of which one
-// takes over and cannot reach the worker; in one case it releases the shard
-// again, in another the outage ends for all but the old owner, which then
-// reaches no other daemon.
-// Cause: the new owner does not wait until its predecessor has stopped for
-// certain, or vouches for it without knowing.
+// TestPredecessorRenewsThroughAnOutage guards against a task that runs on two workers
+// at once after a store outage. The owner and two more of five daemons lose the store,
+// so the owner keeps renewing. The store serves the other two daemons. One of them
+// takes over and cannot reach the worker. In one case it releases the shard again; in
+// another the outage ends for all but the old owner, which then reaches no other
+// daemon. The fault would be a new owner that does not wait until its predecessor has
+// certainly stopped, or that releases the shard as clean without knowing that.
 func TestPredecessorRenewsThroughAnOutage(t *testing.T) {
 	outage := []fault{
 		{Kind: outageOwner, Target: 2, At: 10 * time.Second, For: 30 * time.Second},
@@ -198,7 +199,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			problems := breaks(c.faults, c.opt, c.change)
-			t.Logf("%d of 20 worlds went wrong", problems)
+			t.Logf("problems in %d of 20 worlds", problems)
 			if (problems > 0) != c.broken {
 				t.Fail()
 			}
@@ -206,9 +207,9 @@
 	}
 }
 
-// Symptom: tasks end in a long outage of the store.
-// Events: the store is down for all for an hour, and comes back.
-// Cause: a bound on how long an owner renews without a lease.
+// TestOutageOfAnHourEndsNothing guards against tasks that end in a long store outage.
+// The store is down for all daemons for an hour and then returns. The fault would be a
+// limit on how long an owner renews without a lease.
 func TestOutageOfAnHourEndsNothing(t *testing.T) {
 	outage := []fault{{Kind: outageAll, At: 10 * time.Second, For: time.Hour}}
 	w := newWorld(1, outage, worldOptions(), worker.Flaws{})
@@ -223,12 +224,11 @@
 	}
 }
 
-// Symptom: tasks of a worker that is lost together with its owner wait for much
-// longer than their lease.
-// Events: two of five daemons, the owner among them, and one of two workers are
-// lost at once.
-// Cause: the new owner allows for an outage through which the old one renews,
-// though a majority shows that there is none.
+// TestZoneLostWithOwnerAndWorker guards against tasks that wait much longer than their
+// lease when their worker is lost together with its owner. Two of five daemons,
+// including the owner, and one of two workers are lost at once. The fault would be a
+// new owner that allows for renewals by the old one through an outage although a
+// majority confirms that there is none.
 func TestZoneLostWithOwnerAndWorker(t *testing.T) {
 	for seed := range int64(20) {
 		w := newWorld(seed, nil, worldOptions(), worker.Flaws{})
@@ -240,7 +240,7 @@
 			w.hosts[i].pausedUntil = lost.Add(time.Hour)
 		}
 		w.cuts[1] = cut{until: lost.Add(time.Hour)}
-		// A round of questions to a majority follows the time itself.
+		// After that time, one round of exchanges with a majority is needed.
 		wait := storeLease + w.opt.PredecessorExpiry() + 6*worldPeriod
 		w.length += wait
 		w.run()
--- a/core/workersession/reach.go
+++ b/core/workersession/reach.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// reach tells a silent worker from one that answers.
+// reach tracks whether the worker is reachable.
 type reach struct {
-	answeredAt  time.Time // the latest answer, or the session's begin
-	askedSince  time.Time // since when the session may ask
-	failures    int       // calls failed in a row
+	answeredAt  time.Time // time of the latest response, or of the acquisition of the shard
+	askedSince  time.Time // since when the session is permitted to send
+	failures    int       // consecutive failed calls
 	unreachable bool
 }
 
-// checkReach reports the worker unreachable after too many failed calls or
-// too long a silence. A VM missing from the platform's list plays no part: the
-// list is late and has been seen empty.
+// checkReach reports the worker unreachable after too many consecutive failed
+// calls or too long a time without a response. It ignores whether the platform
+// lists the VM, because the list is delayed and has been observed empty.
 func (s *Session) checkReach(now time.Time) {
 	mode := s.permission(now)
 	if s.reach.unreachable || !s.desired || (!mode.Full && !mode.RenewOnly) {
@@ -30,7 +30,7 @@
 	s.emit(Unreachable{Since: s.reach.answeredAt})
 }
 
-// answered notes that the agent answered at the given time.
+// answered records that the agent responded at the given time.
 func (s *Session) answered(at time.Time) {
 	s.reach.answeredAt = at
 	s.reach.failures = 0
@@ -41,13 +41,13 @@
 	s.emit(Reachable{})
 }
 
-// callFailed ends the call in flight without an answer. What it carried may
-// or may not have been carried out.
+// callFailed ends the call in flight without a response. The agent may or may not
+// have executed the request.
 func (s *Session) callFailed(now time.Time) {
 	s.call = nil
 	s.reach.failures++
 	s.renewedAt = time.Time{}
-	s.hashMatched = false // until an answer says so again
+	s.hashMatched = false // until a response confirms the hash again
 	s.retryAt = now.Add(s.opt.RetryEvery)
 	s.nextCall = s.retryAt
 	if s.reach.unreachable {
@@ -56,8 +56,8 @@
 	}
 }
 
-// giveUpCall ends a call of which nothing was heard for far longer than its
-// timeout, so that one lost completion cannot silence the session for good.
+// giveUpCall abandons the call in flight after twice its timeout. Otherwise a
+// single result that is never delivered would stop the session for good.
 func (s *Session) giveUpCall(now time.Time) {
 	if s.call == nil {
 		return
--- a/core/workersession/renew.go
+++ b/core/workersession/renew.go
@@ -6,14 +6,14 @@
 	workerv1 "github.com/guavarill/guavarill/api/worker/v1"
 )
 
-// renew adds the renewals to the message of the call in flight: the hash of
-// what the agent is taken to hold, and the attempts by name unless the agent's
-// latest answer found the same hash.
+// renew adds the renewals to the request of the call in flight: the hash of the
+// attempts that the agent is expected to hold and, unless the latest response
+// confirmed the hash, the attempts by name.
 //
-// Whichever way they travel, the bounds move when the message leaves. A message
-// whose answer is lost may have been carried out, and one that was answered by
-// a mismatch may have a copy under way that will match. So no answer takes a
-// bound back.
+// Either way, the bounds are extended when the message is sent. A message whose
+// response is lost may have been executed, and a delayed copy of a message that
+// was answered with a mismatch may still match. Therefore no response reduces a
+// bound.
 func (s *Session) renew(req *workerv1.ApplyRequest) {
 	call := s.call
 	call.hashed = true
@@ -25,7 +25,7 @@
 			set = append(set, a.id())
 			call.set = append(call.set, a)
 		} else if a.renewable() {
-			byHash = false // listed, and no part of the set
+			byHash = false // renewed by name and not in the set
 		}
 	}
 	req.RenewHash = workerv1.RenewHash(set)
@@ -36,8 +36,8 @@
 	call.byHash = true
 }
 
-// heldAfter reports whether the agent is taken to hold a, not told to stop it,
-// once it carried out the message of the given call.
+// heldAfter reports whether the agent is expected to hold a, without an order to
+// stop it, after it has executed the message of the given call.
 func (a *attempt) heldAfter(call uint64) bool {
 	if a.sentCall == call && a.sentKind == sentStop {
 		return false
@@ -49,8 +49,8 @@
 	return &workerv1.TaskAttempt{Task: a.name, Attempt: a.number}
 }
 
-// wantUsage asks for measurements when they are due. They can be asked for by
-// hash only; otherwise whole reports bring them.
+// wantUsage requests usage measurements if they are due. They can be requested
+// only with a renewal by hash; otherwise they come with full reports.
 func (s *Session) wantUsage(now time.Time, req *workerv1.ApplyRequest) {
 	if !s.call.byHash || s.call.wantReport || now.Before(s.usageAt) {
 		return
@@ -60,8 +60,9 @@
 	req.UsageAfterUnixMillis = s.call.oldestMeasurement()
 }
 
-// oldestMeasurement returns the oldest of the latest measurements of the call's
-// attempts, without those that were never measured; 0 if there is none.
+// oldestMeasurement returns the time of the oldest among the latest measurements
+// of the call's attempts, in Unix milliseconds. Attempts without a measurement
+// are skipped; the result is 0 if none has one.
 func (c *call) oldestMeasurement() int64 {
 	oldest := int64(0)
 	for _, a := range c.set {
@@ -72,10 +73,10 @@
 	return oldest
 }
 
-// takeRenewal takes what the agent says of the hash. An agent that does not
-// know the field says nothing, which is as good as a mismatch: it renewed
-// nothing by the hash. The attempts are then renewed by name at once, since
-// none was, and a whole report is asked for, since something differs.
+// takeRenewal handles the agent's verdict on the hash. An agent that does not
+// support the hash gives none, which is equivalent to a mismatch: it renewed
+// nothing by the hash. Since no attempt was renewed, all are then renewed by name
+// at once, and a full report is requested to find the difference.
 func (s *Session) takeRenewal(now time.Time, call *call, resp *workerv1.ApplyResponse) {
 	if !call.hashed {
 		return
@@ -91,7 +92,7 @@
 	}
 }
 
-// takeUsages takes measurements of the attempts that call's hash stood for.
+// takeUsages handles the measurements of the attempts in the set of call.
 func (s *Session) takeUsages(call *call, resp *workerv1.ApplyResponse) {
 	if !call.wantUsage || !resp.GetRenewMatched() {
 		return
--- a/core/workersession/renew_test.go
+++ b/core/workersession/renew_test.go
@@ -10,10 +10,10 @@
 	"github.com/guavarill/guavarill/standin/worker"
 )
 
-// Symptom: a task runs on two workers at once, with agents of before.
-// Events: the same worlds; the agents leave the hash unread.
-// Cause: the owner takes an answer for a renewal that did not happen, or
-// renews by hash alone what nobody renews by hash.
+// TestOnePlaceAtATimeWithOldAgents guards against a task that runs on two workers
+// at once with agents of an earlier version. The worlds are those of
+// TestOnePlaceAtATime, but the agents ignore the hash. The fault would be to treat
+// a response as a renewal that did not happen, or to renew by the hash alone.
 func TestOnePlaceAtATimeWithOldAgents(t *testing.T) {
 	old := worker.Flaws{NoRenewHash: true}
 	result, _ := check(propertyRuns/4, 1000, worldOptions(), old, asIs, allFaults()...)
@@ -22,11 +22,12 @@
 	}
 }
 
-// Symptom: tasks end though their owner and their worker hear each other.
-// Events: tasks are evicted, with and without a checkpoint, also while the
-// store is down and the order has to wait; the shard is released; agents
-// restart; each takes the agent's set apart from the owner's.
-// Cause: the owner goes on renewing by a hash that does not match.
+// TestNothingEndsForWantOfARenewal guards against tasks whose leases expire
+// although their owner and their worker reach each other. Tasks are evicted, with
+// and without a checkpoint, also while the store is down and the stop has to wait;
+// the shard is released; agents restart. Each of these makes the agent's set differ
+// from the owner's. The fault would be to keep renewing by a hash that does not
+// match.
 func TestNothingEndsForWantOfARenewal(t *testing.T) {
 	kinds := []faultKind{evictTask, dropTask, outageAll, releaseOwner, restartAgent}
 	for _, flaws := range []worker.Flaws{{}, {NoRenewHash: true}} {
@@ -45,10 +46,10 @@
 			}
 		}
 		if expired != 0 {
-			t.Errorf("%d leases ran out of attempts that nobody wanted to stop", expired)
+			t.Errorf("%d leases expired of attempts that were not to be stopped", expired)
 		}
 		if known := !flaws.NoRenewHash; known != (byHash > 1000) || known != (mismatches > 100) {
-			t.Errorf("%d renewals by hash, %d mismatches: the worlds show nothing", byHash, mismatches)
+			t.Errorf("%d renewals by hash, %d mismatches: the worlds do not exercise the hash as expected", byHash, mismatches)
 		}
 		t.Logf("%+v: %d renewals by hash, %d mismatches", flaws, byHash, mismatches)
 	}
@@ -68,8 +69,8 @@
 	return faults
 }
 
-// expiredUnasked counts the attempts whose lease ran out on a and that no
-// owner had given up.
+// expiredUnasked returns the number of attempts whose leases expired on a although
+// no owner had stopped renewing them.
 func expiredUnasked(w *world, a *worker.Agent) int {
 	n := 0
 	for _, r := range a.Runs() {
@@ -80,7 +81,7 @@
 	return n
 }
 
-// long is a task that does not end in a script's time.
+// long returns a task that does not end within a script.
 func long(index uint32, kind workersession.Kind) workersession.DesiredTask {
 	d := task(1, kind)
 	d.Attempt.Task.Index = index
@@ -88,14 +89,12 @@
 	return d
 }
 
-// Symptom: a task that runs well ends 30 s after another one could not be
-// stopped, or the two ends' difference is never mended.
-// Events: two tasks are renewed by hash; one is to stop while the store is
-// down, so that the order waits; the agent's set differs. Then the store is
-// back. Then the agent is replaced by one that has lost a task without
-// restarting.
-// Cause: a mismatch was not answered by the full list at once, or the owner did
-// not return to the hash.
+// TestMismatchIsAnsweredByFullList guards against a healthy task that ends 30 s
+// after another one could not be stopped, and against a difference between owner
+// and agent that is never repaired. Two tasks are renewed by hash. One is to stop
+// while the store is down, so the stop is pending and the agent's set differs. Then
+// the store returns. The fault would be not to send the full list at once after a
+// mismatch, or not to return to the hash.
 func TestMismatchIsAnsweredByFullList(t *testing.T) {
 	s := newScript()
 	p := begin(s, "owner", 5)
@@ -113,17 +112,16 @@
 	p.idle(20 * time.Second)
 	running := s.agent.Running()
 	if len(running) != 1 || running[0].GetTask() != "ladder@1/0" {
-		t.Errorf("%v runs", running)
+		t.Errorf("running: %v, want only ladder@1/0", running)
 	}
 	golden(t, s)
 }
 
-// Symptom: an evicted task's lease ends while its progress is saved, or each
-// eviction brings a mismatch.
-// Events: two tasks are renewed by hash; one is to stop with a checkpoint, and a
-// renewal goes with the order.
-// Cause: what is renewed once more, and is told to stop in the same message, is
-// left out of the names or taken into the set.
+// TestStopWithCheckpointGoesWithNames guards against the lease of an evicted task
+// that expires while its checkpoint is saved, and against a mismatch after each
+// eviction. Two tasks are renewed by hash. One is stopped with a checkpoint, and a
+// renewal is in the same message. The fault would be to leave the stopped attempt,
+// which is renewed once more, out of the names or to include it in the set.
 func TestStopWithCheckpointGoesWithNames(t *testing.T) {
 	s := newScript()
 	p := begin(s, "owner", 5)
@@ -150,10 +148,10 @@
 	}
 }
 
-// Symptom: a task runs here and elsewhere after a silence.
-// Events: a renewal by hash is carried out and its answer is lost; its copies
-// come later; nothing else is answered.
-// Cause: only what was confirmed was counted for the bound.
+// TestLostAnswerOfRenewalByHashCounts guards against a task that runs in two places
+// after its worker became unreachable. A renewal by hash is executed, and its
+// response is lost; nothing else is answered. The fault would be to extend the
+// bound only for confirmed renewals.
 func TestLostAnswerOfRenewalByHashCounts(t *testing.T) {
 	s := newScript()
 	p := begin(s, "owner", 5)
@@ -183,9 +181,10 @@
 	}
 }
 
-// Symptom: a worker's tasks end after its agent was replaced by an older one.
-// Events: an agent that renewed by hash answers as one that does not know it.
-// Cause: an answer without confirmation was taken for a renewal.
+// TestNoConfirmationIsAMismatch guards against the end of a worker's tasks after
+// its agent was replaced by an older version. An agent that renewed by hash responds
+// like one that does not support it. The fault would be to treat a response without
+// a confirmation as a renewal.
 func TestNoConfirmationIsAMismatch(t *testing.T) {
 	s := newScript()
 	p := begin(s, "owner", 5)
@@ -204,10 +203,10 @@
 	}
 }
 
-// Symptom: the owner learns nothing of slowdowns between whole reports, or
-// counts one measurement many times.
-// Events: nothing changes for a minute; the agent measures every second.
-// Cause: measurements are not asked for, or told by the wrong names.
+// TestUsageBetweenReports guards against missing or repeated usage measurements
+// between full reports. Nothing changes for a minute, and the agent measures every
+// second. The fault would be not to request measurements, or to assign them to the
+// wrong attempts.
 func TestUsageBetweenReports(t *testing.T) {
 	l := newLoop(benchTasks)
 	reports, seen := 0, make(map[string]int)
@@ -219,7 +218,7 @@
 			reports++
 		}
 		if after := send.Req.GetUsageAfterUnixMillis(); send.Req.GetWantUsage() && after != latest {
-			t.Errorf("asks for what came after %d, knows that of %d", after, latest)
+			t.Errorf("requests measurements after %d, but the latest known one is of %d", after, latest)
 		}
 		ev := workersession.Answered{ID: send.ID, Resp: l.agent.Apply(send.Req), ReceivedAt: l.now}
 		for _, c := range l.session.Step(l.now, ev) {
@@ -230,7 +229,7 @@
 		}
 	}
 	if reports > 2 || len(seen) != benchTasks {
-		t.Errorf("%d whole reports in a minute, usage of %d tasks", reports, len(seen))
+		t.Errorf("%d full reports in a minute, usage of %d tasks", reports, len(seen))
 	}
 	for name, n := range seen {
 		if n < 5 || n > 7 || !strings.Contains(name, "reorder-service") {
--- a/core/workersession/report.go
+++ b/core/workersession/report.go
@@ -6,7 +6,7 @@
 	workerv1 "github.com/guavarill/guavarill/api/worker/v1"
 )
 
-// takeReports takes what the agent says of its tasks.
+// takeReports handles the task reports of a response.
 func (s *Session) takeReports(reports []*workerv1.TaskReport) {
 	for _, r := range reports {
 		a := s.attempts.find(r.GetTask(), r.GetAttempt())
@@ -17,8 +17,8 @@
 	}
 }
 
-// takeReport takes what the agent says of one attempt. What is over stays
-// over, whatever is said of it.
+// takeReport handles the report of one attempt. An attempt that is over stays
+// over, whatever the report contains.
 func (s *Session) takeReport(a *attempt, r *workerv1.TaskReport) {
 	if a.over {
 		return
@@ -36,8 +36,8 @@
 	}
 }
 
-// takeRunning notes that a runs and tells the owner of the first time and of
-// a new address.
+// takeRunning marks a as running. It reports this to the owner the first time
+// and when the address changes.
 func (s *Session) takeRunning(a *attempt, address string) {
 	known := a.running && (address == "" || address == a.address)
 	a.running = true
@@ -50,8 +50,9 @@
 	s.emitRunning(a)
 }
 
-// takeStopped takes a stopped attempt. One that was stopped only because the
-// agent did not know it never ran there in this boot.
+// takeStopped handles a stopped attempt. An attempt that was stopped only because
+// a full report did not contain it never ran since the agent's last restart, and
+// is reported as NotKnown.
 func (s *Session) takeStopped(a *attempt, r *workerv1.TaskReport) {
 	if a.missing {
 		s.finish(a, Over{Attempt: a.key, Reason: NotKnown})
@@ -73,7 +74,7 @@
 	})
 }
 
-// takeUsage passes on a measurement that was not seen before.
+// takeUsage emits a measurement that is newer than the known one.
 func (s *Session) takeUsage(a *attempt, u *workerv1.Usage) {
 	if u == nil || !a.wanted || u.GetMeasuredUnixMillis() <= a.measuredAt {
 		return
@@ -89,7 +90,7 @@
 	})
 }
 
-// takeMissing looks for attempts that a whole report lacks.
+// takeMissing handles the attempts that a full report does not contain.
 func (s *Session) takeMissing(call *call, reports []*workerv1.TaskReport) {
 	reported := make(map[attemptID]bool, len(reports))
 	for _, r := range reports {
@@ -102,10 +103,10 @@
 	}
 }
 
-// missing handles an attempt that the agent does not know. If it was told to
-// stop it, then no late copy of a start can bring it up any more and it is
-// over. Otherwise it is told first. A start that was not answered may be on its
-// way, and is simply sent again.
+// missing handles an attempt that the agent does not know. If the agent has
+// acknowledged a stop, no late copy of a start can start the attempt any more, and
+// it is over. Otherwise a running or inherited attempt is stopped first. A start
+// that was not answered may still be in flight, and is sent again.
 func (s *Session) missing(a *attempt) {
 	switch {
 	case a.stopAcked:
--- a/core/workersession/script_test.go
+++ b/core/workersession/script_test.go
@@ -14,8 +14,8 @@
 	"github.com/guavarill/guavarill/standin/worker"
 )
 
-// script plays one agent and its owners step by step and writes down what
-// passes between them.
+// script runs one agent and its owners step by step and records the messages
+// between them.
 type script struct {
 	now   time.Time
 	agent *worker.Agent
@@ -60,16 +60,16 @@
 	fmt.Fprintf(&s.text, "%7.1fs  %s\n", s.now.Sub(epochTime).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// note writes a line of explanation.
+// note adds an explanation to the record.
 func (s *script) note(text string) { s.line("-- %s", text) }
 
-// pass lets d pass for everybody.
+// pass advances the time by d for the agent and all owners.
 func (s *script) pass(d time.Duration) {
 	s.now = s.now.Add(d)
 	s.agent.Advance()
 }
 
-// event gives an event to the session and writes down its commands.
+// event gives an event to the session and records its commands.
 func (p *peer) event(ev workersession.Event) {
 	for _, c := range p.session.Step(p.now, ev) {
 		p.line("%s: %s", p.name, commandText(c))
@@ -94,14 +94,14 @@
 	return workersession.Answered{ID: id, Resp: r, ReceivedAt: p.now}
 }
 
-// arrive carries a message out at the agent.
+// arrive executes a message at the agent.
 func (p *peer) arrive(send workersession.Send) *workerv1.ApplyResponse {
 	resp := p.agent.Apply(proto.CloneOf(send.Req))
 	p.line("agent: answers %s #%d: %s", p.name, send.ID, responseText(resp))
 	return resp
 }
 
-// idle lets time pass in seconds, with an answer to each message.
+// idle advances the time by d in steps of a second, answering each message.
 func (p *peer) idle(d time.Duration) {
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.pass(time.Second)
--- a/core/workersession/send.go
+++ b/core/workersession/send.go
@@ -7,7 +7,8 @@
 	workerv1 "github.com/guavarill/guavarill/api/worker/v1"
 )
 
-// pump sends the next message if one is due and no call is in flight.
+// pump sends the next message if one is due, no call is in flight and the
+// permission allows it.
 func (s *Session) pump(now time.Time) {
 	mode := s.permission(now)
 	if s.call != nil || !s.desired || (!mode.Full && !mode.RenewOnly) {
@@ -20,7 +21,7 @@
 	}
 }
 
-// anyOpen reports whether a command waits to be sent.
+// anyOpen reports whether a command is pending.
 func (s *Session) anyOpen() bool {
 	for _, a := range s.attempts.sorted {
 		if a.stopOpen() || a.throttleOpen() || (a.startOpen() && !s.gone) {
@@ -30,13 +31,13 @@
 	return false
 }
 
-// anyRenewable reports whether a lease is to be prolonged.
+// anyRenewable reports whether any lease is to be renewed.
 func (s *Session) anyRenewable() bool {
 	return slices.ContainsFunc(s.attempts.sorted, (*attempt).renewable)
 }
 
-// send makes one message of everything that is due: renewals, and with full
-// permission commands.
+// send sends one message with everything that is due: renewals and, with full
+// permission, commands.
 func (s *Session) send(now time.Time, full, due bool) {
 	s.calls++
 	s.call = &call{id: s.calls, sentAt: now}
@@ -65,9 +66,9 @@
 	s.emit(Send{ID: s.call.id, Req: req, Timeout: s.opt.CallTimeout})
 }
 
-// needReport reports whether the message is to ask for a whole report: on the
-// first contact, from time to time, while a service's address is missing, and
-// for measurements that cannot be had by the hash.
+// needReport reports whether the message must request a full report: on the first
+// contact, every ReportEvery, while a stop or a service's address is awaited, and
+// for measurements that cannot be requested by the hash.
 func (s *Session) needReport(now time.Time) bool {
 	if s.grant == nil || !now.Before(s.reportAt) {
 		return true
@@ -78,8 +79,8 @@
 	return slices.ContainsFunc(s.attempts.sorted, (*attempt).awaitsReport)
 }
 
-// awaitsReport reports whether the next report is awaited for a: a service
-// without address, or a stop that the agent has begun.
+// awaitsReport reports whether a needs the next report: it is a service without
+// an address, or the agent has begun to stop it.
 func (a *attempt) awaitsReport() bool {
 	if a.over {
 		return false
@@ -87,7 +88,7 @@
 	return a.stopAcked || (a.running && a.address == "" && a.start.GetService())
 }
 
-// commands returns the commands that wait, for attempts in order.
+// commands returns the pending commands in the order of the attempts.
 func (s *Session) commands(now time.Time) []*workerv1.Command {
 	var list []*workerv1.Command
 	for _, a := range s.attempts.sorted {
@@ -98,8 +99,8 @@
 	return list
 }
 
-// commandFor returns the command that a waits for, or nil. There is one at
-// most, so that its result can be told by the attempt alone.
+// commandFor returns the pending command for a, or nil. A message has at most one
+// command per attempt, so that its result is identified by the attempt alone.
 func (s *Session) commandFor(now time.Time, a *attempt) *workerv1.Command {
 	switch {
 	case a.stopOpen():
@@ -126,16 +127,16 @@
 	a.sentKind = kind
 }
 
-// throttleResendDue reports whether the throttle is to be sent once more. A copy
-// of an earlier message that arrives late could undo it, unnoticed; after one
-// lease such a copy's grant is too old to be obeyed.
+// throttleResendDue reports whether the throttle must be sent once more. A late
+// copy of an earlier message could revert it unnoticed. After one lease the grant
+// of such a copy is too old to be accepted, so one repeat is enough.
 func (a *attempt) throttleResendDue(now time.Time) bool {
 	return a.wanted && a.running && !a.over && a.kind != Stop &&
 		!a.throttleConfirm.IsZero() && !now.Before(a.throttleConfirm)
 }
 
-// renewals names the attempts whose leases are to be prolonged. A start in
-// the same message has its own lease.
+// renewals returns the attempts to be renewed and extends their bounds. Attempts
+// whose start is in the same message are left out: the start has its own lease.
 func (s *Session) renewals() []*workerv1.TaskAttempt {
 	var list []*workerv1.TaskAttempt
 	for _, a := range s.attempts.sorted {
@@ -149,13 +150,15 @@
 	return list
 }
 
-// grantValid reports whether a lease by the current grant can have time left.
+// grantValid reports whether a lease that counts from the current grant may still
+// have time left.
 func (s *Session) grantValid(now time.Time) bool {
 	return s.grant != nil && now.Sub(s.grantAt) < s.opt.Lease
 }
 
-// grantFresh reports whether the current grant is good for a start: one with
-// little time left would end the task before its first renewal.
+// grantFresh reports whether the current grant can be used for a start. A grant
+// older than half a lease could let the task's lease expire before its first
+// renewal.
 func (s *Session) grantFresh(now time.Time) bool {
 	return s.grant != nil && now.Sub(s.grantAt) <= s.opt.Lease/2
 }
--- a/core/workersession/session.go
+++ b/core/workersession/session.go
@@ -8,22 +8,24 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Session is the owner's side of the protocol with one worker. It is driven
-// by one goroutine.
+// Session is the owner's side of the protocol with one worker. It is not safe
+// for concurrent use.
 type Session struct {
 	worker model.WorkerID
 	shard  model.ShardID
 	epoch  model.Epoch
 	opt    Options
 
-	// inheritedBound is by when everything that earlier owners started or
-	// renewed is over unless this owner renewed it, given settled.
+	// inheritedBound is the time after which every attempt that earlier owners
+	// started or renewed is over, unless this owner renewed it. It is valid only
+	// if predecessorsOver is set.
 	inheritedBound time.Time
-	// predecessorsOver is whether no earlier owner can be renewing here any more.
+	// predecessorsOver is whether no earlier owner can still be renewing
+	// attempts on the worker.
 	predecessorsOver bool
 
 	attempts attemptSet
-	desired  bool // a first Desired was given
+	desired  bool // the first Desired was given
 
 	granted Permission
 	fenced  bool
@@ -35,11 +37,11 @@
 	call        *call
 	calls       uint64
 	nextCall    time.Time // when the next renewal is due
-	retryAt     time.Time // commands wait until then
+	retryAt     time.Time // commands are held back until then
 	renewedAt   time.Time // when the latest renewal was sent
-	reportAt    time.Time // when the next whole report is due
-	usageAt     time.Time // when the next measurements are due
-	hashMatched bool      // the agent's latest answer found the same hash
+	reportAt    time.Time // when the next full report is due
+	usageAt     time.Time // when the next usage measurements are due
+	hashMatched bool      // the latest response confirmed the hash
 
 	reach reach
 
@@ -52,15 +54,16 @@
 	sentAt     time.Time
 	wantReport bool
 	wantUsage  bool
-	hashed     bool       // it carried a hash,
-	set        []*attempt // which stood for these,
-	byHash     bool       // and nothing else renewed
+	hashed     bool       // the request carried a hash
+	set        []*attempt // the attempts that the hash stands for
+	byHash     bool       // the request renewed by the hash alone
 }
 
-// New returns the session of the owner that acquired shard under epoch at
-// acquiredAt. clean says that no earlier owner can be renewing in a store
-// outage any more: the previous one released the shard itself, and knew that
-// its own predecessors were over, or had acquired it clean in its turn.
+// New returns the session with worker for the owner that acquired shard under
+// epoch at acquiredAt. clean states that no earlier owner can still be renewing
+// leases in a store outage: the previous owner released the shard voluntarily,
+// and either knew that its own predecessors were over or had itself acquired the
+// shard clean.
 func New(
 	worker model.WorkerID,
 	shard model.ShardID,
@@ -82,24 +85,24 @@
 	}
 }
 
-// Worker returns the worker's name.
+// Worker returns the worker's ID.
 func (s *Session) Worker() model.WorkerID { return s.worker }
 
 // Epoch returns the owner's epoch.
 func (s *Session) Epoch() model.Epoch { return s.epoch }
 
-// Unreachable reports whether the worker counts as unreachable.
+// Unreachable reports whether the worker is considered unreachable.
 func (s *Session) Unreachable() bool { return s.reach.unreachable }
 
 // Fenced reports whether a newer owner was seen.
 func (s *Session) Fenced() bool { return s.fenced }
 
-// AwaitsPredecessors reports whether an attempt cannot be found over by time
-// before MayAct says that the predecessors are over.
+// AwaitsPredecessors reports whether there are attempts whose leases cannot be
+// considered expired before an event with PredecessorsOver.
 func (s *Session) AwaitsPredecessors() bool { return !s.predecessorsOver && !s.Idle() }
 
-// Idle reports whether no attempt is wanted or may be running, so that the
-// session of a VM that is gone can be dropped.
+// Idle reports whether no attempt is desired or may be running. The session of
+// a VM that is gone can then be dropped.
 func (s *Session) Idle() bool {
 	return !slices.ContainsFunc(s.attempts.sorted, func(a *attempt) bool {
 		return a.wanted || !a.over
@@ -107,8 +110,8 @@
 }
 
 // Bound returns the time after which the attempt is certainly over on this
-// worker unless it is renewed again. The second result is false when the
-// session does not know the attempt, or an earlier owner may still renew it.
+// worker unless it is renewed again. The second result is false if the session
+// does not know the attempt or an earlier owner may still be renewing it.
 func (s *Session) Bound(key model.AttemptKey) (time.Time, bool) {
 	a := s.attempts.find(key.Task.String(), uint32(key.Attempt))
 	if a == nil || !s.predecessorsOver {
@@ -117,7 +120,7 @@
 	return a.bound, true
 }
 
-// Step takes one event and returns what is to be done, in order.
+// Step handles one event and returns the commands to execute, in order.
 func (s *Session) Step(now time.Time, ev Event) []Command {
 	s.out = nil
 	if s.fenced {
@@ -145,7 +148,7 @@
 
 func (s *Session) emit(c Command) { s.out = append(s.out, c) }
 
-// permission is what the session may send at now.
+// permission returns what the session may send at now.
 func (s *Session) permission(now time.Time) Permission {
 	if !s.granted.Until.IsZero() && !now.Before(s.granted.Until) {
 		return Permission{}
@@ -153,8 +156,8 @@
 	return s.granted
 }
 
-// onPermission notes a new permission. Silence while the session was not allowed
-// to ask is not the worker's silence.
+// onPermission records a new permission. Time during which the session was not
+// allowed to send does not count towards the worker being unreachable.
 func (s *Session) onPermission(now time.Time, ev Permission) {
 	before := s.permission(now)
 	s.granted = ev
--- a/core/workersession/workersession_capacity_test.go
+++ b/core/workersession/workersession_capacity_test.go
@@ -13,8 +13,8 @@
 	"github.com/guavarill/guavarill/standin/worker"
 )
 
-// BenchmarkCapacitySessionHeap is the memory of the sessions with workers, by
-// the tasks that run there. The agents' is not included.
+// BenchmarkCapacitySessionHeap measures the heap of the sessions with workers by the
+// number of tasks that run there. The agents' heap is excluded.
 func BenchmarkCapacitySessionHeap(b *testing.B) {
 	const sessions = 100
 	for _, tasks := range []int{0, benchTasks} {
@@ -37,10 +37,10 @@
 	}
 }
 
-// BenchmarkCapacitySecond is one second of the session with a worker on which
-// 15 tasks run and nothing changes: ten ticks and the renewals, encoded and
-// decoded. The agent's own work is not included. With names the agent does not
-// know the hash.
+// BenchmarkCapacitySecond measures one second of the session with a worker on which 15
+// tasks run and nothing changes: ten ticks and the renewals, encoded and decoded. The
+// agent's own work is excluded. In the variant by name the agent does not support the
+// hash.
 func BenchmarkCapacitySecond(b *testing.B) {
 	for _, mode := range renewModes {
 		b.Run(mode.name, func(b *testing.B) {
@@ -49,7 +49,8 @@
 	}
 }
 
-// BenchmarkCapacityReportEvery is the same by the time between whole reports.
+// BenchmarkCapacityReportEvery is BenchmarkCapacitySecond by the interval between full
+// reports.
 func BenchmarkCapacityReportEvery(b *testing.B) {
 	for _, every := range []time.Duration{10 * time.Second, 30 * time.Second, time.Minute, 2 * time.Minute, 10 * time.Minute} {
 		b.Run(every.String(), func(b *testing.B) {
@@ -101,9 +102,9 @@
 	b.ReportMetric(float64(messages)/seconds, "messages/worker-s")
 }
 
-// BenchmarkCapacityLife is the bytes that one task's life adds to the exchanges
-// with its worker: its start, one renewal, its stop, and being forgotten. Ends
-// that come of themselves are reported with a renewal and cost no more.
+// BenchmarkCapacityLife measures the bytes that the life of one task adds to the
+// messages with its worker: its start, one renewal, its stop, and its Forget command.
+// A task that ends by itself is reported with a renewal and costs no more.
 func BenchmarkCapacityLife(b *testing.B) {
 	const lives = 15
 	var perLife float64
--- a/core/workersession/world_test.go
+++ b/core/workersession/world_test.go
@@ -15,12 +15,12 @@
 	"github.com/guavarill/guavarill/standin/worker"
 )
 
-// epochTime is when virtual time begins.
+// epochTime is the start of the virtual time.
 var epochTime = time.Date(2026, 3, 7, 8, 0, 0, 0, time.UTC)
 
-// The scale of a world. Agents' clocks differ from true time by clockError, so
-// that a lease can end that much later than its owner reckons: margin covers
-// it and the length of a step.
+// The dimensions of a world. The rate of the agents' clocks differs from true time by
+// clockError, so a lease can end that much later than its owner computes. The margin
+// covers this and the length of a step.
 const (
 	worldStep    = 100 * time.Millisecond
 	worldLength  = 60 * time.Second
@@ -43,25 +43,25 @@
 	}
 }
 
-// faultKind is what goes wrong in a world.
+// faultKind is the kind of a fault in a world.
 type faultKind int
 
 const (
-	pauseOwner    faultKind = iota // its lease lapses and another takes over
-	outageOwner                    // it and two more hosts lose the store, which serves the others
-	outageAll                      // nobody reaches the store
-	flapHost                       // host Target loses the store for a part of the time
-	splitHosts                     // hosts with and without the store lose each other
-	restartAgent                   // the agent on Target loses its tasks
-	cutAgent                       // nothing reaches or leaves Target
-	cutSuccessors                  // no later owner reaches Target
+	pauseOwner    faultKind = iota // the owner is paused; its lease may lapse and another host takes over
+	outageOwner                    // the owner and two more hosts lose the store, which serves the others
+	outageAll                      // no host reaches the store
+	flapHost                       // host Target loses the store for an eighth of the time
+	splitHosts                     // hosts with and without the store do not reach each other
+	restartAgent                   // the agent on Target restarts and loses its tasks
+	cutAgent                       // Target is partitioned from all owners
+	cutSuccessors                  // Target is partitioned from all later owners
 	evictTask                      // the owner evicts task Target
-	releaseOwner                   // the owner releases the shard itself
+	releaseOwner                   // the owner releases the shard voluntarily
 	dropTask                       // as evictTask, without a checkpoint
 	faultKinds
 )
 
-// fault is one thing that goes wrong.
+// fault is one fault and when it happens, relative to the start of the world.
 type fault struct {
 	Kind   faultKind
 	Target int
@@ -69,7 +69,7 @@
 	For    time.Duration
 }
 
-// scaledClock runs at its own rate.
+// scaledClock is a clock that runs at rate times the speed of the virtual time.
 type scaledClock struct {
 	w    *world
 	rate float64
@@ -86,7 +86,7 @@
 	worker     int // -1: pending
 	running    bool
 	stopping   bool
-	discard    bool // stopping, and its progress is not wanted
+	discard    bool // stopping without a checkpoint
 	checkpoint string
 }
 
@@ -99,34 +99,34 @@
 	host             *host
 	epoch            model.Epoch
 	acquired         time.Time
-	predecessorsOver bool // its predecessors are over
+	predecessorsOver bool // the attempts of all its predecessors are over
 	sessions         []*workersession.Session
 	leaseEnd         time.Time
-	lost             bool       // the store told it that its lease is gone
-	inbox            []delivery // answers that wait until it runs
-	ledger           []taskRow  // its own view, which goes stale once it is replaced
+	lost             bool       // the store reported that its lease is gone
+	inbox            []delivery // responses that are handled when it runs
+	ledger           []taskRow  // its own view, which becomes stale once it is replaced
 }
 
-// delivery is a message on its way.
+// delivery is a message in transit.
 type delivery struct {
 	at      time.Time
 	worker  int
 	from    *owner
 	id      uint64
-	req     *workerv1.ApplyRequest  // towards the agent, or
-	resp    *workerv1.ApplyResponse // towards the owner, or
+	req     *workerv1.ApplyRequest  // to the agent, or nil
+	resp    *workerv1.ApplyResponse // to the owner, or nil
 	failure bool                    // a timeout at the owner
 }
 
-// world is a store, owners one after the other, a network that delays, loses
-// and copies, and agents with their own clocks.
+// world simulates a store, a succession of owners, a network that delays, loses and
+// duplicates messages, and agents with their own clocks.
 type world struct {
 	now     time.Time
 	rnd     *rand.Rand
 	opt     workersession.Options
 	agents  []*worker.Agent
 	cuts    []cut
-	heard   []model.Epoch // the highest epoch that each agent has heard
+	heard   []model.Epoch // the highest epoch that each agent has seen
 	ledger  []taskRow
 	current *owner
 	old     []*owner
@@ -134,27 +134,27 @@
 	faults  []fault
 	problem string
 	starts  int
-	// dropped are the attempts that an owner no longer renewed.
+	// dropped are the attempts that an owner stopped renewing.
 	dropped map[string]bool
 
 	hosts []*host
 	mail  []mail
-	// joinAt is when hosts that lost each other find each other again.
+	// joinAt is when separated hosts reach each other again.
 	joinAt time.Time
-	// storeDown is whether no host has the store.
+	// storeDown is whether no host reaches the store.
 	storeDown bool
-	// noise is for how long messages are lost, copied and delayed.
+	// noise is for how long messages are lost, duplicated and delayed.
 	noise  time.Duration
 	length time.Duration
 
-	// skipProof has owners take their predecessors to be over from the start.
+	// skipProof makes owners consider their predecessors over from the start.
 	skipProof bool
-	// eagerClean lets an owner call its release clean whatever it knows of its
-	// predecessors.
+	// eagerClean makes owners release the shard as clean regardless of whether their
+	// predecessors are over.
 	eagerClean bool
 }
 
-// cut keeps owners with an epoch above the given one from an agent.
+// cut is a partition of an agent from the owners with an epoch above the given one.
 type cut struct {
 	until time.Time
 	above model.Epoch
@@ -194,8 +194,8 @@
 	return w
 }
 
-// takeOver makes a new owner from what the store holds, if a host can acquire
-// the shard.
+// takeOver creates a new owner from the committed ledger if a host can acquire the
+// shard.
 func (w *world) takeOver(clean bool) {
 	h := w.nextHost()
 	if h == nil {
@@ -215,7 +215,7 @@
 	w.sendDesired(o)
 }
 
-// run plays the world to its end.
+// run simulates the world until its end or the first problem.
 func (w *world) run() {
 	for w.now.Sub(epochTime) < w.length && w.problem == "" {
 		w.now = w.now.Add(worldStep)
@@ -234,10 +234,10 @@
 	}
 }
 
-// noisy reports whether faults still happen.
+// noisy reports whether messages are still lost, duplicated and delayed.
 func (w *world) noisy() bool { return w.now.Sub(epochTime) < w.noise }
 
-// applyDueFaults lets the faults happen that are due.
+// applyDueFaults applies the faults that are due.
 func (w *world) applyDueFaults() {
 	for len(w.faults) > 0 && w.now.Sub(epochTime) >= w.faults[0].At {
 		w.apply(w.faults[0])
@@ -246,8 +246,8 @@
 	w.join()
 }
 
-// takeOverIfLapsed replaces an owner whose lease lapsed in the store. A store
-// that was down for all extends its leases when it is back.
+// takeOverIfLapsed replaces an owner whose lease lapsed in the store. A store that was
+// down for all hosts extends its leases when it returns.
 func (w *world) takeOverIfLapsed() {
 	down := !slices.ContainsFunc(w.hosts, func(h *host) bool { return !w.now.Before(h.cutOff) })
 	if w.storeDown && !down {
@@ -287,8 +287,8 @@
 	}
 }
 
-// release is the owner's own end. It is clean if no earlier owner can be
-// renewing any more.
+// release makes the owner release the shard voluntarily. The release is clean if no
+// earlier owner can still be renewing.
 func (w *world) release() {
 	o := w.current
 	if !w.hasStore(o.host) || !w.now.Before(o.leaseEnd) {
@@ -314,7 +314,7 @@
 	w.sendDesired(w.current)
 }
 
-// deliver carries out what the network has for now.
+// deliver delivers the messages that are due.
 func (w *world) deliver() {
 	slices.SortStableFunc(w.net, func(a, b delivery) int { return a.at.Compare(b.at) })
 	for len(w.net) > 0 && !w.net[0].at.After(w.now) {
@@ -334,15 +334,15 @@
 	}
 	resp := w.carryOut(d)
 	if w.noisy() && w.rnd.Float64() < 0.1 {
-		return // the answer is lost
+		return // the response is lost
 	}
 	w.net = append(w.net, delivery{
 		at: w.now.Add(w.delay()), worker: d.worker, from: d.from, id: d.id, resp: resp,
 	})
 }
 
-// carryOut carries out one request and checks that it changes nothing when the
-// agent has heard a newer owner.
+// carryOut executes one request and checks that it changes nothing if the agent has
+// seen a newer owner.
 func (w *world) carryOut(d delivery) *workerv1.ApplyResponse {
 	agent := w.agents[d.worker]
 	if d.from.epoch >= w.heard[d.worker] {
@@ -358,7 +358,7 @@
 	return resp
 }
 
-// delay is how long a message takes.
+// delay returns the random transit time of a message.
 func (w *world) delay() time.Duration {
 	if w.noisy() && w.rnd.Float64() < 0.15 {
 		return time.Duration(w.rnd.Int63n(int64(maxDelay)))
@@ -366,7 +366,7 @@
 	return time.Duration(w.rnd.Int63n(int64(100 * time.Millisecond)))
 }
 
-// drive lets one owner run, unless it is paused.
+// drive runs one owner for a step, unless it is paused.
 func (w *world) drive(o *owner) {
 	if w.paused(o.host) {
 		return
@@ -396,8 +396,8 @@
 	}
 }
 
-// permission is what an owner may do: everything under its lease, and renew
-// without one while a majority of the hosts confirm an outage.
+// permission returns the permission of an owner: everything while its lease is valid, and
+// renewals without one while a majority of the hosts confirms an outage.
 func (w *world) permission(o *owner) workersession.Permission {
 	may := workersession.Permission{PredecessorsOver: o.predecessorsOver || w.skipProof}
 	if o.lost {
@@ -435,7 +435,7 @@
 	}
 }
 
-// send puts a message on its way, perhaps twice, perhaps not at all.
+// send sends a message, which the network may lose or duplicate.
 func (w *world) send(o *owner, i int, c workersession.Send) {
 	copies := 1
 	if w.noisy() {
@@ -468,7 +468,7 @@
 	}
 }
 
-// ended commits the end of an attempt, if the store still takes o's commits.
+// ended commits the end of an attempt if o is still the owner.
 func (w *world) ended(o *owner, key model.AttemptKey, checkpoint string) {
 	row := &w.ledger[key.Task.Index]
 	if o != w.current || row.attemptKey() != key || row.worker < 0 {
@@ -484,7 +484,7 @@
 	w.sendDesired(o)
 }
 
-// schedule commits pending tasks to workers with room.
+// schedule commits pending tasks to workers with free capacity.
 func (w *world) schedule() {
 	o := w.current
 	if w.paused(o.host) || !w.now.Before(o.leaseEnd) {
@@ -517,7 +517,7 @@
 	return n
 }
 
-// sendDesired gives the committed ledger to the owner's sessions.
+// sendDesired gives the owner's sessions the desired state of the committed ledger.
 func (w *world) sendDesired(o *owner) {
 	o.ledger = slices.Clone(w.ledger)
 	for i := range o.sessions {
@@ -548,7 +548,7 @@
 	return list
 }
 
-// check looks for a task that runs in two places.
+// check records a problem if a task runs on both workers.
 func (w *world) check() {
 	first := w.agents[0].Running()
 	for _, other := range w.agents[1].Running() {
