--- a/core/ledger/compaction.go
+++ b/core/ledger/compaction.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// partShare is the share of a transaction that one part of a snapshot may
+	// partsPerTxn is the share of a transaction that one part of a snapshot may
 	// fill, leaving room for a delta.
-	partShare = 2
-	// worthwhile is the least share of a snapshot's size that the deltas after
+	partsPerTxn = 2
+	// minDeltaShare is the least share of a snapshot's size that the deltas after
 	// it must have for a new one, unless there are very many: rewriting a large
 	// snapshot after few changes would cost more than it saves.
-	worthwhile = 4
-	// manyDeltas is how many times MaxDeltas there may be whatever their size,
+	minDeltaShare = 4
+	// maxDeltasFactor is how many times MaxDeltas there may be whatever their size,
 	// so that replay stays bounded.
-	manyDeltas = 16
+	maxDeltasFactor = 16
 )
 
 // compaction writes a snapshot of the state at one sequence, a part with each
@@ -41,8 +41,8 @@
 // compactionDue reports whether the deltas are long enough for a snapshot.
 func (l *Ledger) compactionDue() bool {
 	long := l.deltas >= l.options.MaxDeltas || l.deltaBytes >= l.options.MaxDeltaBytes
-	worth := l.deltaBytes*worthwhile >= l.snapshotBytes
-	return long && worth || l.deltas >= manyDeltas*l.options.MaxDeltas
+	worth := l.deltaBytes*minDeltaShare >= l.snapshotBytes
+	return long && worth || l.deltas >= maxDeltasFactor*l.options.MaxDeltas
 }
 
 // startCompaction captures what is committed.
@@ -52,7 +52,7 @@
 	for _, q := range l.committed.Quarantines() {
 		s.Quarantines = append(s.Quarantines, encodeQuarantine(q))
 	}
-	size, limit := 0, l.txnLimit/partShare
+	size, limit := 0, l.txnLimit/partsPerTxn
 	l.committed.ordered.Ascend(func(t *Task) bool {
 		m := encodeTask(t)
 		record := proto.Size(m) + entryOverhead
--- a/core/ledger/inflight.go
+++ b/core/ledger/inflight.go
@@ -29,8 +29,8 @@
 	// id is that of the call whose answer is awaited.
 	id    uint64
 	state callState
-	// doubt is set once a send had an unknown outcome.
-	doubt bool
+	// outcomeUnknown is set once a send had an unknown outcome.
+	outcomeUnknown bool
 	// refused is set when the store answered that a condition did not hold.
 	refused bool
 	retry   retry
@@ -40,8 +40,8 @@
 	return &inFlight{batch: b, retry: l.newRetry()}
 }
 
-// maybeMade reports whether the commit may have been made.
-func (f *inFlight) maybeMade() bool { return f.doubt || f.state == awaitTxn }
+// mayBeCommitted reports whether the commit may have been made.
+func (f *inFlight) mayBeCommitted() bool { return f.outcomeUnknown || f.state == awaitTxn }
 
 func (l *Ledger) nextID() uint64 {
 	l.lastID++
@@ -94,20 +94,20 @@
 	f := l.inFlight
 	var failure *port.StoreError
 	if !errors.As(err, &failure) || failure.Outcome != port.OutcomeNotDone {
-		f.doubt = true
+		f.outcomeUnknown = true
 		return l.readBack()
 	}
 	if failure.Kind == port.StoreTooLarge {
-		return l.shrink(now)
+		return l.splitBatch(now)
 	}
 	f.state = resend
 	f.retry.schedule(now)
 	return nil
 }
 
-// shrink takes a batch apart that the store refuses for its size, though it is
+// splitBatch takes a batch apart that the store refuses for its size, though it is
 // within the documented limit: retrying it unchanged would never succeed.
-func (l *Ledger) shrink(now time.Time) []Command {
+func (l *Ledger) splitBatch(now time.Time) []Command {
 	f := l.inFlight
 	l.txnLimit = max(l.txnLimit/2, minTxnBytes)
 	l.compaction = nil
@@ -144,11 +144,11 @@
 		l.inFlight.retry.schedule(now)
 		return nil
 	}
-	return l.resolve(now, l.find(ev.KVs))
+	return l.resolve(now, l.parseReadBack(ev.KVs))
 }
 
-// found is what a read back says about the commit in flight.
-type found struct {
+// readBackState is what a read back says about the commit in flight.
+type readBackState struct {
 	epoch            int64
 	snapshotRevision int64
 	// delta is the value at the batch's own delta key, nil when absent.
@@ -158,8 +158,8 @@
 	revisions map[string]int64
 }
 
-func (l *Ledger) find(kvs []port.KeyValue) found {
-	f := found{revisions: make(map[string]int64)}
+func (l *Ledger) parseReadBack(kvs []port.KeyValue) readBackState {
+	f := readBackState{revisions: make(map[string]int64)}
 	deltaKey := l.prefix + deltaName + sequenceName(l.inFlight.batch.sequence)
 	for _, kv := range kvs {
 		switch kv.Key {
@@ -178,7 +178,7 @@
 }
 
 // resolve decides the fate of the commit in flight from what is stored.
-func (l *Ledger) resolve(now time.Time, f found) []Command {
+func (l *Ledger) resolve(now time.Time, f readBackState) []Command {
 	switch {
 	case f.epoch != int64(l.epoch):
 		return l.standDown(StandDownOwnerChanged, nil)
@@ -209,7 +209,7 @@
 // as expected: the conditions on inboxes are what is left. The entries to
 // blame are dropped and all others are checked anew, since they may build on
 // those.
-func (l *Ledger) conflict(now time.Time, f found) []Command {
+func (l *Ledger) conflict(now time.Time, f readBackState) []Command {
 	entries := l.inFlight.batch.entries
 	blamed, reason := staleReceives(entries, f.revisions), DropInboxChanged
 	if len(blamed) == 0 {
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -318,7 +318,7 @@
 	var commands []Command
 	if l.inFlight != nil {
 		reason := DropOwnershipLost
-		if l.inFlight.maybeMade() {
+		if l.inFlight.mayBeCommitted() {
 			reason = DropOutcomeUnknown
 		}
 		commands = dropped(l.inFlight.batch.changes(), reason)
--- a/core/ledger/rules.go
+++ b/core/ledger/rules.go
@@ -101,7 +101,7 @@
 	if !known {
 		current = &Task{Key: t.Key}
 	}
-	if reason := checkStep(current, &t); reason != "" {
+	if reason := checkTransition(current, &t); reason != "" {
 		return entry{}, reason
 	}
 	if known && t.Equal(current) {
@@ -111,8 +111,8 @@
 	return putEntry(c, &t)
 }
 
-// checkStep says why a record may not follow another.
-func checkStep(from, to *Task) DropReason {
+// checkTransition says why a record may not follow another.
+func checkTransition(from, to *Task) DropReason {
 	if to.State >= numStates || !allowed(from.State, to.State) {
 		return DropTransition
 	}
