--- a/core/ledger/batch.go
+++ b/core/ledger/batch.go
@@ -9,38 +9,40 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// The bounds of one transaction.
+// The limits of one transaction.
 const (
-	// maxTxnBytes bounds the values of a transaction together, with room for
-	// keys and framing below the store's limit.
+	// maxTxnBytes is the maximum total size of the values of a transaction. It
+	// leaves 64 KiB below the store's limit for keys and framing.
 	maxTxnBytes = port.MaxValueBytes - 64<<10
-	// minTxnBytes is how far the bound is lowered when the store refuses a
-	// transaction as too large.
+	// minTxnBytes is the lower limit to which the maximum size is reduced when the
+	// store refuses transactions as too large.
 	minTxnBytes = 2 * MaxRecordBytes
-	// maxInboxOps bounds the operations for handoffs in one transaction; stores
-	// commonly take no more than 128 operations.
+	// maxInboxOps is the maximum number of handoffs and receives in one
+	// transaction; stores commonly accept no more than 128 operations.
 	maxInboxOps = 100
-	// entryOverhead is the framing of one record in a delta.
+	// entryOverhead is the maximum size, in bytes, of the framing of one record in
+	// a delta.
 	entryOverhead = 8
 )
 
-// batch is one group commit. Once sent it is not altered.
+// batch is one group commit. It is not modified once it was sent.
 type batch struct {
 	entries  []entry
 	sequence uint64
-	// writerSequence tells this form of the commit from any other that this
+	// writerSequence distinguishes this commit from every other one that this
 	// writer sent.
 	writerSequence uint64
 	conditions     []port.Condition
 	ops            []port.Op
 	bytes          int
 	deltaBytes     int
-	// part is the snapshot part that the batch carries, nil for none.
+	// part is the snapshot part that the batch carries, or nil.
 	part *part
 }
 
-// gather returns how many entries at the head of the queue go in one commit of
-// at most limit bytes.
+// gather returns the number of entries at the head of the queue that fit into one
+// commit of at most limit bytes, but at least one. A commit contains at most
+// maxInboxOps handoffs and receives, and no two of them for the same task.
 func gather(queue []entry, limit int) int {
 	bytes, inboxOps := 0, 0
 	inboxTasks := make(map[model.TaskKey]bool)
@@ -62,8 +64,8 @@
 	return len(queue)
 }
 
-// encodeDelta returns the delta that has the effect of entries. Of several
-// changes to one task only the last is written.
+// encodeDelta returns the delta with the effect of entries. Of several changes to
+// one task or one quarantine, only the last is contained.
 func encodeDelta(entries []entry) *ledgerv1.Delta {
 	puts := make(map[model.TaskKey]*Task, len(entries))
 	quarantines := make(map[model.WorkerID]Quarantine)
@@ -109,8 +111,8 @@
 	b.ops = append(b.ops, port.Op{Key: from, RangeEnd: to, Delete: true})
 }
 
-// addHandoff puts the task in the receiver's inbox. The condition keeps it
-// from overwriting an item that was not received.
+// addHandoff puts the task into the receiver's inbox, on the condition that it
+// does not overwrite an item that was not received yet.
 func (b *batch) addHandoff(keyPrefix string, own model.ShardID, h *Handoff) {
 	key := InboxKey(keyPrefix, h.To, h.Task.Key)
 	b.require(key, port.CompareCreateRevision, 0)
@@ -120,7 +122,8 @@
 	}))
 }
 
-// addReceive deletes the inbox item, which must be the one that was read.
+// addReceive deletes the inbox item, on the condition that it is the one that was
+// read.
 func (b *batch) addReceive(item *InboxItem) {
 	b.require(item.Key, port.CompareModRevision, item.ModRevision)
 	b.ops = append(b.ops, port.Op{Key: item.Key, Delete: true})
--- a/core/ledger/bench_test.go
+++ b/core/ledger/bench_test.go
@@ -9,11 +9,11 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// The sizes of a shard of 16 workers and of 3,500 workers in one, with the
-// tasks that they run.
+// sizes are the numbers of workers and running tasks of a shard: one of 16 workers, and one
+// with all 3,500 workers.
 var sizes = []struct{ workers, tasks int }{{16, 300}, {3500, 47_000}}
 
-// loaded returns a session whose ledger holds tasks running on workers.
+// loaded returns a session whose ledger contains running tasks on workers.
 func loaded(tb testing.TB, workers, tasks int) *session {
 	s := newSession(tb, "entry-001/1", ledger.Options{})
 	s.own()
@@ -33,7 +33,7 @@
 	return s
 }
 
-// commit proposes changes as one group and lands the commit.
+// commit proposes changes as one group, executes the commit and returns its size.
 func (s *session) commit(changes []ledger.Change) (bytes int) {
 	now := s.now.Add(time.Second)
 	s.now = now
@@ -47,8 +47,8 @@
 	return bytes
 }
 
-// BenchmarkChange measures one committed change in a group of 50: evictions
-// and restarts of running tasks.
+// BenchmarkChange measures one committed change in a group of 50 evictions and restarts of
+// running tasks.
 func BenchmarkChange(b *testing.B) {
 	const group = 50
 	for _, size := range sizes {
--- a/core/ledger/change.go
+++ b/core/ledger/change.go
@@ -2,27 +2,27 @@
 
 import "github.com/guavarill/guavarill/core/model"
 
-// Change is one proposed change of the ledger. Exactly one field is set.
+// Change is one proposed change of the ledger. Exactly one field must be set.
 type Change struct {
-	// Put replaces a task's whole record, or creates it as pending.
+	// Put replaces the complete record of a task, or creates a pending task.
 	Put *Task
-	// Remove forgets a task that is over or was moved.
+	// Remove deletes the record of a task that has ended or was moved.
 	Remove     *model.TaskKey
 	Quarantine *Quarantine
 	Handoff    *Handoff
 	Receive    *InboxItem
 }
 
-// Handoff gives a pending task to another shard. The sender's moved record is
-// implied.
+// Handoff hands a pending task to the shard To. It also changes the task's record
+// in the sender to Moved.
 type Handoff struct {
-	// Task is the record as the receiver gets it.
+	// Task is the record that the receiver gets.
 	Task Task
 	To   model.ShardID
 }
 
-// InboxItem is a task that another shard handed to this one and that is not
-// yet in this ledger.
+// InboxItem is a task that the shard From handed to this one and that is not in
+// this ledger yet.
 type InboxItem struct {
 	// Key is the store key that holds the item.
 	Key         string
@@ -31,8 +31,8 @@
 	From        model.ShardID
 }
 
-// TaskKey returns the task that the change is about; false for a quarantine
-// and for a malformed change.
+// TaskKey returns the key of the task that the change applies to, or false for a
+// quarantine or an empty change.
 func (c *Change) TaskKey() (model.TaskKey, bool) {
 	switch {
 	case c.Put != nil:
@@ -47,40 +47,41 @@
 	return model.TaskKey{}, false
 }
 
-// DropReason is why a proposed change was not committed.
+// DropReason is the reason why a proposed change was dropped.
 type DropReason string
 
-// The reasons for dropping a change.
+// The reasons of Dropped.
 const (
 	// DropMalformed: not exactly one field is set, or a field is invalid.
 	DropMalformed DropReason = "malformed change"
-	// DropTransition: the task's state does not allow it.
+	// DropTransition: the task's state does not allow the change.
 	DropTransition DropReason = "transition not allowed"
-	// DropAttempt: the attempt is not the one that must follow.
+	// DropAttempt: the attempt number is not the required next one.
 	DropAttempt DropReason = "attempt out of order"
-	// DropWorker: the task would change its worker, or have none, while it
-	// holds room.
+	// DropWorker: the task would change its worker, or have none, while its size
+	// is committed on a worker, or a pending task would have one.
 	DropWorker DropReason = "worker changed within an attempt"
 	// DropUnknownTask: there is no record of the task.
 	DropUnknownTask DropReason = "unknown task"
-	// DropNoChange: the record already says so.
+	// DropNoChange: the record already equals the proposed one.
 	DropNoChange DropReason = "no change"
-	// DropDuplicateReceive: the task already lives in this shard.
+	// DropDuplicateReceive: the task is already in this shard.
 	DropDuplicateReceive DropReason = "task already received"
-	// DropInboxChanged: the inbox item was gone or another when it was to be
+	// DropInboxChanged: the inbox item was deleted or replaced before it was
 	// received.
 	DropInboxChanged DropReason = "inbox item changed"
-	// DropInboxTaken: the receiver still holds an undelivered item for the
-	// task.
+	// DropInboxTaken: the receiver's inbox still contains an item for the task
+	// that was not received.
 	DropInboxTaken DropReason = "receiver's inbox already holds the task"
-	// DropTooLarge: the record is over MaxRecordBytes.
+	// DropTooLarge: the encoded record is larger than MaxRecordBytes.
 	DropTooLarge DropReason = "record too large"
-	// DropNotActive: this daemon does not own the shard, or has not loaded it.
+	// DropNotActive: this daemon does not own the shard or has not loaded its
+	// ledger.
 	DropNotActive DropReason = "ledger not active"
-	// DropOwnershipLost: ownership ended before the change was sent; it was
-	// not made.
+	// DropOwnershipLost: ownership ended before the change was sent. It was not
+	// committed.
 	DropOwnershipLost DropReason = "ownership lost"
-	// DropOutcomeUnknown: ownership ended while the change was in flight; only
-	// the next owner knows whether it was made.
+	// DropOutcomeUnknown: ownership ended while the change was in flight. Only
+	// the next owner can find out whether it was committed.
 	DropOutcomeUnknown DropReason = "ownership lost, outcome unknown"
 )
--- a/core/ledger/codec.go
+++ b/core/ledger/codec.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// decodeTask returns false when the record has no key or no known state.
+// decodeTask returns false if the record has no key or an unknown state.
 func decodeTask(t *ledgerv1.Task) (*Task, bool) {
 	state := State(t.GetState())
 	if t.GetKey().GetWorkload() == "" || state == stateAbsent || state >= numStates {
@@ -130,8 +130,9 @@
 	return ids
 }
 
-// marshal encodes a message of this package's own making, which cannot fail:
-// its only failure is a string that is not UTF-8, replaced beforehand.
+// marshal encodes a message that this package built. The only possible error is a
+// string that is not valid UTF-8, which the checks in rules.go have rejected, so
+// marshal panics on an error.
 func marshal(m proto.Message) []byte {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
--- a/core/ledger/command.go
+++ b/core/ledger/command.go
@@ -2,73 +2,75 @@
 
 import "github.com/guavarill/guavarill/port"
 
-// Command is what Step asks for. Load, Commit, ReadBack and ListInbox are
-// calls of the store, each answered by exactly one event, with Err set when
-// the call failed, timed out or was not made.
+// Command is an output of Ledger.Step. Load, Commit, ReadBack and ListInbox are
+// calls to the store. The caller must report the result of each with exactly one
+// event, with Err set if the call failed, timed out or was not made.
 type Command interface{ command() }
 
-// Load asks for all keys under Prefix, answered by LoadAnswered.
+// Load requests all keys under Prefix. Its result is LoadAnswered.
 type Load struct{ Prefix string }
 
-// Commit asks for one transaction, answered by TxnAnswered. It must not be
-// carried out when the daemon is unsure of its lease; the answer is then a
-// StoreError with port.OutcomeNotDone.
+// Commit requests one transaction. Its result is TxnAnswered. The caller must not
+// execute it unless the daemon's lease is valid with its margin; the result is
+// then a StoreError with port.OutcomeNotDone.
 type Commit struct {
 	ID         uint64
 	Conditions []port.Condition
 	Ops        []port.Op
-	// Bytes is the sum of the values written.
+	// Bytes is the total size of the values written.
 	Bytes int
 }
 
-// ReadBack asks for all keys under Prefix, answered by ReadAnswered.
+// ReadBack requests all keys under Prefix, to determine the outcome of a commit.
+// Its result is ReadAnswered.
 type ReadBack struct {
 	ID     uint64
 	Prefix string
 }
 
-// ListInbox asks for all keys under Prefix, answered by InboxListed.
+// ListInbox requests all keys under Prefix. Its result is InboxListed.
 type ListInbox struct{ Prefix string }
 
-// Loaded says that the contents are known and proposals are taken.
+// Loaded reports that the contents are loaded and proposals are accepted.
 type Loaded struct {
 	Sequence uint64
-	// Tasks is how many tasks were loaded; Received how many inbox items were
-	// found and are proposed by the ledger itself.
+	// Tasks is the number of loaded tasks. Received is the number of inbox items
+	// found, which the ledger itself proposes to receive.
 	Tasks    int
 	Received int
 }
 
-// Committed says that the changes are made, and may be acted on.
+// Committed reports that the changes are committed and may be acted on.
 type Committed struct {
 	Sequence uint64
 	Changes  []Change
 }
 
-// Dropped says that the changes will not be made by this ledger.
+// Dropped reports that this ledger will not commit the changes.
 type Dropped struct {
 	Changes []Change
 	Reason  DropReason
 }
 
-// StandDown says that the ledger is idle because the daemon is not, or may
-// not be, the shard's owner; Err tells more when the stored ledger could not
-// be read, as a *CorruptError.
+// StandDown reports that the ledger became idle because the daemon is not, or may
+// not be, the shard's owner, or because the stored ledger is corrupt. In the last
+// case Err is a *CorruptError.
 type StandDown struct {
 	Reason StandDownReason
 	Err    error
 }
 
-// StandDownReason is why a ledger stood down.
+// StandDownReason is the reason why a ledger stood down.
 type StandDownReason string
 
-// The reasons for standing down.
+// The reasons of StandDown.
 const (
-	// StandDownOwnerChanged: the owner key is gone or another's.
+	// StandDownOwnerChanged: the owner key is absent or belongs to another owner.
 	StandDownOwnerChanged StandDownReason = "owner changed"
-	// StandDownForeignCommit: another writer committed at our sequence.
+	// StandDownForeignCommit: another writer committed at the sequence of this
+	// ledger's next commit.
 	StandDownForeignCommit StandDownReason = "foreign commit"
-	// StandDownCorrupt: the stored ledger is not continuous or not readable.
+	// StandDownCorrupt: the stored ledger has a gap or cannot be decoded.
 	StandDownCorrupt StandDownReason = "stored ledger corrupt"
 )
 
--- a/core/ledger/compaction.go
+++ b/core/ledger/compaction.go
@@ -7,45 +7,46 @@
 )
 
 const (
-	// partsPerTxn is the share of a transaction that one part of a snapshot may
-	// fill, leaving room for a delta.
+	// partsPerTxn is the divisor of the transaction limit that gives the maximum
+	// size of a snapshot part. The rest of the transaction is for the delta.
 	partsPerTxn = 2
-	// minDeltaShare is the least share of a snapshot's size that the deltas after
-	// it must have for a new one, unless there are very many: rewriting a large
-	// snapshot after few changes would cost more than it saves.
+	// minDeltaShare is the divisor of the snapshot's size that gives the minimum total
+	// size of the deltas for a compaction, unless there are very many deltas.
+	// Rewriting a large snapshot after few changes would cost more than it saves.
 	minDeltaShare = 4
-	// maxDeltasFactor is how many times MaxDeltas there may be whatever their size,
-	// so that replay stays bounded.
+	// maxDeltasFactor is the multiple of MaxDeltas at which a compaction is due
+	// regardless of the size of the deltas, so that the time for replay is bounded.
 	maxDeltasFactor = 16
 )
 
-// compaction writes a snapshot of the state at one sequence, a part with each
-// commit.
+// compaction is the state of writing a snapshot of the contents at one sequence,
+// one part with each commit.
 type compaction struct {
 	sequence uint64
 	parts    []*part
-	// deltas and deltaBytes count what was committed since, and so remains
-	// after the compaction.
+	// deltas and deltaBytes are the number and size of the deltas committed since
+	// the start of the compaction, which remain after it.
 	deltas     int
 	deltaBytes int
 }
 
-// part is one value of a snapshot. The last one is written to the snapshot key
-// and makes the snapshot valid.
+// part is one value of a snapshot. The last part is written to the snapshot key,
+// which makes the snapshot valid.
 type part struct {
 	number int
 	last   bool
 	value  []byte
 }
 
-// compactionDue reports whether the deltas are long enough for a snapshot.
+// compactionDue reports whether the deltas are numerous or large enough for a new
+// snapshot.
 func (l *Ledger) compactionDue() bool {
 	long := l.deltas >= l.options.MaxDeltas || l.deltaBytes >= l.options.MaxDeltaBytes
 	worth := l.deltaBytes*minDeltaShare >= l.snapshotBytes
 	return long && worth || l.deltas >= maxDeltasFactor*l.options.MaxDeltas
 }
 
-// startCompaction captures what is committed.
+// startCompaction encodes the committed contents into snapshot parts.
 func (l *Ledger) startCompaction() {
 	l.compaction = &compaction{sequence: l.committed.sequence}
 	s := &ledgerv1.Snapshot{Sequence: l.committed.sequence}
@@ -73,8 +74,8 @@
 	c.parts = append(c.parts, &part{number: len(c.parts), value: marshal(s)})
 }
 
-// addPart adds the part to the batch. Deltas and parts that the snapshot makes
-// obsolete are deleted with its last part, in one transaction: a reader sees
+// addPart adds the part to the batch. The transaction with the last part also
+// deletes the deltas and parts that the snapshot makes obsolete, so a reader sees
 // either the old snapshot with all its deltas or the new one.
 func (l *Ledger) addPart(b *batch, sequence uint64, p *part) {
 	b.part = p
@@ -87,8 +88,8 @@
 	b.deleteRange(l.prefix+partName, l.prefix+partName+sequenceName(sequence))
 }
 
-// partCommitted moves on to the next part. revision is the store's revision of
-// the commit that carried it.
+// partCommitted advances the compaction to the next part, or finishes it after
+// the last. revision is the store revision of the commit that carried the part.
 func (l *Ledger) partCommitted(p *part, revision int64) {
 	if !p.last {
 		l.compaction.parts = l.compaction.parts[1:]
--- a/core/ledger/contents.go
+++ b/core/ledger/contents.go
@@ -11,12 +11,12 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// treeDegree is the branching of the ordered indexes.
+// treeDegree is the degree of the B-trees of the ordered indexes.
 const treeDegree = 16
 
-// Contents is a ledger's tasks and quarantines. To its users it is a live read
-// view, valid until the next Step. Records are replaced, never changed in
-// place, so that two Contents may share them.
+// Contents is the tasks and quarantines of a ledger. Its users have a live read
+// view that is valid until the next Step. Records are replaced and never modified
+// in place, so two Contents can share them.
 type Contents struct {
 	sequence    uint64
 	records     map[model.TaskKey]*Task
@@ -26,8 +26,8 @@
 	quarantines map[model.WorkerID]Quarantine
 }
 
-// workerTasks are the tasks that hold room on one worker, in key order, and
-// the sum of their sizes.
+// workerTasks are the tasks whose size is committed on one worker, in key order,
+// and the sum of their sizes.
 type workerTasks struct {
 	tasks     []*Task
 	committed model.Resources
@@ -61,7 +61,7 @@
 	}
 }
 
-// Task returns the record of a task, and whether there is one.
+// Task returns the record of a task, or false if there is none.
 func (c *Contents) Task(key model.TaskKey) (Task, bool) {
 	t, ok := c.records[key]
 	if !ok {
@@ -77,7 +77,7 @@
 	}
 }
 
-// OnWorker returns the tasks that hold room on a worker, in key order.
+// OnWorker returns the tasks whose size is committed on a worker, in key order.
 func (c *Contents) OnWorker(id model.WorkerID) []Task {
 	w, ok := c.workers[id]
 	if !ok {
@@ -90,13 +90,12 @@
 	return tasks
 }
 
-// Workers returns the workers on which tasks hold room, in order.
+// Workers returns the workers on which tasks are committed, sorted by ID.
 func (c *Contents) Workers() []model.WorkerID {
 	return slices.Sorted(maps.Keys(c.workers))
 }
 
-// Committed returns the sum of the sizes of the tasks that hold room on a
-// worker.
+// Committed returns the total size of the tasks committed on a worker.
 func (c *Contents) Committed(id model.WorkerID) model.Resources {
 	w, ok := c.workers[id]
 	if !ok {
@@ -115,24 +114,24 @@
 	return tasks
 }
 
-// Quarantine returns a worker's quarantine, and whether there is one, also
-// when its time has passed.
+// Quarantine returns the quarantine of a worker, or false if there is none. An
+// expired quarantine is returned until it is lifted.
 func (c *Contents) Quarantine(id model.WorkerID) (Quarantine, bool) {
 	q, ok := c.quarantines[id]
 	return q, ok
 }
 
-// Quarantines returns all quarantines in worker order.
+// Quarantines returns all quarantines, sorted by worker.
 func (c *Contents) Quarantines() []Quarantine {
 	all := slices.Collect(maps.Values(c.quarantines))
 	slices.SortFunc(all, func(a, b Quarantine) int { return cmp.Compare(a.Worker, b.Worker) })
 	return all
 }
 
-// Sequence returns the number of the last commit in the contents.
+// Sequence returns the sequence number of the last commit in the contents.
 func (c *Contents) Sequence() uint64 { return c.sequence }
 
-// Len returns how many tasks have a record.
+// Len returns the number of task records.
 func (c *Contents) Len() int { return len(c.records) }
 
 func (c *Contents) put(t *Task) {
--- a/core/ledger/doc.go
+++ b/core/ledger/doc.go
@@ -1,49 +1,51 @@
-// Package ledger is the state machine of one shard's ledger: the single record
-// of which tasks live in the shard and what is committed on its workers. It
-// does no I/O; it is told of events and answers with commands.
+// Package ledger is the state machine of one shard's ledger: the authoritative
+// record of the tasks in the shard and of the resources committed on its
+// workers. It does no I/O: Step takes events and returns commands.
 //
 // # Stored form
 //
-// Under the shard's prefix lie the owner key, the ledger and the inbox. The
-// ledger is a snapshot and the deltas after it, each delta one commit that
-// names the tasks it changed, whole. A snapshot that does not fit one value is
-// cut into parts with the same sequence as the snapshot key's; parts of
-// another sequence are left from a compaction that was not finished. Deltas
-// not after the snapshot are ignored; a gap after it is a *CorruptError.
+// The store holds the owner key, the ledger and the inbox under the shard's
+// prefix. The ledger consists of a snapshot and the deltas after it. Each delta
+// is one commit and contains the complete records of the tasks that it changed.
+// A snapshot that does not fit into one value is split into parts that have the
+// same sequence as the value of the snapshot key. Parts of another sequence are
+// left over from an unfinished compaction. Deltas that are not after the
+// snapshot are ignored; a gap after the snapshot is a *CorruptError.
 //
 // # Commits
 //
 // Every commit is one transaction with at least three conditions:
 //
-//   - the owner key's create revision is this owner's epoch, so that nothing
-//     lands after ownership has passed on;
-//   - the delta key is absent, so that a commit lands once;
-//   - the snapshot is the one that was known, so that a copy of a commit which
-//     was delayed on its way cannot land after a compaction has deleted its
-//     delta key.
+//   - the create revision of the owner key is this owner's epoch, so that no
+//     commit is applied after a change of owner;
+//   - the delta key is absent, so that a commit is applied only once;
+//   - the snapshot is the known one, so that a delayed copy of a commit cannot be
+//     applied after a compaction has deleted its delta key.
 //
-// One commit is in flight at a time; proposals made meanwhile gather for the
-// next one. A commit whose answer was lost is looked up in the store and then
-// either taken as made or sent again unchanged: had it been altered, a delayed
-// copy of the first form could land in its place and would be mistaken for it.
-// Each delta carries the writer, its sequence and the epoch, by which a commit
-// is recognised.
+// One commit is in flight at a time; proposals made in the meantime are batched
+// into the next one. If the response to a commit is lost, the ledger reads the
+// shard back. It then either treats the commit as applied or sends it again
+// unchanged. A modified commit would be unsafe: a delayed copy of the first form
+// could be applied in its place and be mistaken for it. Each delta carries the
+// writer, the writer's own sequence and the epoch, which together identify the
+// commit.
 //
-// When a compaction is due, a commit carries one part of the snapshot besides
-// its delta; the last part replaces the snapshot key and deletes the deltas
-// that it contains.
+// When a compaction is due, each commit carries one part of the snapshot in
+// addition to its delta. The commit with the last part replaces the snapshot key
+// and deletes the deltas that the snapshot contains.
 //
 // # Two views
 //
-// Contents is what is committed, and alone may be acted on. Effective is
-// Contents with all accepted proposals made, and is what decisions are based
-// on. Each proposal is checked against Effective, see the transitions in
-// rules.go, and dropped with a typed reason when it does not follow.
+// Contents returns the committed state, which is the only state that may be
+// acted on. Effective returns the committed state with all accepted proposals
+// applied; decisions are based on it. Each proposal is checked against Effective
+// with the rules in rules.go, and is dropped with a typed reason if they do not
+// allow it.
 //
 // # Handoff
 //
-// A pending task goes to another shard by one transaction that marks it moved
-// here and puts it in the receiver's inbox, and by one of the receiver that
-// records it as pending and deletes the item. So at every revision of the
-// store the task is in exactly one place.
+// A pending task is handed to another shard with two transactions: one marks the
+// task as moved in this shard and puts it into the receiver's inbox; one by the
+// receiver records the task as pending and deletes the inbox item. The task is
+// therefore in exactly one place at every revision of the store.
 package ledger
--- a/core/ledger/errors.go
+++ b/core/ledger/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// CorruptReason is what is wrong with a stored ledger.
+// CorruptReason is the reason why a stored ledger is corrupt.
 type CorruptReason string
 
-// The reasons.
+// The reasons of CorruptError.
 const (
 	CorruptValue    CorruptReason = "value not readable"
 	CorruptKey      CorruptReason = "key not understood"
@@ -14,8 +14,8 @@
 	CorruptEpoch    CorruptReason = "epoch lower than the delta before"
 )
 
-// CorruptError says that a stored ledger cannot be the result of this
-// package's commits.
+// CorruptError is the error for a stored ledger that cannot be the result of this
+// package's commits. Key is the key at which this was found.
 type CorruptError struct {
 	Key    string
 	Reason CorruptReason
--- a/core/ledger/event.go
+++ b/core/ledger/event.go
@@ -5,55 +5,57 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Event is what Step is told.
+// Event is an input of Ledger.Step.
 type Event interface{ event() }
 
-// Acquired says that this daemon became the shard's owner.
+// Acquired reports that this daemon became the shard's owner.
 type Acquired struct{ Epoch model.Epoch }
 
-// LoadAnswered answers Load. Err is a *port.StoreError.
+// LoadAnswered is the result of Load. Revision is the store revision at which the
+// keys were read. Err is a *port.StoreError.
 type LoadAnswered struct {
 	KVs      []port.KeyValue
 	Revision int64
 	Err      error
 }
 
-// Propose asks for changes, which are checked one by one in order against the
+// Propose proposes changes. They are checked one by one, in order, against the
 // effective contents.
 type Propose struct {
 	Changes []Change
-	// Urgent commits without waiting for the flush interval.
+	// Urgent requests a commit without waiting for the flush interval.
 	Urgent bool
 }
 
-// TxnAnswered answers the Commit with that ID. Err is a *port.StoreError; its
-// Outcome says whether the commit may have been made.
+// TxnAnswered is the result of the Commit with the same ID. Err is a
+// *port.StoreError; its Outcome states whether the commit may have been applied.
 type TxnAnswered struct {
 	ID     uint64
 	Result port.TxnResult
 	Err    error
 }
 
-// ReadAnswered answers the ReadBack with that ID.
+// ReadAnswered is the result of the ReadBack with the same ID.
 type ReadAnswered struct {
 	ID  uint64
 	KVs []port.KeyValue
 	Err error
 }
 
-// InboxNotice says that another shard may have put items in the inbox.
+// InboxNotice reports that another shard may have put items into the inbox.
 type InboxNotice struct{}
 
-// InboxListed answers ListInbox.
+// InboxListed is the result of ListInbox.
 type InboxListed struct {
 	KVs []port.KeyValue
 	Err error
 }
 
-// OwnershipLost says that this daemon does not own the shard any more.
+// OwnershipLost reports that this daemon does not own the shard any more.
 type OwnershipLost struct{}
 
-// Tick lets time pass: due commits and retries are made.
+// Tick reports the passage of time. Commits, retries and inbox listings that are
+// due are made.
 type Tick struct{}
 
 func (Acquired) event()      {}
--- a/core/ledger/fakestore_test.go
+++ b/core/ledger/fakestore_test.go
@@ -9,8 +9,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// fakeStore is a key-value service with transactions and leases, in memory.
-// The observer is called after every revision.
+// fakeStore is an in-memory key-value store with transactions and leases. It calls
+// observer after every revision.
 type fakeStore struct {
 	revision int64
 	keys     map[string]port.KeyValue
@@ -88,8 +88,7 @@
 	return true
 }
 
-// expire ends the leases whose time is over, and revoke ends one: their keys
-// go in one revision.
+// expire revokes the leases that have expired.
 func (s *fakeStore) expire(now time.Time) {
 	for _, id := range slices.Sorted(maps.Keys(s.leases)) {
 		if !now.Before(s.leases[id]) {
--- a/core/ledger/inbox.go
+++ b/core/ledger/inbox.go
@@ -6,11 +6,12 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// inbox is when to list the inbox.
+// inbox is the state of listing the inbox. next is the time of the next listing
+// without a notice.
 type inbox struct {
 	next time.Time
-	// listing is set while a list is under way, again when a notice came
-	// meanwhile: the list may have been made before the noticed item.
+	// listing is set while a ListInbox is in flight. again is set if a notice
+	// arrived in the meantime: the result may not contain the announced item.
 	listing bool
 	again   bool
 }
@@ -26,8 +27,9 @@
 	return l.listInbox()
 }
 
-// pollInbox lists the inbox without a notice, since notices can be lost and a
-// task whose notice was lost would otherwise wait for the next owner.
+// pollInbox lists the inbox every InboxInterval. Notices can be lost, and a task
+// whose notice was lost would otherwise wait until the next owner loads the
+// shard.
 func (l *Ledger) pollInbox(now time.Time) []Command {
 	if l.inbox.listing || now.Before(l.inbox.next) {
 		return nil
@@ -57,7 +59,8 @@
 	return append(commands, l.flush(now)...)
 }
 
-// newItems returns the listed items that are not already being received.
+// newItems returns the listed items that are not already being received, and the
+// keys of those that cannot be decoded.
 func (l *Ledger) newItems(kvs []port.KeyValue) (items []InboxItem, unreadable []string) {
 	waiting := make(map[string]int64)
 	if l.inFlight != nil {
--- a/core/ledger/inflight.go
+++ b/core/ledger/inflight.go
@@ -10,28 +10,28 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// callState is what a commit in flight waits for.
+// callState is the state of the call for a commit in flight.
 type callState uint8
 
 const (
-	// awaitTxn: the transaction was sent.
+	// awaitTxn: the transaction was sent and not answered yet.
 	awaitTxn callState = iota
-	// awaitRead: the shard is being read back.
+	// awaitRead: the shard is being read back to determine the outcome.
 	awaitRead
-	// resend and reread: waiting for the retry's time.
+	// resend and reread: the call is retried after a delay.
 	resend
 	reread
 )
 
-// inFlight is the one commit that is not yet known to be made.
+// inFlight is the commit that was sent and whose outcome is not known yet.
 type inFlight struct {
 	batch *batch
-	// id is that of the call whose answer is awaited.
+	// id is the ID of the call in flight.
 	id    uint64
 	state callState
-	// outcomeUnknown is set once a send had an unknown outcome.
+	// outcomeUnknown is set once the transaction had an unknown outcome.
 	outcomeUnknown bool
-	// refused is set when the store answered that a condition did not hold.
+	// refused is set if the store answered that a condition did not hold.
 	refused bool
 	retry   retry
 }
@@ -40,7 +40,7 @@
 	return &inFlight{batch: b, retry: l.newRetry()}
 }
 
-// mayBeCommitted reports whether the commit may have been made.
+// mayBeCommitted reports whether the commit may have been applied.
 func (f *inFlight) mayBeCommitted() bool { return f.outcomeUnknown || f.state == awaitTxn }
 
 func (l *Ledger) nextID() uint64 {
@@ -48,7 +48,7 @@
 	return l.lastID
 }
 
-// send sends the batch, unchanged when it was sent before.
+// send sends the batch. A batch that was sent before is sent unchanged.
 func (l *Ledger) send() []Command {
 	f := l.inFlight
 	f.id = l.nextID()
@@ -69,7 +69,7 @@
 	return []Command{ReadBack{ID: f.id, Prefix: l.prefix}}
 }
 
-// awaits reports whether the answer with this id is the one waited for.
+// awaits reports whether the call with this ID is in flight in the given state.
 func (l *Ledger) awaits(id uint64, state callState) bool {
 	return l.inFlight != nil && l.inFlight.id == id && l.inFlight.state == state
 }
@@ -84,8 +84,9 @@
 	if ev.Result.Succeeded {
 		return l.batchCommitted(now, ev.Result.Revision)
 	}
-	// The conditions tell apart neither a lost answer's commit from a new
-	// owner nor either from a changed inbox item; what is stored does.
+	// A failed condition can mean that an earlier copy of this commit was
+	// applied, that there is a new owner, or that an inbox item changed. Reading
+	// the shard back distinguishes these cases.
 	l.inFlight.refused = true
 	return l.readBack()
 }
@@ -105,8 +106,9 @@
 	return nil
 }
 
-// splitBatch takes a batch apart that the store refuses for its size, though it is
-// within the documented limit: retrying it unchanged would never succeed.
+// splitBatch halves the size limit and returns the batch to the queue after the
+// store refused it as too large, although it is within the documented limit.
+// Retrying it unchanged would never succeed. A compaction in progress is abandoned.
 func (l *Ledger) splitBatch(now time.Time) []Command {
 	f := l.inFlight
 	l.txnLimit = max(l.txnLimit/2, minTxnBytes)
@@ -117,7 +119,8 @@
 	return nil
 }
 
-// requeue puts entries back at the head of the queue.
+// requeue returns entries to the head of the queue; no commit is in flight after
+// that.
 func (l *Ledger) requeue(entries []entry) {
 	l.queue = append(entries[:len(entries):len(entries)], l.queue...)
 	l.inFlight = nil
@@ -147,11 +150,11 @@
 	return l.resolve(now, l.parseReadBack(ev.KVs))
 }
 
-// readBackState is what a read back says about the commit in flight.
+// readBackState is what a read-back returned about the commit in flight.
 type readBackState struct {
 	epoch            int64
 	snapshotRevision int64
-	// delta is the value at the batch's own delta key, nil when absent.
+	// delta is the value of the batch's delta key, nil if the key is absent.
 	delta         []byte
 	deltaRevision int64
 	// revisions are the mod revisions of all other keys.
@@ -177,7 +180,7 @@
 	return f
 }
 
-// resolve decides the fate of the commit in flight from what is stored.
+// resolve determines the outcome of the commit in flight from the stored state.
 func (l *Ledger) resolve(now time.Time, f readBackState) []Command {
 	switch {
 	case f.epoch != int64(l.epoch):
@@ -194,7 +197,7 @@
 	return nil
 }
 
-// isOurs reports whether a delta is the batch in flight.
+// isOurs reports whether a delta is that of the batch in flight.
 func (l *Ledger) isOurs(value []byte) bool {
 	d := &ledgerv1.Delta{}
 	if err := proto.Unmarshal(value, d); err != nil {
@@ -205,10 +208,11 @@
 		d.GetEpoch() == int64(l.epoch)
 }
 
-// conflict handles a commit that the store refused though ledger and owner are
-// as expected: the conditions on inboxes are what is left. The entries to
-// blame are dropped and all others are checked anew, since they may build on
-// those.
+// conflict handles a commit that the store refused although the ledger and the
+// owner are as expected, which leaves the conditions on inbox items. The entries
+// whose conditions failed are dropped: receives of changed items or, if there are
+// none, all handoffs. All other entries are checked again, because they may depend
+// on the dropped ones.
 func (l *Ledger) conflict(now time.Time, f readBackState) []Command {
 	entries := l.inFlight.batch.entries
 	blamed, reason := staleReceives(entries, f.revisions), DropInboxChanged
@@ -256,7 +260,8 @@
 	return found
 }
 
-// rebase rebuilds the effective contents from what is committed and the queue.
+// rebase rebuilds the effective contents from the committed contents and the
+// queue, whose entries are checked again.
 func (l *Ledger) rebase() []Command {
 	queue := l.queue
 	l.queue = nil
--- a/core/ledger/interleaving_test.go
+++ b/core/ledger/interleaving_test.go
@@ -25,7 +25,7 @@
 	worldTasks  = 5
 	leaseTTL    = 10 * time.Second
 	step        = 250 * time.Millisecond
-	// maxCallsAtOnce bounds the calls made in a row while no time passes.
+	// maxCallsAtOnce is the maximum number of successive calls while no time passes.
 	maxCallsAtOnce = 1000
 )
 
@@ -38,29 +38,29 @@
 	inbox   []answer
 }
 
-// answer is an answer on its way to a daemon. Only one that names the call it
-// answers may come twice.
+// answer is a response in transit to a daemon. Only a response that identifies its
+// call may be delivered twice.
 type answer struct {
 	deliver    func(*daemon)
 	repeatable bool
 }
 
-// request is a call on its way to the store.
+// request is a call in transit to the store.
 type request struct {
 	from    *daemon
 	command any
 	sentAt  time.Time
 }
 
-// world is two daemons, one store, and what an observer of every revision
-// knows.
+// world simulates two daemons and one store. It also records what an observer of every
+// revision of the store has seen.
 type world struct {
 	t       *testing.T
 	now     time.Time
 	store   *fakeStore
 	daemons []*daemon
 	calls   []*request
-	late    []*request // answered as timed out, and may still land
+	late    []*request // timed out at the daemon; may still reach the store
 	failure string
 
 	history  []map[uint64]string // per shard: replayed contents by sequence
@@ -117,7 +117,7 @@
 	}
 }
 
-// owner and ledger step one state machine and carry its commands out.
+// owner gives an event to the daemon's ownership machine and executes its commands.
 func (w *world) owner(d *daemon, ev ownership.Event) {
 	for _, c := range d.owner.Step(w.now, ev) {
 		switch c := c.(type) {
@@ -163,7 +163,7 @@
 	}
 }
 
-// noteDropped remembers changes that the ledger said were not made.
+// noteDropped records changes that the ledger reported as not committed.
 func (w *world) noteDropped(c ledger.Dropped) {
 	if c.Reason != ledger.DropOwnershipLost {
 		return
@@ -179,7 +179,8 @@
 	w.calls = append(w.calls, &request{from: d, command: command, sentAt: w.now})
 }
 
-// land carries out the call in the store and returns its answer.
+// land executes the call in the store. It returns a function that delivers the
+// response, or nil if there is none.
 func (w *world) land(r *request) func(*daemon) {
 	switch c := r.command.(type) {
 	case ownership.GrantLease:
@@ -231,7 +232,8 @@
 	return func(d *daemon) { w.owner(d, ev) }
 }
 
-// timeout is the answer to a call whose outcome the caller does not learn.
+// timeout returns a function that delivers the error of a call with an unknown
+// outcome.
 func (w *world) timeout(r *request) func(*daemon) {
 	err := &port.StoreError{Kind: port.StoreTimeout, Outcome: port.OutcomeUnknown}
 	switch c := r.command.(type) {
@@ -262,7 +264,7 @@
 	return nil
 }
 
-// act makes one random step of the world.
+// act performs one random action, selected by op.
 func (w *world) act(op uint64) {
 	kind, choice := op%64, int(op>>8&0xffff)
 	switch {
@@ -288,7 +290,8 @@
 	}
 }
 
-// changeMembers lets a daemon believe that both daemons, or one, are alive.
+// changeMembers changes a daemon's view of the members: both daemons are alive, or only
+// itself.
 func (w *world) changeMembers(choice int) {
 	d := w.daemons[choice%len(w.daemons)]
 	if d.paused {
@@ -298,7 +301,7 @@
 	w.owner(d, ownership.Members{Candidates: views[choice/2%len(views)]})
 }
 
-// landLate lets a call land that was given up before.
+// landLate executes a call in the store that has already timed out.
 func (w *world) landLate(choice int) {
 	if len(w.late) == 0 {
 		return
@@ -309,7 +312,8 @@
 	w.land(r)
 }
 
-// deliverCall lets any call land, and loses its answer when lose is set.
+// deliverCall executes one of the calls in transit, and loses its response if lose is
+// set.
 func (w *world) deliverCall(choice int, lose bool) {
 	if len(w.calls) == 0 {
 		return
@@ -338,7 +342,7 @@
 	return false
 }
 
-// abandonCall answers a call as timed out while it is still on its way.
+// abandonCall lets a call time out while it is still in transit.
 func (w *world) abandonCall(choice int) {
 	if len(w.calls) == 0 {
 		return
@@ -352,8 +356,8 @@
 	}
 }
 
-// deliverAnswer hands an answer over, and keeps it for another time when
-// duplicate is set.
+// deliverAnswer delivers a response to a daemon. If duplicate is set and the response is
+// repeatable, it is kept and may be delivered again.
 func (w *world) deliverAnswer(choice int, duplicate bool) {
 	d := w.daemons[choice%len(w.daemons)]
 	if d.paused || len(d.inbox) == 0 {
@@ -381,7 +385,7 @@
 	}
 }
 
-// proposeRandom proposes a change, sensible or not, to a random ledger.
+// proposeRandom proposes a change, which may be invalid, to a random ledger.
 func (w *world) proposeRandom(op uint64) {
 	d := w.daemons[op%2]
 	shard := model.ShardID(op >> 1 % worldShards)
@@ -395,8 +399,8 @@
 	}
 }
 
-// pickTask returns a task of the ledger or, while it has few, a new one. Each
-// task is created in one shard, as acceptance deals them.
+// pickTask returns a task of the ledger or, while the ledger has few tasks, possibly a new
+// one. Each task is created in only one shard, as in the acceptance of a configuration.
 func (w *world) pickTask(view *ledger.Contents, shard model.ShardID, op uint64) model.TaskKey {
 	var keys []model.TaskKey
 	for t := range view.Tasks() {
@@ -453,7 +457,7 @@
 	return ledger.Change{Put: &t}, true
 }
 
-// randomState is mostly one that may follow.
+// randomState returns a state that is mostly allowed after from.
 func (w *world) randomState(from ledger.State, op uint64) ledger.State {
 	next := map[ledger.State][]ledger.State{
 		ledger.Pending:  {ledger.Assigned},
@@ -467,7 +471,7 @@
 	return next[int(op>>3)%len(next)]
 }
 
-// observe checks what an observer sees after each revision.
+// observe checks the stored state after a revision of the store.
 func (w *world) observe(ops []port.Op) {
 	places := make(map[model.TaskKey]int)
 	seen := make(map[model.TaskKey]bool)
@@ -498,8 +502,8 @@
 	})
 }
 
-// observeShard counts the places where a task that is not over lives, and
-// notes the tasks that are over.
+// observeShard counts, per task that has not ended, the places where it is recorded, and
+// adds the tasks that have ended to over.
 func (w *world) observeShard(shard model.ShardID, changed bool, places map[model.TaskKey]int, over map[model.TaskKey]bool) {
 	kvs := w.store.list(ledger.ShardPrefix(prefix, shard))
 	stored, err := ledger.Read(prefix, shard, kvs)
@@ -548,9 +552,9 @@
 	w.placed[t.AttemptKey()] = t.Worker
 }
 
-// observeOps checks that a delta was written under the owner's own epoch, and
-// that nothing is written that was said not to be. Tasks removed by a delta
-// ended in that same delta, or before.
+// observeOps checks that deltas were written under the epoch of the current owner, and that
+// no change is written that was reported as not committed. Tasks that a delta removes ended
+// in the same delta or before.
 func (w *world) observeOps(ops []port.Op, over map[model.TaskKey]bool) {
 	for _, op := range ops {
 		if op.Delete || !strings.Contains(op.Key, "/ledger/delta/") {
@@ -570,7 +574,7 @@
 		}
 		for _, t := range d.GetTasks() {
 			if w.unmade[t.GetReason()] {
-				w.fail("%q was dropped as not made, and then made", t.GetReason())
+				w.fail("%q was dropped as not committed, and then committed", t.GetReason())
 			}
 		}
 	}
@@ -592,8 +596,8 @@
 	}
 }
 
-// checkContents checks that what an owner believes committed is what the store
-// held at that sequence.
+// checkContents checks that the committed contents of an owner equal the stored contents at
+// the same sequence.
 func (w *world) checkContents(d *daemon, shard model.ShardID) {
 	l := d.ledgers[shard]
 	if l.Phase() != ledger.Active && l.Phase() != ledger.Resolving {
@@ -620,8 +624,8 @@
 	return b.String()
 }
 
-// heal lets every call land and every answer arrive for a while, after which
-// every shard must have one active owner, able to commit, and empty inboxes.
+// heal runs the world without faults for a while. After that every shard must have one
+// active owner that has committed all its changes, and an empty inbox.
 func (w *world) heal() {
 	for _, d := range w.daemons {
 		d.paused = false
@@ -633,13 +637,13 @@
 	}
 }
 
-// run lets time pass without faults.
+// run advances the time by d without faults.
 func (w *world) run(d time.Duration) {
 	for range d / step {
 		w.advance(step)
 		for n := 0; len(w.calls) > 0; n++ {
 			if n > maxCallsAtOnce {
-				w.fail("calls without end, now %+v", w.calls[0].command)
+				w.fail("more than %d calls without a pause, the next is %+v", maxCallsAtOnce, w.calls[0].command)
 				return
 			}
 			w.deliverCall(0, false)
@@ -663,7 +667,7 @@
 		}
 		active++
 		if dump(l.Effective()) != dump(l.Contents()) {
-			w.fail("shard %d: changes still not committed", shard)
+			w.fail("shard %d: uncommitted changes after the faults", shard)
 		}
 	}
 	if active != 1 {
@@ -674,12 +678,12 @@
 	}
 }
 
-// Symptom: a task runs twice or is lost, or an owner decides on contents that
-// the store does not hold. Sequence: two daemons share two shards while store
-// answers are lost, arrive late or twice, requests land after they were given
-// up, daemons pause past their leases, and shards and tasks change hands.
-// Cause it guards against: a commit taken for made or not made without
-// knowing, or landing when its owner or its place has passed.
+// TestInterleavings guards against tasks that run twice or are lost, and against owners that
+// decide on contents that differ from the store. Two daemons share two shards. Responses of
+// the store are lost, late or duplicated, requests reach the store after they timed out,
+// daemons pause past their leases, and shards and tasks change owners. The fault would be to
+// assume the outcome of a commit without knowing it, or a commit that is applied after a
+// change of owner or after its sequence was used.
 func TestInterleavings(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20)
 	parameters.MinSuccessfulTests = 400
--- a/core/ledger/keys.go
+++ b/core/ledger/keys.go
@@ -30,8 +30,8 @@
 	return ShardPrefix(keyPrefix, shard) + ownerName
 }
 
-// ReleasedKey returns the key that an owner leaves when it gives a shard up of
-// itself, and that the next owner deletes.
+// ReleasedKey returns the key that an owner writes when it releases a shard
+// voluntarily, and that the next owner deletes.
 func ReleasedKey(keyPrefix string, shard model.ShardID) string {
 	return ShardPrefix(keyPrefix, shard) + releasedName
 }
--- a/core/ledger/ledger.go
+++ b/core/ledger/ledger.go
@@ -7,11 +7,12 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Phase is what a ledger is doing.
+// Phase is the phase of a ledger.
 type Phase uint8
 
-// The phases. Idle ledgers are not owned here; a resolving one waits to learn
-// the outcome of a commit.
+// The phases of a ledger. An idle ledger is not owned by this daemon. A loading
+// one reads the stored ledger. A resolving one determines the outcome of a
+// commit; like an active one, it accepts proposals.
 const (
 	Idle Phase = iota
 	Loading
@@ -29,8 +30,8 @@
 	return phaseNames[p]
 }
 
-// Ledger is the state machine of one shard's ledger. It is driven by one
-// goroutine.
+// Ledger is the state machine of one shard's ledger. It is not safe for
+// concurrent use.
 type Ledger struct {
 	shard   model.ShardID
 	writer  string
@@ -42,13 +43,14 @@
 	committed *Contents
 	effective *Contents
 
-	// queue are the accepted entries that are not in flight.
+	// queue contains the accepted entries that are not in flight.
 	queue []entry
-	// urgent is set while the queue must not wait for the flush interval.
+	// urgent is set if the queue must be flushed without waiting for the flush
+	// interval.
 	urgent   bool
 	inFlight *inFlight
-	// lastID is the last used for a call. It is never reset, so that an answer
-	// that arrives after a change of owner cannot be taken for another's.
+	// lastID is the ID of the latest call. It is never reset, so that a response
+	// that arrives after a change of owner is not matched with a later call.
 	lastID         uint64
 	writerSequence uint64
 	nextFlush      time.Time
@@ -58,7 +60,8 @@
 	deltas           int
 	deltaBytes       int
 	compaction       *compaction
-	// writtenBytes are those of the current compaction's written parts.
+	// writtenBytes is the size of the parts that the current compaction has
+	// written.
 	writtenBytes int
 	txnLimit     int
 
@@ -66,8 +69,8 @@
 	inbox     inbox
 }
 
-// New returns an idle ledger. writer names this process towards other owners
-// and must differ between boots.
+// New returns an idle ledger. writer identifies this process in its commits. It
+// must be different after each restart of the process.
 func New(shard model.ShardID, writer string, o Options) *Ledger {
 	l := &Ledger{
 		shard:    shard,
@@ -80,17 +83,17 @@
 	return l
 }
 
-// Contents returns a view of what is committed.
+// Contents returns a view of the committed state.
 func (l *Ledger) Contents() *Contents { return l.committed }
 
-// Effective returns a view of what is committed once all accepted proposals
-// are.
+// Effective returns a view of the committed state with all accepted proposals
+// applied.
 func (l *Ledger) Effective() *Contents { return l.effective }
 
-// Phase returns what the ledger is doing.
+// Phase returns the current phase.
 func (l *Ledger) Phase() Phase { return l.phase }
 
-// Step takes one event and returns what is to be done, in order.
+// Step handles one event and returns the commands to execute, in order.
 func (l *Ledger) Step(now time.Time, ev Event) []Command {
 	switch ev := ev.(type) {
 	case Acquired:
@@ -115,7 +118,7 @@
 	return nil
 }
 
-// reset returns to an idle ledger without contents.
+// reset makes the ledger idle and empty.
 func (l *Ledger) reset() {
 	l.phase = Idle
 	l.epoch = 0
@@ -192,7 +195,7 @@
 	return append(commands, l.flush(now)...)
 }
 
-// accept queues the changes that may follow on the effective contents and
+// accept queues the changes that the rules allow on the effective contents and
 // drops the others.
 func (l *Ledger) accept(changes []Change) []Command {
 	var commands []Command
@@ -208,8 +211,8 @@
 	return commands
 }
 
-// flush sends the next commit unless one is in flight or the flush interval
-// has to pass first.
+// flush sends the next commit unless the queue is empty, a commit is in flight or
+// the flush interval has not passed.
 func (l *Ledger) flush(now time.Time) []Command {
 	if l.phase != Active || l.inFlight != nil || len(l.queue) == 0 {
 		return nil
@@ -223,7 +226,8 @@
 	return l.send()
 }
 
-// nextBatch makes a commit of the head of the queue.
+// nextBatch removes entries from the head of the queue and returns a commit of
+// them.
 func (l *Ledger) nextBatch() *batch {
 	if l.compaction == nil && l.compactionDue() {
 		l.startCompaction()
@@ -274,8 +278,8 @@
 	}
 }
 
-// batchCommitted makes the batch's changes part of the committed contents.
-// revision is the store's revision of the commit.
+// batchCommitted applies the batch in flight to the committed contents. revision
+// is the store revision of the commit.
 func (l *Ledger) batchCommitted(now time.Time, revision int64) []Command {
 	b := l.inFlight.batch
 	l.inFlight = nil
@@ -313,7 +317,7 @@
 	return append(commands, l.pollInbox(now)...)
 }
 
-// abandon drops all that is not committed and returns to idle.
+// abandon drops all uncommitted changes and makes the ledger idle.
 func (l *Ledger) abandon() []Command {
 	var commands []Command
 	if l.inFlight != nil {
--- a/core/ledger/ledger_capacity_test.go
+++ b/core/ledger/ledger_capacity_test.go
@@ -12,18 +12,19 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// The size of one shard of 16 workers when 47,000 tasks run on 3,500 workers.
+// The size of one shard of 16 workers if 47,000 tasks run on 3,500 workers.
 const (
 	capacityWorkers = 16
 	capacityTasks   = 214
 )
 
-// capacityShard is a ledger with a store that answers at once.
+// capacityShard is a ledger with a fake store that answers immediately.
 type capacityShard struct {
 	store  *fakeStore
 	ledger *ledger.Ledger
 	now    time.Time
-	// commits, valueBytes and keyBytes are what was sent to the store.
+	// commits is the number of commits sent to the store; valueBytes and keyBytes
+	// are the sizes of their values and keys.
 	commits    int
 	valueBytes int
 	keyBytes   int
@@ -92,7 +93,7 @@
 	s.step(ledger.Propose{Changes: changes})
 }
 
-// keep adds the records of tasks that are over.
+// keep adds the records of tasks that have ended.
 func (s *capacityShard) keep(tasks int) {
 	for i := range tasks {
 		for _, t := range capacityLife(1_000_000 + i) {
@@ -102,7 +103,7 @@
 	s.commits, s.valueBytes, s.keyBytes = 0, 0, 0
 }
 
-// capacityLife is the records of one task from its creation to its end.
+// capacityLife returns the successive records of one task from its creation to its end.
 func capacityLife(i int) []ledger.Task {
 	t := ledger.Task{
 		Key:   model.TaskKey{Workload: fmt.Sprintf("reconciliation-%05d", i/8), Generation: 3, Index: uint32(i % 8)},
@@ -121,7 +122,7 @@
 	return append(life, t)
 }
 
-// BenchmarkCapacityHeap is the memory of a loaded ledger, both of its views.
+// BenchmarkCapacityHeap measures the heap of a loaded ledger with both of its views.
 func BenchmarkCapacityHeap(b *testing.B) {
 	const tasks = 20 * capacityTasks
 	var perTask float64
@@ -135,9 +136,10 @@
 	b.ReportMetric(perTask, "heap-B/task")
 }
 
-// BenchmarkCapacityLife takes batch tasks through their lives, starts at a time
-// in every commit, in a shard in which 214 tasks run and the records of others
-// that are over are kept. Compactions, which write all those too, are included.
+// BenchmarkCapacityLife measures the lives of batch tasks from creation to removal, in groups of
+// the given number of starts that are proposed together. 214 other tasks are running in the
+// shard, and it keeps the records of ended tasks. Compactions, which write all these records,
+// are included.
 func BenchmarkCapacityLife(b *testing.B) {
 	for _, c := range []struct{ starts, kept int }{{1, 0}, {5, 0}, {50, 0}, {5, 2400}, {50, 2400}} {
 		b.Run(fmt.Sprintf("starts=%d/kept=%d", c.starts, c.kept), func(b *testing.B) {
@@ -170,8 +172,8 @@
 	}
 }
 
-// BenchmarkCapacityTakeover is what a new owner reads and the time it takes to
-// replay it.
+// BenchmarkCapacityTakeover measures the bytes that a new owner reads and the time to replay
+// them.
 func BenchmarkCapacityTakeover(b *testing.B) {
 	s := newCapacityShard(capacityTasks)
 	kvs := s.store.list(ledger.ShardPrefix(prefix, 0))
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -14,10 +14,10 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Symptom: a start is committed twice, or acted on though it was not
-// committed. Sequence: the answers to two commits are lost, the first after
-// the commit was made, the second before; the third is refused outright.
-// Cause it guards against: guessing the outcome in place of reading it back.
+// TestCommitWithLostAnswer guards against a start that is committed twice, or is
+// acted on without being committed. The responses to two commits are lost; the
+// first commit was applied and the second was not; the third is refused outright.
+// The fault would be to guess the outcome instead of reading the shard back.
 func TestCommitWithLostAnswer(t *testing.T) {
 	s := newSession(t, "d1/1", ledger.Options{})
 	s.own()
@@ -42,11 +42,11 @@
 	s.golden("commit_lost_answer")
 }
 
-// Symptom: two owners' commits mix in one ledger. Sequence: a commit is on its
-// way when the owner's lease lapses; another daemon acquires the shard and
-// commits at the same sequence; the first owner's commit is refused. Cause it
-// guards against: taking the refusal for a lost answer, or the other's delta
-// for one's own.
+// TestTakeoverDuringCommit guards against commits of two owners mixed in one
+// ledger. A commit is in flight when the owner's lease lapses. Another daemon
+// acquires the shard and commits at the same sequence, and the first owner's commit
+// is refused. The fault would be to mistake the refusal for a lost response, or the
+// delta of the other owner for its own.
 func TestTakeoverDuringCommit(t *testing.T) {
 	s := newSession(t, "d1/1", ledger.Options{})
 	s.own()
@@ -68,10 +68,11 @@
 	s.golden("takeover_during_commit")
 }
 
-// Symptom: one daemon's two processes, or two owners under one epoch, both
-// believe their commit made. Sequence: at the sequence of the commit in flight
-// the store holds a delta of another writer, or of another commit of ours.
-// Cause it guards against: comparing less than writer, its sequence and epoch.
+// TestForeignDeltaUnderOwnEpoch guards against two processes of one daemon, or two
+// owners under one epoch, that both consider their commit applied. At the sequence of
+// the commit in flight, the store has a delta of another writer, or of another commit
+// of the same writer. The fault would be to compare less than the writer, its sequence
+// and the epoch.
 func TestForeignDeltaUnderOwnEpoch(t *testing.T) {
 	for _, writer := range []string{"d2/1", "d1/1"} {
 		s := newSession(t, "d1/1", ledger.Options{})
@@ -99,11 +100,11 @@
 	}
 }
 
-// Symptom: a task lives in two shards. Sequence: the inbox was listed, the
-// item was then received under another owner and the task handed on; the old
-// list arrives late, and its item is proposed together with work that builds
-// on it. Cause it guards against: receiving an item without checking in the
-// same transaction that it is still there.
+// TestStaleReceive guards against a task that is in two shards. The inbox was listed;
+// then the item was received under another owner and the task handed on; the old
+// listing arrives late, and its item is proposed together with changes that depend on
+// it. The fault would be to receive an item without checking in the same transaction
+// that it still exists.
 func TestStaleReceive(t *testing.T) {
 	s := newSession(t, "d1/1", ledger.Options{})
 	sender := pending(7)
@@ -116,9 +117,9 @@
 	s.golden("stale_receive")
 }
 
-// Symptom: a task is lost. Sequence: a task is handed to a shard whose inbox
-// still holds an item for it. Cause it guards against: the second item
-// overwriting the first.
+// TestHandoffToTakenInbox guards against the loss of a task. A task is handed to a
+// shard whose inbox still contains an item for it. The fault would be that the second
+// item overwrites the first.
 func TestHandoffToTakenInbox(t *testing.T) {
 	s := newSession(t, "d1/1", ledger.Options{})
 	taken := ledger.InboxKey(prefix, 1, key(1))
@@ -155,7 +156,7 @@
 	s.golden("handoff")
 }
 
-// TestTransitions writes down which Put may follow which record.
+// TestTransitions records in a golden file which state changes are allowed.
 func TestTransitions(t *testing.T) {
 	states := []ledger.State{
 		ledger.Pending, ledger.Assigned, ledger.Running, ledger.Stopping,
@@ -184,8 +185,8 @@
 	goldie.New(t).Assert(t, "transitions", []byte(b.String()))
 }
 
-// proposeState proposes the task's present record with another state, and
-// returns what came of it.
+// proposeState proposes the task's current record with another state. It returns
+// "allowed" or the reason why the change was dropped.
 func (s *session) proposeState(state ledger.State) string {
 	task, _ := s.ledger.Effective().Task(key(1))
 	if state == ledger.Assigned && task.State == ledger.Pending {
@@ -265,10 +266,10 @@
 	}
 }
 
-// Symptom: a new owner works on a ledger from which commits are missing.
-// Sequence: a delta is missing, damaged or misplaced. Cause it guards against:
-// replaying whatever is there. Deltas that a snapshot contains, and parts of a
-// compaction that was not finished, are no fault.
+// TestReadChecksContinuity guards against a new owner that works on a ledger from
+// which commits are missing. A delta is missing, damaged or stored under a wrong key.
+// The fault would be to replay the rest regardless. Deltas that a snapshot contains,
+// and parts of an unfinished compaction, are not errors.
 func TestReadChecksContinuity(t *testing.T) {
 	s := newSession(t, "d1/1", ledger.Options{MaxDeltas: 3})
 	s.own()
@@ -310,9 +311,9 @@
 	}
 }
 
-// Symptom: a shard with very many tasks cannot be committed to any more.
-// Sequence: its snapshot, or one proposal, is larger than one value may be.
-// Cause it guards against: writing either whole.
+// TestManyTasksAreSplit guards against a shard with so many tasks that nothing can be
+// committed any more. Its snapshot, or one proposal, exceeds the store's limit on the
+// size of a value. The fault would be to write either as one value.
 func TestManyTasksAreSplit(t *testing.T) {
 	const tasks = 20_000
 	s := newSession(t, "d1/1", ledger.Options{MaxDeltas: 1})
@@ -377,9 +378,9 @@
 	}
 }
 
-// Symptom: a burst of cancellations takes the store's whole write rate.
-// Sequence: a thousand tasks are cancelled one by one within one interval.
-// Cause it guards against: a commit for each.
+// TestCancellationBurst guards against a burst of cancellations that uses up the
+// store's write rate. A thousand tasks are cancelled one by one within one flush
+// interval. The fault would be a commit for each.
 func TestCancellationBurst(t *testing.T) {
 	const tasks = 1000
 	s := newSession(t, "d1/1", ledger.Options{FlushInterval: time.Second})
--- a/core/ledger/options.go
+++ b/core/ledger/options.go
@@ -11,22 +11,26 @@
 	DefaultInboxInterval = 30 * time.Second
 )
 
-// Options are a ledger's settings. A zero field other than KeyPrefix and
-// FlushInterval takes its default.
+// Options configures a Ledger. A field other than KeyPrefix and FlushInterval
+// that is zero or less selects its default.
 type Options struct {
 	// KeyPrefix is the cluster's prefix in the store, ending in a slash.
 	KeyPrefix string
-	// FlushInterval is the least time between the starts of two commits, unless
-	// urgent. With 0 a proposal is committed as soon as none is in flight.
+	// FlushInterval is the minimum time between the starts of two commits, except
+	// for urgent proposals. With 0, proposals are committed as soon as no commit
+	// is in flight.
 	FlushInterval time.Duration
-	// MaxDeltas and MaxDeltaBytes are after how much a snapshot is written.
+	// MaxDeltas and MaxDeltaBytes are the number and the total size of the deltas
+	// after a snapshot from either of which on a compaction is considered. It is
+	// put off while the deltas are small compared to the snapshot.
 	MaxDeltas     int
 	MaxDeltaBytes int
-	// RetryMin and RetryMax bound the doubling delay between retries of a
+	// RetryMin and RetryMax bound the exponential backoff between retries of a
 	// failed call.
 	RetryMin time.Duration
 	RetryMax time.Duration
-	// InboxInterval is how often the inbox is listed without a notice.
+	// InboxInterval is the interval at which the inbox is listed without an
+	// InboxNotice.
 	InboxInterval time.Duration
 }
 
@@ -45,7 +49,7 @@
 	}
 }
 
-// retry is a doubling delay.
+// retry is an exponential backoff.
 type retry struct {
 	min, max time.Duration
 	delay    time.Duration
@@ -57,14 +61,15 @@
 	return retry{min: l.options.RetryMin, max: l.options.RetryMax}
 }
 
-// schedule sets the next try.
+// schedule sets the time of the next retry.
 func (r *retry) schedule(now time.Time) {
 	r.delay = min(max(2*r.delay, r.min), r.max)
 	r.at = now.Add(r.delay)
 	r.waiting = true
 }
 
-// due reports once whether the next try's time has come.
+// due reports whether the scheduled retry is due. It returns true once per
+// schedule.
 func (r *retry) due(now time.Time) bool {
 	if !r.waiting || now.Before(r.at) {
 		return false
--- a/core/ledger/read.go
+++ b/core/ledger/read.go
@@ -14,11 +14,11 @@
 
 // Stored is a shard's ledger as read from the store at one revision.
 type Stored struct {
-	// Epoch is the owner's, 0 when the shard has none.
+	// Epoch is the epoch of the owner, 0 if the shard has no owner.
 	Epoch    model.Epoch
 	Contents *Contents
 	Inbox    []InboxItem
-	// Unreadable are the keys of inbox items that could not be understood.
+	// Unreadable are the keys of inbox items that cannot be decoded.
 	Unreadable []string
 
 	snapshotRevision int64
@@ -27,8 +27,8 @@
 	deltaBytes       int
 }
 
-// Read replays a shard's keys, listed at one revision. It fails with a
-// *CorruptError.
+// Read decodes and replays the keys of a shard, which must have been listed at one
+// revision. It returns a *CorruptError if the stored ledger is not valid.
 func Read(keyPrefix string, shard model.ShardID, kvs []port.KeyValue) (*Stored, error) {
 	r := &reader{
 		prefix: ShardPrefix(keyPrefix, shard),
@@ -45,7 +45,7 @@
 	return r.stored, nil
 }
 
-// reader sorts a shard's keys and replays them.
+// reader classifies the keys of a shard and replays them.
 type reader struct {
 	prefix   string
 	stored   *Stored
@@ -57,7 +57,7 @@
 type storedPart struct {
 	key   string
 	value []byte
-	// sequence is that of the snapshot that the part belongs to.
+	// sequence is the sequence of the snapshot to which the part belongs.
 	sequence uint64
 }
 
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// addInbox keeps an item that cannot be read apart, so that a damaged one does
-// not keep the shard from being owned.
+// addInbox lists an item that cannot be decoded as unreadable instead of failing,
+// so that a damaged item does not prevent the shard from being loaded.
 func (r *reader) addInbox(kv port.KeyValue) {
 	item, ok := decodeInbox(kv)
 	if !ok {
--- a/core/ledger/rules.go
+++ b/core/ledger/rules.go
@@ -9,14 +9,13 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// MaxRecordBytes is the largest encoded task record that is taken. It keeps
-// any one record far below the store's limit on a value.
+// MaxRecordBytes is the maximum size of an encoded task record. It keeps every
+// record far below the store's limit on the size of a value.
 const MaxRecordBytes = 64 << 10
 
-// transitions lists the states to which a Put may bring a task from each
-// state. A state that lists itself allows its record to be updated. Moved is
-// entered by Handoff and left by Receive alone; terminal and moved records may
-// be removed.
+// transitions lists, for each state, the states to which a Put may change a task.
+// A state that lists itself allows updates of the record. Moved is entered only by
+// Handoff and left only by Receive. Terminal and moved records may be removed.
 var transitions = [numStates][]State{
 	stateAbsent: {Pending},
 	Pending:     {Pending, Assigned, Failed, Cancelled},
@@ -27,18 +26,18 @@
 
 func allowed(from, to State) bool { return slices.Contains(transitions[from], to) }
 
-// entry is a checked change with the effect it has on this ledger: exactly one
-// of put, remove and quarantine is set.
+// entry is a checked change with its effect on this ledger: exactly one of put,
+// remove and quarantine is set.
 type entry struct {
 	change     Change
 	put        *Task
 	remove     *model.TaskKey
 	quarantine *Quarantine
-	// size is about how many bytes the effect takes in a delta.
+	// size is the approximate size of the effect in a delta, in bytes.
 	size int
 }
 
-// apply makes the entry's effect.
+// apply applies the entry's effect to c.
 func (e *entry) apply(c *Contents) {
 	switch {
 	case e.put != nil:
@@ -50,8 +49,9 @@
 	}
 }
 
-// check returns the entry for a change if it may follow on contents, else why
-// not. The entry shares nothing with the change that its proposer could alter.
+// check returns the entry for a change, or the reason why the change is not
+// allowed on contents. The entry shares no data with the change that the proposer
+// could modify.
 func check(contents *Contents, own model.ShardID, c Change) (entry, DropReason) {
 	if !wellFormed(&c) {
 		return entry{}, DropMalformed
@@ -111,7 +111,7 @@
 	return putEntry(c, &t)
 }
 
-// checkTransition says why a record may not follow another.
+// checkTransition returns the reason why a record may not replace another, or "".
 func checkTransition(from, to *Task) DropReason {
 	if to.State >= numStates || !allowed(from.State, to.State) {
 		return DropTransition
@@ -125,8 +125,8 @@
 	return checkWorker(from, to)
 }
 
-// resumesAfterEnd reports whether a task that was being stopped for good would
-// run again, as when an eviction and a cancellation cross.
+// resumesAfterEnd reports whether a task that is being stopped for good would run
+// again, which happens when an eviction and a cancellation cross.
 func resumesAfterEnd(from, to *Task) bool {
 	if from.State != Stopping || from.Resume {
 		return false
@@ -134,9 +134,9 @@
 	return to.State == Pending || to.State == Stopping && to.Resume
 }
 
-// nextAttempt is the attempt that a record must carry: a new one for each
-// placement and the same one otherwise. Were it free, two placements could
-// carry one number and their workers' reports could not be told apart.
+// nextAttempt returns the attempt number that the new record must have: the next
+// number for each placement and the same number otherwise. With two placements
+// under one number, the reports of their workers could not be distinguished.
 func nextAttempt(from, to *Task) model.Attempt {
 	if from.State == Pending && to.State == Assigned {
 		return from.Attempt + 1
@@ -144,7 +144,7 @@
 	return from.Attempt
 }
 
-// checkWorker keeps an attempt on its one worker.
+// checkWorker checks that an attempt stays on one worker.
 func checkWorker(from, to *Task) DropReason {
 	switch {
 	case to.State == Pending:
@@ -248,9 +248,9 @@
 	return entry{change: c, put: t, size: size}, ""
 }
 
-// validText reports whether all strings can be stored. One byte sequence that
-// is not UTF-8, say in a worker's failure detail, would make every commit that
-// carries it fail to encode.
+// validText reports whether all strings can be stored. A single string that is not
+// valid UTF-8, for example in a worker's failure detail, would make the encoding
+// of every commit that contains it fail.
 func validText(t *Task) bool {
 	for _, id := range t.FailedWorkers {
 		if !utf8.ValidString(string(id)) {
--- a/core/ledger/session_test.go
+++ b/core/ledger/session_test.go
@@ -20,7 +20,7 @@
 	notDone        = &port.StoreError{Call: "Txn", Kind: port.StoreUnavailable, Outcome: port.OutcomeNotDone}
 )
 
-// session drives one ledger against a store and writes down events and
+// session drives one Ledger against a fake store and records its events and
 // commands.
 type session struct {
 	t      testing.TB
@@ -30,7 +30,7 @@
 	ledger *ledger.Ledger
 	epoch  model.Epoch
 	text   strings.Builder
-	// last is the last command that asks for a call.
+	// last is the latest command that is a call to the store.
 	last ledger.Command
 }
 
@@ -44,7 +44,7 @@
 	}
 }
 
-// own puts the owner key anew and loads the ledger under its epoch.
+// own writes a new owner key and loads the ledger under its epoch.
 func (s *session) own() {
 	s.changeOwner()
 	s.step(ledger.Acquired{Epoch: s.epoch})
@@ -80,7 +80,7 @@
 	return s.step(ledger.Propose{Changes: changes})
 }
 
-// land carries the last call out and returns its answer.
+// land executes the latest call and returns its result.
 func (s *session) land() ledger.Event {
 	switch c := s.last.(type) {
 	case ledger.Load:
@@ -95,13 +95,13 @@
 	case ledger.ListInbox:
 		return ledger.InboxListed{KVs: s.store.list(c.Prefix)}
 	}
-	s.t.Fatalf("no call to land: %v", s.last)
+	s.t.Fatalf("no call to execute: %v", s.last)
 	return nil
 }
 
 func (s *session) answer() []ledger.Command { return s.step(s.land()) }
 
-// answerAll lands calls until none is asked for.
+// answerAll executes calls and reports their results until no call is in flight.
 func (s *session) answerAll() {
 	for s.last != nil {
 		ev := s.land()
--- a/core/ledger/task.go
+++ b/core/ledger/task.go
@@ -7,29 +7,32 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Task is the record of one task. FailedWorkers is shared between copies and
-// must not be changed in place.
+// Task is the record of one task. FailedWorkers is shared between copies and must
+// not be modified in place.
 type Task struct {
 	Key   model.TaskKey
 	State State
-	// Attempt is the number of the latest placement, 0 before the first.
+	// Attempt is the number of the latest placement on a worker, 0 before the
+	// first.
 	Attempt model.Attempt
-	// Worker is where the task holds room, or held it when it ended; empty
-	// while pending.
+	// Worker is the worker on which the task's size is committed, or was when the
+	// task ended. It is empty while the task is pending.
 	Worker model.WorkerID
-	// Size is what is committed on Worker.
+	// Size is the resources committed on Worker.
 	Size       model.Resources
 	Checkpoint string
 	Evictions  uint32
 	Failures   uint32
-	// FailedWorkers are the distinct workers on which it failed, latest last.
+	// FailedWorkers are the distinct workers on which the task failed, in order of
+	// the latest failure.
 	FailedWorkers []model.WorkerID
 	Reason        string
-	// Resume is whether a stopping task goes back to pending, rather than end.
+	// Resume is whether a stopping task becomes pending again instead of ending.
 	Resume bool
-	// NotBefore is kept in whole milliseconds; zero when there is none.
+	// NotBefore is the earliest time of the next start, stored in whole
+	// milliseconds; zero if there is no limit.
 	NotBefore time.Time
-	// Address is where a service's instance takes requests, host:port.
+	// Address is the host:port at which an instance of a service accepts requests.
 	Address  string
 	Service  bool
 	Class    string
@@ -44,7 +47,7 @@
 	return model.AttemptKey{Task: t.Key, Attempt: t.Attempt}
 }
 
-// Equal reports whether two records say the same.
+// Equal reports whether two records are equal.
 func (t *Task) Equal(o *Task) bool {
 	a, b := *t, *o
 	a.FailedWorkers, b.FailedWorkers = nil, nil
@@ -62,8 +65,8 @@
 		a.Team == b.Team && a.MovedTo == b.MovedTo
 }
 
-// normalise brings a record to the form in which it is stored, so that what
-// is kept in memory equals what a later owner reads.
+// normalise converts a record to the form in which it is stored, so that the
+// record in memory equals the one that a later owner reads.
 func (t *Task) normalise() {
 	t.NotBefore = wholeMillis(t.NotBefore)
 	if len(t.FailedWorkers) == 0 {
@@ -84,11 +87,11 @@
 	return time.UnixMilli(t.UnixMilli()).UTC()
 }
 
-// Quarantine keeps new tasks off a worker until a time. One with a zero Until
-// lifts the quarantine.
+// Quarantine keeps new tasks off a worker until a time. A zero Until lifts the
+// quarantine.
 type Quarantine struct {
 	Worker model.WorkerID
-	// Until is kept in whole milliseconds.
+	// Until is stored in whole milliseconds.
 	Until time.Time
 	Level uint32
 }
