--- a/core/ownership/machine_test.go
+++ b/core/ownership/machine_test.go
@@ -80,13 +80,13 @@
 	s.note("the silence is not confirmed any more")
 	s.step(StoreSilence{})
 	if s.machine.MayRenew(s.now, 0) {
-		t.Error("renews though the store's silence is not confirmed")
+		t.Error("renews although the store's silence is not confirmed")
 	}
 	s.note("the store is back")
 	s.untilRenewal()
 	s.keptAlive(s.now, nil)
 	if !s.machine.MayCommit(s.now) || len(s.machine.Owned()) != 1 {
-		t.Error("the owner did not go on under its lease")
+		t.Error("the owner did not continue under its lease")
 	}
 	s.golden("store_outage")
 }
@@ -163,7 +163,7 @@
 	s.untilRenewal()
 	s.keptAlive(s.now, nil)
 	if !s.machine.MayCommit(s.now) || len(s.machine.Owned()) != 1 {
-		t.Error("the owner did not go on under its lease")
+		t.Error("the owner did not continue under its lease")
 	}
 }
 
@@ -202,7 +202,7 @@
 	paused.after(testGrace + 10*time.Second)
 	paused.step(StoreSilence{ConfirmedAt: paused.now})
 	if paused.machine.MayRenew(paused.now, 0) || len(paused.machine.Owned()) != 0 {
-		t.Errorf("took up renewing after a pause:\n%s", &paused.text)
+		t.Errorf("renews again after a pause:\n%s", &paused.text)
 	}
 }
 
@@ -355,7 +355,7 @@
 		s.step(AcquireAnswered{Shard: 0, Result: port.TxnResult{Succeeded: true, Revision: 100}})
 	}
 	if waits[0] < DefaultRetryMax || waits[1] < 2*waits[0]-time.Second || waits[2] <= waits[1] {
-		t.Errorf("left alone for %v", waits)
+		t.Errorf("not acquired again for %v", waits)
 	}
 }
 
