--- a/core/jobsched/commit.go
+++ b/core/jobsched/commit.go
@@ -15,10 +15,10 @@
 	// summaryInterval is how often a commit is made for the sake of its summary
 	// alone; readers take a summary of 2 s as current.
 	summaryInterval = time.Second
-	// commitRecords bounds the entries of one commit. The store takes 32, of
+	// maxCommitEntries bounds the entries of one commit. The store takes 32, of
 	// which the commit itself needs five: its condition, the ledger, the roster,
 	// the fleet and what was learned.
-	commitRecords = 27
+	maxCommitEntries = 27
 	// learnedInterval is the time between two stores of what was learned.
 	learnedInterval = 3 * time.Second
 )
@@ -43,8 +43,8 @@
 	learnedAt time.Time
 }
 
-// takenEnd is the end of an attempt that was taken in and not yet acknowledged.
-type takenEnd struct {
+// unackedEnd is the end of an attempt that was taken in and not yet acknowledged.
+type unackedEnd struct {
 	number  int64
 	task    job.TaskKey
 	attempt int
@@ -60,13 +60,13 @@
 // that takes 150 ms and a hundred jobs a second workers kept hundreds of ends.
 func (m *Machine) sendCommit() {
 	c := &m.commit
-	m.expire()
+	m.expireFinal()
 	if c.inFlight || m.now.Sub(c.sentAt) < commitInterval {
 		return
 	}
 	rosterDue := m.rosterDue()
 	if m.dirty.Len() == 0 && len(m.removals) == 0 && !rosterDue {
-		m.acknowledgeEnds(m.storedEnds())
+		m.acknowledgeEnds(m.ackableEnds())
 		if m.now.Sub(c.sentAt) < m.quietInterval() {
 			return
 		}
@@ -82,7 +82,7 @@
 	}
 	c.restarts = restartsIn(commit.Puts)
 	c.trials = trialsIn(commit.Puts)
-	c.ends = m.storedEnds()
+	c.ends = m.ackableEnds()
 	c.number++
 	c.inFlight = true
 	c.sentAt = m.now
@@ -100,7 +100,7 @@
 // newCommit returns the next commit, with as many records as it has room for.
 func (m *Machine) newCommit() Commit {
 	commit := Commit{
-		Number: m.commit.number + 1, Summary: m.summary(), UnseenCrash: m.crashUnseen(), RosterLostLeft: m.rosterLostLeft(),
+		Number: m.commit.number + 1, Summary: m.summary(), UnseenCrash: m.checkUnseenCrash(), RosterLostLeft: m.rosterLostLeft(),
 	}
 	m.commit.jobs = m.fillCommit(&commit)
 	return commit
@@ -109,7 +109,7 @@
 // fillCommit moves records from the dirty set into the commit, those of jobs
 // that are over first: their callers wait for them.
 func (m *Machine) fillCommit(commit *Commit) []job.ID {
-	room := commitRecords
+	room := maxCommitEntries
 	ids := m.fillRecords(commit, true, &room)
 	ids = append(ids, m.fillRecords(commit, false, &room)...)
 	n := min(room, len(m.removals))
@@ -145,13 +145,13 @@
 	return ids
 }
 
-// storedEnds returns, for each worker, the last end before any whose job has a
+// ackableEnds returns, for each worker, the last end before any whose job has a
 // record that waits to be stored.
-func (m *Machine) storedEnds() map[model.Incarnation]int64 {
+func (m *Machine) ackableEnds() map[model.Incarnation]int64 {
 	ends := make(map[model.Incarnation]int64)
 	for id, w := range m.workers.All() {
-		for _, e := range w.taken {
-			if e.held || m.dirty.Has(e.task.Job) || m.awaitsRecord(w, e) {
+		for _, e := range w.unackedEnds {
+			if e.held || m.dirty.Has(e.task.Job) || m.isEndDeferred(w, e) {
 				break
 			}
 			ends[id] = e.number
@@ -163,11 +163,11 @@
 func (m *Machine) acknowledgeEnds(ends map[model.Incarnation]int64) {
 	for id, number := range ends {
 		w := m.workers.Get(id)
-		if w == nil || number <= w.ackedEnds {
+		if w == nil || number <= w.lastAckedEnd {
 			continue
 		}
-		w.ackedEnds = number
-		w.taken = slices.DeleteFunc(w.taken, func(e takenEnd) bool { return e.number <= number })
+		w.lastAckedEnd = number
+		w.unackedEnds = slices.DeleteFunc(w.unackedEnds, func(e unackedEnd) bool { return e.number <= number })
 		w.renewAt = m.now
 	}
 }
@@ -182,13 +182,13 @@
 	m.acknowledgeEnds(c.ends)
 	for _, id := range c.jobs {
 		if j := m.jobs.Get(id); j != nil {
-			m.dropIfOver(j)
+			m.dropIfFinal(j)
 		}
 	}
-	m.rosterStored()
-	m.trialsStored(c.trials)
+	m.applyStoredRoster()
+	m.markTrialsStored(c.trials)
 	for id, stored := range c.restarts {
-		add(&m.restarts.stored, id, stored)
+		mergeRestarts(&m.restarts.stored, id, stored)
 		m.changed = true
 	}
 	c.ends, c.jobs, c.restarts, c.trials = nil, nil, nil, nil
--- a/core/jobsched/renew.go
+++ b/core/jobsched/renew.go
@@ -15,13 +15,13 @@
 	// idleInterval is the time between two looks at a worker without attempts:
 	// nothing there has a lease to renew.
 	idleInterval = 2 * time.Second
-	// unstoredInterval is the time between looks while ends wait to be stored:
+	// unackedEndsInterval is the time between looks while ends wait to be stored:
 	// a worker that has ends to tell answers at once.
-	unstoredInterval = 200 * time.Millisecond
-	// retryFirst and retryMost bound the time between calls to a worker that
+	unackedEndsInterval = 200 * time.Millisecond
+	// minRetryDelay and retryMost bound the time between calls to a worker that
 	// does not answer.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 500 * time.Millisecond
+	minRetryDelay = 100 * time.Millisecond
+	maxRetryDelay = 500 * time.Millisecond
 	// notSentPause is the time before an order is tried again that was not sent:
 	// the daemon waits for its links to the carriers, or leads no longer.
 	notSentPause = 100 * time.Millisecond
@@ -32,14 +32,14 @@
 // sendRenewals looks at every worker whose turn has come.
 func (m *Machine) sendRenewals() {
 	for _, w := range m.workers.All() {
-		if w.renewing || w.over || m.now.Before(w.renewAt) {
+		if w.renewing || w.ended || m.now.Before(w.renewAt) {
 			continue
 		}
-		unstored := w.seenEnds > w.ackedEnds
-		r := Renew{Order: m.order(w), AckedEnds: w.ackedEnds}
+		unstored := w.lastSeenEnd > w.lastAckedEnd
+		r := Renew{Order: m.order(w), AckedEnds: w.lastAckedEnd}
 		// The lease of a worker that does not answer is not renewed: the call may
 		// reach it all the same, and its attempts could never be declared lost.
-		if w.attempts.Len() > 0 && w.silentSince.IsZero() {
+		if w.attempts.Len() > 0 && w.unreachableSince.IsZero() {
 			if lease := m.leaseFor(w); lease > 0 {
 				r.UntilMs = w.until(m.now, lease)
 			}
@@ -48,7 +48,7 @@
 			}
 		}
 		w.renewing = true
-		w.sentAcked = w.ackedEnds
+		w.sentAckedEnd = w.lastAckedEnd
 		m.emit(r)
 	}
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	w.renewing = false
-	if w.over {
+	if w.ended {
 		return
 	}
 	switch ev.Verdict {
@@ -86,36 +86,36 @@
 		m.depose(w)
 		return
 	case VerdictOtherInstance:
-		m.workerOver(w)
+		m.endIncarnation(w)
 		return
 	default:
-		m.silent(w, ev.SentAt)
-		pause := m.now.Sub(w.silentSince) / 2
-		w.renewAt = m.now.Add(min(max(pause, retryFirst), retryMost))
+		m.markUnreachable(w, ev.SentAt)
+		pause := m.now.Sub(w.unreachableSince) / 2
+		w.renewAt = m.now.Add(min(max(pause, minRetryDelay), maxRetryDelay))
 		return
 	}
-	if next := m.answering(w, ev.Report.StartedMs); next != w {
-		if w = m.succeed(w, next, ev); w == nil {
+	if next := m.answeringIncarnation(w, ev.Report.StartedMs); next != w {
+		if w = m.handleOtherIncarnation(w, next, ev); w == nil {
 			return
 		}
 	}
-	m.endEarlier(w, ev)
-	m.takeReport(w, ev.SentAt, ev.Report)
+	m.endEarlierIncarnations(w, ev)
+	m.processReport(w, ev.SentAt, ev.Report)
 }
 
-// takeReport takes in a worker's report, which was asked for at sentAt.
-func (m *Machine) takeReport(w *worker, sentAt time.Time, r Report) {
-	m.heard(w)
+// processReport takes in a worker's report, which was asked for at sentAt.
+func (m *Machine) processReport(w *worker, sentAt time.Time, r Report) {
+	m.markReachable(w)
 	w.sampleClock(m.now, r.ClockMs)
-	m.takeEnds(w, r.Ended)
+	m.processEnds(w, r.Ended)
 	m.reconcile(w, sentAt, r)
 	m.learn(w)
 	m.adjustThrottle(w)
 	w.renewAt = m.nextRenewal(w)
-	if len(r.Ended) > 0 && r.Ended[0].Number <= w.sentAcked {
+	if len(r.Ended) > 0 && r.Ended[0].Number <= w.sentAckedEnd {
 		// The acknowledgement was held back, and a worker with ends to tell answers at
 		// once, each time.
-		w.renewAt = later(w.renewAt, m.now.Add(retryFirst))
+		w.renewAt = later(w.renewAt, m.now.Add(minRetryDelay))
 	}
 }
 
@@ -128,8 +128,8 @@
 
 func (m *Machine) nextRenewal(w *worker) time.Time {
 	switch {
-	case w.seenEnds > w.ackedEnds:
-		return m.now.Add(unstoredInterval)
+	case w.lastSeenEnd > w.lastAckedEnd:
+		return m.now.Add(unackedEndsInterval)
 	case w.attempts.Len() == 0:
 		return m.now.Add(idleInterval)
 	}
@@ -148,42 +148,42 @@
 	m.emit(Deposed{Worker: w.id})
 }
 
-// takeEnds takes in the ends that have not been taken in before.
-func (m *Machine) takeEnds(w *worker, ends []EndedAttempt) {
+// processEnds takes in the ends that have not been taken in before.
+func (m *Machine) processEnds(w *worker, ends []EndedAttempt) {
 	for i := range ends {
 		e := &ends[i]
-		if e.Number <= w.seenEnds {
+		if e.Number <= w.lastSeenEnd {
 			continue
 		}
 		m.noteGap(w, e.Number)
-		w.seenEnds = e.Number
-		w.taken = append(w.taken, takenEnd{number: e.Number, task: e.Key, attempt: e.Attempt})
-		m.takeEnd(w, e)
+		w.lastSeenEnd = e.Number
+		w.unackedEnds = append(w.unackedEnds, unackedEnd{number: e.Number, task: e.Key, attempt: e.Attempt})
+		m.processEnd(w, e)
 	}
 }
 
 // noteGap notes ends that a worker numbers and has never told: something has made it
 // forget them, and what became of their attempts is not known.
 func (m *Machine) noteGap(w *worker, number int64) {
-	if w.seenEnds > 0 && number > w.seenEnds+1 {
+	if w.lastSeenEnd > 0 && number > w.lastSeenEnd+1 {
 		m.emit(Note{Decision: joblog.MessageEndsNotReported, Worker: w.id, Reason: fmt.Sprintf(
-			"ends %d to %d were never told; up to %d were acknowledged", w.seenEnds+1, number-1, w.ackedEnds)})
+			"ends %d to %d were never told; up to %d were acknowledged", w.lastSeenEnd+1, number-1, w.lastAckedEnd)})
 	}
 }
 
-func (m *Machine) takeEnd(w *worker, e *EndedAttempt) {
+func (m *Machine) processEnd(w *worker, e *EndedAttempt) {
 	if e.Cause == EndExpired {
-		w.leaseEnded()
+		w.releaseWithheldEnds()
 	}
-	if aside := m.aside[e.Key.Job]; aside != nil {
-		m.keepEnd(aside, w, e)
+	if aside := m.unreadable[e.Key.Job]; aside != nil {
+		m.deferEnd(aside, w, e)
 		return
 	}
 	key := attemptKey{task: e.Key, attempt: e.Attempt}
 	_, declared := w.lost[key]
 	delete(w.lost, key)
-	if e.Cause == EndDone && m.startedAfter(e) {
-		m.holdEnd(w, e)
+	if e.Cause == EndDone && m.restartedAfter(e) {
+		m.withholdEnd(w, e)
 		return
 	}
 	if declared && e.Cause != EndDone {
@@ -212,11 +212,11 @@
 	if t == nil || t.done {
 		return nil
 	}
-	if a := m.sameAttempt(t, w, e.Attempt); a != nil {
+	if a := m.moveFromOtherIncarnation(t, w, e.Attempt); a != nil {
 		return a
 	}
-	m.noteAdopted(t, e.Attempt)
-	m.dropOutdated(t, e.Attempt)
+	m.recordAdopted(t, e.Attempt)
+	m.dropSuperseded(t, e.Attempt)
 	return m.addAttempt(t, w, e.Attempt, phaseRunning)
 }
 
@@ -239,10 +239,10 @@
 		return
 	}
 	for _, a := range w.attempts.All() {
-		if _, ok := listed[a.key]; !ok && a.overBefore(sentAt) {
+		if _, ok := listed[a.key]; !ok && a.isOverBy(sentAt) {
 			m.noteAttempt(joblog.MessageAttemptMissing, a, "not in the worker's report")
-			if a.before != nil {
-				m.crashed(a, a.before)
+			if a.previousWorker != nil {
+				m.countAttemptCrash(a, a.previousWorker)
 			}
 			m.endAttempt(a, endLost, "")
 			m.prepareRestart(a.task)
@@ -250,14 +250,14 @@
 	}
 }
 
-// overBefore reports whether an attempt that a report asked for at sentAt does
+// isOverBy reports whether an attempt that a report asked for at sentAt does
 // not list is over: it was known to run before, or to be barred.
-func (a *attempt) overBefore(sentAt time.Time) bool {
+func (a *attempt) isOverBy(sentAt time.Time) bool {
 	switch a.phase {
 	case phaseRunning:
 		return a.startedAt.Before(sentAt)
 	case phaseDoubtful, phaseStopping:
-		return !a.barredAt.IsZero() && a.barredAt.Before(sentAt)
+		return !a.stopAckedAt.IsZero() && a.stopAckedAt.Before(sentAt)
 	}
 	return false
 }
@@ -266,40 +266,40 @@
 // lost. It is kept if its task has no other, and stopped otherwise.
 func (m *Machine) adoptRunning(w *worker, r *RunningAttempt) *attempt {
 	delete(w.lost, attemptKey{task: r.Key, attempt: r.Attempt})
-	if m.aside[r.Key.Job] != nil {
-		return m.addUnwanted(w, r)
+	if m.unreadable[r.Key.Job] != nil {
+		return m.addOrphan(w, r)
 	}
 	t := m.task(r.Key)
 	if t == nil || t.done {
-		a := m.addUnwanted(w, r)
+		a := m.addOrphan(w, r)
 		m.requestStop(a, "no task wants it")
 		return a
 	}
-	if a := m.sameAttempt(t, w, r.Attempt); a != nil {
+	if a := m.moveFromOtherIncarnation(t, w, r.Attempt); a != nil {
 		return a
 	}
-	m.dropOutdated(t, r.Attempt)
+	m.dropSuperseded(t, r.Attempt)
 	alone := t.idle()
-	m.noteAdopted(t, r.Attempt)
+	m.recordAdopted(t, r.Attempt)
 	a := m.addAttempt(t, w, r.Attempt, phaseRunning)
 	a.startedAt = m.now
 	a.adopted = true
-	a.inheritStillness(r.Percent)
+	a.applyInheritedStall(r.Percent)
 	m.adoptTrial(t, r.Attempt, w.id)
 	if !alone {
 		m.requestStop(a, "its task has another attempt")
 		return a
 	}
-	m.begun(t)
+	m.markBegun(t)
 	m.noteAttempt(joblog.MessageAttemptAdopted, a, "an earlier leader started it")
 	return a
 }
 
 // observe takes in what a report says of an attempt.
 func (m *Machine) observe(a *attempt, r *RunningAttempt) {
-	a.before = nil
+	a.previousWorker = nil
 	if a.phase == phaseStarting || a.phase == phaseDoubtful {
-		m.attemptRuns(a)
+		m.markRunning(a)
 	}
 	if r.Percent != a.percent {
 		a.percent = r.Percent
--- a/core/jobsched/watch.go
+++ b/core/jobsched/watch.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	// stallTime is how long an attempt may stand still, by its reports, before
+	// stallTimeout is how long an attempt may stand still, by its reports, before
 	// it is started elsewhere. Its share of done work grows by the percent, and
 	// the longest tasks of the users take some seconds for all hundred.
-	stallTime = 1500 * time.Millisecond
-	// bestEffortStallTime is the same for work that may find no processor free.
-	bestEffortStallTime = 5 * time.Second
+	stallTimeout = 1500 * time.Millisecond
+	// bestEffortStallTimeout is the same for work that may find no processor free.
+	bestEffortStallTimeout = 5 * time.Second
 )
 
-// watchAttempts stops attempts that are better run elsewhere, and notes those whose
+// checkAttempts stops attempts that are better run elsewhere, and notes those whose
 // workers do not answer.
-func (m *Machine) watchAttempts() {
+func (m *Machine) checkAttempts() {
 	for _, w := range m.workers.All() {
 		if w.entry.Draining {
 			m.evacuate(w)
 		}
 		m.noteHoldingAttempts(w)
 		for _, a := range w.attempts.All() {
-			if a.phase == phaseRunning && w.silentSince.IsZero() {
-				w.health.survived(a.startedAt, m.now)
+			if a.phase == phaseRunning && w.unreachableSince.IsZero() {
+				w.health.recordSurvival(a.startedAt, m.now)
 			}
 			if a.stalled(m.now) {
-				w.health.failed(m.now)
+				w.health.recordFailure(m.now)
 				a.task.failedOn = w
 				m.requestStop(a, fmt.Sprintf("stands still at %d%%", a.percent))
 			}
@@ -38,15 +38,15 @@
 // stalled reports whether the attempt has not advanced for long, although its
 // worker answers.
 func (a *attempt) stalled(now time.Time) bool {
-	if a.phase != phaseRunning || a.task == nil || !a.worker.silentSince.IsZero() {
+	if a.phase != phaseRunning || a.task == nil || !a.worker.unreachableSince.IsZero() {
 		return false
 	}
 	if a.percent >= 100 || a.throttle < fullSpeed || a.step().spec.Gang {
 		return false
 	}
-	limit := stallTime
+	limit := stallTimeout
 	if a.bestEffortCPU > 0 {
-		limit = bestEffortStallTime
+		limit = bestEffortStallTimeout
 	}
 	return now.Sub(a.lastAdvance()) > limit
 }
@@ -60,16 +60,16 @@
 	return a.advancedAt
 }
 
-// stillness is what an earlier leader saw of an attempt that stands still.
-type stillness struct {
+// inheritedStall is what an earlier leader saw of an attempt that stands still.
+type inheritedStall struct {
 	percent int
 	since   time.Time
 }
 
-// inheritStillness counts the time without progress on that an earlier leader saw.
-func (a *attempt) inheritStillness(percent int) {
-	still, ok := a.worker.still[a.key]
-	delete(a.worker.still, a.key)
+// applyInheritedStall counts the time without progress on that an earlier leader saw.
+func (a *attempt) applyInheritedStall(percent int) {
+	still, ok := a.worker.inheritedStalls[a.key]
+	delete(a.worker.inheritedStalls, a.key)
 	if ok && still.percent == percent {
 		a.startedAt, a.advancedAt, a.percent = still.since, still.since, percent
 	}
