--- a/core/ledger/interleaving_test.go
+++ b/core/ledger/interleaving_test.go
@@ -643,7 +643,7 @@
 		w.advance(step)
 		for n := 0; len(w.calls) > 0; n++ {
 			if n > maxCallsAtOnce {
-				w.fail("more than %d calls without a pause, the next is %+v", maxCallsAtOnce, w.calls[0].command)
+				w.fail("more than maxCallsAtOnce calls in a row, the next is %+v", w.calls[0].command)
 				return
 			}
 			w.deliverCall(0, false)
