--- a/core/ledger/batch.go
+++ b/core/ledger/batch.go
@@ -20,7 +20,7 @@
 	// maxInboxOps is the maximum number of handoffs and receives in one
 	// transaction; stores commonly accept no more than 128 operations.
 	maxInboxOps = 100
-	// entryOverhead is the maximum size, in bytes, of the framing of one record in
+	// entryOverhead is the size, in bytes, allowed for the framing of one record in
 	// a delta.
 	entryOverhead = 8
 )
