--- a/core/ownership/lease.go
+++ b/core/ownership/lease.go
@@ -7,26 +7,26 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// renewals is how many times a lease is renewed in its time, so that two may
-// fail before it is unsure.
-const renewals = 3
+// renewalsPerTTL is the number of renewals within one LeaseTTL, such that two can
+// fail before the lease gets close to its expiry.
+const renewalsPerTTL = 3
 
 // lease is this daemon's lease in the store.
 type lease struct {
-	// id is 0 while there is none.
+	// id is 0 while the daemon has no lease.
 	id       port.LeaseID
 	granting bool
 	renewing bool
-	// expires is before the store lets the lease lapse: it counts from when the
-	// last answered request was sent, which is before the store received it.
+	// expires is earlier than the expiry in the store: it is counted from when
+	// the last answered request was sent, which is before the store received it.
 	expires time.Time
-	// nextCall is when to renew, or to ask for a lease again.
+	// nextCall is the time of the next renewal or request for a lease.
 	nextCall time.Time
-	// unanswered is set when the last renewal failed for want of an answer. It
-	// tells an outage, in which this daemon tried, from a pause, in which it
-	// did not.
-	unanswered bool
-	retry      backoff
+	// renewalUnanswered is set when the store did not answer a renewal, and
+	// cleared by a successful one. It distinguishes an outage, during which
+	// this daemon tried to renew, from a pause, during which it did not.
+	renewalUnanswered bool
+	retry             backoff
 }
 
 func (m *Machine) noLease() lease {
@@ -35,30 +35,32 @@
 	}}
 }
 
-// sure reports whether the lease holds with the margin to spare.
-func (l *lease) sure(now time.Time, margin time.Duration) bool {
+// validWithMargin reports whether the lease has more than margin left.
+func (l *lease) validWithMargin(now time.Time, margin time.Duration) bool {
 	return l.id != 0 && now.Before(l.expires.Add(-margin))
 }
 
-// checkLease gives all shards up when the lease's time has run out.
+// checkLease gives up all shards and revokes the lease once it has expired and
+// the shards are not retained any longer.
 func (m *Machine) checkLease(now time.Time) []Command {
-	if m.lease.id == 0 || now.Before(m.lostAt()) {
+	if m.lease.id == 0 || now.Before(m.giveUpAt()) {
 		return nil
 	}
-	commands := m.loseAll(now, LostLeaseLapsed)
+	commands := m.giveUpAll(now, LostLeaseLapsed)
 	return append(commands, m.revoke()...)
 }
 
-// lostAt is when the shards are given up. After renewals that the store did
-// not answer they are kept, without acting on them unless MayRenew says so, as
-// long as the outage is confirmed and a while longer: the store extends leases
-// over its own outages, and the lease may turn out to hold.
-func (m *Machine) lostAt() time.Time {
-	if !m.lease.unanswered {
+// giveUpAt returns the time at which the shards are given up. After renewals
+// that the store did not answer, the shards are kept while the outage is
+// confirmed and for LapsedLeaseRetention after that, because the store extends
+// leases over its own outages and the lease may still be valid. The daemon does
+// not act for the shards in that time, except as MayRenew permits.
+func (m *Machine) giveUpAt() time.Time {
+	if !m.lease.renewalUnanswered {
 		return m.lease.expires
 	}
-	confirmed := m.silentAt.Add(m.options.OutageGrace)
-	return latest(m.lease.expires, confirmed).Add(m.options.SilenceFresh)
+	confirmed := m.silenceConfirmedAt.Add(m.options.OutageGrace)
+	return latest(m.lease.expires, confirmed).Add(m.options.LapsedLeaseRetention)
 }
 
 func latest(a, b time.Time) time.Time {
@@ -68,21 +70,23 @@
 	return b
 }
 
-// loseAll gives up all shards and forgets the lease's calls about them.
-func (m *Machine) loseAll(now time.Time, reason LostReason) []Command {
+// giveUpAll gives up all shards. Responses to acquires under the lease that are
+// still in flight will be ignored.
+func (m *Machine) giveUpAll(now time.Time, reason LostReason) []Command {
 	var commands []Command
 	for _, s := range m.shards {
 		if s.owned {
 			commands = append(commands, ShardLost{Shard: s.id, Reason: reason})
 		}
-		s.lose()
+		s.clearOwnership()
 		s.nextCall = s.retry.next(now)
 	}
 	return commands
 }
 
-// revoke ends the lease, so that the shards under it need not wait for its
-// time, and keys that a lost acquire may have put go with it.
+// revoke ends the lease, so that other daemons need not wait for its expiry.
+// The store deletes with it any owner key that was written by an acquire whose
+// response was lost.
 func (m *Machine) revoke() []Command {
 	id := m.lease.id
 	m.lease = m.noLease()
@@ -92,7 +96,8 @@
 	return []Command{RevokeLease{ID: id}}
 }
 
-// driveLease asks for a lease when one is needed, and renews it.
+// driveLease requests a lease when one is needed, renews it when due, and
+// revokes it when it is not needed any more.
 func (m *Machine) driveLease(now time.Time) []Command {
 	l := &m.lease
 	switch {
@@ -135,13 +140,13 @@
 		return
 	}
 	m.lease.id = ev.ID
-	m.leaseHolds(ev.SentAt, ev.TTL)
+	m.leaseExtended(ev.SentAt, ev.TTL)
 }
 
-func (m *Machine) leaseHolds(sentAt time.Time, ttl time.Duration) {
+func (m *Machine) leaseExtended(sentAt time.Time, ttl time.Duration) {
 	m.lease.expires = latest(m.lease.expires, sentAt.Add(ttl))
-	m.lease.nextCall = sentAt.Add(ttl / renewals)
-	m.lease.unanswered = false
+	m.lease.nextCall = sentAt.Add(ttl / renewalsPerTTL)
+	m.lease.renewalUnanswered = false
 	m.lease.retry.reset()
 }
 
@@ -152,26 +157,26 @@
 	m.lease.renewing = false
 	switch {
 	case ev.Err == nil && ev.TTL > 0:
-		m.leaseHolds(ev.SentAt, ev.TTL)
+		m.leaseExtended(ev.SentAt, ev.TTL)
 		return nil
 	case ev.Err == nil || kindOf(ev.Err) == port.StoreLeaseGone:
 		return m.leaseGone(now)
 	}
 	m.lease.nextCall = m.lease.retry.next(now)
-	m.lease.unanswered = m.lease.unanswered || noAnswer(kindOf(ev.Err))
+	m.lease.renewalUnanswered = m.lease.renewalUnanswered || isUnanswered(kindOf(ev.Err))
 	return nil
 }
 
-// leaseGone gives all shards up because the store does not know the lease.
+// leaseGone gives up all shards because the store does not know the lease.
 func (m *Machine) leaseGone(now time.Time) []Command {
-	commands := m.loseAll(now, LostLeaseGone)
+	commands := m.giveUpAll(now, LostLeaseGone)
 	m.lease = m.noLease()
 	return commands
 }
 
-// noAnswer reports whether a call failed for want of the store's answer,
-// rather than because this daemon did not make it.
-func noAnswer(kind port.StoreErrorKind) bool {
+// isUnanswered reports whether a call failed because the store did not answer,
+// and not because this daemon did not make the call.
+func isUnanswered(kind port.StoreErrorKind) bool {
 	return kind != port.StoreThrottled && kind != port.StoreCallCanceled
 }
 
@@ -183,8 +188,8 @@
 	return port.StoreUnavailable
 }
 
-// notMade reports whether a change was certainly not made.
-func notMade(err error) bool {
+// isNotDone reports whether a failed transaction was certainly not applied.
+func isNotDone(err error) bool {
 	var failure *port.StoreError
 	return errors.As(err, &failure) && failure.Outcome == port.OutcomeNotDone
 }
