--- a/cmd/guavarill-platform/main_test.go
+++ b/cmd/guavarill-platform/main_test.go
@@ -18,13 +18,13 @@
 		{options{APIPort: -1}, "--api-port"},
 		{options{MetricsPort: 9464, APIPort: 9464}, "--api-port"},
 	} {
-		err := c.o.check()
+		err := c.o.validate()
 		var wrong *platform.SettingsError
 		switch {
 		case c.field == "" && err != nil:
 			t.Errorf("%+v: %v", c.o, err)
 		case c.field != "" && (!errors.As(err, &wrong) || wrong.Field != c.field):
-			t.Errorf("%+v: %v, want a fault of %s", c.o, err, c.field)
+			t.Errorf("%+v: %v, want an error for %s", c.o, err, c.field)
 		}
 	}
 }
--- a/core/interference/model_test.go
+++ b/core/interference/model_test.go
@@ -17,23 +17,23 @@
 
 func at(seconds int) time.Time { return epoch.Add(time.Duration(seconds) * time.Second) }
 
-// observe hands the model a measurement of orders/1 on w.
+// observe reports a measurement of the victim orders/1 on worker w to the model.
 func observe(m *Model, now, measured time.Time, slowdown float64) Result {
 	return m.Observe(now, Observation{
 		Worker: "w", Victim: key("orders", 1), Class: "orders", MeasuredAt: measured, Slowdown: slowdown, Load: 0.5,
 	})
 }
 
-// Symptom: a quiet task is throttled for what a loud one did. Sequence: the
-// loud task ends, a quiet one starts in its place, then the report of ten
-// seconds ago arrives. Cause: charging a late measurement to today's tasks.
+// A delayed measurement must be attributed to the tasks that were on the worker when
+// it was made. Otherwise a quiet task is throttled for a noisy one: the noisy task ends,
+// a quiet one starts in its place, and then a report from ten seconds ago arrives.
 func TestLateMeasurementIsChargedToThoseWhoWereThere(t *testing.T) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
 	for i := range 40 {
 		start := 30 * i
-		m.TaskStarted(at(start), "w", key("loud", uint32(i)), "loud")
-		m.TaskStopped(at(start+15), "w", key("loud", uint32(i)))
+		m.TaskStarted(at(start), "w", key("noisy", uint32(i)), "noisy")
+		m.TaskStopped(at(start+15), "w", key("noisy", uint32(i)))
 		m.TaskStarted(at(start+15), "w", key("quiet", uint32(i)), "quiet")
 		if got := observe(m, at(start+20), at(start+10), 1.6); got != Learned {
 			t.Fatalf("round %d: result %d", i, got)
@@ -41,15 +41,15 @@
 		observe(m, at(start+30), at(start+20), 1)
 		m.TaskStopped(at(start+30), "w", key("quiet", uint32(i)))
 	}
-	loud := m.PredictWorkload("orders", "loud", "loud", 0.5)
+	noisy := m.PredictWorkload("orders", "noisy", "noisy", 0.5)
 	quiet := m.PredictWorkload("orders", "quiet", "quiet", 0.5)
-	if math.Abs(loud.Mean-0.6) > 0.15 || quiet.Mean > 0.05 {
-		t.Errorf("loud %.2f (0.6 is true), quiet %.2f (0 is true)", loud.Mean, quiet.Mean)
+	if math.Abs(noisy.Mean-0.6) > 0.15 || quiet.Mean > 0.05 {
+		t.Errorf("noisy %.2f (0.6 is true), quiet %.2f (0 is true)", noisy.Mean, quiet.Mean)
 	}
 }
 
-// Symptom: the model grows sure on repeated evidence. A report that arrives
-// twice, or after a later one, must change nothing.
+// A report that arrives twice, or after a later one, must not change the model.
+// Otherwise repeated evidence makes the variance too small.
 func TestRepeatedAndUnusableMeasurements(t *testing.T) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
@@ -85,27 +85,27 @@
 	}
 }
 
-// A pair never seen predicts what its aggressor does to others, and says that
-// it is less sure of it.
-func TestUnseenPairLeansOnItsAggressor(t *testing.T) {
+// A pair that was never observed must be predicted from its aggressor's effect on
+// other victims, with a larger standard deviation.
+func TestUnseenPairIsPredictedFromItsAggressor(t *testing.T) {
 	m := trained(t, 0.5)
 	prior := m.Predict("orders", "unseen", 0.5)
-	other := m.Predict("fixtures", "loud", 0.5)
-	seen := m.PredictWorkload("orders", "loud", "loud", 0.5)
+	other := m.Predict("fixtures", "noisy", 0.5)
+	seen := m.PredictWorkload("orders", "noisy", "noisy", 0.5)
 	if other.Mean <= prior.Mean || other.Mean >= seen.Mean {
 		t.Errorf("unseen victim %.2f, not between prior %.2f and seen %.2f", other.Mean, prior.Mean, seen.Mean)
 	}
 	if other.Std <= seen.Std {
-		t.Errorf("unseen victim is as sure (%.3f) as the seen one (%.3f)", other.Std, seen.Std)
+		t.Errorf("standard deviation %.3f for the unseen victim, %.3f for the seen one", other.Std, seen.Std)
 	}
 }
 
-// trained returns a model that saw one loud task of the given effect for long.
+// trained returns a model with 300 observations of one task with the given effect.
 func trained(t *testing.T, effect float64) *Model {
 	t.Helper()
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
-	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
+	m.TaskStarted(at(0), "w", key("noisy", 1), "noisy")
 	for i := range 300 {
 		if got := observe(m, at(3*i+13), at(3*i+3), 1+effect); got != Learned {
 			t.Fatalf("result %d", got)
@@ -114,27 +114,27 @@
 	return m
 }
 
-// Symptom: a workload was loud last month and is still kept from every
-// service. Knowledge must fade back to the prior.
+// Terms must decay to their priors. Otherwise a workload that disturbed others last
+// month is still not placed beside any service.
 func TestKnowledgeDecays(t *testing.T) {
 	m := trained(t, 0.8)
-	before := m.PredictWorkload("orders", "loud", "loud", 0.5).Mean
+	before := m.PredictWorkload("orders", "noisy", "noisy", 0.5).Mean
 	later := epoch.Add(10 * DefaultOptions().Decay)
-	m.TaskStarted(later, "x", key("loud", 2), "loud")
+	m.TaskStarted(later, "x", key("noisy", 2), "noisy")
 	m.TaskStarted(later, "x", key("orders", 2), "orders")
 	m.Observe(later.Add(time.Second), Observation{
 		Worker: "x", Victim: key("orders", 2), Class: "orders", MeasuredAt: later.Add(time.Second), Slowdown: 1, Load: 0.5,
 	})
-	after := m.PredictWorkload("orders", "loud", "loud", 0.5).Mean
+	after := m.PredictWorkload("orders", "noisy", "noisy", 0.5).Mean
 	if before < 0.5 || after > 0.2*before {
 		t.Errorf("before %.2f, after a long time and one quiet measurement %.2f", before, after)
 	}
 }
 
-// Symptom: the wrong one of several tasks is throttled. Loud phases of one of
-// three tasks must raise that one's present effect above the others', which
-// differ from it in nothing else.
-func TestLoudnessFindsTheLoudTask(t *testing.T) {
+// A noisy phase of one of three otherwise equal tasks must raise the predicted effect
+// of that task above the others'. Otherwise the wrong one of several tasks is
+// throttled.
+func TestIntensityIdentifiesTheNoisyTask(t *testing.T) {
 	m := New(DefaultOptions())
 	rnd := rand.New(rand.NewPCG(1, 1))
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
@@ -155,25 +155,25 @@
 			})
 		}
 	}
-	loud := m.PredictTask("orders", "job", key("job", 1), 0.5).Mean
+	noisy := m.PredictTask("orders", "job", key("job", 1), 0.5).Mean
 	for _, i := range []uint32{0, 2} {
-		if quiet := m.PredictTask("orders", "job", key("job", i), 0.5).Mean; quiet >= loud/2 {
-			t.Errorf("quiet task %d is charged %.2f, the loud one %.2f", i, quiet, loud)
+		if quiet := m.PredictTask("orders", "job", key("job", i), 0.5).Mean; quiet >= noisy/2 {
+			t.Errorf("quiet task %d has the predicted effect %.2f, the noisy one %.2f", i, quiet, noisy)
 		}
 	}
 }
 
-// A task throttled to a fifth is held responsible for a fifth of what it would
-// do at full speed.
-func TestThrottledShareIsTakenIntoAccount(t *testing.T) {
+// The observed effect of a task that is throttled to a fifth must be learned as a fifth
+// of its effect at full speed.
+func TestThrottledShareScalesTheEffect(t *testing.T) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
-	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
-	m.TaskThrottled(at(0), "w", key("loud", 1), 0.2)
+	m.TaskStarted(at(0), "w", key("noisy", 1), "noisy")
+	m.TaskThrottled(at(0), "w", key("noisy", 1), 0.2)
 	for i := range 300 {
 		observe(m, at(3*i+13), at(3*i+3), 1.1)
 	}
-	if got := m.PredictTask("orders", "loud", key("loud", 1), 0.5).Mean; got < 0.3 || got > 0.7 {
+	if got := m.PredictTask("orders", "noisy", key("noisy", 1), 0.5).Mean; got < 0.3 || got > 0.7 {
 		t.Errorf("effect at full speed %.2f, want about 0.5", got)
 	}
 }
@@ -181,15 +181,16 @@
 func BenchmarkPredict(b *testing.B) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
-	m.TaskStarted(at(0), "w", key("loud", 1), "loud")
+	m.TaskStarted(at(0), "w", key("noisy", 1), "noisy")
 	observe(m, at(13), at(3), 1.5)
 	b.ReportAllocs()
 	for b.Loop() {
-		m.PredictWorkload("orders", "loud", "loud", 0.5)
+		m.PredictWorkload("orders", "noisy", "noisy", 0.5)
 	}
 }
 
-// BenchmarkObserve learns from one service's report beside a dozen tasks.
+// BenchmarkObserve measures learning from the report of a service beside twelve
+// tasks.
 func BenchmarkObserve(b *testing.B) {
 	m := New(DefaultOptions())
 	m.TaskStarted(at(0), "w", key("orders", 1), "orders")
--- a/core/jobsched/candidates_test.go
+++ b/core/jobsched/candidates_test.go
@@ -41,7 +41,7 @@
 		id := c.submit(100+i, "urgent", step)
 		s := m.jobs.Get(id).occurrences
 		if len(s) == 0 {
-			m.begin(m.jobs.Get(id), 0)
+			m.beginOccurrence(m.jobs.Get(id), 0)
 		}
 		checkStepCandidates(t, m, m.jobs.Get(id).occurrences[0].steps[0])
 	}
@@ -50,7 +50,7 @@
 func checkStepCandidates(t *testing.T, m *Machine, s *step) {
 	places := m.newCandidates(s.tasks[0])
 	for _, task := range s.tasks {
-		want, got := m.choose(task), places.best()
+		want, got := m.bestWorker(task), places.best()
 		if want != got {
 			t.Fatalf("%s goes to %v, want %v", task.key(), workerName(got), workerName(want))
 		}
--- a/core/jobsched/inherit.go
+++ b/core/jobsched/inherit.go
@@ -13,11 +13,11 @@
 	w.full = e.FullCapacity()
 	w.onRoster = true
 	if stands {
-		w.health = takenOver(e.Health, m.recoveredAt.Add(-age))
-		w.mark.failures = w.health.failures
+		w.health = recoveredHealth(e.Health, m.recoveredAt.Add(-age))
+		w.rosterStatus.failures = w.health.failures
 	}
-	m.addSession(w)
-	m.startsTold = m.startsTold || w.id.StartedMs != 0
+	m.addIncarnation(w)
+	m.startTimesReported = m.startTimesReported || w.id.StartedMs != 0
 	w.leaseBound = m.earlierLeasesEnd()
 	if stands && e.LeaseLeft != nil {
 		w.leaseBound = m.recoveredAt.Add(*e.LeaseLeft - age)
@@ -26,7 +26,7 @@
 		m.inherit(w, e.Attempts)
 		return
 	}
-	w.unaccounted = true
+	w.attemptsUnknown = true
 	m.unresolved.Set(w.id, w.leaseBound)
 }
 
@@ -42,15 +42,15 @@
 		case r.Lost:
 			w.lost[key] = struct{}{}
 			if t != nil {
-				t.givenUp = true
+				t.attemptLost = true
 			}
 		case t != nil && !t.done:
 			m.addAttempt(t, w, r.Attempt, phaseDoubtful).inherited = true
 			if r.StalledFor > 0 {
-				w.still[key] = stillness{percent: r.Percent, since: m.recoveredAt.Add(-r.StalledFor)}
+				w.inheritedStalls[key] = inheritedStall{percent: r.Percent, since: m.recoveredAt.Add(-r.StalledFor)}
 			}
-		case m.aside[r.Task.Job] != nil:
-			a := m.addUnwanted(w, &RunningAttempt{Key: r.Task, Attempt: r.Attempt})
+		case m.unreadable[r.Task.Job] != nil:
+			a := m.addOrphan(w, &RunningAttempt{Key: r.Task, Attempt: r.Attempt})
 			a.phase, a.inherited = phaseDoubtful, true
 		}
 	}
@@ -66,10 +66,10 @@
 	}
 }
 
-// dropOutdated forgets inherited attempts of a task with a lower number than the
+// dropSuperseded forgets inherited attempts of a task with a lower number than the
 // given one. The leader that started that one knew the others to be over, and the
 // roster that lists them was written before.
-func (m *Machine) dropOutdated(t *task, number int) {
+func (m *Machine) dropSuperseded(t *task, number int) {
 	for _, a := range slices.Clone(t.attempts) {
 		if a.inherited && a.key.attempt < number {
 			m.endAttempt(a, endLost, "")
--- a/core/jobsched/jobstate.go
+++ b/core/jobsched/jobstate.go
@@ -21,9 +21,9 @@
 	begun bool
 	// recovered is set for a job that an earlier leader may have begun.
 	recovered bool
-	// reread is set for a job that was set aside until its records could be read:
+	// wasUnreadable is set for a job that was set aside until its records could be read:
 	// attempts of it that were given up meanwhile are not known to its tasks.
-	reread bool
+	wasUnreadable bool
 	// resumed is set once a task of a recovered job was started.
 	resumed     bool
 	occurrences map[int]*occurrence
@@ -50,8 +50,8 @@
 	steps  []*step
 	// left counts the steps that are not done.
 	left int
-	// chainMs is the longest chain of estimated work, in milliseconds.
-	chainMs int64
+	// criticalPathMs is the longest chain of estimated work, in milliseconds.
+	criticalPathMs int64
 }
 
 // step is one step of an occurrence.
@@ -66,19 +66,19 @@
 	next           []*step
 	// checkpoint is the gang's last one, which is good for every member.
 	checkpoint string
-	// turn is the number of the last pass in which the step had its turn.
-	turn uint64
+	// lastPass is the number of the last pass in which the step had its lastPass.
+	lastPass uint64
 	// notBefore holds the step's next starts back after a refusal.
 	notBefore time.Time
 	// blamed is whether a worker was blamed for a failure of the step.
 	blamed bool
-	// waitsSince is since when the step finds no worker, noteAt when it may be
+	// waitingSince is since when the step finds no worker, nextNoteAt when it may be
 	// noted again that it waits or is held back.
-	waitsSince, noteAt time.Time
-	advice             advice
-	// calm is the step's calm reading, worked out at calmAt.
-	calm   float64
-	calmAt time.Time
+	waitingSince, nextNoteAt time.Time
+	advice                   advice
+	// baseline is the step's baseline reading, worked out at calmAt.
+	baseline   float64
+	baselineAt time.Time
 }
 
 func (s *step) job() *jobState { return s.occurrence.job }
@@ -99,8 +99,8 @@
 	// failed lists the attempts that failed.
 	failed     []int
 	checkpoint string
-	// givenUp is set once an attempt was given up without news of it.
-	givenUp bool
+	// attemptLost is set once an attempt was given up without news of it.
+	attemptLost bool
 	// crashes lists the attempts that ended with their worker since one ran for long.
 	crashes []job.Crash
 	trial   trial
@@ -142,7 +142,7 @@
 			s.blocking++
 		}
 	}
-	o.chainMs = j.record.Spec.CriticalPathMs()
+	o.criticalPathMs = j.record.Spec.CriticalPathMs()
 	return o
 }
 
@@ -219,7 +219,7 @@
 // progressOf returns the job's record.
 func (m *Machine) progressOf(j *jobState) *job.Progress {
 	p := j.progress()
-	p.Restarts = maps.Clone(m.restarts.of[j.id])
+	p.Restarts = maps.Clone(m.restarts.requested[j.id])
 	return p
 }
 
@@ -262,7 +262,7 @@
 		p.Done = string(done)
 	}
 	for i, t := range s.tasks {
-		if t.done || !t.worthRecord() {
+		if t.done || !t.needsRecord() {
 			continue
 		}
 		if p.Tasks == nil {
@@ -273,9 +273,9 @@
 	return p
 }
 
-// worthRecord reports whether more is to be stored of a task that is not done than
+// needsRecord reports whether more is to be stored of a task that is not done than
 // its first attempt: whoever takes over skips the numbers that may have been used.
-func (t *task) worthRecord() bool {
+func (t *task) needsRecord() bool {
 	return t.last > 1 || len(t.failed) > 0 || t.checkpoint != "" || len(t.crashes) > 0 || t.trial.number > 0
 }
 
--- a/core/jobsched/orders.go
+++ b/core/jobsched/orders.go
@@ -45,28 +45,28 @@
 	return a
 }
 
-// addUnwanted makes an attempt that no task wants, or of which that is not known
+// addOrphan makes an attempt that no task wants, or of which that is not known
 // because its job is set aside. The size of a task that is
 // not known is taken as the whole worker, so that nothing is started beside it.
-func (m *Machine) addUnwanted(w *worker, r *RunningAttempt) *attempt {
+func (m *Machine) addOrphan(w *worker, r *RunningAttempt) *attempt {
 	a := &attempt{
 		key: attemptKey{task: r.Key, attempt: r.Attempt}, worker: w, phase: phaseRunning,
 		size: w.entry.Capacity, advancedAt: m.now, throttle: fullSpeed,
 	}
-	if record := m.recordOf(r.Key.Job); record != nil && r.Key.Step < len(record.Spec.Steps) {
+	if record := m.acceptedRecord(r.Key.Job); record != nil && r.Key.Step < len(record.Spec.Steps) {
 		a.size = record.Spec.Steps[r.Key.Step].Committed()
 	}
-	m.unwanted++
+	m.orphans++
 	w.add(a)
 	return a
 }
 
-// recordOf returns the accepted record of a job, or nil when it is not known.
-func (m *Machine) recordOf(id job.ID) *job.Accepted {
+// acceptedRecord returns the accepted record of a job, or nil when it is not known.
+func (m *Machine) acceptedRecord(id job.ID) *job.Accepted {
 	if j := m.jobs.Get(id); j != nil {
 		return j.record
 	}
-	if aside := m.aside[id]; aside != nil {
+	if aside := m.unreadable[id]; aside != nil {
 		return aside.record
 	}
 	return nil
@@ -99,7 +99,7 @@
 
 // started takes in the answer to a start.
 func (m *Machine) started(ev Started) {
-	w, a := m.find(ev.AttemptName)
+	w, a := m.findAttempt(ev.AttemptName)
 	if a == nil {
 		return
 	}
@@ -109,22 +109,22 @@
 	}
 	switch ev.Verdict {
 	case VerdictDone, VerdictUnknown:
-		m.mayRun(a, ev.Verdict)
+		m.acceptStart(a, ev.Verdict)
 		return
 	case VerdictFenced:
 		m.depose(w)
 		return
 	case VerdictNoRoom:
-		w.closedUntil = m.now.Add(roomPause)
+		w.noStartsUntil = m.now.Add(roomPause)
 	case VerdictNotSent:
-		w.closedUntil = m.now.Add(notSentPause)
+		w.noStartsUntil = m.now.Add(notSentPause)
 	case VerdictExpired:
 		w.clockAt = time.Time{}
 		w.renewAt = m.now
 	case VerdictUnhealthy, VerdictUnreachable:
-		w.closedUntil = m.now.Add(unhealthyPause)
+		w.noStartsUntil = m.now.Add(unhealthyPause)
 	case VerdictOtherInstance:
-		defer m.workerOver(w)
+		defer m.endIncarnation(w)
 	case VerdictInvalid:
 		a.step().notBefore = m.now.Add(invalidPause)
 	case VerdictNoTicket:
@@ -137,21 +137,21 @@
 	m.endAttempt(a, endLost, "")
 }
 
-// mayRun takes in that a start was carried out, or that it may have been.
-func (m *Machine) mayRun(a *attempt, v Verdict) {
+// acceptStart takes in that a start was carried out, or that it may have been.
+func (m *Machine) acceptStart(a *attempt, v Verdict) {
 	switch {
-	case a.worker.over:
-		m.crashed(a, a.worker)
+	case a.worker.ended:
+		m.countAttemptCrash(a, a.worker)
 		m.loseAttempt(a, "its worker has ended since")
 	case v == VerdictDone:
-		m.attemptRuns(a)
+		m.markRunning(a)
 	default:
-		m.doubt(a)
+		m.markDoubtful(a)
 	}
 }
 
-// attemptRuns takes in that a worker runs an attempt that was in question.
-func (m *Machine) attemptRuns(a *attempt) {
+// markRunning takes in that a worker runs an attempt that was in question.
+func (m *Machine) markRunning(a *attempt) {
 	doubtful := a.phase == phaseDoubtful
 	a.startedAt = m.now
 	m.setPhase(a, phaseRunning)
@@ -159,15 +159,15 @@
 		return
 	}
 	m.learnStart(a)
-	m.begun(a.task)
+	m.markBegun(a.task)
 	if doubtful {
 		// A stop is on its way already.
 		m.beginStop(a)
 	}
 }
 
-// begun takes in that a task of the job has started.
-func (m *Machine) begun(t *task) {
+// markBegun takes in that a task of the job has started.
+func (m *Machine) markBegun(t *task) {
 	j := t.step.job()
 	if j.begun {
 		return
@@ -179,14 +179,14 @@
 	}
 }
 
-// doubt takes in that a start got no answer. It may be carried out seconds
+// markDoubtful takes in that a start got no answer. It may be carried out seconds
 // later, when the task runs elsewhere; so the worker is told to bar it, and
 // the task waits until that is certain.
-func (m *Machine) doubt(a *attempt) {
+func (m *Machine) markDoubtful(a *attempt) {
 	m.setPhase(a, phaseDoubtful)
 	m.noteAttempt(joblog.MessageStartUnanswered, a, "it is barred before the task starts elsewhere")
 	m.stops.Set(a, struct{}{})
-	a.worker.closedUntil = m.now.Add(unhealthyPause)
+	a.worker.noStartsUntil = m.now.Add(unhealthyPause)
 }
 
 // requestStop stops an attempt.
@@ -212,25 +212,25 @@
 // stopped takes in the answer to a stop. The attempt is over when a report
 // shows it.
 func (m *Machine) stopped(ev Stopped) {
-	w, a := m.find(ev.AttemptName)
+	w, a := m.findAttempt(ev.AttemptName)
 	if a == nil {
 		return
 	}
 	switch ev.Verdict {
 	case VerdictDone:
 		m.stops.Delete(a)
-		a.barredAt = m.now
+		a.stopAckedAt = m.now
 		if !w.renewing {
 			w.renewAt = m.now
 		}
 	case VerdictFenced:
 		m.depose(w)
 	case VerdictOtherInstance:
-		m.workerOver(w)
+		m.endIncarnation(w)
 	}
 }
 
-func (m *Machine) find(name AttemptName) (*worker, *attempt) {
+func (m *Machine) findAttempt(name AttemptName) (*worker, *attempt) {
 	w := m.worker(name.Worker)
 	if w == nil {
 		return nil, nil
@@ -249,14 +249,14 @@
 	m.changed = true
 	t := a.task
 	if t == nil {
-		m.unwanted--
+		m.orphans--
 		return
 	}
 	j := t.step.job()
 	t.attempts = slices.DeleteFunc(t.attempts, func(other *attempt) bool { return other == a })
 	j.attempts--
 	if j.state.Final() {
-		m.dropIfOver(j)
+		m.dropIfFinal(j)
 		return
 	}
 	if checkpoint != "" && !t.done {
@@ -265,18 +265,18 @@
 			t.step.checkpoint = checkpoint
 		}
 	}
-	m.settleTrial(t, a, cause)
-	m.settle(t, a, cause)
+	m.endTrial(t, a, cause)
+	m.applyEnd(t, a, cause)
 	if !j.state.Final() && !t.done {
 		m.pending.Set(t.step, struct{}{})
 	}
 }
 
-// settle draws the consequence of an end for its task and its worker.
-func (m *Machine) settle(t *task, a *attempt, cause EndCause) {
+// applyEnd draws the consequence of an end for its task and its worker.
+func (m *Machine) applyEnd(t *task, a *attempt, cause EndCause) {
 	switch cause {
 	case EndDone:
-		a.worker.health.succeeded()
+		a.worker.health.recordSuccess()
 		m.taskEndedDone(t)
 	case EndFailed:
 		m.blame(t.step, a.worker)
@@ -296,7 +296,7 @@
 func (m *Machine) blame(s *step, w *worker) {
 	if !s.blamed {
 		s.blamed = true
-		w.health.failed(m.now)
+		w.health.recordFailure(m.now)
 	}
 }
 
--- a/core/jobsched/schedule.go
+++ b/core/jobsched/schedule.go
@@ -13,61 +13,61 @@
 // schedule starts what is ready and fits, the most urgent first, until all steps
 // had their turn or the round has no looks left.
 func (m *Machine) schedule() {
-	m.lookAtTrials()
+	m.countTrials()
 	for _, w := range m.workers.All() {
-		w.release(m.now)
+		w.dropReservations(m.now)
 		m.startReserved(w)
 	}
 	if m.pass.begin(m.options.RoundBudget) {
-		m.crowded = false
+		m.saturated = false
 	}
-	m.misfits.reset()
-	m.muchFree = m.isMuchFree()
+	m.unplaceable.reset()
+	m.lowUtilization = m.hasLowUtilization()
 	steps := m.pendingSteps()
-	front := m.startFront(steps)
+	front := m.startMostUrgent(steps)
 	m.pass.beginSecondHalf()
 	for _, p := range steps[front:] {
-		if p.turn == m.pass.number {
+		if p.lastPass == m.pass.number {
 			continue
 		}
-		if !m.takeTurn(p) {
+		if !m.startPending(p) {
 			return
 		}
 	}
 	m.pass.open = false
 }
 
-// startFront gives the most urgent steps their turn, whether or not they had one
+// startMostUrgent gives the most urgent steps their turn, whether or not they had one
 // in the pass, as far as the looks go. It returns how many.
-func (m *Machine) startFront(steps []pendingStep) int {
+func (m *Machine) startMostUrgent(steps []pendingStep) int {
 	for i, p := range steps {
-		if !m.takeTurn(p) {
+		if !m.startPending(p) {
 			return i
 		}
 	}
 	return len(steps)
 }
 
-// takeTurn starts what fits of a step. It returns false when the round has no
+// startPending starts what fits of a step. It returns false when the round has no
 // looks left for it.
-func (m *Machine) takeTurn(p pendingStep) bool {
+func (m *Machine) startPending(p pendingStep) bool {
 	s := p.step
-	if m.pass.spent() {
+	if m.pass.isExhausted() {
 		return false
 	}
 	switch {
 	case s.job().state.Final():
-	case m.held(s.job()):
+	case m.startsHeld(s.job()):
 		m.noteHeld(s)
 	case m.now.Before(s.notBefore):
 	case s.spec.Gang:
 		m.startGang(s)
 	case p.interrupted:
-		return m.startTasks(s, (*task).interrupted) != startsCut
+		return m.startTasks(s, (*task).interrupted) != startBudgetSpent
 	case !m.startStep(s):
 		return false
 	}
-	s.turn = m.pass.number
+	s.lastPass = m.pass.number
 	return true
 }
 
@@ -145,7 +145,7 @@
 // allowanceMs returns the time from its being due that the occurrence may take.
 func (m *Machine) allowanceMs(s *step) int64 {
 	q := m.queue(s.job())
-	return int64(q.Stretch*float64(s.occurrence.chainMs)) + q.LatencyTargetMs
+	return int64(q.Stretch*float64(s.occurrence.criticalPathMs)) + q.LatencyTargetMs
 }
 
 // objectiveMs returns the time by which the occurrence should be done.
@@ -185,66 +185,66 @@
 // the round has no looks left for the rest of them.
 func (m *Machine) startStep(s *step) bool {
 	switch m.startTasks(s, (*task).idle) {
-	case startsCut:
+	case startBudgetSpent:
 		return false
-	case startsWait:
-		m.crowded = true
+	case startFoundNoWorker:
+		m.saturated = true
 		m.noteWaiting(s)
 		m.askAdvice(s)
-	case startsAll:
+	case startedAll:
 		m.pending.Delete(s)
-		s.waitsSince = time.Time{}
-	case startsUnstored:
+		s.waitingSince = time.Time{}
+	case startAwaitsRecord:
 	}
 	return true
 }
 
-// starts tells how far the starts of some tasks came. Later values outweigh
+// startOutcome tells how far the startOutcome of some tasks came. Later values outweigh
 // earlier ones where tasks differ.
-type starts int
+type startOutcome int
 
 const (
-	// startsAll: all were started.
-	startsAll starts = iota
-	// startsUnstored: the rest is to be stored first.
-	startsUnstored
-	// startsWait: there is no place for some.
-	startsWait
-	// startsCut: the round has no looks left, or too many starts are in flight.
-	startsCut
+	// startedAll: all were started.
+	startedAll startOutcome = iota
+	// startAwaitsRecord: the rest is to be stored first.
+	startAwaitsRecord
+	// startFoundNoWorker: there is no place for some.
+	startFoundNoWorker
+	// startBudgetSpent: the round has no looks left, or too many starts are in flight.
+	startBudgetSpent
 )
 
 // startTasks starts as many of the wanted tasks of the step as fit.
-func (m *Machine) startTasks(s *step, wanted func(*task) bool) starts {
-	full := m.fitsNowhere(s)
-	result := startsAll
+func (m *Machine) startTasks(s *step, wanted func(*task) bool) startOutcome {
+	full := m.isUnplaceable(s)
+	result := startedAll
 	var places *candidates
 	for _, t := range s.tasks {
 		if !wanted(t) {
 			continue
 		}
-		if m.pass.spent() || m.starting >= m.options.StartsInFlight {
-			return startsCut
+		if m.pass.isExhausted() || m.starting >= m.options.StartsInFlight {
+			return startBudgetSpent
 		}
-		if !m.restartStored(t) {
-			result = max(result, startsUnstored)
+		if !m.ensureRestartStored(t) {
+			result = max(result, startAwaitsRecord)
 			continue
 		}
-		if !m.mayTry(t) {
-			m.dropNamedTrial(t)
-			result = startsWait
+		if !m.mayStartAfterCrashes(t) {
+			m.dropTrialOnWorker(t)
+			result = startFoundNoWorker
 			continue
 		}
 		switch {
-		case !full && m.startSomewhere(t, &places):
-		case t.trial.awaited():
-			result = max(result, startsUnstored)
-		case t.watched():
+		case !full && m.startOnBest(t, &places):
+		case t.trial.isAwaitingRecord():
+			result = max(result, startAwaitsRecord)
+		case t.isSuspect():
 			// It is restricted to other workers than the rest of the step.
-			result = startsWait
+			result = startFoundNoWorker
 			m.preempt(t)
 		default:
-			result, full = startsWait, true
+			result, full = startFoundNoWorker, true
 			if !m.preempt(t) {
 				return result
 			}
@@ -253,23 +253,23 @@
 	return result
 }
 
-// startSomewhere starts a task on the best worker, and returns false if there
+// startOnBest starts a task on the best worker, and returns false if there
 // is none. places are the candidates for tasks of its step, nil before the first.
-func (m *Machine) startSomewhere(t *task, places **candidates) bool {
-	m.pass.look(startLooks)
-	if t.trial.awaited() {
+func (m *Machine) startOnBest(t *task, places **candidates) bool {
+	m.pass.spend(startCost)
+	if t.trial.isAwaitingRecord() {
 		return false
 	}
-	if t.trial.stored && t.trial.named() {
+	if t.trial.stored && t.trial.namesWorker() {
 		*places = nil
 		if m.startTrial(t) {
 			return true
 		}
 	}
-	if !m.alike(t) {
+	if !m.isInterchangeable(t) {
 		// It changes what its worker is worth, which the candidates do not notice.
 		*places = nil
-		return m.startOn(t, m.choose(t))
+		return m.startOn(t, m.bestWorker(t))
 	}
 	if *places == nil {
 		*places = m.newCandidates(t)
@@ -284,21 +284,21 @@
 // startOn starts a task on the worker that was found for it, if one was.
 func (m *Machine) startOn(t *task, w *worker) bool {
 	if w == nil {
-		m.dropNamedTrial(t)
-		m.noteMisfit(t)
+		m.dropTrialOnWorker(t)
+		m.recordUnplaceable(t)
 		return false
 	}
-	if !m.trialStored(t, w) {
+	if !m.ensureTrialStored(t, w) {
 		return false
 	}
 	m.startAttempt(t, w, t.last+1)
 	return true
 }
 
-// choose returns the best worker for the task, or nil if there is none.
-func (m *Machine) choose(t *task) *worker {
-	m.pass.look(m.workers.Len())
-	return m.best(t, m.everyWorker())
+// bestWorker returns the best worker for the task, or nil if there is none.
+func (m *Machine) bestWorker(t *task) *worker {
+	m.pass.spend(m.workers.Len())
+	return m.bestOf(t, m.everyWorker())
 }
 
 // everyWorker iterates over the workers in one order.
@@ -312,12 +312,12 @@
 	}
 }
 
-// best returns the best of some workers for the task, or nil if there is none.
-func (m *Machine) best(t *task, workers iter.Seq[*worker]) *worker {
+// bestOf returns the bestOf of some workers for the task, or nil if there is none.
+func (m *Machine) bestOf(t *task, workers iter.Seq[*worker]) *worker {
 	var best *worker
 	bestScore := 0.0
 	for w := range workers {
-		if !m.allowed(t, w) {
+		if !m.isFeasible(t, w) {
 			continue
 		}
 		score := m.score(t, w)
@@ -339,20 +339,20 @@
 		}
 		number = max(number, t.last)
 	}
-	if !m.restartsStored(s) || !m.gangMayTry(s) {
+	if !m.ensureRestartsStored(s) || !m.mayStartGangAfterCrashes(s) {
 		return
 	}
 	placed, ok := m.placeGang(s)
 	if !ok {
 		for _, t := range s.tasks {
-			m.dropNamedTrial(t)
+			m.dropTrialOnWorker(t)
 		}
-		m.crowded = true
+		m.saturated = true
 		m.noteWaiting(s)
 		m.askAdvice(s)
 		return
 	}
-	if !m.trialsOfGangStored(s, placed) {
+	if !m.ensureGangTrialsStored(s, placed) {
 		return
 	}
 	for i, t := range s.tasks {
@@ -365,11 +365,11 @@
 // placeGang finds a worker for each member, on one rack where that matters and
 // is possible.
 func (m *Machine) placeGang(s *step) ([]*worker, bool) {
-	if m.gangFitsNowhere(s) {
+	if m.isGangUnplaceable(s) {
 		return nil, false
 	}
 	if s.spec.SameRack {
-		m.pass.look(m.workers.Len())
+		m.pass.spend(m.workers.Len())
 		for _, rack := range m.racks() {
 			if placed, ok := m.placeGangOn(s, rack.workers); ok {
 				return placed, true
@@ -378,7 +378,7 @@
 	}
 	placed, ok := m.placeGangOn(s, slices.Collect(m.everyWorker()))
 	if !ok {
-		m.noteGangMisfit(s)
+		m.recordUnplaceableGang(s)
 	}
 	return placed, ok
 }
@@ -388,7 +388,7 @@
 // is counted first: trials look at all workers for each of them, which holds all
 // orders up for a gang of hundreds.
 func (m *Machine) placeGangOn(s *step, workers []*worker) ([]*worker, bool) {
-	if !m.holdsGang(s, workers) {
+	if !m.hasRoomForGang(s, workers) {
 		return nil, false
 	}
 	var placed []*worker
@@ -399,8 +399,8 @@
 		}
 	}()
 	for _, t := range s.tasks {
-		m.pass.look(len(workers))
-		w := m.best(t, slices.Values(workers))
+		m.pass.spend(len(workers))
+		w := m.bestOf(t, slices.Values(workers))
 		if w == nil {
 			return nil, false
 		}
@@ -415,15 +415,15 @@
 	return placed, true
 }
 
-// holdsGang reports whether some workers have room for all members of a gang,
+// hasRoomForGang reports whether some workers have room for all members of a gang,
 // going by what they have now.
-func (m *Machine) holdsGang(s *step, workers []*worker) bool {
-	m.pass.look(len(workers))
+func (m *Machine) hasRoomForGang(s *step, workers []*worker) bool {
+	m.pass.spend(len(workers))
 	t := s.tasks[0]
 	left := len(s.tasks)
 	for _, w := range workers {
-		if m.allowed(t, w) {
-			left -= min(w.holds(t), left)
+		if m.isFeasible(t, w) {
+			left -= min(w.countFitting(t), left)
 		}
 		if left <= 0 {
 			return true
@@ -432,8 +432,8 @@
 	return false
 }
 
-// holds returns how many tasks like t the worker has room for.
-func (w *worker) holds(t *task) int {
+// countFitting returns how many tasks like t the worker has room for.
+func (w *worker) countFitting(t *task) int {
 	spec := t.step.spec
 	n := spec.Committed().FitCount(w.roomFor(t))
 	if spec.BestEffort {
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -17,19 +17,19 @@
 	for _, w := range m.workers.All() {
 		w.listed = false
 	}
-	usable, unusable := m.judge(list)
+	usable, unusable := m.classifyEntries(list)
 	sizes := m.fullSizes()
 	for _, e := range usable {
 		w := m.workers.Get(e.Incarnation)
 		if w == nil {
 			w = newWorker(e)
 			w.full = w.full.Max(sizes[e.Machine])
-			m.addSession(w)
+			m.addIncarnation(w)
 			m.noteFound(w)
 		}
 		m.updateEntry(w, e)
 	}
-	m.watchEntries(unusable)
+	m.trackEntries(unusable)
 	m.changed = true
 }
 
@@ -67,14 +67,14 @@
 	return bound.Add(time.Duration(float64(m.options.Lease)*clockDrift) + leaseSlack)
 }
 
-// loseRoster notes that the stored roster could not be read. Attempts may run on
+// markRosterLost notes that the stored roster could not be read. Attempts may run on
 // any worker until the time given, also on one that the platform's list lacks, so
 // nothing is started before. Leases are renewed on workers that are on a roster
 // of this leader or a later one, and each commit says for how long that roster may
 // lack others: the next leader waits no longer than this one.
-func (m *Machine) loseRoster(until time.Time, reason string) {
+func (m *Machine) markRosterLost(until time.Time, reason string) {
 	m.rosterLostUntil = until
-	m.restarts.unheard = true
+	m.restarts.leaseExpiredUnanswered = true
 	m.roster.outdated = true
 	m.emit(Note{Decision: joblog.MessageRosterLost, Reason: reason + "; nothing is started until " +
 		m.rosterLostUntil.Sub(m.now).String() + " from now, when all earlier leases have ended"})
@@ -83,12 +83,12 @@
 // rosterLostLeft returns how long the stored roster may still lack workers.
 func (m *Machine) rosterLostLeft() time.Duration { return max(m.rosterLostUntil.Sub(m.now), 0) }
 
-// held reports whether a task must wait because an earlier leader may have
+// startsHeld reports whether a task must wait because an earlier leader may have
 // started it on a worker that has not answered yet, or because the statements of
 // that leader's roster still stand: the first commit ends that. Jobs that came
 // after the take-over can have been started elsewhere only while that leader may
 // still have been at work.
-func (m *Machine) held(j *jobState) bool {
+func (m *Machine) startsHeld(j *jobState) bool {
 	if !m.commit.stored || m.now.Before(m.rosterLostUntil) {
 		return true
 	}
@@ -104,14 +104,14 @@
 	for id, bound := range m.unresolved.All() {
 		if !m.now.Before(bound) {
 			m.unresolved.Delete(id)
-			m.restarts.unheard = true
+			m.restarts.leaseExpiredUnanswered = true
 			m.changed = true
 		}
 	}
 	for _, w := range m.workers.All() {
-		heard := w.answered && w.silentSince.IsZero() && !w.over
+		heard := w.answered && w.unreachableSince.IsZero() && !w.ended
 		if !heard && !m.now.Before(w.leaseBound) {
-			m.giveUp(w)
+			m.loseUnreachable(w)
 		}
 		if m.departed(w) {
 			m.forget(w)
@@ -128,11 +128,11 @@
 	if !m.listed || w.listed || w.attempts.Len() > 0 {
 		return false
 	}
-	if w.over {
+	if w.ended {
 		return true
 	}
-	silent := !w.silentSince.IsZero()
-	if !w.unaccounted && w.outstanding() == 0 {
+	silent := !w.unreachableSince.IsZero()
+	if !w.attemptsUnknown && w.outstanding() == 0 {
 		return silent || w.entry.Draining
 	}
 	return silent && !m.now.Before(w.leaseBound)
@@ -140,11 +140,11 @@
 
 func (m *Machine) loseAttempt(a *attempt, reason string) {
 	a.worker.lost[a.key] = struct{}{}
-	if a.unanswered() && a.barredAt.IsZero() {
-		a.worker.unbarred[a.key] = struct{}{}
+	if a.unanswered() && a.stopAckedAt.IsZero() {
+		a.worker.pendingStarts[a.key] = struct{}{}
 	}
 	if a.task != nil {
-		a.task.givenUp = true
+		a.task.attemptLost = true
 	}
 	m.noteAttempt(joblog.MessageAttemptLost, a, reason)
 	m.endAttempt(a, endLost, "")
@@ -152,43 +152,43 @@
 }
 
 func (m *Machine) forget(w *worker) {
-	m.dropSession(w)
+	m.dropIncarnation(w)
 	m.unresolved.Delete(w.id)
 	m.roster.outdated = true
 	m.learner.DropWorker(w.learnID())
 	m.emit(Note{Decision: "worker gone", Worker: w.id, Reason: "not listed, and nothing of it is left"})
 }
 
-// workerOver takes in that the incarnation has ended, with all that ran on it.
-func (m *Machine) workerOver(w *worker) {
-	if w.unaccounted {
+// endIncarnation takes in that the incarnation has ended, with all that ran on it.
+func (m *Machine) endIncarnation(w *worker) {
+	if w.attemptsUnknown {
 		m.unseenCrash = true
 	}
-	m.crashAttempts(w, "another incarnation answers at its address")
-	w.over = true
-	w.unaccounted = false
+	m.loseAttemptsInCrash(w, "another incarnation answers at its address")
+	w.ended = true
+	w.attemptsUnknown = false
 	m.unresolved.Delete(w.id)
 }
 
-// silent notes that a call to w got no answer.
-func (m *Machine) silent(w *worker, sentAt time.Time) {
-	if w.silentSince.IsZero() {
-		w.silentSince = sentAt
+// markUnreachable notes that a call to w got no answer.
+func (m *Machine) markUnreachable(w *worker, sentAt time.Time) {
+	if w.unreachableSince.IsZero() {
+		w.unreachableSince = sentAt
 		m.emit(Note{Decision: joblog.MessageWorkerSilent, Worker: w.id, Reason: "no answer"})
 	}
 }
 
-// heard notes that w has answered a Renew.
-func (m *Machine) heard(w *worker) {
-	if !w.silentSince.IsZero() {
+// markReachable notes that w has answered a Renew.
+func (m *Machine) markReachable(w *worker) {
+	if !w.unreachableSince.IsZero() {
 		m.emit(Note{Decision: "worker answers again", Worker: w.id,
-			Reason: "after " + m.now.Sub(w.silentSince).Round(time.Millisecond).String()})
+			Reason: "after " + m.now.Sub(w.unreachableSince).Round(time.Millisecond).String()})
 	}
-	w.silentSince = time.Time{}
-	w.heardAt = m.now
+	w.unreachableSince = time.Time{}
+	w.lastReportAt = m.now
 	if !w.answered {
 		w.answered = true
-		w.unaccounted = false
+		w.attemptsUnknown = false
 		m.dropInherited(w)
 		m.changed = true
 	}
--- a/core/topology/topology.go
+++ b/core/topology/topology.go
@@ -9,29 +9,30 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// RackInZone is a rack and the availability zone it stands in.
+// RackInZone is a rack with its availability zone.
 type RackInZone struct {
 	Rack model.Rack
 	Zone model.Zone
 }
 
-// place is where a rack belongs.
-type place struct {
+// rackPlacement is the shard and the availability zone of a rack.
+type rackPlacement struct {
 	shard model.ShardID
 	zone  model.Zone
 }
 
-// Topology says to which shard each rack belongs. It is immutable; a nil
-// Topology is empty.
+// Topology maps racks to shards. It is immutable. A nil Topology is empty.
 type Topology struct {
-	racks map[model.Rack]place
-	// members are each shard's racks in name order, by shard.
-	members [][]model.Rack
+	racks map[model.Rack]rackPlacement
+	// shardRacks holds the racks of each shard in the order of their names, by
+	// shard id.
+	shardRacks [][]model.Rack
 }
 
-// Decode reads the stored form. It fails with a *InvalidError.
+// Decode decodes the stored form of a topology. It returns an *InvalidError if the
+// form is not valid.
 func Decode(stored *ledgerv1.Topology) (*Topology, error) {
-	t := &Topology{racks: make(map[model.Rack]place, len(stored.GetRacks()))}
+	t := &Topology{racks: make(map[model.Rack]rackPlacement, len(stored.GetRacks()))}
 	for _, r := range stored.GetRacks() {
 		rack := model.Rack(r.GetRack())
 		if _, known := t.racks[rack]; known {
@@ -40,16 +41,16 @@
 		if r.GetShard() >= MaxShards {
 			return nil, &InvalidError{Rack: rack, Reason: ReasonShardTooHigh}
 		}
-		t.racks[rack] = place{
+		t.racks[rack] = rackPlacement{
 			shard: model.ShardID(r.GetShard()),
 			zone:  model.Zone(r.GetAvailabilityZone()),
 		}
 	}
-	t.index()
+	t.buildShardRacks()
 	return t, nil
 }
 
-// Encode returns the stored form, in rack order.
+// Encode returns the stored form of the topology, in the order of the racks' names.
 func (t *Topology) Encode() *ledgerv1.Topology {
 	stored := &ledgerv1.Topology{}
 	if t == nil {
@@ -66,7 +67,8 @@
 	return stored
 }
 
-// ShardOf returns the shard that a rack belongs to, and whether it has one.
+// ShardOf returns the shard of a rack. The second result is false if the rack has
+// none.
 func (t *Topology) ShardOf(rack model.Rack) (model.ShardID, bool) {
 	if t == nil {
 		return 0, false
@@ -75,24 +77,25 @@
 	return p.shard, ok
 }
 
-// ShardCount returns how many shards there are: their ids are 0 to ShardCount()-1.
+// ShardCount returns the number of shards. Their ids are 0 to ShardCount()-1.
 func (t *Topology) ShardCount() uint32 {
 	if t == nil {
 		return 0
 	}
-	return uint32(len(t.members))
+	return uint32(len(t.shardRacks))
 }
 
-// Racks returns a shard's racks in name order. The slice must not be changed.
+// Racks returns the racks of a shard in the order of their names. The caller must not
+// change the slice.
 func (t *Topology) Racks(shard model.ShardID) []model.Rack {
 	if uint32(shard) >= t.ShardCount() {
 		return nil
 	}
-	return t.members[shard]
+	return t.shardRacks[shard]
 }
 
-// Zone returns the availability zone of a shard's racks; false when the shard
-// does not exist or has none.
+// Zone returns the availability zone of a shard. The second result is false if the
+// shard does not exist or has no racks.
 func (t *Topology) Zone(shard model.ShardID) (model.Zone, bool) {
 	racks := t.Racks(shard)
 	if len(racks) == 0 {
@@ -101,29 +104,32 @@
 	return t.racks[racks[0]].zone, true
 }
 
-// Extend returns t with a shard for each rack that has none, and whether
-// anything was added. A rack joins the lowest shard of its zone that has fewer
-// than maxRacksPerShard racks, else a new shard. Racks are taken in order of
-// zone and name, so that daemons that see the same racks extend alike; racks
-// that are gone keep their place, so that no shard changes its meaning.
+// Extend returns t extended by the racks that have no shard yet, and whether there
+// were any. A rack is added to the shard of its zone with the lowest id that has fewer
+// than maxRacksPerShard racks, or to a new shard if there is none. Racks are added in
+// the order of zone and name, so that daemons with the same racks compute the same
+// topology. Racks that no longer exist keep their shard, because the shard of a rack
+// never changes.
 func Extend(t *Topology, racks []RackInZone, maxRacksPerShard int) (*Topology, bool) {
-	added := unknownRacks(t, racks)
+	added := newRacks(t, racks)
 	if len(added) == 0 {
 		return t, false
 	}
-	next := &Topology{racks: make(map[model.Rack]place)}
+	next := &Topology{racks: make(map[model.Rack]rackPlacement)}
 	if t != nil {
 		next.racks = maps.Clone(t.racks)
 	}
-	next.index()
+	next.buildShardRacks()
 	for _, r := range added {
-		next.add(r, max(maxRacksPerShard, 1))
+		next.addRack(r, max(maxRacksPerShard, 1))
 	}
-	next.index()
+	next.buildShardRacks()
 	return next, true
 }
 
-func unknownRacks(t *Topology, racks []RackInZone) []RackInZone {
+// newRacks returns the racks that have no shard in t, in the order of zone and name,
+// without duplicates within a zone.
+func newRacks(t *Topology, racks []RackInZone) []RackInZone {
 	var unknown []RackInZone
 	for _, r := range racks {
 		if _, known := t.ShardOf(r.Rack); !known {
@@ -139,20 +145,23 @@
 	return slices.CompactFunc(unknown, func(a, b RackInZone) bool { return a.Rack == b.Rack })
 }
 
-func (t *Topology) add(r RackInZone, maxRacks int) {
+// addRack adds a rack as Extend does, unless the rack has a shard already.
+func (t *Topology) addRack(r RackInZone, maxRacks int) {
 	if _, known := t.racks[r.Rack]; known {
 		return
 	}
 	shard := t.shardWithRoom(r.Zone, maxRacks)
-	t.racks[r.Rack] = place{shard: shard, zone: r.Zone}
-	if int(shard) == len(t.members) {
-		t.members = append(t.members, nil)
+	t.racks[r.Rack] = rackPlacement{shard: shard, zone: r.Zone}
+	if int(shard) == len(t.shardRacks) {
+		t.shardRacks = append(t.shardRacks, nil)
 	}
-	t.members[shard] = append(t.members[shard], r.Rack)
+	t.shardRacks[shard] = append(t.shardRacks[shard], r.Rack)
 }
 
+// shardWithRoom returns the lowest shard of a zone with fewer than maxRacks racks, or
+// the id of a new shard if there is none.
 func (t *Topology) shardWithRoom(zone model.Zone, maxRacks int) model.ShardID {
-	for i, racks := range t.members {
+	for i, racks := range t.shardRacks {
 		if len(racks) == 0 || len(racks) >= maxRacks {
 			continue
 		}
@@ -160,17 +169,17 @@
 			return model.ShardID(i)
 		}
 	}
-	return model.ShardID(len(t.members))
+	return model.ShardID(len(t.shardRacks))
 }
 
-// index rebuilds members from racks.
-func (t *Topology) index() {
-	t.members = nil
+// buildShardRacks rebuilds shardRacks from racks.
+func (t *Topology) buildShardRacks() {
+	t.shardRacks = nil
 	for _, rack := range slices.Sorted(maps.Keys(t.racks)) {
 		shard := int(t.racks[rack].shard)
-		for len(t.members) <= shard {
-			t.members = append(t.members, nil)
+		for len(t.shardRacks) <= shard {
+			t.shardRacks = append(t.shardRacks, nil)
 		}
-		t.members[shard] = append(t.members[shard], rack)
+		t.shardRacks[shard] = append(t.shardRacks[shard], rack)
 	}
 }
--- a/jobservice/damage_test.go
+++ b/jobservice/damage_test.go
@@ -18,15 +18,15 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// The jobs of these tests: the records of one are damaged, and the other is to
-// complete whatever is.
+// The jobs of these tests: the records of damagedJob are damaged, and intactJob must
+// complete nevertheless.
 const (
 	damagedJob = job.ID("00000000000000aa")
-	soundJob   = job.ID("00000000000000bb")
+	intactJob  = job.ID("00000000000000bb")
 )
 
-// damages are values that are no record of any kind, by what is wrong.
-var damages = map[string]string{
+// damagedValues holds values that are not a record of any kind, by their defect.
+var damagedValues = map[string]string{
 	"empty":      "",
 	"no text":    "\xff\xfe\x00",
 	"cut off":    `{"daemon":"a","spec":{"steps":[{"cou`,
@@ -36,14 +36,14 @@
 	"other type": `{"daemon":7,"incarnation":7,"spec":7,"state":7,"address":7}`,
 }
 
-// quickWorker runs tasks in no time.
-type quickWorker struct {
+// instantWorker completes each task as soon as it is started.
+type instantWorker struct {
 	mu     sync.Mutex
 	ended  []jobsched.EndedAttempt
 	starts map[job.ID]int
 }
 
-func (w *quickWorker) Renew(_ context.Context, r jobsched.Renew) (jobsched.Verdict, jobsched.Report) {
+func (w *instantWorker) Renew(_ context.Context, r jobsched.Renew) (jobsched.Verdict, jobsched.Report) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	report := jobsched.Report{ClockMs: time.Now().UnixMilli()}
@@ -55,7 +55,7 @@
 	return jobsched.VerdictDone, report
 }
 
-func (w *quickWorker) Start(_ context.Context, s jobsched.Start) (jobsched.Verdict, int64) {
+func (w *instantWorker) Start(_ context.Context, s jobsched.Start) (jobsched.Verdict, int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts[s.Key.Job]++
@@ -65,22 +65,22 @@
 	return jobsched.VerdictDone, time.Now().UnixMilli()
 }
 
-func (w *quickWorker) Stop(context.Context, jobsched.Stop) jobsched.Verdict {
+func (w *instantWorker) Stop(context.Context, jobsched.Stop) jobsched.Verdict {
 	return jobsched.VerdictDone
 }
 
-func (w *quickWorker) Throttle(context.Context, jobsched.Throttle) jobsched.Verdict {
+func (w *instantWorker) Throttle(context.Context, jobsched.Throttle) jobsched.Verdict {
 	return jobsched.VerdictDone
 }
 
-func (w *quickWorker) startsOf(id job.ID) int {
+func (w *instantWorker) startsOf(id job.ID) int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.starts[id]
 }
 
 // List implements port.WorkerList.
-func (w *quickWorker) List(context.Context) (jobsched.WorkersListed, error) {
+func (w *instantWorker) List(context.Context) (jobsched.WorkersListed, error) {
 	return jobsched.WorkersListed{Workers: []jobsched.WorkerEntry{{
 		Incarnation: model.Incarnation{ID: "w"}, Service: "pool", Address: "w", Capacity: model.Resources{MilliCPU: 16000, MemoryMB: 64000},
 	}}}, nil
@@ -92,11 +92,11 @@
 func (f fixedConfig) Current() *job.Config     { return f.config }
 func (f fixedConfig) Changed() <-chan struct{} { return nil }
 
-// deployment is a leader, or one that would be, with a worker and a store.
+// deployment is a daemon that campaigns for leadership, with a worker and a store.
 type deployment struct {
 	t        *testing.T
 	store    *memStore
-	worker   *quickWorker
+	worker   *instantWorker
 	intake   *Intake
 	registry *prometheus.Registry
 	log      *lockedBuffer
@@ -113,7 +113,7 @@
 	return b.text.Write(p)
 }
 
-// lines returns how many lines of a level name a key.
+// lines returns how many lines of a log level name a key.
 func (b *lockedBuffer) lines(level, key string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -134,11 +134,11 @@
 
 func newDeployment(t *testing.T) *deployment {
 	d := &deployment{
-		t: t, store: newMemStore(), worker: &quickWorker{starts: make(map[job.ID]int)},
+		t: t, store: newMemStore(), worker: &instantWorker{starts: make(map[job.ID]int)},
 		registry: prometheus.NewRegistry(), log: &lockedBuffer{},
 	}
 	d.intake = NewIntake(d.store, BootClock{}, logrus.New(), NewMetrics(prometheus.NewRegistry()))
-	d.submit(soundJob)
+	d.submit(intactJob)
 	return d
 }
 
@@ -150,7 +150,8 @@
 	}
 }
 
-// lead starts a daemon that stands for the lead, with some of its options changed.
+// lead starts a daemon that campaigns for leadership, with some of its options
+// changed.
 func (d *deployment) lead(change ...func(*Options)) {
 	q := testQueue()
 	log := logrus.New()
@@ -161,7 +162,7 @@
 		Config: fixedConfig{&job.Config{
 			Version: 1, Queues: map[string]*job.Queue{"q": &q}, Services: map[string]*job.Service{"pool": {Name: "pool"}},
 		}},
-		Relays: deafCarriers{}, Clock: BootClock{}, Log: log, Metrics: NewMetrics(d.registry), LeaderTTL: time.Second,
+		Relays: noRelays{}, Clock: BootClock{}, Log: log, Metrics: NewMetrics(d.registry), LeaderTTL: time.Second,
 		Machine: jobsched.Options{
 			Lease: 300 * time.Millisecond, LeaderTTL: 200 * time.Millisecond, StopTime: 100 * time.Millisecond,
 			KeepFinal: time.Minute, ThrottleDelay: 100 * time.Millisecond,
@@ -180,11 +181,12 @@
 	})
 }
 
-type deafCarriers struct{}
+type noRelays struct{}
 
-func (deafCarriers) SetRelays([]Relay) {}
+func (noRelays) SetRelays([]Relay) {}
 
-// eventually waits for a condition; the limit is far beyond what it takes.
+// eventually waits for a condition. The limit is far beyond the time that any
+// condition takes.
 func (d *deployment) eventually(what string, ok func() bool) {
 	d.t.Helper()
 	for deadline := time.Now().Add(30 * time.Second); time.Now().Before(deadline); {
@@ -204,7 +206,7 @@
 	})
 }
 
-// unreadable returns the count of records of a kind that could not be read.
+// unreadable returns how many records of a kind were counted as unreadable.
 func (d *deployment) unreadable(kind string) int {
 	families, err := d.registry.Gather()
 	if err != nil {
@@ -223,10 +225,10 @@
 	return 0
 }
 
-// TestDamagedRecords damages what is stored, as another writer may.
+// TestDamagedRecords damages stored records, as another writer of the store may.
 func TestDamagedRecords(t *testing.T) {
 	t.Run("every entry", everyEntryDamaged)
-	t.Run("job", damagedJobIsNotKnown)
+	t.Run("job", damagedJobIsUncertain)
 	t.Run("progress of a canceled job", damagedProgressOfACanceledJob)
 	t.Run("new job", damagedNewJob)
 	t.Run("progress of another shape", progressOfAnotherShape)
@@ -235,18 +237,17 @@
 	t.Run("counts", countsOfADamagedLedger)
 }
 
-// everyEntryDamaged
-//
-// Symptom: jobs wait and no daemon leads, for as long as one record is damaged.
-// Events: another writer puts a value into one of guavarill's keys that is no
-// such record; the leader is lost. Cause: a take-over failed with whatever it
-// could not read, and was begun anew, or waited for a lease that there is not.
+// everyEntryDamaged guards against a takeover that fails, and is restarted forever,
+// because of a record that cannot be decoded, or that waits for a lease which does
+// not exist. It happens when another writer puts a value into one of guavarill's keys
+// that is not such a record and the leader is then lost. The symptom is that jobs
+// wait and no daemon leads for as long as one record is damaged.
 func everyEntryDamaged(t *testing.T) {
 	entries := []struct{ key, kind string }{
 		{leaderKey, "leader"},
 		{ledgerKey, "ledger"},
 		{rosterKey, "roster"},
-		{learnedKey, "interference"},
+		{interferenceKey, "interference"},
 		{acceptedKey(damagedJob), "job"},
 		{progressKey(damagedJob), "progress"},
 		{acceptedPrefix + "no-id", "job"},
@@ -254,37 +255,35 @@
 		{membersPrefix + "b", "member"},
 	}
 	for _, entry := range entries {
-		for damage, value := range damages {
+		for damage, value := range damagedValues {
 			t.Run(entry.key+" "+damage, func(t *testing.T) {
 				t.Parallel()
 				d := newDeployment(t)
 				d.store.write(port.Op{Key: entry.key, Value: []byte(value)})
 				d.lead()
-				d.awaitCompleted(soundJob)
+				d.awaitCompleted(intactJob)
 				d.eventually("count", func() bool { return d.unreadable(entry.kind) == 1 })
-				// The records are looked at again meanwhile.
-				time.Sleep(2 * asideInterval)
+				// The records are read again in the meantime.
+				time.Sleep(2 * recheckInterval)
 				if n := d.unreadable(entry.kind); n != 1 {
 					t.Errorf("counted %d times", n)
 				}
 				if n := d.log.lines("error", entry.key); n != 1 {
-					t.Errorf("%d lines of log name the key", n)
+					t.Errorf("%d log lines name the key, want 1", n)
 				}
 			})
 		}
 	}
 }
 
-// damagedJobIsNotKnown
-//
-// Symptom: a caller is told that a job is accepted, canceled or unknown, and it
-// is never run, or is started twice. Events: another writer damages one of the
-// two records of a job; callers ask for it, a leader takes over, and the record
-// is repaired. Cause: a record that cannot be read was taken for one that is not
-// there, or for a sound one.
-func damagedJobIsNotKnown(t *testing.T) {
+// damagedJobIsUncertain guards against a record that cannot be decoded being treated
+// as absent, or as intact. Another writer damages one of the two records of a job;
+// callers ask for the job, a leader takes over, and the record is repaired. The
+// symptom is that a caller is told that the job is accepted, canceled or unknown, and
+// it never runs, or is started twice.
+func damagedJobIsUncertain(t *testing.T) {
 	for _, key := range []string{acceptedKey(damagedJob), progressKey(damagedJob)} {
-		for damage, value := range damages {
+		for damage, value := range damagedValues {
 			t.Run(key+" "+damage, func(t *testing.T) {
 				t.Parallel()
 				d := newDeployment(t)
@@ -295,8 +294,8 @@
 				}
 				d.store.write(port.Op{Key: key, Value: []byte(value)})
 				d.lead()
-				d.awaitCompleted(soundJob)
-				d.checkNotKnown(key)
+				d.awaitCompleted(intactJob)
+				d.checkUncertain(key)
 				if n := d.worker.startsOf(damagedJob); n != 0 {
 					t.Errorf("%d tasks were started", n)
 				}
@@ -310,8 +309,8 @@
 	}
 }
 
-// checkNotKnown checks that callers are promised nothing of the damaged job.
-func (d *deployment) checkNotKnown(key string) {
+// checkUncertain checks that callers get no definite answer about the damaged job.
+func (d *deployment) checkUncertain(key string) {
 	d.t.Helper()
 	ctx, q := d.t.Context(), testQueue()
 	_, state := d.intake.State(ctx, damagedJob)
@@ -322,19 +321,20 @@
 	for call, err := range answers {
 		var uncertain *UncertainError
 		if !errors.As(err, &uncertain) {
-			d.t.Errorf("%s: %v, want that it is not known", call, err)
+			d.t.Errorf("%s: %v, want an UncertainError", call, err)
 		}
 	}
 }
 
-// damagedProgressOfACanceledJob: a cancel is stored in the job's accepted record; when that can be read, the job
-// ends as canceled whatever became of its progress.
+// damagedProgressOfACanceledJob checks that a canceled job ends as canceled even if
+// its progress record is damaged: the cancellation is stored in the accepted record,
+// which can be read.
 func damagedProgressOfACanceledJob(t *testing.T) {
 	d := newDeployment(t)
 	d.submit(damagedJob)
 	d.store.write(port.Op{Key: progressKey(damagedJob), Value: []byte("7")})
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	if err := d.intake.Cancel(t.Context(), damagedJob); err != nil {
 		t.Fatal(err)
 	}
@@ -347,12 +347,12 @@
 	}
 }
 
-// damagedNewJob: a job whose record is damaged before the leader has read it is taken in when
-// the record is repaired.
+// damagedNewJob checks that a job whose record is damaged before the leader has read
+// it is scheduled once the record is repaired.
 func damagedNewJob(t *testing.T) {
 	d := newDeployment(t)
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	q := testQueue()
 	record := job.Accepted{Spec: *testSpec(), Queue: q, ConfigVersion: 1, AcceptedAtMs: time.Now().UnixMilli()}
 	d.store.write(port.Op{Key: acceptedKey(damagedJob), Value: []byte("7")})
@@ -361,51 +361,53 @@
 	d.awaitCompleted(damagedJob)
 }
 
-// progressOfAnotherShape: progress that belongs to another job's steps is none of this job's.
+// progressOfAnotherShape checks that progress of another job's steps is not used as
+// this job's.
 func progressOfAnotherShape(t *testing.T) {
 	d := newDeployment(t)
 	d.submit(damagedJob)
 	d.store.write(port.Op{Key: progressKey(damagedJob), Value: []byte(
 		`{"state":"running","occurrences":{"0":{"steps":[{"done":"11111"}]}}}`)})
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	d.eventually("count", func() bool { return d.unreadable("progress") == 1 })
 	if n := d.worker.startsOf(damagedJob); n != 0 {
 		t.Errorf("%d tasks were started", n)
 	}
 }
 
-// leaderKeyOnALease: the daemon that wrote the key may still lead,
-// so it is waited for until its lease ends.
+// leaderKeyOnALease checks that a damaged leader's key with a lease is not replaced
+// before that lease ends, because the daemon that wrote the key may still lead.
 func leaderKeyOnALease(t *testing.T) {
 	d := newDeployment(t)
 	lease, err := d.store.GrantLease(t.Context(), time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The name of the daemon can be read, and is the one that asks.
+	// The daemon's name can be decoded, and is that of the campaigning daemon.
 	d.store.write(port.Op{Key: leaderKey, Value: []byte(`{"daemon":"a","incarnation":7}`), Lease: lease})
 	d.lead()
 	time.Sleep(3 * leaseCallTimeout / 2)
-	if n := d.worker.startsOf(soundJob); n != 0 {
-		t.Errorf("%d tasks were started beside another leader", n)
+	if n := d.worker.startsOf(intactJob); n != 0 {
+		t.Errorf("%d tasks were started while another daemon may lead", n)
 	}
 	if err := d.store.RevokeLease(t.Context(), lease); err != nil {
 		t.Fatal(err)
 	}
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 }
 
-// ledgerDamagedInATerm: another writer overwrites the ledger while a leader
-// is at work. Whether the commit in flight was made cannot be told any more; the
-// term ends, and the next one reads what is stored and goes on.
+// ledgerDamagedInATerm checks that scheduling continues after another writer has
+// overwritten the ledger during a term. It is then unknown whether the commit in
+// flight was made; the term ends, and the next one reads the stored state and
+// continues.
 func ledgerDamagedInATerm(t *testing.T) {
 	d := newDeployment(t)
 	d.lead()
-	d.awaitCompleted(soundJob)
+	d.awaitCompleted(intactJob)
 	d.store.write(port.Op{Key: ledgerKey, Value: []byte("7")})
 	if _, err := d.intake.WaitingJobs(t.Context(), "q"); err == nil {
-		// The next commit may have mended it by now.
+		// The next commit may have repaired the ledger by now.
 		t.Log("counts were answered")
 	}
 	d.submit(damagedJob)
@@ -415,16 +417,16 @@
 	}
 }
 
-// countsOfADamagedLedger: a ledger that cannot be read says
-// nothing of the jobs that wait, and not that none do.
+// countsOfADamagedLedger checks that a ledger that cannot be decoded yields an error
+// and not a count of no waiting jobs.
 func countsOfADamagedLedger(t *testing.T) {
-	for damage, value := range damages {
+	for damage, value := range damagedValues {
 		d := newDeployment(t)
 		d.store.write(port.Op{Key: ledgerKey, Value: []byte(value)})
 		_, err := d.intake.WaitingJobs(t.Context(), "q")
 		var uncertain *UncertainError
 		if !errors.As(err, &uncertain) {
-			t.Errorf("%s: %v, want that it is not known", damage, err)
+			t.Errorf("%s: %v, want an UncertainError", damage, err)
 		}
 	}
 }
--- a/jobservice/orders.go
+++ b/jobservice/orders.go
@@ -9,44 +9,45 @@
 )
 
 const (
-	// OrderTimeout bounds an order to a worker. Workers answer in milliseconds;
-	// an order that hangs is barred and the task goes elsewhere.
+	// OrderTimeout bounds an order to a worker. Workers respond within milliseconds;
+	// an order without a response is barred there, and the task is started elsewhere.
 	OrderTimeout = time.Second
-	// RenewSlack is what the answer to a renewal may take to begin beyond the wait that
-	// it allows, and ReportTransfer what the report may take from there: that of a worker
-	// with 500 ends to tell has 35 kB, and other workers' come beside it.
+	// RenewSlack is how long the response to a renewal may take to begin beyond the
+	// wait that the renewal permits, and ReportTransferTimeout how long the report
+	// may take from then on: that of a worker with 500 unacknowledged ends has 35 kB,
+	// and shares the link with the reports of other workers.
 	RenewSlack            = 700 * time.Millisecond
 	ReportTransferTimeout = 2 * time.Second
-	// adviceTimeout bounds a call for advice, which takes some hundred
-	// milliseconds and waits in turn behind others.
+	// adviceTimeout bounds a call for advice, which takes some hundred milliseconds
+	// and queues behind other calls.
 	adviceTimeout = 4 * time.Second
 )
 
-// order sends an order in the background and posts its answer. The answer is
-// posted also when the term has ended, for the term may go on.
-func (t *term) order(ctx context.Context, e jobsched.Effect) {
+// dispatch sends an order in the background and posts its outcome. The outcome is
+// posted even if the term has ended, because the term may continue.
+func (t *term) dispatch(ctx context.Context, e jobsched.Effect) {
 	go func() {
 		ev := t.send(context.WithoutCancel(ctx), e)
 		t.events <- ev
 	}()
 }
 
-// send sends an order if the daemon still leads, and returns the event that
-// tells of it. Whoever calls the worker bounds the time, see Bounded.
+// send sends an order if the daemon still leads, and returns the event with its
+// outcome. The daemon that calls the worker bounds the time; see WithTimeouts.
 func (t *term) send(ctx context.Context, e jobsched.Effect) jobsched.Event {
 	leads := t.leader.mayAct()
 	switch e := e.(type) {
 	case jobsched.Renew:
 		return t.renew(ctx, e, leads)
 	case jobsched.Start:
-		ev := jobsched.Started{AttemptName: name(e.Order, e.Key, e.Attempt), Verdict: jobsched.VerdictNotSent}
+		ev := jobsched.Started{AttemptName: attemptName(e.Order, e.Key, e.Attempt), Verdict: jobsched.VerdictNotSent}
 		if leads {
 			defer t.measure("start", time.Now(), &ev.Verdict)
 			ev.Verdict, ev.ClockMs = t.leader.o.Workers.Start(ctx, e)
 		}
 		return ev
 	case jobsched.Stop:
-		ev := jobsched.Stopped{AttemptName: name(e.Order, e.Key, e.Attempt), Verdict: jobsched.VerdictNotSent}
+		ev := jobsched.Stopped{AttemptName: attemptName(e.Order, e.Key, e.Attempt), Verdict: jobsched.VerdictNotSent}
 		if leads {
 			defer t.measure("stop", time.Now(), &ev.Verdict)
 			ev.Verdict = t.leader.o.Workers.Stop(ctx, e)
@@ -54,7 +55,7 @@
 		return ev
 	case jobsched.Throttle:
 		ev := jobsched.Throttled{
-			AttemptName: name(e.Order, e.Key, e.Attempt), Percent: e.Percent, Verdict: jobsched.VerdictNotSent,
+			AttemptName: attemptName(e.Order, e.Key, e.Attempt), Percent: e.Percent, Verdict: jobsched.VerdictNotSent,
 		}
 		if leads {
 			defer t.measure("throttle", time.Now(), &ev.Verdict)
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// measure counts an order that was sent at began.
+// measure counts an order that was sent at began, and the time that it took.
 func (t *term) measure(kind string, began time.Time, verdict *jobsched.Verdict) {
 	m := t.leader.o.Metrics
 	m.orders.WithLabelValues(kind, verdict.String()).Inc()
@@ -85,6 +86,6 @@
 	return ev
 }
 
-func name(o jobsched.Order, key job.TaskKey, attempt int) jobsched.AttemptName {
+func attemptName(o jobsched.Order, key job.TaskKey, attempt int) jobsched.AttemptName {
 	return jobsched.AttemptName{Worker: o.Worker, Key: key, Attempt: attempt}
 }
