--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -46,7 +46,7 @@
 	c := checker{
 		contents: contents,
 		capacity: capacity,
-		taken:    make(map[model.WorkerID]model.Resources),
+		added:    make(map[model.WorkerID]model.Resources),
 	}
 	var accepted []ledger.Change
 	for _, change := range p.Changes {
@@ -62,9 +62,9 @@
 type checker struct {
 	contents Contents
 	capacity CapacityFunc
-	// taken is the room that accepted changes of this plan add to each
+	// added is the room that accepted changes of this plan add to each
 	// worker, beyond what the ledger holds.
-	taken    map[model.WorkerID]model.Resources
+	added    map[model.WorkerID]model.Resources
 	rejected []Rejection
 }
 
@@ -104,11 +104,11 @@
 	if !known {
 		return RejectUnknownWorker, false
 	}
-	taken := c.taken[worker].Add(more)
+	taken := c.added[worker].Add(more)
 	if !c.contents.Committed(worker).Add(taken).Fits(capacity) {
 		return RejectNoRoom, false
 	}
-	c.taken[worker] = taken
+	c.added[worker] = taken
 	return "", true
 }
 
--- a/core/shares/deal.go
+++ b/core/shares/deal.go
@@ -9,17 +9,17 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// deal is one computation of Divide. All arithmetic is on integers, so that
+// division is one computation of Divide. All arithmetic is on integers, so that
 // entries on different processors agree.
-type deal struct {
-	entries []dealEntry // by ID
-	targets []dealTarget
+type division struct {
+	entries []divisionEntry // by ID
+	targets []divisionTarget
 	zones   *zonePlan
-	// given is a matrix, one row a target.
-	given []int32
+	// assigned is a matrix, one row a target.
+	assigned []int32
 }
 
-type dealEntry struct {
+type divisionEntry struct {
 	Entry
 	hash  uint64
 	zone  int
@@ -27,7 +27,7 @@
 	left  int
 }
 
-type dealTarget struct {
+type divisionTarget struct {
 	Capacity
 	hash uint64
 	zone int
@@ -37,14 +37,14 @@
 	left  int
 }
 
-func newDeal(entries []Entry, targets []Capacity) *deal {
-	d := &deal{}
+func newDivision(entries []Entry, targets []Capacity) *division {
+	d := &division{}
 	for _, e := range entries {
 		e.Weight = max(e.Weight, 1)
-		d.entries = append(d.entries, dealEntry{Entry: e, hash: xxhash.Sum64String(string(e.ID))})
+		d.entries = append(d.entries, divisionEntry{Entry: e, hash: xxhash.Sum64String(string(e.ID))})
 	}
-	slices.SortFunc(d.entries, func(a, b dealEntry) int { return cmp.Compare(a.ID, b.ID) })
-	d.entries = slices.CompactFunc(d.entries, func(a, b dealEntry) bool { return a.ID == b.ID })
+	slices.SortFunc(d.entries, func(a, b divisionEntry) int { return cmp.Compare(a.ID, b.ID) })
+	d.entries = slices.CompactFunc(d.entries, func(a, b divisionEntry) bool { return a.ID == b.ID })
 	for _, t := range targets {
 		if t.Connections > 0 {
 			t.Slots = min(t.Slots, t.Connections)
@@ -52,47 +52,47 @@
 		if t.Slots <= 0 {
 			continue
 		}
-		d.targets = append(d.targets, dealTarget{Capacity: t, hash: xxhash.Sum64String(t.Address)})
+		d.targets = append(d.targets, divisionTarget{Capacity: t, hash: xxhash.Sum64String(t.Address)})
 	}
 	slices.SortFunc(d.targets, compareTargets)
-	d.targets = slices.CompactFunc(d.targets, func(a, b dealTarget) bool { return a.Address == b.Address })
+	d.targets = slices.CompactFunc(d.targets, func(a, b divisionTarget) bool { return a.Address == b.Address })
 	return d
 }
 
 // compareTargets orders by hash, so that the order in which instances are
 // dealt says nothing of their zone or age.
-func compareTargets(a, b dealTarget) int {
+func compareTargets(a, b divisionTarget) int {
 	if c := cmp.Compare(a.hash, b.hash); c != 0 {
 		return c
 	}
 	return cmp.Compare(a.Address, b.Address)
 }
 
-func (d *deal) indexOf(id model.DaemonID) (int, bool) {
-	return slices.BinarySearchFunc(d.entries, id, func(e dealEntry, id model.DaemonID) int {
+func (d *division) indexOf(id model.DaemonID) (int, bool) {
+	return slices.BinarySearchFunc(d.entries, id, func(e divisionEntry, id model.DaemonID) int {
 		return cmp.Compare(e.ID, id)
 	})
 }
 
-func (d *deal) run() {
-	d.given = make([]int32, len(d.entries)*len(d.targets))
+func (d *division) compute() {
+	d.assigned = make([]int32, len(d.entries)*len(d.targets))
 	total := d.countParts()
 	d.setQuotas(total)
 	d.zones = planZones(d.entries, d.targets)
 	scores := make([]uint64, len(d.entries))
 	for t := range d.targets {
-		d.giveWhole(t)
+		d.assignWhole(t)
 	}
 	for t := range d.targets {
-		d.giveRests(t, scores)
+		d.assignFractions(t, scores)
 	}
 	for t := range d.targets {
-		d.giveLeftovers(t)
+		d.assignLeftovers(t)
 	}
 }
 
 // countParts sets each target's parts and returns their sum.
-func (d *deal) countParts() int {
+func (d *division) countParts() int {
 	slots := 0
 	for _, t := range d.targets {
 		slots += t.Slots
@@ -112,31 +112,31 @@
 
 // setQuotas divides total over the entries by weight; the parts that do not
 // divide evenly go by hash.
-func (d *deal) setQuotas(total int) {
+func (d *division) setQuotas(total int) {
 	weights := 0
 	for _, e := range d.entries {
 		weights += int(e.Weight)
 	}
-	type rest struct {
+	type remainder struct {
 		entry int
 		part  int
 	}
-	rests := make([]rest, len(d.entries))
+	remainders := make([]remainder, len(d.entries))
 	left := total
 	for i := range d.entries {
 		e := &d.entries[i]
 		share := total * int(e.Weight)
 		e.quota = share / weights
-		rests[i] = rest{entry: i, part: share % weights}
+		remainders[i] = remainder{entry: i, part: share % weights}
 		left -= e.quota
 	}
-	slices.SortFunc(rests, func(a, b rest) int {
+	slices.SortFunc(remainders, func(a, b remainder) int {
 		if a.part != b.part {
 			return cmp.Compare(b.part, a.part)
 		}
 		return cmp.Compare(d.entries[a.entry].hash, d.entries[b.entry].hash)
 	})
-	for _, r := range rests[:left] {
+	for _, r := range remainders[:left] {
 		d.entries[r.entry].quota++
 	}
 	for i := range d.entries {
@@ -144,24 +144,24 @@
 	}
 }
 
-// giveWhole gives every entry the whole slots of its due.
-func (d *deal) giveWhole(t int) {
+// assignWhole gives every entry the whole slots of its due.
+func (d *division) assignWhole(t int) {
 	for e := range d.entries {
-		if n := int(d.due(t, e) / dueUnit); n > 0 {
-			d.give(t, e, n)
+		if n := int(d.entitlement(t, e) / slotUnit); n > 0 {
+			d.assign(t, e, n)
 		}
 	}
 }
 
-// giveRests gives the target's remaining slots, at most one each, to entries
+// assignFractions gives the target's remaining slots, at most one each, to entries
 // with a fraction of a slot due, by rendezvous hash weighted with it.
-func (d *deal) giveRests(t int, scores []uint64) {
+func (d *division) assignFractions(t int, scores []uint64) {
 	if d.targets[t].left == 0 {
 		return
 	}
 	for e := range d.entries {
-		weight := uint64(d.due(t, e) % dueUnit)
-		scores[e] = (d.pair(t, e) >> 32) * weight
+		weight := uint64(d.entitlement(t, e) % slotUnit)
+		scores[e] = (d.pairHash(t, e) >> 32) * weight
 	}
 	for d.targets[t].left > 0 {
 		best := -1
@@ -177,13 +177,13 @@
 			return
 		}
 		scores[best] = 0
-		d.give(t, best, 1)
+		d.assign(t, best, 1)
 	}
 }
 
-// giveLeftovers gives what no entry had a fraction due of to entries that are
+// assignLeftovers gives what no entry had a fraction due of to entries that are
 // short of their total, spread over as many as can be.
-func (d *deal) giveLeftovers(t int) {
+func (d *division) assignLeftovers(t int) {
 	for d.targets[t].left > 0 {
 		best := -1
 		for e := range d.entries {
@@ -194,30 +194,30 @@
 		if best < 0 {
 			return
 		}
-		d.give(t, best, 1)
+		d.assign(t, best, 1)
 	}
 }
 
-func (d *deal) betterLeftover(t, a, b int) bool {
+func (d *division) betterLeftover(t, a, b int) bool {
 	zone := d.targets[t].zone
 	if near := d.entries[a].zone == zone; near != (d.entries[b].zone == zone) {
 		return near
 	}
-	if ga, gb := d.given[t*len(d.entries)+a], d.given[t*len(d.entries)+b]; ga != gb {
+	if ga, gb := d.assigned[t*len(d.entries)+a], d.assigned[t*len(d.entries)+b]; ga != gb {
 		return ga < gb
 	}
-	return d.pair(t, a) > d.pair(t, b)
+	return d.pairHash(t, a) > d.pairHash(t, b)
 }
 
-func (d *deal) give(t, e, n int) {
+func (d *division) assign(t, e, n int) {
 	n = min(n, d.targets[t].left)
-	d.given[t*len(d.entries)+e] += int32(n)
+	d.assigned[t*len(d.entries)+e] += int32(n)
 	d.entries[e].left -= n
 	d.targets[t].left -= n
 }
 
-// pair is the rendezvous hash of a target and an entry.
-func (d *deal) pair(t, e int) uint64 {
+// pairHash is the rendezvous hash of a target and an entry.
+func (d *division) pairHash(t, e int) uint64 {
 	return mix(d.targets[t].hash ^ mix(d.entries[e].hash))
 }
 
@@ -230,10 +230,10 @@
 	return x ^ x>>31
 }
 
-func (d *deal) sharesOf(e int) []Share {
+func (d *division) sharesOf(e int) []Share {
 	var out []Share
 	for t := range d.targets {
-		n := int(d.given[t*len(d.entries)+e])
+		n := int(d.assigned[t*len(d.entries)+e])
 		if n == 0 {
 			continue
 		}
@@ -249,7 +249,7 @@
 }
 
 // connectionsOf divides connections as slots are; unlimited ones stay so.
-func connectionsOf(t *dealTarget, slots int) int {
+func connectionsOf(t *divisionTarget, slots int) int {
 	if t.Connections <= 0 {
 		return 0
 	}
--- a/core/shares/demand.go
+++ b/core/shares/demand.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// demandMemory is the time constant of the smoothed demand.
-	demandMemory = time.Second
+	// demandTimeConstant is the time constant of the smoothed demand.
+	demandTimeConstant = time.Second
 	// demandSteps is into how many steps an equal share is quantised, and
 	// demandDeadband how many steps the demand must have moved before the
 	// published one follows. Every move of shares leaves slots unused for the
@@ -43,7 +43,7 @@
 		return
 	}
 	d.observed = now
-	gain := 1 - math.Exp(-float64(elapsed)/float64(demandMemory))
+	gain := 1 - math.Exp(-float64(elapsed)/float64(demandTimeConstant))
 	d.smoothed += gain * (v - d.smoothed)
 }
 
@@ -74,7 +74,7 @@
 	for i, e := range entries {
 		claims[i] = min(demand[e.ID], maxDemand*equal)
 	}
-	levelOrdinary(claims, max(equal/demandSteps, 1))
+	equalizeTypical(claims, max(equal/demandSteps, 1))
 	weighed := make([]Entry, len(entries))
 	for i, e := range entries {
 		e.Weight = weightUnit*equal/2 + weightUnit*claims[i]
@@ -86,9 +86,9 @@
 // weightUnit keeps the halves of small shares whole.
 const weightUnit = 2
 
-// levelOrdinary replaces the claims that differ from the mean by no more than
+// equalizeTypical replaces the claims that differ from the mean by no more than
 // half of it, or than one step, by their own mean.
-func levelOrdinary(claims []uint32, step uint32) {
+func equalizeTypical(claims []uint32, step uint32) {
 	if len(claims) == 0 {
 		return
 	}
@@ -98,16 +98,16 @@
 	}
 	mean := sum / uint32(len(claims))
 	band := max(mean/2, step)
-	ordinary := func(c uint32) bool { return c <= mean+band && c+band >= mean }
+	typical := func(c uint32) bool { return c <= mean+band && c+band >= mean }
 	sum, count := uint32(0), uint32(0)
 	for _, c := range claims {
-		if ordinary(c) {
+		if typical(c) {
 			sum += c
 			count++
 		}
 	}
 	for i, c := range claims {
-		if ordinary(c) {
+		if typical(c) {
 			claims[i] = sum / count
 		}
 	}
--- a/core/shares/shares.go
+++ b/core/shares/shares.go
@@ -48,11 +48,11 @@
 // returns self's part, sorted by address. Instances of which self has no part
 // are left out; so is everything when self is not among entries.
 func Divide(entries []Entry, self model.DaemonID, targets []Capacity) []Share {
-	d := newDeal(entries, targets)
+	d := newDivision(entries, targets)
 	me, ok := d.indexOf(self)
 	if !ok || len(d.targets) == 0 {
 		return nil
 	}
-	d.run()
+	d.compute()
 	return d.sharesOf(me)
 }
--- a/core/shares/shares_test.go
+++ b/core/shares/shares_test.go
@@ -136,7 +136,7 @@
 // Sequence: a death changes the division; what an entry loses it loses at
 // once, what it gains it gains late. Cause: a division that is dealt anew from
 // the start moves most slots.
-func TestDeathMovesFewSlots(t *testing.T) {
+func TestLossOfAnEntryMovesFewSlots(t *testing.T) {
 	entries, targets := makeEntries(7, 3), makeTargets(50, 8, 3)
 	before, _ := divideAll(entries, targets)
 	for dead := range entries {
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestNearSlotsFirst(t *testing.T) {
+func TestSlotsInTheSameZoneComeFirst(t *testing.T) {
 	entries, targets := makeEntries(7, 3), makeTargets(50, 8, 3)
 	parts, _ := divideAll(entries, targets)
 	near := 0
@@ -170,7 +170,7 @@
 	}
 }
 
-func TestAssignIgnoresZones(t *testing.T) {
+func TestDivideUnzonedIgnoresZones(t *testing.T) {
 	targets := makeTargets(50, 8, 3)
 	ids := []model.DaemonID{"a", "b", "c"}
 	sum := 0
--- a/core/shares/tracker.go
+++ b/core/shares/tracker.go
@@ -15,7 +15,7 @@
 }
 
 type trackedShare struct {
-	slots, connections level
+	slots, connections delayedValue
 	unlimited          bool
 	seen               bool
 }
@@ -35,7 +35,7 @@
 		s.seen = false
 	}
 	for _, d := range desired {
-		t.want(now, d)
+		t.update(now, d)
 	}
 	current := make([]Share, 0, len(desired))
 	for address, s := range t.shares {
@@ -43,12 +43,12 @@
 			delete(t.shares, address)
 			continue
 		}
-		if s.slots.now == 0 {
+		if s.slots.current == 0 {
 			continue
 		}
-		share := Share{Address: address, Slots: s.slots.now}
+		share := Share{Address: address, Slots: s.slots.current}
 		if !s.unlimited {
-			share.Connections = max(1, s.connections.now)
+			share.Connections = max(1, s.connections.current)
 		}
 		current = append(current, share)
 	}
@@ -56,7 +56,7 @@
 	return current
 }
 
-func (t *Tracker) want(now time.Time, d Share) {
+func (t *Tracker) update(now time.Time, d Share) {
 	s := t.shares[d.Address]
 	if s == nil {
 		s = &trackedShare{}
@@ -64,44 +64,44 @@
 	}
 	s.seen = true
 	s.unlimited = d.Connections <= 0
-	s.slots.want(now, d.Slots, t.growDelay)
-	s.connections.want(now, d.Connections, t.growDelay)
+	s.slots.set(now, d.Slots, t.growDelay)
+	s.connections.set(now, d.Connections, t.growDelay)
 }
 
-// level is a number that falls at once and rises late: now is the least that
+// delayedValue is a number that falls at once and rises late: now is the least that
 // was wanted during the delay.
-type level struct {
-	now int
+type delayedValue struct {
+	current int
 	// rises are growing values, each with the time since which at least it
 	// was wanted without interruption.
-	rises []rise
+	rises []pendingRise
 }
 
-type rise struct {
+type pendingRise struct {
 	to    int
 	since time.Time
 }
 
-func (l *level) want(now time.Time, v int, delay time.Duration) {
-	l.mature(now, delay)
+func (l *delayedValue) set(now time.Time, v int, delay time.Duration) {
+	l.applyRises(now, delay)
 	since := now
 	for n := len(l.rises); n > 0 && l.rises[n-1].to >= v; n-- {
 		since = l.rises[n-1].since
 		l.rises = l.rises[:n-1]
 	}
 	switch {
-	case v <= l.now:
-		l.now = v
+	case v <= l.current:
+		l.current = v
 		l.rises = nil
 	default:
-		l.rises = append(l.rises, rise{to: v, since: since})
+		l.rises = append(l.rises, pendingRise{to: v, since: since})
 	}
-	l.mature(now, delay)
+	l.applyRises(now, delay)
 }
 
-func (l *level) mature(now time.Time, delay time.Duration) {
+func (l *delayedValue) applyRises(now time.Time, delay time.Duration) {
 	for len(l.rises) > 0 && now.Sub(l.rises[0].since) >= delay {
-		l.now = l.rises[0].to
+		l.current = l.rises[0].to
 		l.rises = l.rises[1:]
 	}
 }
--- a/core/shares/tracker_test.go
+++ b/core/shares/tracker_test.go
@@ -74,19 +74,19 @@
 // simulation lets entries join and die; each hears of a change at its own
 // time, within simConverge.
 type simulation struct {
-	rnd     *rand.Rand
-	targets []Capacity
-	entries []*simulated
-	hears   map[time.Duration][]func()
-	agreed  time.Duration // when all living entries last held the same view
+	rnd      *rand.Rand
+	targets  []Capacity
+	entries  []*simulated
+	updates  map[time.Duration][]func()
+	agreedAt time.Duration // when all living entries last held the same view
 }
 
 func newSimulation(seed uint64, entries, targets int) *simulation {
 	s := &simulation{
-		rnd:     rand.New(rand.NewPCG(seed, 3)),
-		targets: makeTargets(targets, 8, 3),
-		hears:   make(map[time.Duration][]func()),
-		agreed:  -time.Hour,
+		rnd:      rand.New(rand.NewPCG(seed, 3)),
+		targets:  makeTargets(targets, 8, 3),
+		updates:  make(map[time.Duration][]func()),
+		agreedAt: -time.Hour,
 	}
 	for _, e := range makeEntries(entries, 3) {
 		s.entries = append(s.entries, &simulated{Entry: e})
@@ -108,7 +108,7 @@
 		if other == e {
 			late = simTick
 		}
-		s.hears[now+late] = append(s.hears[now+late], func() { other.view = s.living() })
+		s.updates[now+late] = append(s.updates[now+late], func() { other.view = s.living() })
 	}
 }
 
@@ -123,7 +123,7 @@
 }
 
 func (s *simulation) tick(now time.Duration) {
-	for _, hear := range s.hears[now] {
+	for _, hear := range s.updates[now] {
 		hear()
 	}
 	agree := true
@@ -135,7 +135,7 @@
 		e.shares = e.tracker.Step(start.Add(now), Divide(e.view, e.ID, s.targets))
 	}
 	if agree {
-		s.agreed = now
+		s.agreedAt = now
 	}
 }
 
@@ -167,7 +167,7 @@
 				}
 				s.tick(now)
 				checked++
-				if now-s.agreed >= simGrowDelay {
+				if now-s.agreedAt >= simGrowDelay {
 					continue
 				}
 				covered++
@@ -194,7 +194,7 @@
 }
 
 // Entries that are cut off from each other use an instance once on each side.
-func TestSumIsBoundedBySidesOfACut(t *testing.T) {
+func TestSumIsBoundedBySidesOfAPartition(t *testing.T) {
 	entries, targets := makeEntries(8, 3), makeTargets(12, 8, 3)
 	sums := make(map[string]int)
 	for i, e := range entries {
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestWeighFollowsDemandBeyondTheOrdinary(t *testing.T) {
+func TestWeightsFollowUntypicalDemand(t *testing.T) {
 	entries := makeEntries(4, 1)
 	weights := func(demand ...uint32) []uint32 {
 		published := make(map[model.DaemonID]uint32)
--- a/core/shares/zones.go
+++ b/core/shares/zones.go
@@ -7,15 +7,15 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// dueUnit is one whole slot in the fixed-point amounts that due returns.
-const dueUnit = 1 << 12
+// slotUnit is one whole slot in the fixed-point amounts that due returns.
+const slotUnit = 1 << 12
 
-// anywhereParts of anywhereWhole parts of every entry's total are dealt
+// crossZoneParts of crossZoneWhole parts of every entry's total are dealt
 // without regard to zones. An entry with slots in its own zone only would
 // have none left when that zone's instances fail and the entry does not.
 const (
-	anywhereParts = 1
-	anywhereWhole = 8
+	crossZoneParts = 1
+	crossZoneWhole = 8
 )
 
 // zonePlan says how many slots flow from the instances of one zone to the
@@ -28,7 +28,7 @@
 }
 
 // planZones numbers the zones and plans the flow between them.
-func planZones(entries []dealEntry, targets []dealTarget) *zonePlan {
+func planZones(entries []divisionEntry, targets []divisionTarget) *zonePlan {
 	numbers := numberZones(entries, targets)
 	p := &zonePlan{
 		zones:    len(numbers),
@@ -48,7 +48,7 @@
 	return p
 }
 
-func numberZones(entries []dealEntry, targets []dealTarget) map[model.Zone]int {
+func numberZones(entries []divisionEntry, targets []divisionTarget) map[model.Zone]int {
 	var names []model.Zone
 	for _, e := range entries {
 		names = append(names, e.Zone)
@@ -68,25 +68,25 @@
 // plan keeps as much as it may within zones and spreads the rest in
 // proportion to what each zone has over and lacks.
 func (p *zonePlan) plan() {
-	over := make([]int, p.zones)
-	lack := make([]int, p.zones)
+	surplus := make([]int, p.zones)
+	deficit := make([]int, p.zones)
 	rest := 0
 	for z := range p.zones {
-		near := min(p.need[z], p.capacity[z]) * dueUnit
+		near := min(p.need[z], p.capacity[z]) * slotUnit
 		if p.zones > 1 {
-			near = near / anywhereWhole * (anywhereWhole - anywhereParts)
+			near = near / crossZoneWhole * (crossZoneWhole - crossZoneParts)
 		}
 		p.flow[z*p.zones+z] = near
-		over[z] = p.capacity[z]*dueUnit - near
-		lack[z] = p.need[z]*dueUnit - near
-		rest += lack[z]
+		surplus[z] = p.capacity[z]*slotUnit - near
+		deficit[z] = p.need[z]*slotUnit - near
+		rest += deficit[z]
 	}
 	if rest == 0 {
 		return
 	}
 	for from := range p.zones {
 		for to := range p.zones {
-			p.flow[from*p.zones+to] += mulDiv(over[from], lack[to], rest)
+			p.flow[from*p.zones+to] += mulDiv(surplus[from], deficit[to], rest)
 		}
 	}
 }
@@ -99,9 +99,9 @@
 	return int(quotient)
 }
 
-// due returns how much of target t's slots entry e has a claim to, in
+// entitlement returns how much of target t's slots entry e has a claim to, in
 // 1/dueUnit of a slot.
-func (d *deal) due(t, e int) int {
+func (d *division) entitlement(t, e int) int {
 	target, entry, p := &d.targets[t], &d.entries[e], d.zones
 	flow := p.flow[target.zone*p.zones+entry.zone]
 	if flow == 0 {
