--- a/core/plan/doc.go
+++ b/core/plan/doc.go
@@ -1,9 +1,10 @@
-// Package plan is the step between deciding and committing. A Plan is what the
-// scheduler wishes to change in a shard's ledger, decided on a snapshot. Apply
-// checks each wish against the ledger as it has become since, and against the
-// workers' capacities, and passes on only what still fits.
+// Package plan validates the scheduler's decisions before they are committed. A
+// Plan holds the changes that the scheduler decided to make to a shard's ledger,
+// based on a snapshot. Apply checks each change against the current ledger and
+// the workers' capacities, and returns only the changes that are still valid.
 //
-// The check is the last one before the commit and does not trust the
-// decision: whatever the scheduler got wrong, or whatever happened since its
-// snapshot, no worker's committed sum passes its capacity.
+// This is the last check before the commit, and it does not rely on the
+// decision being correct. Whatever the scheduler decided wrongly, or whatever
+// changed since its snapshot, the committed resources of a worker never exceed
+// its capacity.
 package plan
--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -5,26 +5,28 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Plan is a list of wished changes in the order in which they are to be
-// checked, and the configuration revision they were decided for.
+// Plan is a list of proposed changes, in the order in which they are checked.
 type Plan struct {
 	Changes []ledger.Change
-	// Synced is the configuration revision whose tasks the plan creates and
-	// retires completely, or 0 when the plan did not compare them.
+	// Synced is the configuration revision with which the ledger agrees after
+	// the plan, or 0 if the plan does not compare the two.
 	Synced model.Revision
 }
 
-// RejectReason says why a wish was not passed on.
+// RejectReason is the reason why a change was rejected.
 type RejectReason string
 
 // The reasons for a rejection.
 const (
-	RejectNoRoom        RejectReason = "worker has no room left"
+	// RejectNoRoom means that the worker's capacity would be exceeded.
+	RejectNoRoom RejectReason = "worker has no room left"
+	// RejectUnknownWorker means that the shard has no such worker.
 	RejectUnknownWorker RejectReason = "worker is not in the shard"
-	RejectStale         RejectReason = "task changed since the decision"
+	// RejectStale means that the task's attempt or worker has changed.
+	RejectStale RejectReason = "task changed since the decision"
 )
 
-// Rejection is a wish that no longer holds.
+// Rejection is a change that is not valid any more.
 type Rejection struct {
 	Task   model.TaskKey
 	Worker model.WorkerID
@@ -35,13 +37,14 @@
 // the shard.
 type CapacityFunc func(model.WorkerID) (model.Resources, bool)
 
-// Contents is what Apply needs to know of the ledger.
+// Contents is the part of a ledger's contents that Apply reads.
 type Contents interface {
 	Task(model.TaskKey) (ledger.Task, bool)
 	Committed(model.WorkerID) model.Resources
 }
 
-// Apply returns the changes that still hold, in order, and the rejections.
+// Apply returns the changes of a plan that are still valid, in order, and the
+// rejected ones. It does not modify the ledger.
 func Apply(contents Contents, capacity CapacityFunc, p Plan) ([]ledger.Change, []Rejection) {
 	c := checker{
 		contents: contents,
@@ -62,8 +65,8 @@
 type checker struct {
 	contents Contents
 	capacity CapacityFunc
-	// added is the room that accepted changes of this plan add to each
-	// worker, beyond what the ledger holds.
+	// added is the resources on each worker that the accepted changes of this
+	// plan commit in addition to those in the ledger.
 	added    map[model.WorkerID]model.Resources
 	rejected []Rejection
 }
@@ -86,8 +89,8 @@
 	return c.checkRoom(task.Worker, task.Size)
 }
 
-// checkHeld judges a change of a task that already holds room: it must stay
-// where it is, and may only grow into free room.
+// checkHeld checks a change of a task that already holds resources. The task must
+// keep its worker and attempt, and may grow only into free resources.
 func (c *checker) checkHeld(before ledger.Task, task *ledger.Task) (RejectReason, bool) {
 	if before.Worker != task.Worker || before.Attempt != task.Attempt {
 		return RejectStale, false
--- a/core/plan/plan_test.go
+++ b/core/plan/plan_test.go
@@ -38,10 +38,9 @@
 	}}
 }
 
-// Symptom: a worker is committed beyond its processors.
-// Sequence: one snapshot is taken; two starts are decided on it, each of which
-// fits alone; or the worker fills up between decision and commit.
-// Cause: the decision's view of free room is older than the commit.
+// Guards against a worker being committed beyond its capacity. Two starts decided
+// on one snapshot may each fit alone but not together, and a worker may fill up
+// between the decision and the commit.
 func TestApplyRejectsWhatNoLongerFits(t *testing.T) {
 	contents := fakeContents{
 		tasks:     map[model.TaskKey]ledger.Task{},
@@ -67,10 +66,9 @@
 	}
 }
 
-// Symptom: a task is started a second time while its first attempt runs.
-// Sequence: a start is decided; before its commit the task is committed
-// elsewhere by an earlier plan.
-// Cause: the wish was decided for an attempt number that is already used.
+// Guards against a task being started a second time while its first attempt runs.
+// If an earlier plan commits the task elsewhere between the decision and the
+// commit of a start, the attempt number of that start is already used.
 func TestApplyRejectsStaleAttempt(t *testing.T) {
 	running := ledger.Task{
 		Key: key(0), State: ledger.Running, Attempt: 1, Worker: "w1",
--- a/core/shares/deal.go
+++ b/core/shares/deal.go
@@ -9,13 +9,14 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// division is one computation of Divide. All arithmetic is on integers, so that
-// entries on different processors agree.
+// division is the state of one call of Divide. All arithmetic is on integers, so
+// that entries on different processors compute the same result.
 type division struct {
 	entries []divisionEntry // by ID
 	targets []divisionTarget
 	zones   *zonePlan
-	// assigned is a matrix, one row a target.
+	// assigned holds the number of slots of each target that each entry has,
+	// one row per target.
 	assigned []int32
 }
 
@@ -31,8 +32,8 @@
 	Capacity
 	hash uint64
 	zone int
-	// parts is into how many slots the instance is divided: Slots, or more
-	// when there are fewer slots than entries.
+	// parts is the number of slots to assign: Slots, or more if there are fewer
+	// slots than entries.
 	parts int
 	left  int
 }
@@ -59,8 +60,8 @@
 	return d
 }
 
-// compareTargets orders by hash, so that the order in which instances are
-// dealt says nothing of their zone or age.
+// compareTargets orders targets by hash, so that the order of assignment does not
+// depend on their zones or ages.
 func compareTargets(a, b divisionTarget) int {
 	if c := cmp.Compare(a.hash, b.hash); c != 0 {
 		return c
@@ -110,8 +111,9 @@
 	return total
 }
 
-// setQuotas divides total over the entries by weight; the parts that do not
-// divide evenly go by hash.
+// setQuotas divides total between the entries in proportion to their weights.
+// Slots left by rounding go to the entries with the largest remainders, and
+// among equal ones by hash.
 func (d *division) setQuotas(total int) {
 	weights := 0
 	for _, e := range d.entries {
@@ -144,7 +146,8 @@
 	}
 }
 
-// assignWhole gives every entry the whole slots of its due.
+// assignWhole assigns to each entry the whole slots of its entitlement to a
+// target.
 func (d *division) assignWhole(t int) {
 	for e := range d.entries {
 		if n := int(d.entitlement(t, e) / slotUnit); n > 0 {
@@ -153,8 +156,9 @@
 	}
 }
 
-// assignFractions gives the target's remaining slots, at most one each, to entries
-// with a fraction of a slot due, by rendezvous hash weighted with it.
+// assignFractions assigns the remaining slots of a target, at most one each, to
+// entries that are entitled to a fraction of a slot. It selects them by a
+// rendezvous hash weighted with the fraction.
 func (d *division) assignFractions(t int, scores []uint64) {
 	if d.targets[t].left == 0 {
 		return
@@ -181,8 +185,9 @@
 	}
 }
 
-// assignLeftovers gives what no entry had a fraction due of to entries that are
-// short of their total, spread over as many as can be.
+// assignLeftovers assigns the slots of a target that are still left to entries
+// below their quota. Entries in the target's zone come first, then those with
+// the fewest slots of the target.
 func (d *division) assignLeftovers(t int) {
 	for d.targets[t].left > 0 {
 		best := -1
@@ -216,12 +221,12 @@
 	d.targets[t].left -= n
 }
 
-// pairHash is the rendezvous hash of a target and an entry.
+// pairHash returns the rendezvous hash of a target and an entry.
 func (d *division) pairHash(t, e int) uint64 {
 	return mix(d.targets[t].hash ^ mix(d.entries[e].hash))
 }
 
-// mix is the finaliser of splitmix64.
+// mix is the finalizer of splitmix64.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
@@ -248,7 +253,8 @@
 	return out
 }
 
-// connectionsOf divides connections as slots are; unlimited ones stay so.
+// connectionsOf returns the part of a target's connections that belongs to a
+// number of its slots, at least 1. It returns 0 if connections are not limited.
 func connectionsOf(t *divisionTarget, slots int) int {
 	if t.Connections <= 0 {
 		return 0
--- a/core/shares/demand.go
+++ b/core/shares/demand.go
@@ -10,27 +10,28 @@
 const (
 	// demandTimeConstant is the time constant of the smoothed demand.
 	demandTimeConstant = time.Second
-	// demandSteps is into how many steps an equal share is quantised, and
-	// demandDeadband how many steps the demand must have moved before the
-	// published one follows. Every move of shares leaves slots unused for the
-	// grow delay, so that the noise of arrivals must not cause any.
+	// demandSteps is the number of quantization steps in an equal share.
+	// demandDeadband is the number of steps by which the demand must differ from
+	// the published one before that is updated. Each shift of shares leaves
+	// slots unused for the grow delay, so random variations of the arrival rate
+	// must not cause one.
 	demandSteps    = 4
 	demandDeadband = 0.75
-	// maxDemand bounds what one entry may claim, in equal shares.
+	// maxDemand limits the demand that counts for one entry, in equal shares.
 	maxDemand = 3
 )
 
-// Demand is an entry's own estimate of how many slots of a service it needs.
-// What it publishes changes seldom. It is not safe for concurrent use.
+// Demand estimates how many slots of a service an entry needs. The published
+// value changes rarely. It is not safe for concurrent use.
 type Demand struct {
 	smoothed  float64
 	observed  time.Time
-	published int // steps
+	published int // in steps
 	known     bool
 }
 
-// Observe takes the requests in flight and waiting now; call it a few times a
-// second.
+// Observe records the numbers of requests that are in flight and queued now. It
+// should be called a few times per second.
 func (d *Demand) Observe(now time.Time, inFlight, queued int) {
 	v := float64(inFlight + queued)
 	if !d.known {
@@ -47,8 +48,8 @@
 	d.smoothed += gain * (v - d.smoothed)
 }
 
-// Publish returns the demand to tell the other entries, in slots, given the
-// service's slots in all and the number of entries.
+// Publish returns the demand to send to the other entries, in slots. slots is the
+// service's total number of slots, and entries the number of entries.
 func (d *Demand) Publish(slots, entries int) uint32 {
 	step := demandStep(slots, entries)
 	at := d.smoothed / step
@@ -62,12 +63,12 @@
 	return max(float64(slots)/float64(max(entries, 1))/demandSteps, 0.25)
 }
 
-// WeightByDemand returns entries with the weights that follow from their published
-// demands: half of the slots are divided equally and half by demand, so that
-// an entry without demand keeps room for its next requests. Entries whose
-// demand is near the mean count as equal to each other: while load rises or
-// falls everywhere they publish their steps at different moments, and shares
-// moved for that would be moved back.
+// WeightByDemand returns a copy of entries with weights that follow from their
+// published demands. Half of an entry's weight is equal for all and half is
+// proportional to its demand, so that an entry without demand keeps slots for
+// its next requests. Entries with a demand close to the mean get the same
+// weight: while the load rises or falls everywhere, they publish their steps at
+// different times, and a shift of shares because of that would be reversed soon.
 func WeightByDemand(entries []Entry, demand map[model.DaemonID]uint32, slots int) []Entry {
 	equal := uint32(max(slots/max(len(entries), 1), 1))
 	claims := make([]uint32, len(entries))
@@ -83,11 +84,12 @@
 	return weighed
 }
 
-// weightUnit keeps the halves of small shares whole.
+// weightUnit scales weights so that half of a small share is a whole number.
 const weightUnit = 2
 
-// equalizeTypical replaces the claims that differ from the mean by no more than
-// half of it, or than one step, by their own mean.
+// equalizeTypical replaces the claims close to the mean by the mean of these
+// claims. A claim is close if it differs from the mean by at most half of the
+// mean or one step, whichever is larger.
 func equalizeTypical(claims []uint32, step uint32) {
 	if len(claims) == 0 {
 		return
--- a/core/shares/shares.go
+++ b/core/shares/shares.go
@@ -4,33 +4,36 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Entry is one daemon among which slots are divided.
+// Entry is a daemon that gets a share of the slots.
 type Entry struct {
 	ID   model.DaemonID
 	Zone model.Zone
-	// Weight is the entry's part relative to the others'; 0 counts as 1.
+	// Weight is the entry's weight relative to the other entries; 0 counts as
+	// 1.
 	Weight uint32
 }
 
-// Capacity is what one instance offers to all entries together. Connections
-// of 0 means that connections are not limited.
+// Capacity is the capacity of one instance for all entries together.
 type Capacity struct {
-	Address     string
-	Zone        model.Zone
-	Slots       int
+	Address string
+	Zone    model.Zone
+	// Slots is the number of concurrent requests.
+	Slots int
+	// Connections is the number of connections; 0 means no limit.
 	Connections int
 }
 
-// Share is one entry's part of one instance.
+// Share is one entry's share of one instance.
 type Share struct {
-	Address     string
-	Slots       int
+	Address string
+	Slots   int
+	// Connections is the number of connections; 0 means no limit.
 	Connections int
 }
 
-// DivideUnzoned divides targets over entries without regard to zones and returns
-// self's part, sorted by address. Instances of which self has no part are
-// left out.
+// DivideUnzoned divides targets between entries regardless of zones and returns
+// the shares of self, sorted by address. Instances of which self has no slot
+// are omitted.
 func DivideUnzoned(entries []model.DaemonID, self model.DaemonID, targets []Capacity) []Share {
 	unzoned := make([]Entry, len(entries))
 	for i, id := range entries {
@@ -44,9 +47,9 @@
 	return Divide(unzoned, self, anywhere)
 }
 
-// Divide divides targets over entries, those in the same zone first, and
-// returns self's part, sorted by address. Instances of which self has no part
-// are left out; so is everything when self is not among entries.
+// Divide divides targets between entries, preferably within the same zone, and
+// returns the shares of self, sorted by address. Instances of which self has no
+// slot are omitted. The result is nil if self is not among the entries.
 func Divide(entries []Entry, self model.DaemonID, targets []Capacity) []Share {
 	d := newDivision(entries, targets)
 	me, ok := d.indexOf(self)
--- a/core/shares/shares_capacity_test.go
+++ b/core/shares/shares_capacity_test.go
@@ -9,8 +9,8 @@
 	"github.com/guavarill/guavarill/capacity/measure"
 )
 
-// BenchmarkCapacityDivide is the division of one service's instances over all
-// entries, for services of 13, 130 and 1,300 instances.
+// BenchmarkCapacityDivide measures the division of one service's instances
+// between all entries, for services of 13, 130 and 1,300 instances.
 func BenchmarkCapacityDivide(b *testing.B) {
 	for _, size := range []struct{ entries, targets int }{
 		{8, 13}, {50, 13}, {150, 13}, {300, 13}, {300, 130}, {300, 1300},
@@ -30,8 +30,8 @@
 	}
 }
 
-// BenchmarkCapacityTracker is the memory and the time of following a share
-// that does not change.
+// BenchmarkCapacityTracker measures the memory and the processor time that a
+// tracker needs for shares that do not change.
 func BenchmarkCapacityTracker(b *testing.B) {
 	const targets = 1300
 	desired := make([]Share, targets)
--- a/core/shares/shares_test.go
+++ b/core/shares/shares_test.go
@@ -37,7 +37,7 @@
 	return targets
 }
 
-// divideAll returns every entry's part, and the sums over entries.
+// divideAll returns the shares of each entry, and their sums by address.
 func divideAll(entries []Entry, targets []Capacity) (map[model.DaemonID]map[string]Share, map[string]Share) {
 	parts := make(map[model.DaemonID]map[string]Share)
 	sums := make(map[string]Share)
@@ -104,9 +104,9 @@
 	properties.TestingRun(t)
 }
 
-// Symptom: some of some hundred entries refuse every request of a small
-// service. Sequence: the service has fewer slots than there are entries, and
-// each slot is given once. Cause: an entry without a slot cannot serve.
+// Guards against some entries refusing every request of a small service. If the
+// service has fewer slots than there are entries and each slot is assigned
+// once, an entry without a slot cannot serve it.
 func TestEveryEntryHasASlot(t *testing.T) {
 	entries, targets := makeEntries(300, 8), makeTargets(10, 8, 8)
 	parts, sums := divideAll(entries, targets)
@@ -132,10 +132,9 @@
 	}
 }
 
-// Symptom: after one entry died all others refuse requests for the grow delay.
-// Sequence: a death changes the division; what an entry loses it loses at
-// once, what it gains it gains late. Cause: a division that is dealt anew from
-// the start moves most slots.
+// Guards against all entries refusing requests for the grow delay after one
+// entry was lost. A share is reduced at once and raised late, so a division
+// that moves most slots leaves them unused for that time.
 func TestLossOfAnEntryMovesFewSlots(t *testing.T) {
 	entries, targets := makeEntries(7, 3), makeTargets(50, 8, 3)
 	before, _ := divideAll(entries, targets)
@@ -166,7 +165,7 @@
 		}
 	}
 	if near < 400*3/4 {
-		t.Errorf("%d of 400 slots are near", near)
+		t.Errorf("%d of 400 slots are in the same zone", near)
 	}
 }
 
--- a/core/shares/tracker.go
+++ b/core/shares/tracker.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Tracker follows an entry's division over time: a share is reduced at once
-// and grown only after it has been due for the whole grow delay. It is not
-// safe for concurrent use.
+// Tracker applies an entry's division over time. It reduces a share at once, and
+// raises it only to a value that the division has given for the whole grow
+// delay. It is not safe for concurrent use.
 type Tracker struct {
 	growDelay time.Duration
 	shares    map[string]*trackedShare
@@ -20,16 +20,16 @@
 	seen               bool
 }
 
-// NewTracker returns a tracker whose shares grow after growDelay. A tracker
-// starts with nothing: an entry that joins sends nothing before the others
-// have had growDelay to shrink.
+// NewTracker returns a tracker whose shares grow after growDelay. It starts
+// without shares, so that an entry that joins sends no requests until the other
+// entries have had growDelay to reduce their shares.
 func NewTracker(growDelay time.Duration) *Tracker {
 	return &Tracker{growDelay: growDelay, shares: make(map[string]*trackedShare)}
 }
 
 // Step takes the division that follows from the current view and returns the
-// shares that may be used now, sorted by address. Call it on every change of
-// view, and about once a second besides so that shares grow.
+// shares that may be used now, sorted by address. It should be called on every
+// change of the view, and also about once per second so that shares grow.
 func (t *Tracker) Step(now time.Time, desired []Share) []Share {
 	for _, s := range t.shares {
 		s.seen = false
@@ -68,12 +68,12 @@
 	s.connections.set(now, d.Connections, t.growDelay)
 }
 
-// delayedValue is a number that falls at once and rises late: now is the least that
-// was wanted during the delay.
+// delayedValue is a number that falls at once and rises after a delay: current is
+// the smallest value that was set during the delay.
 type delayedValue struct {
 	current int
-	// rises are growing values, each with the time since which at least it
-	// was wanted without interruption.
+	// rises holds the pending higher values in increasing order. All values set
+	// since a rise's time were at least as large as that rise.
 	rises []pendingRise
 }
 
--- a/core/shares/tracker_test.go
+++ b/core/shares/tracker_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// simulated is one entry with its own, late view.
+// simulated is an entry with a view of its own, which may be outdated.
 type simulated struct {
 	Entry
 	view    []Entry
@@ -71,14 +71,14 @@
 	simConverge  = 1 * time.Second
 )
 
-// simulation lets entries join and die; each hears of a change at its own
-// time, within simConverge.
+// simulation lets entries join and fail. Each entry receives a change of the view
+// at a different time, within simConverge.
 type simulation struct {
 	rnd      *rand.Rand
 	targets  []Capacity
 	entries  []*simulated
 	updates  map[time.Duration][]func()
-	agreedAt time.Duration // when all living entries last held the same view
+	agreedAt time.Duration // the last time at which all live entries held the same view
 }
 
 func newSimulation(seed uint64, entries, targets int) *simulation {
@@ -94,7 +94,7 @@
 	return s
 }
 
-// change lets an entry join or die.
+// change lets an entry join or fail.
 func (s *simulation) change(now time.Duration) {
 	e := s.entries[s.rnd.IntN(len(s.entries))]
 	e.alive = !e.alive
@@ -149,10 +149,10 @@
 	return sums
 }
 
-// Symptom: an instance with 8 slots refuses or queues requests while entries
-// come and go. Sequence: one entry hears of a death early and takes the dead
-// one's slots, another hears of a join late and still uses the joined one's.
-// Cause: shares that follow each entry's own view at once.
+// Guards against an instance with 8 slots getting more requests than that while
+// entries join and fail. If shares follow each entry's view at once, an entry that
+// learns of a failure early takes over slots that another entry, which learns of
+// a join late, still uses.
 func TestSumIsBoundedWhileViewsDiffer(t *testing.T) {
 	properties := gopter.NewProperties(parameters(60))
 	properties.Property("sum over entries never exceeds the slots, and reaches them", prop.ForAll(
@@ -161,7 +161,7 @@
 			covered, checked := 0, 0
 			const quiet, end = 20 * time.Second, 26 * time.Second
 			for now := time.Duration(0); now < end; now += simTick {
-				// Changes come in bursts with a pause in which views agree.
+				// Changes come in bursts. Views agree in the pauses between them.
 				if now < quiet && now%(2*time.Second) < 500*time.Millisecond && s.rnd.IntN(3) == 0 {
 					s.change(now)
 				}
@@ -193,7 +193,7 @@
 	properties.TestingRun(t)
 }
 
-// Entries that are cut off from each other use an instance once on each side.
+// Entries that are partitioned from each other use an instance once per side.
 func TestSumIsBoundedBySidesOfAPartition(t *testing.T) {
 	entries, targets := makeEntries(8, 3), makeTargets(12, 8, 3)
 	sums := make(map[string]int)
@@ -253,7 +253,7 @@
 		return list
 	}
 	if w := weights(50, 75, 50, 75); w[0] != w[1] {
-		t.Errorf("ordinary differences move shares: %v", w)
+		t.Errorf("typical differences change weights: %v", w)
 	}
 	if w := weights(250, 50, 50, 50); w[0] < 2*w[1] || w[1] != w[2] {
 		t.Errorf("weights %v for a demand five times the others'", w)
--- a/core/shares/zones.go
+++ b/core/shares/zones.go
@@ -7,24 +7,24 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// slotUnit is one whole slot in the fixed-point amounts that due returns.
+// slotUnit is one whole slot in the fixed-point numbers that entitlement returns.
 const slotUnit = 1 << 12
 
-// crossZoneParts of crossZoneWhole parts of every entry's total are dealt
-// without regard to zones. An entry with slots in its own zone only would
-// have none left when that zone's instances fail and the entry does not.
+// crossZoneParts out of crossZoneWhole parts of each entry's total are assigned
+// regardless of zones. An entry with slots only in its own zone would have none
+// left if the instances of that zone failed and the entry did not.
 const (
 	crossZoneParts = 1
 	crossZoneWhole = 8
 )
 
-// zonePlan says how many slots flow from the instances of one zone to the
-// entries of another.
+// zonePlan holds how many slots of the instances in each zone go to the entries
+// in each zone.
 type zonePlan struct {
 	zones    int
-	capacity []int // slots, per zone of instances
-	need     []int // quotas, per zone of entries
-	flow     []int // [from instances' zone * zones + to entries' zone], in 1/dueUnit
+	capacity []int // slots of the instances in each zone
+	need     []int // sum of the quotas of the entries in each zone
+	flow     []int // [instances' zone * zones + entries' zone], in 1/slotUnit
 }
 
 // planZones numbers the zones and plans the flow between them.
@@ -65,8 +65,8 @@
 	return numbers
 }
 
-// plan keeps as much as it may within zones and spreads the rest in
-// proportion to what each zone has over and lacks.
+// plan assigns as many slots as allowed within each zone, and distributes the
+// rest in proportion to the surplus and the deficit of each zone.
 func (p *zonePlan) plan() {
 	surplus := make([]int, p.zones)
 	deficit := make([]int, p.zones)
@@ -91,16 +91,16 @@
 	}
 }
 
-// mulDiv returns a*b/c for numbers that are not negative; the product may
-// exceed an int.
+// mulDiv returns a*b/c for non-negative numbers. The product may exceed the range
+// of an int.
 func mulDiv(a, b, c int) int {
 	hi, lo := bits.Mul64(uint64(a), uint64(b))
 	quotient, _ := bits.Div64(hi, lo, uint64(c))
 	return int(quotient)
 }
 
-// entitlement returns how much of target t's slots entry e has a claim to, in
-// 1/dueUnit of a slot.
+// entitlement returns the share of target t's slots that the zone plan gives to
+// entry e, in 1/slotUnit of a slot.
 func (d *division) entitlement(t, e int) int {
 	target, entry, p := &d.targets[t], &d.entries[e], d.zones
 	flow := p.flow[target.zone*p.zones+entry.zone]
