--- a/core/plan/plan.go
+++ b/core/plan/plan.go
@@ -81,7 +81,7 @@
 		return "", true
 	}
 	if known && before.State.HoldsRoom() {
-		return c.checkHeld(before, task)
+		return c.checkActive(before, task)
 	}
 	if known && task.Attempt != before.Attempt+1 {
 		return RejectStale, false
@@ -89,9 +89,9 @@
 	return c.checkRoom(task.Worker, task.Size)
 }
 
-// checkHeld checks a change of a task that already holds resources. The task must
+// checkActive checks a change of a task that already holds resources. The task must
 // keep its worker and attempt, and may grow only into free resources.
-func (c *checker) checkHeld(before ledger.Task, task *ledger.Task) (RejectReason, bool) {
+func (c *checker) checkActive(before ledger.Task, task *ledger.Task) (RejectReason, bool) {
 	if before.Worker != task.Worker || before.Attempt != task.Attempt {
 		return RejectStale, false
 	}
--- a/core/shares/tracker_test.go
+++ b/core/shares/tracker_test.go
@@ -108,11 +108,11 @@
 		if other == e {
 			late = simTick
 		}
-		s.updates[now+late] = append(s.updates[now+late], func() { other.view = s.living() })
+		s.updates[now+late] = append(s.updates[now+late], func() { other.view = s.live() })
 	}
 }
 
-func (s *simulation) living() []Entry {
+func (s *simulation) live() []Entry {
 	var list []Entry
 	for _, e := range s.entries {
 		if e.alive {
@@ -123,15 +123,15 @@
 }
 
 func (s *simulation) tick(now time.Duration) {
-	for _, hear := range s.updates[now] {
-		hear()
+	for _, update := range s.updates[now] {
+		update()
 	}
 	agree := true
 	for _, e := range s.entries {
 		if !e.alive {
 			continue
 		}
-		agree = agree && slices.Equal(e.view, s.living())
+		agree = agree && slices.Equal(e.view, s.live())
 		e.shares = e.tracker.Step(start.Add(now), Divide(e.view, e.ID, s.targets))
 	}
 	if agree {
@@ -180,7 +180,7 @@
 			if covered < checked*9/10 {
 				return fmt.Sprintf("only %d of %d moments had an agreement before them", covered, checked)
 			}
-			if len(s.living()) == 0 {
+			if len(s.live()) == 0 {
 				return ""
 			}
 			for _, target := range s.targets {
