--- a/core/eviction/decide_test.go
+++ b/core/eviction/decide_test.go
@@ -28,7 +28,7 @@
 	return e.PredictWorkload(victim, aggressor, "", load)
 }
 
-var known = effects{"loud": 0.35, "quiet": 0.01, "watch": 0.35}
+var known = effects{"noisy": 0.35, "quiet": 0.01, "watch": 0.35}
 
 func task(class string, index uint32) Task {
 	return Task{
@@ -83,17 +83,17 @@
 // A single measurement over the limit may be noise.
 func TestOneMeasurementIsNotEnoughUnlessSevere(t *testing.T) {
 	c := NewController(DefaultOptions(), known)
-	if got := c.Decide(at(10), view(at(0), 1.6, task("loud", 1))); len(got) != 0 {
+	if got := c.Decide(at(10), view(at(0), 1.6, task("noisy", 1))); len(got) != 0 {
 		t.Errorf("after one: %v", got)
 	}
-	if got := c.Decide(at(11), view(at(0), 1.6, task("loud", 1))); len(got) != 0 {
+	if got := c.Decide(at(11), view(at(0), 1.6, task("noisy", 1))); len(got) != 0 {
 		t.Errorf("after the same one again: %v", got)
 	}
-	if got := c.Decide(at(13), view(at(3), 1.6, task("loud", 1))); len(got) != 1 || got[0].Kind != Throttle {
+	if got := c.Decide(at(13), view(at(3), 1.6, task("noisy", 1))); len(got) != 1 || got[0].Kind != Throttle {
 		t.Errorf("after two: %v", got)
 	}
 	c = NewController(DefaultOptions(), known)
-	if got := c.Decide(at(10), view(at(0), 3, task("loud", 1))); len(got) != 1 || got[0].Percent != DefaultOptions().MinPercent {
+	if got := c.Decide(at(10), view(at(0), 3, task("noisy", 1))); len(got) != 1 || got[0].Percent != DefaultOptions().MinPercent {
 		t.Errorf("after a severe one: %v", got)
 	}
 }
@@ -103,7 +103,7 @@
 // these must not lead to an action.
 func TestMeasurementsBeforeTheLastActionAreIgnored(t *testing.T) {
 	c := NewController(DefaultOptions(), known)
-	tasks := []Task{task("loud", 1), task("loud", 2), task("loud", 3)}
+	tasks := []Task{task("noisy", 1), task("noisy", 2), task("noisy", 3)}
 	got := c.Decide(at(20), view(at(10), 2.5, tasks...))
 	if len(got) != 1 || got[0].Kind != Throttle {
 		t.Fatalf("got %v", got)
@@ -121,7 +121,7 @@
 
 func TestAtMostOneActionPerReportLag(t *testing.T) {
 	c := NewController(DefaultOptions(), known)
-	tasks := []Task{task("loud", 1), task("loud", 2), task("loud", 3)}
+	tasks := []Task{task("noisy", 1), task("noisy", 2), task("noisy", 3)}
 	last, actions := -100, 0
 	for s := range 120 {
 		for _, a := range c.Decide(at(s), view(at(s), 3, tasks...)) {
@@ -140,9 +140,9 @@
 
 // Guards against an eviction, which loses work, where a throttle is sufficient.
 func TestThrottleComesBeforeEviction(t *testing.T) {
-	c := NewController(DefaultOptions(), effects{"loud": 0.39, "quiet": 0.01})
-	actions, times := runController(c, []Task{task("loud", 1), task("quiet", 1)}, 300, constant(1.7))
-	if len(actions) < 3 || actions[len(actions)-1].Kind != Evict || actions[0].Kind != Throttle || actions[0].Task.Workload != "loud" {
+	c := NewController(DefaultOptions(), effects{"noisy": 0.39, "quiet": 0.01})
+	actions, times := runController(c, []Task{task("noisy", 1), task("quiet", 1)}, 300, constant(1.7))
+	if len(actions) < 3 || actions[len(actions)-1].Kind != Evict || actions[0].Kind != Throttle || actions[0].Task.Workload != "noisy" {
 		t.Fatalf("got %v", actions)
 	}
 	for i, a := range actions {
@@ -197,7 +197,7 @@
 		}
 		return 1.1
 	}
-	actions, times := runController(c, []Task{task("loud", 1)}, 1800, slowdown)
+	actions, times := runController(c, []Task{task("noisy", 1)}, 1800, slowdown)
 	var unthrottled []int
 	for i, a := range actions {
 		if a.Kind == Unthrottle {
@@ -276,7 +276,7 @@
 // needs more memory than is committed for it, and against an eviction when only
 // processors are short.
 func TestShortage(t *testing.T) {
-	small, large := task("quiet", 1), task("loud", 2)
+	small, large := task("quiet", 1), task("noisy", 2)
 	small.Size.MemoryMB = 500
 	v := view(at(0), 1, small, large)
 	v.Shortages = []Shortage{{Task: small.Key, Missing: model.Resources{MemoryMB: 1000}}}
@@ -305,7 +305,7 @@
 	properties.Property("bounded and deterministic", prop.ForAll(
 		func(slowdowns []float64) bool {
 			a, b := NewController(DefaultOptions(), known), NewController(DefaultOptions(), known)
-			tasks := []Task{task("loud", 1), task("loud", 2), task("quiet", 3), task("watch", 4)}
+			tasks := []Task{task("noisy", 1), task("noisy", 2), task("quiet", 3), task("watch", 4)}
 			last := -100
 			for i, slowdown := range slowdowns {
 				now := 3 * i
--- a/core/eviction/view.go
+++ b/core/eviction/view.go
@@ -49,7 +49,7 @@
 }
 
 // Shortage is the resources that a task needs beyond its committed size and the
-// free resources of its worker; see interference.Grow.
+// free resources of its worker; see interference.SplitGrowth.
 type Shortage struct {
 	Task    model.TaskKey
 	Service bool
--- a/core/placement/score_separation_test.go
+++ b/core/placement/score_separation_test.go
@@ -7,10 +7,10 @@
 func TestSeparationScore(t *testing.T) {
 	workers := fleet(2, 1, 1, big)
 	workers[0].Tasks = []Resident{{Key: instance(1, 1).Key, Class: "orders", Service: true}}
-	s := NewSnapshot(workers, fixedEffects{"loud": 0.4, "quiet": 0.01})
+	s := NewSnapshot(workers, fixedEffects{"noisy": 0.4, "quiet": 0.01})
 	score := DefaultSeparationScore()
 	loud, quiet := batch(1, big), batch(2, big)
-	loud.Workload, loud.Class, quiet.Class = "noise", "loud", "quiet"
+	loud.Workload, loud.Class, quiet.Class = "noise", "noisy", "quiet"
 	with, without := s.workers[0], s.workers[1]
 	if score.Score(s, loud, with) >= score.Score(s, loud, without) {
 		t.Error("a noisy task prefers the worker with a service")
--- a/core/placement/score_slowdown_test.go
+++ b/core/placement/score_slowdown_test.go
@@ -5,18 +5,18 @@
 // Guards against two noisy tasks being placed next to the same service while
 // another service has no noisy neighbour.
 func TestSlowdownScoreSeparatesNoise(t *testing.T) {
-	effects := fixedEffects{"loud": 0.4, "quiet": 0.01}
+	effects := fixedEffects{"noisy": 0.4, "quiet": 0.01}
 	workers := fleet(2, 1, 1, big)
 	for i := range workers {
 		workers[i].Tasks = []Resident{{Key: instance(uint32(i), 2).Key, Class: "orders", Service: true}}
 	}
-	workers[0].Tasks = append(workers[0].Tasks, Resident{Key: batch(1, big).Key, Class: "loud"})
+	workers[0].Tasks = append(workers[0].Tasks, Resident{Key: batch(1, big).Key, Class: "noisy"})
 	workers[1].Tasks = append(workers[1].Tasks, Resident{Key: batch(4, big).Key, Class: "quiet"})
 	s := NewSnapshot(workers, effects)
 	// BatchWeight is 0, so only the harm to the two services is compared.
 	score := SlowdownScore{W: 1, ServiceWeight: 1}
 	loud, quiet := batch(2, big), batch(3, big)
-	loud.Class, quiet.Class = "loud", "quiet"
+	loud.Class, quiet.Class = "noisy", "quiet"
 	if score.Score(s, loud, s.workers[0]) >= score.Score(s, loud, s.workers[1]) {
 		t.Error("the second noisy task does not avoid the worker of the first")
 	}
@@ -29,8 +29,8 @@
 // batch tasks.
 func TestSlowdownScoreCountsTheTaskItself(t *testing.T) {
 	workers := fleet(2, 1, 1, big)
-	workers[0].Tasks = []Resident{{Key: batch(1, big).Key, Class: "loud"}}
-	s := NewSnapshot(workers, fixedEffects{"loud": 0.4})
+	workers[0].Tasks = []Resident{{Key: batch(1, big).Key, Class: "noisy"}}
+	s := NewSnapshot(workers, fixedEffects{"noisy": 0.4})
 	score := DefaultSlowdownScore()
 	if score.Score(s, instance(1, 1), s.workers[0]) >= score.Score(s, instance(1, 1), s.workers[1]) {
 		t.Error("a service does not avoid a noisy batch task")
