--- a/core/placement/score_separation_test.go
+++ b/core/placement/score_separation_test.go
@@ -9,10 +9,10 @@
 	workers[0].Tasks = []Resident{{Key: instance(1, 1).Key, Class: "orders", Service: true}}
 	s := NewSnapshot(workers, fixedEffects{"noisy": 0.4, "quiet": 0.01})
 	score := DefaultSeparationScore()
-	loud, quiet := batch(1, big), batch(2, big)
-	loud.Workload, loud.Class, quiet.Class = "noise", "noisy", "quiet"
+	noisy, quiet := batch(1, big), batch(2, big)
+	noisy.Workload, noisy.Class, quiet.Class = "noise", "noisy", "quiet"
 	with, without := s.workers[0], s.workers[1]
-	if score.Score(s, loud, with) >= score.Score(s, loud, without) {
+	if score.Score(s, noisy, with) >= score.Score(s, noisy, without) {
 		t.Error("a noisy task prefers the worker with a service")
 	}
 	if score.Score(s, quiet, with) <= score.Score(s, quiet, without) {
--- a/core/placement/score_slowdown_test.go
+++ b/core/placement/score_slowdown_test.go
@@ -15,12 +15,12 @@
 	s := NewSnapshot(workers, effects)
 	// BatchWeight is 0, so only the harm to the two services is compared.
 	score := SlowdownScore{W: 1, ServiceWeight: 1}
-	loud, quiet := batch(2, big), batch(3, big)
-	loud.Class, quiet.Class = "noisy", "quiet"
-	if score.Score(s, loud, s.workers[0]) >= score.Score(s, loud, s.workers[1]) {
+	noisy, quiet := batch(2, big), batch(3, big)
+	noisy.Class, quiet.Class = "noisy", "quiet"
+	if score.Score(s, noisy, s.workers[0]) >= score.Score(s, noisy, s.workers[1]) {
 		t.Error("the second noisy task does not avoid the worker of the first")
 	}
-	if score.Score(s, loud, s.workers[1]) >= score.Score(s, quiet, s.workers[1]) {
+	if score.Score(s, noisy, s.workers[1]) >= score.Score(s, quiet, s.workers[1]) {
 		t.Error("a noisy task does not get a lower score than a quiet one")
 	}
 }
