--- a/core/placement/errors.go
+++ b/core/placement/errors.go
@@ -49,6 +49,6 @@
 
 // Error implements error.
 func (e *NeverFitsError) Error() string {
-	return fmt.Sprintf("task %s of size %s fits no worker: too much %s for the closest, %s",
+	return fmt.Sprintf("task %s of size %s fits no worker: too much %s for the closest capacity, %s",
 		e.Key, e.Size, e.Dimension, e.Largest)
 }
--- a/core/scheduler/observe.go
+++ b/core/scheduler/observe.go
@@ -119,7 +119,7 @@
 
 // observeFailed lets the evaluator attribute a failure to the task, the worker
 // or a common cause. The failure of a task that is being stopped for good is
-// not evaluated: the task ends in any case, and the stop may have caused it.
+// not evaluated: the task ends in any case, and its failure is no evidence.
 func (ob *Observer) observeFailed(now time.Time, t ledger.Task, o Observation) []ledger.Change {
 	if t.State == ledger.Stopping && !t.Resume {
 		return endAttempt(t, o)
--- a/core/shares/tracker_test.go
+++ b/core/shares/tracker_test.go
@@ -178,7 +178,7 @@
 				}
 			}
 			if covered < checked*9/10 {
-				return fmt.Sprintf("only %d of %d moments had an agreement before them", covered, checked)
+				return fmt.Sprintf("only %d of %d steps closely followed an agreement of all views", covered, checked)
 			}
 			if len(s.live()) == 0 {
 				return ""
