--- a/core/placement/filter_state_test.go
+++ b/core/placement/filter_state_test.go
@@ -10,7 +10,7 @@
 // Guards against a task starting on a worker that is quarantined, leaving or
 // unreachable. Each state alone must exclude every task and be named as the
 // reason.
-func TestWorkerStateKeepsTasksAway(t *testing.T) {
+func TestWorkerStateExcludesTasks(t *testing.T) {
 	cases := map[string]func(w *Worker){
 		QuarantineFilterName:  func(w *Worker) { w.Quarantined = true },
 		LeavingFilterName:     func(w *Worker) { w.Leaving = true },
--- a/core/placement/placer_test.go
+++ b/core/placement/placer_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestSameSourceSameDecisions(t *testing.T) {
+func TestSameRandomSourceGivesSameDecisions(t *testing.T) {
 	run := func() (out []model.WorkerID) {
 		s := NewSnapshot(fleet(40, 8, 3, big), fixedEffects{"job": 0.1})
 		p := Default(Options{Random: rand.NewPCG(3, 4)})
--- a/core/placement/score_slowdown_test.go
+++ b/core/placement/score_slowdown_test.go
@@ -4,7 +4,7 @@
 
 // Guards against two noisy tasks being placed next to the same service while
 // another service has no noisy neighbour.
-func TestSlowdownScoreSeparatesNoise(t *testing.T) {
+func TestSlowdownScoreSeparatesNoisyTasks(t *testing.T) {
 	effects := fixedEffects{"noisy": 0.4, "quiet": 0.01}
 	workers := fleet(2, 1, 1, big)
 	for i := range workers {
--- a/core/placement/score_spread_test.go
+++ b/core/placement/score_spread_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestSpreadScorePrefersEmptyPlaces(t *testing.T) {
+func TestSpreadScorePrefersEmptyDomains(t *testing.T) {
 	s := NewSnapshot(fleet(4, 1, 2, big), nil)
 	r := instance(0, 4)
 	s.Assume(r, s.workers[0].VM.ID)
--- a/core/scheduler/decide_test.go
+++ b/core/scheduler/decide_test.go
@@ -320,7 +320,7 @@
 	}
 }
 
-func TestRemovedWorkloadIsEndedAndForgotten(t *testing.T) {
+func TestRemovedWorkloadIsStoppedAndDeleted(t *testing.T) {
 	first := accept(t, nil, teams, batch("job", "a", "normal", 6, 2000), batch("other", "a", "normal", 1, 100))
 	w := newWorld(first, 1)
 	w.cycle()
--- a/core/scheduler/observe_test.go
+++ b/core/scheduler/observe_test.go
@@ -87,7 +87,7 @@
 // Guards against a task being given up or restarted because of an earlier
 // attempt. A late report names an attempt that is not the current one; it must
 // be matched by attempt and worker, not by task alone.
-func TestNewsOfAnotherAttemptIsIgnored(t *testing.T) {
+func TestReportOfAnotherAttemptIsIgnored(t *testing.T) {
 	for _, task := range []ledger.Task{
 		{State: ledger.Running, Attempt: 4, Worker: "w0"},
 		{State: ledger.Running, Attempt: 3, Worker: "w1"},
