--- a/core/ownership/acquire.go
+++ b/core/ownership/acquire.go
@@ -11,14 +11,15 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// mayAcquire reports whether this daemon may acquire the shard if it has no
-// owner.
+// mayAcquire reports whether this daemon may acquire the shard if the shard has
+// no owner: as the assigned owner at once, as the fallback owner after
+// FallbackAfter.
 func (m *Machine) mayAcquire(now time.Time, s *shard) bool {
-	if s.rightOwner == m.self {
+	if s.assignedOwner == m.self {
 		return true
 	}
 	waited := !s.absentSince.IsZero() && !now.Before(s.absentSince.Add(m.options.FallbackAfter))
-	return s.second && waited
+	return s.isFallback && waited
 }
 
 func (m *Machine) ownerAbsent(now time.Time, s *shard) []Command {
@@ -26,18 +27,18 @@
 		s.absentSince = now
 	}
 	if m.draining || !m.mayAcquire(now, s) {
-		s.nextCall = m.nextLook(now, s)
+		s.nextCall = m.nextRead(now, s)
 		return nil
 	}
-	if !m.lease.sure(now, m.options.Margin) {
+	if !m.lease.validWithMargin(now, m.options.Margin) {
 		s.nextCall = s.retry.next(now)
 		return nil
 	}
 	return m.acquire(now, s)
 }
 
-// acquire puts the owner key if there is none; a shard is never taken from an
-// owner.
+// acquire writes the owner key on the condition that it is absent: a shard is
+// never taken from an owner.
 func (m *Machine) acquire(now time.Time, s *shard) []Command {
 	clean := s.released != 0
 	if s.inDoubt(now) {
@@ -65,8 +66,8 @@
 func (m *Machine) ownerValue() []byte {
 	value, err := proto.Marshal(&ledgerv1.Owner{Daemon: string(m.self), Address: m.address})
 	if err != nil {
-		// Only a name that is not UTF-8 fails; without a value the key is no
-		// less an owner key.
+		// Encoding fails only for a name that is not valid UTF-8. The owner key
+		// is effective without a value, too.
 		return nil
 	}
 	return value
@@ -85,8 +86,8 @@
 	case ev.Err != nil && kindOf(ev.Err) == port.StoreLeaseGone:
 		return m.leaseGone(now)
 	case ev.Err != nil:
-		if !notMade(ev.Err) {
-			s.doubtUntil = now.Add(doubtLeases * m.options.LeaseTTL)
+		if !isNotDone(ev.Err) {
+			s.doubtUntil = now.Add(inDoubtLeases * m.options.LeaseTTL)
 		}
 		s.nextCall = s.retry.next(now)
 		return nil
@@ -98,22 +99,23 @@
 	return m.acquired(now, s, model.Epoch(ev.Result.Revision))
 }
 
-// acquired takes the shard over, or releases it when it is not wanted any
+// acquired makes this daemon the owner of the shard, or releases the shard if
+// the daemon is draining or is neither its assigned nor its fallback owner any
 // more.
 func (m *Machine) acquired(now time.Time, s *shard, epoch model.Epoch) []Command {
 	s.epoch = epoch
 	s.doubtUntil = time.Time{}
 	s.absentSince = time.Time{}
 	s.retry.reset()
-	if m.draining || s.rightOwner != m.self && !s.second {
+	if m.draining || s.assignedOwner != m.self && !s.isFallback {
 		s.releasing = true
 		return m.release(s)
 	}
 	s.owned = true
 	s.acquiredAt = now
-	if s.rightOwner != m.self {
-		s.hold = min(max(2*s.hold, 2*m.options.FallbackAfter), maxHold)
-		s.holdUntil = now.Add(s.hold)
+	if s.assignedOwner != m.self {
+		s.fallbackHold = min(max(2*s.fallbackHold, 2*m.options.FallbackAfter), maxFallbackHold)
+		s.fallbackHoldUntil = now.Add(s.fallbackHold)
 	}
 	return []Command{ShardAcquired{Shard: s.id, Epoch: epoch, At: now, Clean: s.clean}}
 }
