--- a/core/admission/load.go
+++ b/core/admission/load.go
@@ -10,61 +10,65 @@
 const (
 	// serviceGain is the weight of one observation in the mean service time.
 	serviceGain = 1.0 / 64
-	// arrivalMemory is the time constant over which arrivals are counted.
+	// arrivalMemory is the time constant of the exponential decay of arrival
+	// counts.
 	arrivalMemory = time.Second
-	// maxHigherLoad caps how much of the slots higher priorities are taken to
-	// use, so that a predicted wait stays finite.
+	// maxHigherLoad caps the fraction of the slots that higher priorities are
+	// assumed to use, so that a predicted wait stays finite.
 	maxHigherLoad = 0.95
-	// urgentSeenAbove is the decayed count of urgent arrivals above which
-	// slots are reserved for more of them.
-	urgentSeenAbove = 0.05
+	// minUrgentArrivals is the decayed count of urgent arrivals above which
+	// slots are reserved for further urgent requests.
+	minUrgentArrivals = 0.05
 )
 
-// load learns how long a request takes and how many arrive.
+// load tracks how long a request takes and how many arrive.
 type load struct {
-	service time.Duration
-	// recent counts arrivals by priority, decaying over arrivalMemory.
-	recent  [model.NumPriorities]float64
-	counted time.Time
+	serviceTime time.Duration
+	// arrivals counts arrivals by priority, decaying with time constant
+	// arrivalMemory.
+	arrivals  [model.NumPriorities]float64
+	decayedAt time.Time
 }
 
-func newLoad(service time.Duration) load { return load{service: service} }
+func newLoad(serviceTime time.Duration) load { return load{serviceTime: serviceTime} }
 
-func (l *load) observe(service time.Duration) {
-	if service <= 0 {
+func (l *load) observe(serviceTime time.Duration) {
+	if serviceTime <= 0 {
 		return
 	}
-	l.service += time.Duration(serviceGain * float64(service-l.service))
+	l.serviceTime += time.Duration(serviceGain * float64(serviceTime-l.serviceTime))
 }
 
 func (l *load) arrived(now time.Time, p model.Priority) {
-	if elapsed := now.Sub(l.counted); elapsed > 0 {
+	if elapsed := now.Sub(l.decayedAt); elapsed > 0 {
 		keep := math.Exp(-float64(elapsed) / float64(arrivalMemory))
-		for i := range l.recent {
-			l.recent[i] *= keep
+		for i := range l.arrivals {
+			l.arrivals[i] *= keep
 		}
-		l.counted = now
+		l.decayedAt = now
 	}
-	l.recent[p]++
+	l.arrivals[p]++
 }
 
-func (l *load) urgentSeen() bool {
-	return l.recent[model.PriorityUrgent] > urgentSeenAbove
+func (l *load) hasUrgentArrivals() bool {
+	return l.arrivals[model.PriorityUrgent] > minUrgentArrivals
 }
 
-// usedAbove returns the fraction of slots that arrivals above p use.
-func (l *load) usedAbove(p model.Priority, slots int) float64 {
+// higherPriorityLoad returns the fraction of the slots that arrivals of higher
+// priority than p use, at most maxHigherLoad.
+func (l *load) higherPriorityLoad(p model.Priority, slots int) float64 {
 	arrivals := 0.0
 	for higher := p + 1; int(higher) < model.NumPriorities; higher++ {
-		arrivals += l.recent[higher]
+		arrivals += l.arrivals[higher]
 	}
 	return min(l.demand(arrivals, slots), maxHigherLoad)
 }
 
-// ratio returns how many times the slots' capacity arrives.
-func (l *load) ratio(slots int) float64 {
+// utilization returns the recent arrivals as a multiple of the capacity of the
+// slots. It exceeds 1 under overload.
+func (l *load) utilization(slots int) float64 {
 	arrivals := 0.0
-	for _, n := range l.recent {
+	for _, n := range l.arrivals {
 		arrivals += n
 	}
 	return l.demand(arrivals, slots)
@@ -72,12 +76,13 @@
 
 func (l *load) demand(arrivals float64, slots int) float64 {
 	perSecond := arrivals / arrivalMemory.Seconds()
-	return perSecond * l.service.Seconds() / float64(max(slots, 1))
+	return perSecond * l.serviceTime.Seconds() / float64(max(slots, 1))
 }
 
 // predictedWait returns how long a ticket of priority p that arrives now is
-// expected to wait: as many slots must come free as tickets wait before it,
-// less those taken by higher priorities that arrive meanwhile.
+// expected to wait: as many slots must become free as tickets wait ahead of it,
+// corrected for the slots that later arrivals of higher priority take in the
+// meantime.
 func (q *Queue) predictedWait(p model.Priority) time.Duration {
 	ahead := q.before(p)
 	free := q.free
@@ -88,11 +93,11 @@
 		return 0
 	}
 	turns := float64(ahead - max(free, 0) + 1)
-	each := float64(q.load.service) / float64(q.total)
-	return time.Duration(turns * each / (1 - q.load.usedAbove(p, q.total)))
+	each := float64(q.load.serviceTime) / float64(q.total)
+	return time.Duration(turns * each / (1 - q.load.higherPriorityLoad(p, q.total)))
 }
 
-// before returns how many tickets wait that are as urgent as p or more.
+// before returns how many waiting tickets have priority p or higher.
 func (q *Queue) before(p model.Priority) int {
 	n := 0
 	for higher := p; int(higher) < model.NumPriorities; higher++ {
--- a/core/admission/queue_test.go
+++ b/core/admission/queue_test.go
@@ -22,7 +22,7 @@
 }
 
 // full returns a queue whose slots are all in use.
-func full(o Options, slots int) *Queue {
+func fullQueue(o Options, slots int) *Queue {
 	q := New(o)
 	q.SetSlots(0, slots)
 	return q
@@ -38,7 +38,7 @@
 }
 
 func TestHigherPriorityFirstOldestFirst(t *testing.T) {
-	q := full(Options{}, 8)
+	q := fullQueue(Options{}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow), ticket(2, model.PriorityNormal),
 		ticket(3, model.PriorityUrgent), ticket(4, model.PriorityNormal), ticket(5, model.PriorityHigh))
 	for _, want := range []uint64{3, 5, 2, 4, 1} {
@@ -53,16 +53,15 @@
 	}
 }
 
-// Symptom: callers wait for their whole deadline and are then told that their
-// request did not run. Sequence: the queue is long; a request joins it whose
-// turn comes after its deadline. Cause: a queue that admits what it cannot
-// serve in time.
-func TestShedAtOnceWhatCannotMakeItsDeadline(t *testing.T) {
-	q := full(Options{InitialServiceTime: 100 * time.Millisecond, TargetWait: 100}, 4)
+// A request that cannot be served before its deadline must be shed when it is
+// offered; otherwise its caller waits until the deadline and then learns that
+// the request did not run.
+func TestRequestThatCannotMeetItsDeadlineIsShed(t *testing.T) {
+	q := fullQueue(Options{InitialServiceTime: 100 * time.Millisecond, TargetWait: 100}, 4)
 	for id := uint64(1); id <= 100; id++ {
 		v := q.Offer(start, ticket(id, model.PriorityNormal))
-		// 100 ms over 4 slots is 25 ms a turn; with 100 ms of service the
-		// 36th turn still ends in time.
+		// 100 ms of service over 4 slots is 25 ms a turn; with its own 100 ms
+		// of service, the 36th ticket still ends within 1 s.
 		if want := id <= 36; (v.Outcome == Queued) != want {
 			t.Fatalf("ticket %d: %+v", id, v)
 		}
@@ -72,8 +71,8 @@
 	}
 }
 
-func TestExpiredLeaveWithoutASlot(t *testing.T) {
-	q := full(Options{}, 8)
+func TestExpiredTicketsLeaveWithoutASlot(t *testing.T) {
+	q := fullQueue(Options{}, 8)
 	short := ticket(1, model.PriorityNormal)
 	short.Deadline = at(50)
 	mustQueue(t, q, start, short, ticket(2, model.PriorityNormal))
@@ -89,12 +88,11 @@
 	}
 }
 
-// Symptom: under overload every request takes the length of the queue longer,
-// for as long as the overload lasts. Sequence: arrivals exceed the slots; the
-// queue fills to its bound and stays there. Cause: a standing queue adds wait
-// and no throughput.
+// A standing queue adds its length to the latency of every request for as long
+// as an overload lasts, without raising throughput. During an overload, all but
+// urgent requests are therefore shed above the target wait.
 func TestOverloadShedsAllButUrgent(t *testing.T) {
-	q := full(Options{TargetWait: 1}, 10)
+	q := fullQueue(Options{TargetWait: 1}, 10)
 	id := uint64(0)
 	offer := func(now time.Time, p model.Priority) Verdict {
 		id++
@@ -102,7 +100,7 @@
 	}
 	for range 30 {
 		if v := offer(start, model.PriorityNormal); v.Outcome != Queued {
-			t.Fatalf("a burst is shed: %+v", v)
+			t.Fatalf("a burst was shed: %+v", v)
 		}
 	}
 	now := at(150)
@@ -119,15 +117,15 @@
 		q.Next(now)
 	}
 	if !q.Overloaded(now) {
-		t.Error("one empty moment ended the overload")
+		t.Error("an empty moment ended the overload")
 	}
 	if q.Overloaded(at(150 + 101)) {
-		t.Error("still overloaded after a calm interval")
+		t.Error("still overloaded after an empty interval")
 	}
 }
 
 func TestUrgentEvictsNewestOfLowest(t *testing.T) {
-	q := full(Options{MaxQueued: 3}, 8)
+	q := fullQueue(Options{MaxQueued: 3}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow), ticket(2, model.PriorityLow), ticket(3, model.PriorityNormal))
 	v := q.Offer(start, ticket(4, model.PriorityUrgent))
 	if v.Outcome != Queued || v.Evicted == nil || v.Evicted.ID != 2 || v.RetryAfter <= 0 {
@@ -137,15 +135,15 @@
 		t.Fatalf("verdict %+v", v)
 	}
 	if q.Len() != 3 {
-		t.Errorf("%d wait of at most 3", q.Len())
+		t.Errorf("%d tickets wait, want at most 3", q.Len())
 	}
 }
 
-// Symptom: low-priority requests are queued, never run, and are refused at
-// their deadline. Sequence: normal requests arrive as fast as slots come free.
-// Cause: strict priority without a bound.
+// With strict priority and no limit, normal requests that arrive as fast as
+// slots become free would leave low-priority requests queued until their
+// deadline.
 func TestLowPriorityIsNotStarved(t *testing.T) {
-	q := full(Options{TargetWait: 1000, MaxQueued: 1000}, 8)
+	q := fullQueue(Options{TargetWait: 1000, MaxQueued: 1000}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow))
 	for turn := 1; turn <= 200; turn++ {
 		mustQueue(t, q, start, ticket(uint64(1000+turn), model.PriorityNormal))
@@ -161,7 +159,7 @@
 }
 
 func TestReserveIsForUrgentUnderOverload(t *testing.T) {
-	q := full(Options{UrgentReserve: 0.25, TargetWait: 1000}, 8)
+	q := fullQueue(Options{UrgentReserve: 0.25, TargetWait: 1000}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityNormal), ticket(2, model.PriorityUrgent))
 	q.SetSlots(2, 8)
 	if !q.Overloaded(start) {
@@ -184,8 +182,8 @@
 	}
 }
 
-// Symptom: shed callers return in waves that are shed again. Sequence: many
-// are shed within a moment and told the same time. Cause: equal RetryAfter.
+// Callers that are shed at the same moment and receive equal retry delays
+// return in waves that are shed again.
 func TestRetryAfterIsSpread(t *testing.T) {
 	q := New(Options{})
 	seen := make(map[time.Duration]bool)
@@ -197,12 +195,12 @@
 		seen[v.RetryAfter.Round(10*time.Millisecond)] = true
 	}
 	if len(seen) < 30 {
-		t.Errorf("100 callers were told %d different times", len(seen))
+		t.Errorf("100 callers received %d different retry delays", len(seen))
 	}
 }
 
-func TestReturnKeepsTheTurn(t *testing.T) {
-	q := full(Options{}, 8)
+func TestRequeueKeepsThePosition(t *testing.T) {
+	q := fullQueue(Options{}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityNormal), ticket(2, model.PriorityNormal))
 	q.SetSlots(1, 8)
 	first, _, _ := q.Next(start)
@@ -216,23 +214,22 @@
 	}
 }
 
-// Symptom: low-priority requests that came early run out of time while later
-// ones are served. Sequence: slow slots go to the last in line; new ones of
-// low priority keep coming. Cause: the newest is always taken for the last.
-func TestLastIsTheOneThatIsOvertaken(t *testing.T) {
-	q := full(Options{}, 8)
+// When slow slots always go to the newest waiting request, early requests of
+// low priority expire while later ones are served.
+func TestLastIsTheTicketThatOthersOvertake(t *testing.T) {
+	q := fullQueue(Options{}, 8)
 	mustQueue(t, q, start, ticket(1, model.PriorityLow), ticket(2, model.PriorityLow))
 	if last, _ := q.Last(); last.ID != 2 {
-		t.Errorf("of one priority the last is %d", last.ID)
+		t.Errorf("among tickets of one priority the last is %d", last.ID)
 	}
 	mustQueue(t, q, start, ticket(3, model.PriorityNormal))
 	if last, _ := q.Last(); last.ID != 1 {
-		t.Errorf("with higher ones waiting the last is %d", last.ID)
+		t.Errorf("with higher priorities waiting the last is %d", last.ID)
 	}
 }
 
 func TestObserveMovesThePrediction(t *testing.T) {
-	q := full(Options{}, 1)
+	q := fullQueue(Options{}, 1)
 	mustQueue(t, q, start, ticket(1, model.PriorityNormal))
 	for range 1000 {
 		q.Observe(start, 400*time.Millisecond)
@@ -242,17 +239,18 @@
 	}
 }
 
-// ledger counts where tickets went.
-type ledger struct {
-	inside map[uint64]bool
+// accounting records which tickets are in the queue and the first
+// inconsistency.
+type accounting struct {
+	queued map[uint64]bool
 	err    string
 }
 
-func (l *ledger) leave(how string, id uint64) {
-	if !l.inside[id] {
-		l.err = fmt.Sprintf("ticket %d left by %s though it was not inside", id, how)
+func (l *accounting) leave(how string, id uint64) {
+	if !l.queued[id] {
+		l.err = fmt.Sprintf("ticket %d left by %s though it was not in the queue", id, how)
 	}
-	delete(l.inside, id)
+	delete(l.queued, id)
 }
 
 func TestEveryQueuedTicketLeavesOnce(t *testing.T) {
@@ -262,28 +260,28 @@
 	properties.Property("tickets are conserved and bounded", prop.ForAll(func(seed uint64) string {
 		rnd := rand.New(rand.NewPCG(seed, 5))
 		q := New(Options{MaxQueued: 20, UrgentReserve: 0.2})
-		l := &ledger{inside: make(map[uint64]bool)}
+		l := &accounting{queued: make(map[uint64]bool)}
 		ms, total := 0, 10
 		for id := uint64(1); id <= 400 && l.err == ""; id++ {
 			ms += rnd.IntN(8)
 			q.SetSlots(rnd.IntN(3), total)
 			step(q, l, rnd, id, ms)
-			if q.Len() != len(l.inside) || q.Len() > 20 {
-				return fmt.Sprintf("%d wait, %d are inside", q.Len(), len(l.inside))
+			if q.Len() != len(l.queued) || q.Len() > 20 {
+				return fmt.Sprintf("%d tickets wait, %d are expected", q.Len(), len(l.queued))
 			}
 		}
 		for _, tk := range q.Expire(at(100000)) {
 			l.leave("expiry", tk.ID)
 		}
-		if l.err == "" && len(l.inside) > 0 {
-			return fmt.Sprintf("%d never left", len(l.inside))
+		if l.err == "" && len(l.queued) > 0 {
+			return fmt.Sprintf("%d tickets never left the queue", len(l.queued))
 		}
 		return l.err
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 }
 
-func step(q *Queue, l *ledger, rnd *rand.Rand, id uint64, ms int) {
+func step(q *Queue, l *accounting, rnd *rand.Rand, id uint64, ms int) {
 	switch rnd.IntN(6) {
 	case 0:
 		cancelled := uint64(rnd.IntN(int(id)))
@@ -310,7 +308,7 @@
 			}
 		}
 		if v.Outcome == Queued {
-			l.inside[id] = true
+			l.queued[id] = true
 		}
 	}
 }
--- a/core/routing/balancer.go
+++ b/core/routing/balancer.go
@@ -20,24 +20,25 @@
 	groups  map[model.Zone]*group
 	tiers   tiers
 	probes  probeHeap
-	// sinceProbe counts picks since the last probe.
-	sinceProbe int
-	listed     int // targets neither gone nor leaving
-	resting    int // of those, how many rest or are suspect
-	failures   float64
-	mean       float64 // latency of all answers, nanoseconds
-	deviation  float64 // mean distance from it
-	// patience multiplies silenceAfter; it grows with each silence, so that
-	// answers that are merely rare and slow are not given up over and over.
-	patience  float64
-	patientAt time.Time
-	// overdueRate is the part of exchanges that become overdue lately, and
-	// trustSince holds for all targets when it is high.
+	// sinceProbe counts the calls of Pick since the last probe.
+	sinceProbe    int
+	listed        int // listed targets that are not leaving
+	outOfRotation int // of the listed targets, how many are ejected or suspect
+	failureRate   float64
+	mean          float64 // mean latency of all responses, in nanoseconds
+	deviation     float64 // mean absolute deviation from it, in nanoseconds
+	// silenceFactor multiplies OverdueAfter and SilenceAfter. It grows with
+	// each silence, so that responses that are rare and slow are not abandoned
+	// again and again.
+	silenceFactor         float64
+	silenceFactorRaisedAt time.Time
+	// overdueRate is the recent fraction of exchanges that become overdue.
+	// trustSince applies to all targets and advances when that rate is high.
 	overdueRate float64
 	trustSince  time.Time
-	unused      []*Choice
-	limbo       []*limboSlot
-	limboNext   time.Time // when the first of them ends
+	recycled    []*Choice
+	heldSlots   []*heldSlot
+	nextHoldEnd time.Time // when the first of heldSlots ends
 }
 
 // New returns a balancer for an entry in zone.
@@ -48,31 +49,31 @@
 		targets: make(map[string]*target),
 		groups:  make(map[model.Zone]*group),
 
-		patience: 1,
+		silenceFactor: 1,
 	}
 }
 
-// Update replaces the list of targets. A new one starts with one request at a
-// time and doubles with its answers; a missing one gets nothing new, and its
-// requests in flight finish. A target that was marked as leaving stays so
-// while the list shows the same attempt, however the list says it is: lists
-// lag.
+// Update replaces the list of targets. A new target starts with one request at
+// a time, and its allowance doubles with its responses. A target that is no
+// longer listed receives no new requests, and its requests in flight finish. A
+// target that was marked as leaving stays so while the list shows the same
+// attempt, whether or not the list marks it, because lists may be outdated.
 func (b *Balancer) Update(now time.Time, targets []Target) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.settle(now)
+	b.endExpiredHolds(now)
 	listed := make(map[string]bool, len(targets))
 	for _, t := range targets {
 		listed[t.Address] = true
-		b.put(now, t)
+		b.upsert(now, t)
 	}
 	for _, address := range b.unlisted(listed) {
-		b.drop(b.targets[address])
+		b.remove(b.targets[address])
 	}
 }
 
-// unlisted returns the known addresses that are not listed, sorted: the order
-// of removal must not depend on that of a map.
+// unlisted returns the known addresses that are not listed. They are sorted, so
+// that the order of removal does not depend on the order of a map.
 func (b *Balancer) unlisted(listed map[string]bool) []string {
 	var missing []string
 	for address := range b.targets {
@@ -84,10 +85,10 @@
 	return missing
 }
 
-func (b *Balancer) put(now time.Time, listed Target) {
+func (b *Balancer) upsert(now time.Time, listed Target) {
 	t := b.targets[listed.Address]
 	if t != nil && (t.Task != listed.Task || t.Zone != listed.Zone) {
-		b.drop(t)
+		b.remove(t)
 		t = nil
 	}
 	if t == nil {
@@ -109,12 +110,12 @@
 
 func (b *Balancer) add(_ time.Time, listed Target) {
 	t := &target{
-		Target:     listed,
-		allowance:  1,
-		tier:       noTier,
-		class:      noTier,
-		position:   notPlaced,
-		probeIndex: notPlaced,
+		Target:      listed,
+		allowance:   1,
+		tier:        noTier,
+		countedTier: noTier,
+		position:    notPlaced,
+		probeIndex:  notPlaced,
 	}
 	b.groupOf(listed.Zone).add(t)
 	b.targets[listed.Address] = t
@@ -133,8 +134,8 @@
 	return g
 }
 
-// drop forgets a target that is no longer listed.
-func (b *Balancer) drop(t *target) {
+// remove removes a target that is no longer listed.
+func (b *Balancer) remove(t *target) {
 	if !t.Leaving {
 		b.retire(t)
 	}
@@ -144,14 +145,15 @@
 	delete(b.targets, t.Address)
 }
 
-// retire takes a target that is leaving or gone out of the counts.
+// retire excludes a target that is leaving or removed from the counts and from
+// probing.
 func (b *Balancer) retire(t *target) {
 	b.listed--
 	b.setState(t, Healthy)
 	b.probes.remove(t)
 }
 
-// MarkLeaving stops new requests to the target at once.
+// MarkLeaving stops new requests to the target immediately.
 func (b *Balancer) MarkLeaving(address string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -164,48 +166,49 @@
 	b.tiers.place(t)
 }
 
-// setState changes a target's state and the count of those that rest.
+// setState changes a target's state and maintains the count of targets out of
+// rotation.
 func (b *Balancer) setState(t *target, s State) {
-	if rests(t.state) {
-		b.resting--
+	if isOutOfRotation(t.state) {
+		b.outOfRotation--
 	}
 	t.state = s
 	t.lastResort = false
-	if rests(s) {
-		b.resting++
+	if isOutOfRotation(s) {
+		b.outOfRotation++
 	}
 }
 
-func rests(s State) bool { return s == Ejected || s == Suspect }
+func isOutOfRotation(s State) bool { return s == Ejected || s == Suspect }
 
 // Free returns how many slots are free on targets that may be chosen.
 func (b *Balancer) Free() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.tiers.open
+	return b.tiers.freeSlots
 }
 
-// Slots returns how many slots the targets that may be chosen have.
+// Slots returns how many slots may be used on targets that may be chosen.
 func (b *Balancer) Slots() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tiers.total()
 }
 
-// TargetState is what the balancer believes of one target, for metrics and
-// operators.
+// TargetState is the balancer's view of one target, for metrics and operators.
 type TargetState struct {
 	Address string
 	State   State
 	Leaving bool
-	// InFlight counts exchanges, and Held the slots of those given up as
-	// silent that the target may still be at work on.
+	// InFlight counts exchanges, and Held counts the slots of exchanges
+	// abandoned as silent that the target may still be processing.
 	InFlight int
 	Held     int
 	Slots    int
 	// Allowance is how many of Slots may be used now.
 	Allowance int
-	// Latency and LongLatency are the fast and the slow average.
+	// Latency and LongLatency are the latency averages over recent responses
+	// and over a longer period.
 	Latency, LongLatency time.Duration
 }
 
@@ -223,8 +226,8 @@
 			Held:        t.held,
 			Slots:       t.Slots,
 			Allowance:   min(t.allowance, t.limit()),
-			Latency:     time.Duration(t.fast),
-			LongLatency: time.Duration(t.slow),
+			Latency:     time.Duration(t.shortAverage),
+			LongLatency: time.Duration(t.longAverage),
 		})
 	}
 	slices.SortFunc(states, func(a, c TargetState) int { return cmp.Compare(a.Address, c.Address) })
--- a/core/routing/policies_test.go
+++ b/core/routing/policies_test.go
@@ -10,8 +10,8 @@
 	"github.com/guavarill/guavarill/core/shares"
 )
 
-// unlimited sends each request at once to the instance that choose names, and
-// gives it up at its deadline.
+// unlimited sends each request immediately to the instance that choose returns,
+// and abandons it at its deadline.
 type unlimited struct {
 	s        *site
 	e        *entry
@@ -75,16 +75,17 @@
 	return best
 }
 
-// variant is the product's policy with something left out or set otherwise.
+// variant is the production policy with one part disabled or configured
+// differently.
 type variant struct {
-	admission admission.Options
-	routing   routing.Options
-	blind     bool // shares without regard to zones
-	equal     bool // shares do not follow demand
-	eager     bool // never waits for a better slot
+	admission   admission.Options
+	routing     routing.Options
+	ignoreZones bool // shares ignore availability zones
+	equalShares bool // shares ignore demand
+	neverWait   bool // never waits for a better slot
 }
 
-// limited is the product's policy: shares, admission and routing.
+// limited is the production policy: shares, admission and routing.
 type limited struct {
 	s        *site
 	e        *entry
@@ -98,7 +99,7 @@
 	inflight int
 }
 
-func product(v variant) func(*site, *entry) policy {
+func production(v variant) func(*site, *entry) policy {
 	return func(s *site, e *entry) policy {
 		v.admission.MaxQueued = 512
 		l := &limited{
@@ -112,38 +113,38 @@
 		for _, i := range s.instances {
 			l.byName[i.address] = i
 		}
-		l.view(s.time().Add(-growDelay), s.members())
-		l.view(s.time(), s.members())
+		l.applyView(s.time().Add(-growDelay), s.members())
+		l.applyView(s.time(), s.members())
 		s.every(time.Second, l.publish)
 		s.every(100*time.Millisecond, func() { l.demand.Observe(s.time(), l.inflight, l.queue.Len()) })
 		return l
 	}
 }
 
-// publish lets this entry see, after viewDelay, which entries live now and
-// what they publish.
+// publish lets this entry observe, after viewDelay, which entries are alive and
+// the demand that they publish.
 func (l *limited) publish() {
 	members := l.s.members()
 	published := make(map[model.DaemonID]uint32)
 	for _, e := range l.s.entries {
-		if other, ok := e.policy.(*limited); ok && !l.v.equal {
+		if other, ok := e.policy.(*limited); ok && !l.v.equalShares {
 			published[e.id] = other.demand.Publish(allSlots, len(members))
 		}
 	}
 	l.s.after(viewDelay, func() {
-		l.view(l.s.time(), shares.WeightByDemand(members, published, allSlots))
+		l.applyView(l.s.time(), shares.WeightByDemand(members, published, allSlots))
 		l.pump()
 	})
 }
 
-func (l *limited) view(now time.Time, members []shares.Entry) {
+func (l *limited) applyView(now time.Time, members []shares.Entry) {
 	var capacity []shares.Capacity
 	for _, i := range l.s.instances {
 		capacity = append(capacity, shares.Capacity{
 			Address: i.address, Zone: zoneName(i.zone), Slots: siteSlots, Connections: 60,
 		})
 	}
-	if l.v.blind {
+	if l.v.ignoreZones {
 		for n := range capacity {
 			capacity[n].Zone = ""
 		}
@@ -186,8 +187,8 @@
 	return r
 }
 
-// pump gives good slots to the first in line, and those that the first had
-// better not take to the last.
+// pump gives good slots to the first tickets in the queue, and slots that the
+// first ticket should decline to the last one.
 func (l *limited) pump() {
 	for l.queue.Len() > 0 {
 		l.queue.SetSlots(l.balancer.Free(), l.balancer.Slots())
@@ -212,7 +213,7 @@
 
 func (l *limited) try(t admission.Ticket, ahead int) bool {
 	r := l.waiting[t.ID]
-	if l.v.eager {
+	if l.v.neverWait {
 		ahead = math.MaxInt32
 	}
 	choice, ok := l.balancer.Pick(l.s.time(), l.s.rnd.Uint64(), routing.Query{
--- a/core/routing/probe.go
+++ b/core/routing/probe.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// probeHeap orders the targets that are slow, suspect or resting by when each
-// may be tried again.
+// probeHeap orders slow, suspect and ejected targets by the time of their next
+// probe.
 type probeHeap []*target
 
 func (h probeHeap) Len() int { return len(h) }
@@ -40,7 +40,7 @@
 	return t
 }
 
-// schedule sets when t may be tried again.
+// schedule sets the time of t's next probe.
 func (h *probeHeap) schedule(t *target, at time.Time) {
 	t.probeAt = at
 	if t.probeIndex == notPlaced {
@@ -56,7 +56,7 @@
 	}
 }
 
-// probe returns a doubtful target that q is to try out, or nil.
+// probe returns a slow, suspect or ejected target that q is to probe, or nil.
 func (b *Balancer) probe(now time.Time, q Query) *target {
 	b.sinceProbe++
 	if len(b.probes) == 0 {
@@ -66,27 +66,27 @@
 	if now.Before(t.probeAt) {
 		return nil
 	}
-	if !b.probeAllowed(now, t, q) {
+	if !b.isProbeAllowed(now, t, q) {
 		return nil
 	}
-	if t.limit() == 0 || t.inflight >= t.limit() || avoided(q, t) {
-		b.probes.schedule(t, now.Add(b.o.BaseProbeDelay/busyProbe))
+	if t.limit() == 0 || t.inflight >= t.limit() || isAvoided(q, t) {
+		b.probes.schedule(t, now.Add(b.o.BaseProbeDelay/busyProbeDivisor))
 		return nil
 	}
 	b.sinceProbe = 0
-	b.probes.schedule(t, now.Add(b.restFor(t)))
+	b.probes.schedule(t, now.Add(b.probeDelay(t)))
 	return t
 }
 
-// probeAllowed spaces probes, because each risks its request's latency; a
-// non-idempotent request is risked only when the probe is late. A suspect
-// target is proven at once by any request: it goes over a new connection,
-// whose opening shows that the target is there.
-func (b *Balancer) probeAllowed(now time.Time, t *target, q Query) bool {
+// isProbeAllowed spaces probes, because each may cost its request latency. A
+// non-idempotent request is used only when the probe is late. Any request may
+// probe a suspect target at once: it uses a new connection, and opening it
+// shows that the target is reachable.
+func (b *Balancer) isProbeAllowed(now time.Time, t *target, q Query) bool {
 	switch {
 	case t.state == Suspect:
 		return true
-	case now.Sub(t.probeAt) > probeLateness:
+	case now.Sub(t.probeAt) > maxProbeLateness:
 		return true
 	case q.NonIdempotent:
 		return false
@@ -94,15 +94,16 @@
 	return b.sinceProbe >= probeSpacing
 }
 
-// busyProbe divides the first rest: that soon a probe that found no free slot
-// is tried again.
-const busyProbe = 16
+// busyProbeDivisor divides BaseProbeDelay to give the delay after which a probe
+// that found no free slot is repeated.
+const busyProbeDivisor = 16
 
-// suspectHeadStart puts suspect targets before all others in the heap, or they
-// would wait behind slow ones that are due but spaced.
+// suspectHeadStart sorts suspect targets before all others in the heap;
+// otherwise they would wait behind slow targets whose probes are due but
+// limited by probeSpacing.
 const suspectHeadStart = time.Hour
 
-// restFor is how long a target waits for its next probe.
-func (b *Balancer) restFor(t *target) time.Duration {
-	return min(b.o.BaseProbeDelay<<t.doublings, b.o.MaxProbeDelay)
+// probeDelay is how long a target waits for its next probe.
+func (b *Balancer) probeDelay(t *target) time.Duration {
+	return min(b.o.BaseProbeDelay<<t.probeDoublings, b.o.MaxProbeDelay)
 }
