--- a/core/ledger/bench_test.go
+++ b/core/ledger/bench_test.go
@@ -41,7 +41,7 @@
 		if commit, ok := c.(ledger.Commit); ok {
 			bytes = commit.Bytes
 			s.last = commit
-			s.ledger.Step(now, s.land())
+			s.ledger.Step(now, s.execute())
 		}
 	}
 	return bytes
--- a/core/ledger/interleaving_test.go
+++ b/core/ledger/interleaving_test.go
@@ -63,25 +63,25 @@
 	late    []*request // timed out at the daemon; may still reach the store
 	failure string
 
-	history  []map[uint64]string // per shard: replayed contents by sequence
-	attempts map[model.TaskKey]model.Attempt
-	placed   map[model.AttemptKey]model.WorkerID
-	live     map[model.TaskKey]bool
-	owners   []int64
-	unmade   map[string]bool
-	labels   int
-	created  int
-	commits  int
+	history      []map[uint64]string // per shard: replayed contents by sequence
+	attempts     map[model.TaskKey]model.Attempt
+	placed       map[model.AttemptKey]model.WorkerID
+	live         map[model.TaskKey]bool
+	owners       []int64
+	notCommitted map[string]bool
+	labels       int
+	created      int
+	commits      int
 }
 
 func newWorld(t *testing.T) *world {
 	w := &world{
 		t: t, now: time.Unix(1_700_000_000, 0),
-		attempts: make(map[model.TaskKey]model.Attempt),
-		placed:   make(map[model.AttemptKey]model.WorkerID),
-		live:     make(map[model.TaskKey]bool),
-		owners:   make([]int64, worldShards),
-		unmade:   make(map[string]bool),
+		attempts:     make(map[model.TaskKey]model.Attempt),
+		placed:       make(map[model.AttemptKey]model.WorkerID),
+		live:         make(map[model.TaskKey]bool),
+		owners:       make([]int64, worldShards),
+		notCommitted: make(map[string]bool),
 	}
 	w.store = newFakeStore(w.observe)
 	names := []model.DaemonID{"d1", "d2"}
@@ -170,7 +170,7 @@
 	}
 	for _, change := range c.Changes {
 		if change.Put != nil {
-			w.unmade[change.Put.Reason] = true
+			w.notCommitted[change.Put.Reason] = true
 		}
 	}
 }
@@ -179,9 +179,9 @@
 	w.calls = append(w.calls, &request{from: d, command: command, sentAt: w.now})
 }
 
-// land executes the call in the store. It returns a function that delivers the
+// execute executes the call in the store. It returns a function that delivers the
 // response, or nil if there is none.
-func (w *world) land(r *request) func(*daemon) {
+func (w *world) execute(r *request) func(*daemon) {
 	switch c := r.command.(type) {
 	case ownership.GrantLease:
 		id := w.store.grant(w.now, c.TTL)
@@ -208,12 +208,12 @@
 		w.store.txn(c.Conditions, c.Ops)
 		return w.toOwner(ownership.ReleaseAnswered{Shard: c.Shard})
 	case ledgerCall:
-		return w.landLedger(c)
+		return w.executeLedger(c)
 	}
 	return nil
 }
 
-func (w *world) landLedger(c ledgerCall) func(*daemon) {
+func (w *world) executeLedger(c ledgerCall) func(*daemon) {
 	var ev ledger.Event
 	switch call := c.command.(type) {
 	case ledger.Load:
@@ -275,7 +275,7 @@
 	case kind == 40:
 		w.abandonCall(choice)
 	case kind == 41:
-		w.landLate(choice)
+		w.executeLate(choice)
 	case kind == 42:
 		d := w.daemons[choice%len(w.daemons)]
 		d.paused = !d.paused && choice/2%4 == 0
@@ -301,15 +301,15 @@
 	w.owner(d, ownership.Members{Candidates: views[choice/2%len(views)]})
 }
 
-// landLate executes a call in the store that has already timed out.
-func (w *world) landLate(choice int) {
+// executeLate executes a call in the store that has already timed out.
+func (w *world) executeLate(choice int) {
 	if len(w.late) == 0 {
 		return
 	}
 	i := choice % len(w.late)
 	r := w.late[i]
 	w.late = slices.Delete(w.late, i, i+1)
-	w.land(r)
+	w.execute(r)
 }
 
 // deliverCall executes one of the calls in transit, and loses its response if lose is
@@ -321,7 +321,7 @@
 	i := choice % len(w.calls)
 	r := w.calls[i]
 	w.calls = slices.Delete(w.calls, i, i+1)
-	deliver := w.land(r)
+	deliver := w.execute(r)
 	if lose && deliver != nil {
 		deliver = w.timeout(r)
 	}
@@ -573,7 +573,7 @@
 			over[model.TaskKey{Workload: k.GetWorkload(), Generation: k.GetGeneration(), Index: k.GetIndex()}] = true
 		}
 		for _, t := range d.GetTasks() {
-			if w.unmade[t.GetReason()] {
+			if w.notCommitted[t.GetReason()] {
 				w.fail("%q was dropped as not committed, and then committed", t.GetReason())
 			}
 		}
--- a/core/ledger/ledger_test.go
+++ b/core/ledger/ledger_test.go
@@ -23,7 +23,7 @@
 	s.own()
 	s.note("made, answer lost")
 	s.propose(put(pending(1)))
-	s.land()
+	s.execute()
 	s.failLast(unknownOutcome)
 	s.propose(put(pending(2)))
 	s.step(ledger.ReadAnswered{ID: s.last.(ledger.ReadBack).ID, Err: unknownOutcome})
--- a/core/ledger/session_test.go
+++ b/core/ledger/session_test.go
@@ -80,8 +80,8 @@
 	return s.step(ledger.Propose{Changes: changes})
 }
 
-// land executes the latest call and returns its result.
-func (s *session) land() ledger.Event {
+// execute executes the latest call and returns its result.
+func (s *session) execute() ledger.Event {
 	switch c := s.last.(type) {
 	case ledger.Load:
 		return ledger.LoadAnswered{KVs: s.store.list(c.Prefix), Revision: s.store.revision}
@@ -99,12 +99,12 @@
 	return nil
 }
 
-func (s *session) answer() []ledger.Command { return s.step(s.land()) }
+func (s *session) answer() []ledger.Command { return s.step(s.execute()) }
 
 // answerAll executes calls and reports their results until no call is in flight.
 func (s *session) answerAll() {
 	for s.last != nil {
-		ev := s.land()
+		ev := s.execute()
 		s.last = nil
 		s.step(ev)
 	}
