--- a/core/workersession/property_test.go
+++ b/core/workersession/property_test.go
@@ -16,12 +16,12 @@
 
 const (
 	propertyRuns = 200
-	// noticeRuns is the number of worlds within which a flaw must be detected.
-	noticeRuns = 1000
-	maxFaults  = 40
+	// maxDetectionRuns is the number of worlds within which a flaw must be detected.
+	maxDetectionRuns = 1000
+	maxFaults        = 40
 )
 
-func asIs(*world)      {}
+func unchanged(*world) {}
 func noProof(w *world) { w.skipProof = true }
 
 // allFaults returns every kind of fault.
@@ -101,7 +101,7 @@
 // previous one is certainly over, or an agent that accepts a message that it should
 // have refused.
 func TestOnePlaceAtATime(t *testing.T) {
-	result, starts := check(propertyRuns, 1000, worldOptions(), worker.Flaws{}, asIs, allFaults()...)
+	result, starts := check(propertyRuns, 1000, worldOptions(), worker.Flaws{}, unchanged, allFaults()...)
 	if !result.Passed() {
 		t.Fatalf("%v: %v %v", result.Status, result.Labels, result.Args)
 	}
@@ -123,11 +123,11 @@
 		change func(*world)
 		kinds  []faultKind
 	}{
-		{"lease counted from receipt", worldOptions(), worker.Flaws{LeaseFromReceipt: true}, asIs, allFaults()},
-		{"epoch not checked", worldOptions(), worker.Flaws{IgnoreEpoch: true}, asIs, []faultKind{evictTask, releaseOwner}},
-		{"stops and ends not remembered", worldOptions(), worker.Flaws{ForgetStops: true}, asIs, []faultKind{evictTask}},
-		{"renewed though the hash differs", worldOptions(), worker.Flaws{RenewOnMismatch: true}, asIs, []faultKind{dropTask, outageAll}},
-		{"bound without margin", noMargin, worker.Flaws{}, asIs, allFaults()},
+		{"lease counted from receipt", worldOptions(), worker.Flaws{LeaseFromReceipt: true}, unchanged, allFaults()},
+		{"epoch not checked", worldOptions(), worker.Flaws{IgnoreEpoch: true}, unchanged, []faultKind{evictTask, releaseOwner}},
+		{"stops and ends not remembered", worldOptions(), worker.Flaws{ForgetStops: true}, unchanged, []faultKind{evictTask}},
+		{"renewed though the hash differs", worldOptions(), worker.Flaws{RenewOnMismatch: true}, unchanged, []faultKind{dropTask, outageAll}},
+		{"bound without margin", noMargin, worker.Flaws{}, unchanged, allFaults()},
 		{
 			"predecessor's end not proved", worldOptions(), worker.Flaws{}, noProof,
 			[]faultKind{outageOwner, cutSuccessors, splitHosts},
@@ -135,7 +135,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			result, _ := check(noticeRuns, 1, c.opt, c.flaws, c.change, c.kinds...)
+			result, _ := check(maxDetectionRuns, 1, c.opt, c.flaws, c.change, c.kinds...)
 			if result.Passed() {
 				t.Fatal("the property holds without the mechanism")
 			}
@@ -144,9 +144,9 @@
 	}
 }
 
-// breaks runs 20 worlds with the given faults and returns the number of worlds in
+// countProblems runs 20 worlds with the given faults and returns the number of worlds in
 // which a problem was found.
-func breaks(faults []fault, opt workersession.Options, change func(*world)) int {
+func countProblems(faults []fault, opt workersession.Options, change func(*world)) int {
 	problems := 0
 	for seed := range int64(20) {
 		w := newWorld(seed, faults, opt, worker.Flaws{})
@@ -189,16 +189,16 @@
 		change func(*world)
 		broken bool
 	}{
-		{"proof is awaited", outage, worldOptions(), asIs, false},
+		{"proof is awaited", outage, worldOptions(), unchanged, false},
 		{"proof is left out", outage, worldOptions(), noProof, true},
-		{"release vouches with the proof", released, worldOptions(), asIs, false},
+		{"release vouches with the proof", released, worldOptions(), unchanged, false},
 		{"release vouches at once", released, worldOptions(), eagerClean, true},
-		{"grace is in the proof", ended, worldOptions(), asIs, false},
-		{"grace is left out of the proof", ended, noGrace, asIs, true},
+		{"grace is in the proof", ended, worldOptions(), unchanged, false},
+		{"grace is left out of the proof", ended, noGrace, unchanged, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			problems := breaks(c.faults, c.opt, c.change)
+			problems := countProblems(c.faults, c.opt, c.change)
 			t.Logf("problems in %d of 20 worlds", problems)
 			if (problems > 0) != c.broken {
 				t.Fail()
@@ -239,7 +239,7 @@
 		for i := range 2 {
 			w.hosts[i].pausedUntil = lost.Add(time.Hour)
 		}
-		w.cuts[1] = cut{until: lost.Add(time.Hour)}
+		w.partitions[1] = partition{until: lost.Add(time.Hour)}
 		// After that time, one round of exchanges with a majority is needed.
 		wait := storeLease + w.opt.PredecessorExpiry() + 6*worldPeriod
 		w.length += wait
--- a/core/workersession/renew_test.go
+++ b/core/workersession/renew_test.go
@@ -16,7 +16,7 @@
 // a response as a renewal that did not happen, or to renew by the hash alone.
 func TestOnePlaceAtATimeWithOldAgents(t *testing.T) {
 	old := worker.Flaws{NoRenewHash: true}
-	result, _ := check(propertyRuns/4, 1000, worldOptions(), old, asIs, allFaults()...)
+	result, _ := check(propertyRuns/4, 1000, worldOptions(), old, unchanged, allFaults()...)
 	if !result.Passed() {
 		t.Fatalf("%v: %v %v", result.Status, result.Labels, result.Args)
 	}
@@ -134,7 +134,7 @@
 	evicted.Checkpoint = true
 	p.want(long(0, workersession.Keep), evicted)
 	sent := p.last()
-	resp := p.arrive(sent)
+	resp := p.execute(sent)
 	if len(sent.Req.GetCommands()) != 1 || len(sent.Req.GetRenew()) != 2 || !resp.GetRenewMatched() {
 		t.Errorf("%v\n%s", resp, &s.text)
 	}
@@ -143,7 +143,7 @@
 	s.pass(5 * time.Second)
 	p.tick()
 	next := p.last()
-	if next.ID == sent.ID || len(next.Req.GetRenew()) != 0 || !p.arrive(next).GetRenewMatched() {
+	if next.ID == sent.ID || len(next.Req.GetRenew()) != 0 || !p.execute(next).GetRenewMatched() {
 		t.Errorf("not renewed by hash afterwards\n%s", &s.text)
 	}
 }
@@ -165,7 +165,7 @@
 	if len(sent.Req.GetRenew()) != 0 || sent.Req.GetRenewHash() == 0 {
 		t.Fatal("not renewed by hash", sent.Req)
 	}
-	p.arrive(sent)
+	p.execute(sent)
 	p.fail(sent.ID)
 	bound, known := p.session.Bound(long(0, workersession.Keep).Attempt)
 	s.pass(time.Second)
--- a/core/workersession/script_test.go
+++ b/core/workersession/script_test.go
@@ -87,15 +87,15 @@
 func (p *peer) failed(id uint64) {
 	p.event(workersession.Answered{ID: id, Err: context.DeadlineExceeded})
 }
-func (p *peer) answer()                                   { p.take(p.last().ID, p.arrive(p.last())) }
+func (p *peer) answer()                                   { p.take(p.last().ID, p.execute(p.last())) }
 func (p *peer) take(id uint64, r *workerv1.ApplyResponse) { p.event(p.answered(id, r)) }
 
 func (p *peer) answered(id uint64, r *workerv1.ApplyResponse) workersession.Answered {
 	return workersession.Answered{ID: id, Resp: r, ReceivedAt: p.now}
 }
 
-// arrive executes a message at the agent.
-func (p *peer) arrive(send workersession.Send) *workerv1.ApplyResponse {
+// execute executes a message at the agent.
+func (p *peer) execute(send workersession.Send) *workerv1.ApplyResponse {
 	resp := p.agent.Apply(proto.CloneOf(send.Req))
 	p.line("agent: answers %s #%d: %s", p.name, send.ID, responseText(resp))
 	return resp
--- a/core/workersession/world_test.go
+++ b/core/workersession/world_test.go
@@ -121,19 +121,19 @@
 // world simulates a store, a succession of owners, a network that delays, loses and
 // duplicates messages, and agents with their own clocks.
 type world struct {
-	now     time.Time
-	rnd     *rand.Rand
-	opt     workersession.Options
-	agents  []*worker.Agent
-	cuts    []cut
-	heard   []model.Epoch // the highest epoch that each agent has seen
-	ledger  []taskRow
-	current *owner
-	old     []*owner
-	net     []delivery
-	faults  []fault
-	problem string
-	starts  int
+	now        time.Time
+	rnd        *rand.Rand
+	opt        workersession.Options
+	agents     []*worker.Agent
+	partitions []partition
+	seenEpochs []model.Epoch // the highest epoch that each agent has seen
+	ledger     []taskRow
+	current    *owner
+	old        []*owner
+	net        []delivery
+	faults     []fault
+	problem    string
+	starts     int
 	// dropped are the attempts that an owner stopped renewing.
 	dropped map[string]bool
 
@@ -154,23 +154,23 @@
 	eagerClean bool
 }
 
-// cut is a partition of an agent from the owners with an epoch above the given one.
-type cut struct {
+// partition is a partition of an agent from the owners with an epoch above the given one.
+type partition struct {
 	until time.Time
 	above model.Epoch
 }
 
 func newWorld(seed int64, faults []fault, opt workersession.Options, flaws worker.Flaws) *world {
 	w := &world{
-		now:     epochTime,
-		rnd:     rand.New(rand.NewSource(seed)),
-		opt:     opt,
-		dropped: make(map[string]bool),
-		cuts:    make([]cut, worldWorkers),
-		heard:   make([]model.Epoch, worldWorkers),
-		faults:  slices.Clone(faults),
-		noise:   worldLength,
-		length:  worldLength + worldQuiet,
+		now:        epochTime,
+		rnd:        rand.New(rand.NewSource(seed)),
+		opt:        opt,
+		dropped:    make(map[string]bool),
+		partitions: make([]partition, worldWorkers),
+		seenEpochs: make([]model.Epoch, worldWorkers),
+		faults:     slices.Clone(faults),
+		noise:      worldLength,
+		length:     worldLength + worldQuiet,
 	}
 	w.addHosts()
 	slices.SortStableFunc(w.faults, func(a, b fault) int { return int(a.At - b.At) })
@@ -273,11 +273,11 @@
 		w.split(f.For)
 	case restartAgent:
 		w.agents[f.Target%worldWorkers].Restart()
-		w.heard[f.Target%worldWorkers] = 0
+		w.seenEpochs[f.Target%worldWorkers] = 0
 	case cutAgent:
-		w.cuts[f.Target%worldWorkers] = cut{until: w.now.Add(f.For)}
+		w.partitions[f.Target%worldWorkers] = partition{until: w.now.Add(f.For)}
 	case cutSuccessors:
-		w.cuts[f.Target%worldWorkers] = cut{until: w.now.Add(f.For), above: w.current.epoch}
+		w.partitions[f.Target%worldWorkers] = partition{until: w.now.Add(f.For), above: w.current.epoch}
 	case releaseOwner:
 		w.release()
 	case evictTask:
@@ -321,18 +321,18 @@
 		d := w.net[0]
 		w.net = w.net[1:]
 		if d.req != nil {
-			w.reachAgent(d)
+			w.deliverToAgent(d)
 			continue
 		}
 		d.from.inbox = append(d.from.inbox, d)
 	}
 }
 
-func (w *world) reachAgent(d delivery) {
-	if c := w.cuts[d.worker]; w.now.Before(c.until) && d.from.epoch > c.above {
+func (w *world) deliverToAgent(d delivery) {
+	if c := w.partitions[d.worker]; w.now.Before(c.until) && d.from.epoch > c.above {
 		return
 	}
-	resp := w.carryOut(d)
+	resp := w.execute(d)
 	if w.noisy() && w.rnd.Float64() < 0.1 {
 		return // the response is lost
 	}
@@ -341,19 +341,19 @@
 	})
 }
 
-// carryOut executes one request and checks that it changes nothing if the agent has
+// execute executes one request and checks that it changes nothing if the agent has
 // seen a newer owner.
-func (w *world) carryOut(d delivery) *workerv1.ApplyResponse {
+func (w *world) execute(d delivery) *workerv1.ApplyResponse {
 	agent := w.agents[d.worker]
-	if d.from.epoch >= w.heard[d.worker] {
-		w.heard[d.worker] = d.from.epoch
+	if d.from.epoch >= w.seenEpochs[d.worker] {
+		w.seenEpochs[d.worker] = d.from.epoch
 		return agent.Apply(d.req)
 	}
 	before := fmt.Sprint(agent.Running())
 	resp := agent.Apply(d.req)
 	if fmt.Sprint(agent.Running()) != before {
 		w.problem = fmt.Sprintf("owner %d acted on %s after owner %d",
-			d.from.epoch, agent.ID(), w.heard[d.worker])
+			d.from.epoch, agent.ID(), w.seenEpochs[d.worker])
 	}
 	return resp
 }
