--- a/core/workersession/world_test.go
+++ b/core/workersession/world_test.go
@@ -154,7 +154,7 @@
 	eagerClean bool
 }
 
-// partition is a partition of an agent from the owners with an epoch above the given one.
+// partition separates an agent from the owners with an epoch above the given one.
 type partition struct {
 	until time.Time
 	above model.Epoch
