--- a/core/shares/tracker_test.go
+++ b/core/shares/tracker_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// simulated is one entry with its own, late view.
+// simulated is an entry with a view of its own, which may be outdated.
 type simulated struct {
 	Entry
 	view    []Entry
@@ -71,22 +71,22 @@
 	simConverge  = 1 * time.Second
 )
 
-// simulation lets entries join and die; each hears of a change at its own
-// time, within simConverge.
+// simulation lets entries join and fail. Each entry receives a change of the view
+// at a different time, within simConverge.
 type simulation struct {
-	rnd     *rand.Rand
-	targets []Capacity
-	entries []*simulated
-	hears   map[time.Duration][]func()
-	agreed  time.Duration // when all living entries last held the same view
+	rnd      *rand.Rand
+	targets  []Capacity
+	entries  []*simulated
+	updates  map[time.Duration][]func()
+	agreedAt time.Duration // the last time at which all live entries held the same view
 }
 
 func newSimulation(seed uint64, entries, targets int) *simulation {
 	s := &simulation{
-		rnd:     rand.New(rand.NewPCG(seed, 3)),
-		targets: makeTargets(targets, 8, 3),
-		hears:   make(map[time.Duration][]func()),
-		agreed:  -time.Hour,
+		rnd:      rand.New(rand.NewPCG(seed, 3)),
+		targets:  makeTargets(targets, 8, 3),
+		updates:  make(map[time.Duration][]func()),
+		agreedAt: -time.Hour,
 	}
 	for _, e := range makeEntries(entries, 3) {
 		s.entries = append(s.entries, &simulated{Entry: e})
@@ -94,7 +94,7 @@
 	return s
 }
 
-// change lets an entry join or die.
+// change lets an entry join or fail.
 func (s *simulation) change(now time.Duration) {
 	e := s.entries[s.rnd.IntN(len(s.entries))]
 	e.alive = !e.alive
@@ -108,11 +108,11 @@
 		if other == e {
 			late = simTick
 		}
-		s.hears[now+late] = append(s.hears[now+late], func() { other.view = s.living() })
+		s.updates[now+late] = append(s.updates[now+late], func() { other.view = s.live() })
 	}
 }
 
-func (s *simulation) living() []Entry {
+func (s *simulation) live() []Entry {
 	var list []Entry
 	for _, e := range s.entries {
 		if e.alive {
@@ -123,19 +123,19 @@
 }
 
 func (s *simulation) tick(now time.Duration) {
-	for _, hear := range s.hears[now] {
-		hear()
+	for _, update := range s.updates[now] {
+		update()
 	}
 	agree := true
 	for _, e := range s.entries {
 		if !e.alive {
 			continue
 		}
-		agree = agree && slices.Equal(e.view, s.living())
+		agree = agree && slices.Equal(e.view, s.live())
 		e.shares = e.tracker.Step(start.Add(now), Divide(e.view, e.ID, s.targets))
 	}
 	if agree {
-		s.agreed = now
+		s.agreedAt = now
 	}
 }
 
@@ -149,10 +149,10 @@
 	return sums
 }
 
-// Symptom: an instance with 8 slots refuses or queues requests while entries
-// come and go. Sequence: one entry hears of a death early and takes the dead
-// one's slots, another hears of a join late and still uses the joined one's.
-// Cause: shares that follow each entry's own view at once.
+// Guards against an instance with 8 slots getting more requests than that while
+// entries join and fail. If shares follow each entry's view at once, an entry that
+// learns of a failure early takes over slots that another entry, which learns of
+// a join late, still uses.
 func TestSumIsBoundedWhileViewsDiffer(t *testing.T) {
 	properties := gopter.NewProperties(parameters(60))
 	properties.Property("sum over entries never exceeds the slots, and reaches them", prop.ForAll(
@@ -161,13 +161,13 @@
 			covered, checked := 0, 0
 			const quiet, end = 20 * time.Second, 26 * time.Second
 			for now := time.Duration(0); now < end; now += simTick {
-				// Changes come in bursts with a pause in which views agree.
+				// Changes come in bursts. Views agree in the pauses between them.
 				if now < quiet && now%(2*time.Second) < 500*time.Millisecond && s.rnd.IntN(3) == 0 {
 					s.change(now)
 				}
 				s.tick(now)
 				checked++
-				if now-s.agreed >= simGrowDelay {
+				if now-s.agreedAt >= simGrowDelay {
 					continue
 				}
 				covered++
@@ -178,9 +178,9 @@
 				}
 			}
 			if covered < checked*9/10 {
-				return fmt.Sprintf("only %d of %d moments had an agreement before them", covered, checked)
+				return fmt.Sprintf("only %d of %d steps closely followed an agreement of all views", covered, checked)
 			}
-			if len(s.living()) == 0 {
+			if len(s.live()) == 0 {
 				return ""
 			}
 			for _, target := range s.targets {
@@ -193,8 +193,8 @@
 	properties.TestingRun(t)
 }
 
-// Entries that are cut off from each other use an instance once on each side.
-func TestSumIsBoundedBySidesOfACut(t *testing.T) {
+// Entries that are partitioned from each other use an instance once per side.
+func TestSumIsBoundedBySidesOfAPartition(t *testing.T) {
 	entries, targets := makeEntries(8, 3), makeTargets(12, 8, 3)
 	sums := make(map[string]int)
 	for i, e := range entries {
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestWeighFollowsDemandBeyondTheOrdinary(t *testing.T) {
+func TestWeightsFollowUntypicalDemand(t *testing.T) {
 	entries := makeEntries(4, 1)
 	weights := func(demand ...uint32) []uint32 {
 		published := make(map[model.DaemonID]uint32)
@@ -253,7 +253,7 @@
 		return list
 	}
 	if w := weights(50, 75, 50, 75); w[0] != w[1] {
-		t.Errorf("ordinary differences move shares: %v", w)
+		t.Errorf("typical differences change weights: %v", w)
 	}
 	if w := weights(250, 50, 50, 50); w[0] < 2*w[1] || w[1] != w[2] {
 		t.Errorf("weights %v for a demand five times the others'", w)
--- a/core/workersession/world_test.go
+++ b/core/workersession/world_test.go
@@ -418,7 +418,7 @@
 		return
 	}
 	end := w.opt.PredecessorExpiry()
-	o.predecessorsOver = o.host.machine.StoreKeptBy(o.acquired, end)
+	o.predecessorsOver = o.host.machine.OutageRenewalsEnded(o.acquired, end)
 	o.host.awaits = !o.predecessorsOver && !w.now.Before(o.acquired.Add(end))
 }
 
--- a/daemon/tables.go
+++ b/daemon/tables.go
@@ -104,7 +104,7 @@
 	for _, hint := range fresh {
 		c.engine.MarkLeaving(hint.GetAddress())
 	}
-	c.spreader.Leaving(fresh, true)
+	c.spreader.HintsAdded(fresh, true)
 }
 
 // markListedLeaving stops this entry's new work to targets on VMs that the
@@ -279,7 +279,7 @@
 // shareEntries are the entries among which slots are divided.
 func (c *control) shareEntries() []shares.Entry {
 	var entries []shares.Entry
-	for _, id := range c.view.ForShares() {
+	for _, id := range c.view.Active() {
 		m, _ := c.view.Member(id)
 		entries = append(entries, shares.Entry{ID: id, Zone: m.Zone, Weight: 1})
 	}
