--- a/core/membership/answer.go
+++ b/core/membership/answer.go
@@ -9,113 +9,113 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// received takes in a request of another daemon.
-func (m *Machine) received(ev Received) {
-	before := m.remembered(ev.From)
-	r := m.fromMember(ev.From)
+// handleRequest takes in a request of another daemon.
+func (m *Machine) handleRequest(ev Received) {
+	before := m.priorStateOf(ev.From)
+	r := m.mergeSender(ev.From)
 	if r == nil {
 		return
 	}
-	m.contact(before.back(r))
-	m.takeRecords(r, ev.Members)
-	m.askDoubtful()
+	m.noteContact(before.hasRecovered(r))
+	m.mergeRecords(r, ev.Members)
+	m.exchangeDoubtful()
 }
 
-// answered takes in the end of an exchange.
-func (m *Machine) answered(ev ExchangeDone) {
+// handleExchangeDone takes in the end of an exchange.
+func (m *Machine) handleExchangeDone(ev ExchangeDone) {
 	r := m.members[ev.Peer]
 	if r == nil {
 		return
 	}
 	started := ev.Started
 	if started.IsZero() {
-		started = r.asked
+		started = r.exchangedAt
 		r.inFlight = false
 	}
 	switch {
 	case ev.Err == nil && ev.Resp != nil:
-		m.gotAnswer(r, ev.Resp, started)
-	case reached(ev.Err):
+		m.handleResponse(r, ev.Resp, started)
+	case isReachable(ev.Err):
 		m.lastContact = m.now
 		m.failed = 0
 		r.failures = 0
 	default:
-		m.gotNoAnswer(r, started)
+		m.handleFailure(r, started)
 	}
 }
 
-// reached is whether a failed exchange still shows that the daemon runs: it
+// isReachable is whether a failed exchange still shows that the daemon runs: it
 // was overloaded or speaks an older protocol. Taking this for a failure would
 // remove daemons during an upgrade.
-func reached(err error) bool {
+func isReachable(err error) bool {
 	var pe *port.PeerError
 	return errors.As(err, &pe) &&
 		(pe.Kind == port.PeerRefused || pe.Kind == port.PeerOtherProtocol)
 }
 
-func (m *Machine) gotAnswer(r *record, resp *peerv1.ExchangeResponse, started time.Time) {
+func (m *Machine) handleResponse(r *record, resp *peerv1.ExchangeResponse, started time.Time) {
 	sender := resp.GetSender()
 	if model.DaemonID(sender.GetId()) != r.ID {
-		m.anotherAnswered(r, sender, started)
+		m.handleOtherResponder(r, sender, started)
 		return
 	}
-	before := m.remembered(sender)
-	if m.fromMember(sender) == nil {
-		m.gotNoAnswer(r, started)
+	before := m.priorStateOf(sender)
+	if m.mergeSender(sender) == nil {
+		m.handleFailure(r, started)
 		return
 	}
-	m.contact(before.back(r))
-	r.takeStore(m.now, started)
+	m.noteContact(before.hasRecovered(r))
+	r.setStoreStatus(m.now, started)
 	if r.State != Dead {
 		m.recover(r)
 	}
-	m.takeRecords(r, resp.GetMembers())
-	m.askDoubtful()
+	m.mergeRecords(r, resp.GetMembers())
+	m.exchangeDoubtful()
 }
 
-// earlier is what was known of a message's sender before the message.
-type earlier struct {
+// priorState is what was known of a message's sender before the message.
+type priorState struct {
 	suspect bool
 	started int64
 }
 
-func (m *Machine) remembered(p *peerv1.Member) earlier {
+func (m *Machine) priorStateOf(p *peerv1.Member) priorState {
 	r := m.members[model.DaemonID(p.GetId())]
 	if r == nil {
-		return earlier{}
+		return priorState{}
 	}
-	return earlier{suspect: r.State == Suspect, started: r.Started.UnixMilli()}
+	return priorState{suspect: r.State == Suspect, started: r.Started.UnixMilli()}
 }
 
-// back is whether the member was suspect and has not restarted since: it was
+// hasRecovered is whether the member was suspect and has not restarted since: it was
 // the way to it that failed.
-func (e earlier) back(r *record) bool {
+func (e priorState) hasRecovered(r *record) bool {
 	return e.suspect && e.started == r.Started.UnixMilli()
 }
 
-// anotherAnswered handles a VM's replacement that has the old one's address.
-func (m *Machine) anotherAnswered(r *record, sender *peerv1.Member, started time.Time) {
-	other := m.fromMember(sender)
+// handleOtherResponder handles a VM's replacement that has the old one's address.
+func (m *Machine) handleOtherResponder(r *record, sender *peerv1.Member, started time.Time) {
+	other := m.mergeSender(sender)
 	if other == nil {
-		m.gotNoAnswer(r, started)
+		m.handleFailure(r, started)
 		return
 	}
-	m.contact(false)
+	m.noteContact(false)
 	switch {
 	case r.State == Dead:
 	case r.State == Listed && other.Address == r.Address:
 		m.remove(r.ID)
 		m.changed = true
 	default:
-		m.gotNoAnswer(r, started)
+		m.handleFailure(r, started)
 	}
 }
 
-func (m *Machine) gotNoAnswer(r *record, started time.Time) {
+func (m *Machine) handleFailure(r *record, started time.Time) {
 	m.stats.Failures++
 	m.failed++
 	r.failures++
-	r.failedAsked = started
+	r.failedAt = started
 	if r.State != Alive && r.State != Leaving {
 		return
 	}
--- a/core/membership/cluster_changes_test.go
+++ b/core/membership/cluster_changes_test.go
@@ -41,7 +41,7 @@
 // Sequence: two of three VMs fail at once; the survivor sees no majority, until
 // the platform's lagging list no longer names them. Cause: a daemon without a
 // majority removes nobody on its own word.
-func TestListSettlesWhatAMajorityCannot(t *testing.T) {
+func TestDelistedMembersAreRemovedWithoutAMajority(t *testing.T) {
 	c := newCluster(3, 3, *seed)
 	c.settle(t)
 	c.net.Kill(c.nodes[1].name)
@@ -125,7 +125,7 @@
 		c.net.Run(20 * time.Second)
 		leaver := c.nodes[1]
 		leaver.step(membership.Drain{})
-		told := c.await(t, time.Minute, "leaving everywhere", func(n *node) bool {
+		announced := c.await(t, time.Minute, "leaving everywhere", func(n *node) bool {
 			v := n.machine.View()
 			return !slices.Contains(v.Candidates(), "d001") && slices.Contains(v.Active(), "d001")
 		})
@@ -135,7 +135,7 @@
 		c.net.Run(2 * time.Second)
 		gone := c.await(t, time.Minute, "gone everywhere", func(n *node) bool { return n.state("d001") == membership.Dead })
 		gone += 2 * time.Second
-		t.Logf("%d daemons: leaving known everywhere after %s, its end after %s", size, told, gone)
+		t.Logf("%d daemons: leaving known everywhere after %s, its end after %s", size, announced, gone)
 		if gone > 6*time.Second {
 			t.Errorf("%d daemons: its own word was not enough for %s", size, gone)
 		}
--- a/core/membership/event.go
+++ b/core/membership/event.go
@@ -49,7 +49,7 @@
 	// AwaitsMajority asks for a majority's answers as fast as in an outage, since
 	// StoreKeptBy waits for nothing else.
 	AwaitsMajority bool
-	OwnedShards []ShardEpoch
+	OwnedShards    []ShardEpoch
 }
 
 // Drain announces that this daemon is leaving.
@@ -59,13 +59,13 @@
 // peers remove it without a suspicion.
 type Stop struct{}
 
-func (Tick) event()      {}
-func (VMsListed) event() {}
-func (Received) event()  {}
-func (ExchangeDone) event()  {}
-func (LocalState) event()     {}
-func (Drain) event()     {}
-func (Stop) event()      {}
+func (Tick) event()         {}
+func (VMsListed) event()    {}
+func (Received) event()     {}
+func (ExchangeDone) event() {}
+func (LocalState) event()   {}
+func (Drain) event()        {}
+func (Stop) event()         {}
 
 // Command is an output of Machine.Step.
 type Command interface{ command() }
--- a/core/membership/judge.go
+++ b/core/membership/judge.go
@@ -7,150 +7,150 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// cutAfter is how many exchanges in a row must fail, and how many periods
+// linkDownAfter is how many exchanges in a row must fail, and how many periods
 // pass without a message from any member, before a daemon takes its own link
 // for cut.
-const cutAfter = 3
+const linkDownAfter = 3
 
 // settlePeriods is how many periods without further accusations are waited
 // for when many members were accused at once.
 const settlePeriods = 10
 
-// blame decides whether this daemon's own link is at fault: when it hears from
+// checkIsolation decides whether this daemon's own link is at fault: when it hears from
 // nobody, or when about half of the members are accused. A daemon that blames
 // itself removes nobody. It still tells its suspicions: those on the same side
 // of a cut learn from them that they are on the smaller one.
-func (m *Machine) blame() {
-	c := m.census()
-	blaming := m.cut() || 2*c.accused >= c.total-c.total/blameMargin
-	if blaming != m.blaming {
-		m.blaming = blaming
+func (m *Machine) checkIsolation() {
+	c := m.countMembers()
+	blaming := m.isLinkDown() || 2*c.suspected >= c.total-c.total/isolationMargin
+	if blaming != m.isolated {
+		m.isolated = blaming
 		m.changed = true
 	}
 }
 
-// blameMargin is the part of the members by which fewer than half need be
+// isolationMargin is the part of the members by which fewer than half need be
 // accused. Some on the other side of a cut may not have been asked yet; on
 // either side of an even split, one such member would make a majority.
-const blameMargin = 10
+const isolationMargin = 10
 
-// census counts the members that are not dead, this daemon included, those of
+// memberCounts counts the members that are not dead, this daemon included, those of
 // them that are accused, and those accused lately.
-type census struct {
-	total, accused, fresh int
+type memberCounts struct {
+	total, suspected, recent int
 }
 
-func (m *Machine) census() census {
-	c := census{total: 1}
+func (m *Machine) countMembers() memberCounts {
+	c := memberCounts{total: 1}
 	for _, r := range m.sorted {
 		if r.State == Dead || r.State == Listed {
 			continue
 		}
 		c.total++
-		if !r.accused() {
+		if !r.isSuspected() {
 			continue
 		}
-		c.accused++
-		if m.now.Sub(r.accusedAt) < settlePeriods*m.o.Period {
-			c.fresh++
+		c.suspected++
+		if m.now.Sub(r.suspectedAt) < settlePeriods*m.o.Period {
+			c.recent++
 		}
 	}
 	return c
 }
 
-// cut is whether nothing at all gets through.
-func (m *Machine) cut() bool {
-	silent := m.now.Sub(m.lastContact) > cutAfter*m.o.Period
-	return silent && m.failed >= min(cutAfter, len(m.sorted)) && m.failed > 0
+// isLinkDown is whether nothing at all gets through.
+func (m *Machine) isLinkDown() bool {
+	silent := m.now.Sub(m.lastContact) > linkDownAfter*m.o.Period
+	return silent && m.failed >= min(linkDownAfter, len(m.sorted)) && m.failed > 0
 }
 
-// accused is whether this daemon or another failed to reach the member and
+// isSuspected is whether this daemon or another failed to reach the member and
 // nothing has cleared it since.
-func (r *record) accused() bool {
-	return r.State == Suspect || r.questioned
+func (r *record) isSuspected() bool {
+	return r.State == Suspect || r.reportedSuspect
 }
 
-// accuse notes the moment a member becomes accused.
-func (m *Machine) accuse(r *record) {
-	if !r.accused() {
-		r.accusedAt = m.now
+// noteSuspected notes the moment a member becomes accused.
+func (m *Machine) noteSuspected(r *record) {
+	if !r.isSuspected() {
+		r.suspectedAt = m.now
 	}
 }
 
-// At most fewAccused members, or one in fewShare, are accused in ordinary times.
+// At most fewSuspected members, or one in fewShare, are accused in ordinary times.
 const (
-	fewAccused = 2
-	fewShare   = 32
+	fewSuspected = 2
+	fewShare     = 32
 )
 
-// settled is whether accusations are few or have stopped coming. When a zone is
+// suspicionsSettled is whether accusations are few or have stopped coming. When a zone is
 // cut off its members are found to fail one after the other; a majority of the
 // members looks reachable until about half are accused, and the smaller side
 // would begin to remove the larger one.
-func (m *Machine) settled() bool {
-	c := m.census()
-	few := c.accused <= max(fewAccused, c.total/fewShare)
-	stopped := c.fresh <= max(1, c.accused/fewShare)
+func (m *Machine) suspicionsSettled() bool {
+	c := m.countMembers()
+	few := c.suspected <= max(fewSuspected, c.total/fewShare)
+	stopped := c.recent <= max(1, c.suspected/fewShare)
 	return few || stopped
 }
 
-// judge removes the suspects whose time has come.
-func (m *Machine) judge() {
-	settled := m.settled()
-	held := false
+// removeSuspects removes the suspects whose time has come.
+func (m *Machine) removeSuspects() {
+	settled := m.suspicionsSettled()
+	isHeld := false
 	for _, r := range m.sorted {
-		if r.State != Suspect && !m.adoptable(r) {
+		if r.State != Suspect && !m.removedByOthers(r) {
 			continue
 		}
-		if !m.due(r) && !m.adoptable(r) {
+		if !m.suspicionExpired(r) && !m.removedByOthers(r) {
 			continue
 		}
 		if !m.mayRemove(r, settled) {
-			held = true
+			isHeld = true
 			continue
 		}
-		m.bury(r)
+		m.declareDead(r)
 	}
-	if held {
+	if isHeld {
 		m.stats.RemovalsHeld++
 	}
 }
 
-// due is whether the suspicion has lasted its time and an exchange that was
+// suspicionExpired is whether the suspicion has lasted its time and an exchange that was
 // started after that failed too. Without the second part a member that was
 // paused, and that this daemon happened not to ask since it is back, would be
 // removed.
-func (m *Machine) due(r *record) bool {
+func (m *Machine) suspicionExpired(r *record) bool {
 	end := m.suspicionEnd(r)
-	return !m.now.Before(end) && !r.failedAsked.Before(end)
+	return !m.now.Before(end) && !r.failedAt.Before(end)
 }
 
 // suspicionEnd is when the suspect may be removed. It grows with the number of
 // members by what news takes to reach them all.
 func (m *Machine) suspicionEnd(r *record) time.Time {
 	if r.Draining {
-		return r.since.Add(m.o.LeaveTimeout)
+		return r.suspectSince.Add(m.o.LeaveTimeout)
 	}
 	spread := time.Duration(bits.Len(uint(len(m.sorted)))) * m.o.Period
-	return r.since.Add(m.o.SuspicionTimeout + spread)
+	return r.suspectSince.Add(m.o.SuspicionTimeout + spread)
 }
 
-// adoptable is whether enough others removed the member.
-func (m *Machine) adoptable(r *record) bool {
+// removedByOthers is whether enough others removed the member.
+func (m *Machine) removedByOthers(r *record) bool {
 	return r.State != Dead && r.deadReports() >= m.o.RemovalReports
 }
 
 // mayRemove is whether the evidence against a member whose time has come
 // suffices.
 func (m *Machine) mayRemove(r *record, settled bool) bool {
-	if r.Draining || m.gone(r) {
+	if r.Draining || m.isDelisted(r) {
 		return true
 	}
-	return settled && !m.blaming && len(r.reports) >= m.confirmations(r)
+	return settled && !m.isolated && len(r.reports) >= m.confirmations(r)
 }
 
-// gone is whether the platform stopped listing the member's VM.
-func (m *Machine) gone(r *record) bool {
+// isDelisted is whether the platform stopped listing the member's VM.
+func (m *Machine) isDelisted(r *record) bool {
 	return r.delisted && m.now.Sub(m.listedAt) <= m.o.ListMaxAge
 }
 
@@ -159,7 +159,7 @@
 func (m *Machine) confirmations(r *record) int {
 	others := 0
 	for _, other := range m.sorted {
-		if other != r && other.State == Alive && !other.accused() {
+		if other != r && other.State == Alive && !other.isSuspected() {
 			others++
 		}
 	}
@@ -167,14 +167,14 @@
 }
 
 func (m *Machine) suspect(r *record) {
-	m.accuse(r)
-	r.since = m.now
+	m.noteSuspected(r)
+	r.suspectSince = m.now
 	m.setState(r, Suspect)
 	m.stats.Suspicions++
 	m.announce(r.ID)
 }
 
-func (m *Machine) bury(r *record) {
+func (m *Machine) declareDead(r *record) {
 	m.setState(r, Dead)
 	r.diedAt = m.now
 	r.clearDoubt()
@@ -191,29 +191,29 @@
 	m.setState(r, r.liveState())
 }
 
-// contact notes that a message of a member arrived. Back is whether the member
+// noteContact notes that a message of a member arrived. Back is whether the member
 // was suspect and has not restarted since.
-func (m *Machine) contact(back bool) {
-	wasCut := m.blaming && m.cut()
+func (m *Machine) noteContact(recovered bool) {
+	wasCut := m.isolated && m.isLinkDown()
 	m.lastContact = m.now
 	m.failed = 0
-	if m.blaming && (wasCut || back) {
-		m.withdraw()
+	if m.isolated && (wasCut || recovered) {
+		m.withdrawSuspicions()
 	}
 }
 
-// withdraw takes back all suspicions when a daemon that blamed its own link
+// withdrawSuspicions takes back all suspicions when a daemon that blamed its own link
 // hears from the other side again. It would otherwise go on to report most
 // members as suspects, and each of them would have to refute it.
-func (m *Machine) withdraw() {
+func (m *Machine) withdrawSuspicions() {
 	for _, r := range m.sorted {
-		if r.State == Dead || !r.accused() && r.failures == 0 {
+		if r.State == Dead || !r.isSuspected() && r.failures == 0 {
 			continue
 		}
 		m.recover(r)
 		delete(m.changes, r.ID)
 	}
-	m.blaming = false
+	m.isolated = false
 	m.changed = true
 }
 
--- a/core/membership/kept.go
+++ b/core/membership/kept.go
@@ -36,7 +36,7 @@
 			begins, ends = append(begins, begin), append(ends, end)
 		}
 	}
-	return mostAtOnce(begins, ends) >= m.majority()
+	return maxOverlap(begins, ends) >= m.majority()
 }
 
 // storeSpans returns the spans of the known members, by their own answers. A
@@ -50,15 +50,15 @@
 	}
 	for _, r := range m.sorted {
 		if r.known() && !r.okSince.IsZero() {
-			spans = append(spans, span{r.okSince, r.saidAsked})
+			spans = append(spans, span{r.okSince, r.reportedAt})
 		}
 	}
 	return spans
 }
 
-// mostAtOnce returns how many of the spans with these begins and ends share a
+// maxOverlap returns how many of the spans with these begins and ends share a
 // moment, at most.
-func mostAtOnce(begins, ends []time.Time) int {
+func maxOverlap(begins, ends []time.Time) int {
 	slices.SortFunc(begins, time.Time.Compare)
 	slices.SortFunc(ends, time.Time.Compare)
 	most, over := 0, 0
@@ -71,9 +71,9 @@
 	return most
 }
 
-// noteStore notes what this daemon's messages say of the store from now on.
-func (m *Machine) noteStore() {
-	m.toldAt = m.now
+// updateStoreStatus notes what this daemon's messages say of the store from now on.
+func (m *Machine) updateStoreStatus() {
+	m.storeStatusAt = m.now
 	switch {
 	case m.self.StoreSilent >= m.o.StoreSilentAfter:
 		m.okSince = time.Time{}
@@ -91,11 +91,11 @@
 	return m.now.Sub(m.okSince)
 }
 
-// takeStore notes what a member's answer, to an exchange that was started at
+// setStoreStatus notes what a member's answer, to an exchange that was started at
 // the given time, says of its store. A silent member's
 // span is dropped, so that it counts as answered again only from later on.
-func (r *record) takeStore(now, started time.Time) {
-	r.saidSilent, r.saidAsked = r.StoreSilent, started
+func (r *record) setStoreStatus(now, started time.Time) {
+	r.reportedSilence, r.reportedAt = r.StoreSilent, started
 	r.okSince = time.Time{}
 	if ok := min(r.StoreOK, maxStoreOK); ok > 0 {
 		r.okSince = now.Add(-ok)
--- a/core/membership/kept_test.go
+++ b/core/membership/kept_test.go
@@ -11,20 +11,20 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// statement is a member's answer: when it was asked, when the answer came, and
+// storeReport is a member's answer: when it was asked, when the answer came, and
 // for how long the store had answered it.
-type statement struct {
-	asked, came, ok time.Duration
+type storeReport struct {
+	started, received, ok time.Duration
 }
 
-// storeTeller is a machine that knows the peers a, b, c and d.
-type storeTeller struct {
+// storeMachine is a machine that knows the peers a, b, c and d.
+type storeMachine struct {
 	*membership.Machine
 }
 
 func at(d time.Duration) time.Time { return simnet.Start.Add(d) }
 
-func newStoreTeller(listed ...string) storeTeller {
+func newStoreMachine(listed ...string) storeMachine {
 	m := membership.New(membership.Member{ID: "self", Address: "at-self", Started: simnet.Start}, membership.Options{})
 	vms := []model.VM{{ID: "self", Role: model.RoleEntry, Address: "at-self"}}
 	for _, id := range listed {
@@ -34,15 +34,15 @@
 	for _, id := range []string{"a", "b", "c", "d"} {
 		m.Step(simnet.Start, membership.Received{From: peer(id, 100, alive)})
 	}
-	return storeTeller{m}
+	return storeMachine{m}
 }
 
-// says has a member answer.
-func (m storeTeller) says(id string, s statement, silent time.Duration) {
+// report has a member answer.
+func (m storeMachine) report(id string, s storeReport, silent time.Duration) {
 	from := peer(id, 100, alive)
 	from.StoreOkMillis, from.StoreSilentMillis = s.ok.Milliseconds(), silent.Milliseconds()
-	m.Step(at(s.came), membership.ExchangeDone{
-		Peer: model.DaemonID(id), Started: at(s.asked), Resp: &peerv1.ExchangeResponse{Sender: from},
+	m.Step(at(s.received), membership.ExchangeDone{
+		Peer: model.DaemonID(id), Started: at(s.started), Resp: &peerv1.ExchangeResponse{Sender: from},
 	})
 }
 
@@ -51,28 +51,28 @@
 // Sequence: of five daemons, some answer too early, too late, or for a shorter
 // time than is needed. Cause: members are counted that do not stand for one and
 // the same time, or for a part of it only.
-func TestStoreKeptBy(t *testing.T) {
+func TestOutageRenewalsEnded(t *testing.T) {
 	const after, wait = 100 * time.Second, 50 * time.Second
-	long := statement{155 * time.Second, 156 * time.Second, 150 * time.Second}
+	long := storeReport{155 * time.Second, 156 * time.Second, 150 * time.Second}
 	cases := map[string]struct {
-		b    statement
+		b    storeReport
 		want bool
 	}{
 		"all the time":               {long, true},
-		"asked just in time":         {statement{150 * time.Second, 151 * time.Second, 150 * time.Second}, true},
-		"asked too early":            {statement{150*time.Second - 1, 156 * time.Second, 150 * time.Second}, false},
-		"answers since the last S":   {statement{155 * time.Second, 155 * time.Second, 50 * time.Second}, true},
-		"answers since later":        {statement{155 * time.Second, 155 * time.Second, 50*time.Second - time.Millisecond}, false},
-		"the answer was on its way":  {statement{155 * time.Second, 157 * time.Second, 51 * time.Second}, false},
-		"another time than the rest": {statement{250 * time.Second, 251 * time.Second, 60 * time.Second}, false},
-		"silent":                     {statement{155 * time.Second, 156 * time.Second, 0}, false},
-		"its word of an hour back":   {statement{time.Hour, time.Hour, time.Hour}, false},
+		"asked just in time":         {storeReport{150 * time.Second, 151 * time.Second, 150 * time.Second}, true},
+		"asked too early":            {storeReport{150*time.Second - 1, 156 * time.Second, 150 * time.Second}, false},
+		"answers since the last S":   {storeReport{155 * time.Second, 155 * time.Second, 50 * time.Second}, true},
+		"answers since later":        {storeReport{155 * time.Second, 155 * time.Second, 50*time.Second - time.Millisecond}, false},
+		"the answer was on its way":  {storeReport{155 * time.Second, 157 * time.Second, 51 * time.Second}, false},
+		"another time than the rest": {storeReport{250 * time.Second, 251 * time.Second, 60 * time.Second}, false},
+		"silent":                     {storeReport{155 * time.Second, 156 * time.Second, 0}, false},
+		"its word of an hour back":   {storeReport{time.Hour, time.Hour, time.Hour}, false},
 	}
 	for name, c := range cases {
-		m := newStoreTeller("a", "b", "c", "d")
+		m := newStoreMachine("a", "b", "c", "d")
 		m.Step(at(0), membership.LocalState{})
-		m.says("a", long, 0)
-		m.says("b", c.b, 0)
+		m.report("a", long, 0)
+		m.report("b", c.b, 0)
 		if got := m.OutageRenewalsEnded(at(after), wait); got != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
@@ -83,31 +83,31 @@
 // none is listed yet, or they spoke without being asked, or this daemon itself
 // lost the store for a while. Cause: a majority of those met, or messages of
 // unknown age, taken for a majority's word.
-func TestStoreKeptByCountsOnlyWhatIsKnown(t *testing.T) {
+func TestOutageRenewalsEndedCountsKnownMembersOnly(t *testing.T) {
 	const after, wait = 100 * time.Second, 50 * time.Second
-	long := statement{155 * time.Second, 156 * time.Second, 150 * time.Second}
+	long := storeReport{155 * time.Second, 156 * time.Second, 150 * time.Second}
 	unlisted := membership.New(membership.Member{ID: "self", Started: simnet.Start}, membership.Options{})
 	unlisted.Step(at(0), membership.LocalState{})
 	unlisted.Step(at(200*time.Second), membership.LocalState{})
 	if unlisted.OutageRenewalsEnded(at(after), wait) {
 		t.Error("a daemon that knows no list counts as all daemons")
 	}
-	alone := newStoreTeller()
+	alone := newStoreMachine()
 	if alone.Step(at(0), membership.LocalState{}); alone.OutageRenewalsEnded(at(0), 0) {
 		t.Error("one of five is a majority")
 	}
-	unmet := newStoreTeller("a", "b", "c", "d", "e", "f")
+	unmet := newStoreMachine("a", "b", "c", "d", "e", "f")
 	unmet.Step(at(0), membership.LocalState{})
-	unmet.says("a", long, 0)
-	unmet.says("b", long, 0)
+	unmet.report("a", long, 0)
+	unmet.report("b", long, 0)
 	if unmet.OutageRenewalsEnded(at(after), wait) {
 		t.Error("listed daemons that were not met do not count as known")
 	}
-	unmet.says("c", long, 0)
+	unmet.report("c", long, 0)
 	if !unmet.OutageRenewalsEnded(at(after), wait) {
 		t.Error("four of seven are no majority")
 	}
-	unasked := newStoreTeller("a", "b", "c", "d")
+	unasked := newStoreMachine("a", "b", "c", "d")
 	unasked.Step(at(0), membership.LocalState{})
 	for _, id := range []string{"a", "b", "c", "d"} {
 		from := peer(id, 100, alive)
@@ -118,12 +118,12 @@
 		t.Error("messages of unknown age count")
 	}
 	for _, silent := range []time.Duration{0, time.Minute} {
-		self := newStoreTeller("a", "b", "c", "d")
+		self := newStoreMachine("a", "b", "c", "d")
 		self.Step(at(0), membership.LocalState{})
 		self.Step(at(120*time.Second), membership.LocalState{StoreSilent: silent})
 		self.Step(at(121*time.Second), membership.LocalState{})
-		self.says("a", long, 0)
-		self.says("b", long, 0)
+		self.report("a", long, 0)
+		self.report("b", long, 0)
 		if got := self.OutageRenewalsEnded(at(after), wait); got != (silent == 0) {
 			t.Errorf("after a silence of %s here: %v", silent, got)
 		}
@@ -135,24 +135,24 @@
 // asked long ago. Cause: the youngest of the confirmations is counted instead
 // of the oldest that is needed.
 func TestStoreSilentAtIsTheOldestNeeded(t *testing.T) {
-	m := newStoreTeller("a", "b", "c", "d")
+	m := newStoreMachine("a", "b", "c", "d")
 	m.Step(at(100*time.Second), membership.LocalState{StoreSilent: 10 * time.Second})
-	m.says("a", statement{asked: 80 * time.Second, came: 81 * time.Second}, 20*time.Second)
+	m.report("a", storeReport{started: 80 * time.Second, received: 81 * time.Second}, 20*time.Second)
 	if got := m.StoreSilentAt(); !got.IsZero() {
 		t.Errorf("two of five: %v", got)
 	}
-	m.says("b", statement{asked: 95 * time.Second, came: 101 * time.Second}, 20*time.Second)
+	m.report("b", storeReport{started: 95 * time.Second, received: 101 * time.Second}, 20*time.Second)
 	if got := m.StoreSilentAt(); !got.Equal(at(80 * time.Second)) {
 		t.Errorf("three of five: %v", got)
 	}
-	m.says("c", statement{asked: 90 * time.Second, came: 101 * time.Second}, 20*time.Second)
+	m.report("c", storeReport{started: 90 * time.Second, received: 101 * time.Second}, 20*time.Second)
 	if got := m.StoreSilentAt(); !got.Equal(at(90 * time.Second)) {
 		t.Errorf("four of five: %v", got)
 	}
 	if !m.StoreSilentMajority(at(110*time.Second)) || m.StoreSilentMajority(at(110*time.Second+1)) {
 		t.Error("a confirmation does not count for OutageGrace")
 	}
-	m.says("c", statement{asked: 102 * time.Second, came: 102 * time.Second, ok: time.Second}, 0)
+	m.report("c", storeReport{started: 102 * time.Second, received: 102 * time.Second, ok: time.Second}, 0)
 	if got := m.StoreSilentAt(); !got.Equal(at(80 * time.Second)) {
 		t.Errorf("after c's store answered: %v", got)
 	}
@@ -162,12 +162,12 @@
 	}
 }
 
-// question is a takeover at a time, of which one daemon wants to know when all
+// takeover is a takeover at a time, of which one daemon wants to know when all
 // that came before it is over.
-type question struct {
-	by       int
-	after    time.Time
-	answered bool
+type takeover struct {
+	by    int
+	after time.Time
+	over  bool
 }
 
 // Symptom: two owners renew tasks of one worker, or one renews and the other
@@ -184,7 +184,7 @@
 				f := newFlapping(size, *seed+s)
 				f.run(t, 10*time.Minute)
 				confirmed += f.confirmed
-				proved += f.proved
+				proved += f.ended
 			}
 			t.Logf("%d daemons: an outage confirmed in %d ticks, %d takeovers cleared", size, confirmed, proved)
 			if confirmed == 0 || proved == 0 {
@@ -208,9 +208,9 @@
 	// majority is when a daemon last had a majority for the store's silence,
 	// tick by tick.
 	majority  []time.Time
-	questions []*question
+	takeovers []*takeover
 	confirmed int
-	proved    int
+	ended     int
 }
 
 func newFlapping(size int, seed uint64) *flapping {
@@ -237,16 +237,16 @@
 func (f *flapping) run(t *testing.T, length time.Duration) {
 	f.settle(t)
 	for begin := f.net.Now(); f.net.Now().Sub(begin) < length; {
-		f.strike()
+		f.injectFaults()
 		f.net.Run(tickEvery)
-		f.tell()
-		f.look(t)
+		f.updateStoreStates()
+		f.checkTakeovers(t)
 	}
 }
 
-// strike takes the store, or a path, from daemons by chance. Now and then it is
+// injectFaults takes the store, or a path, from daemons by chance. Now and then it is
 // the store of most.
-func (f *flapping) strike() {
+func (f *flapping) injectFaults() {
 	now, random := f.net.Now(), f.net.Rand
 	for _, n := range f.nodes {
 		if random.IntN(400) == 0 {
@@ -263,11 +263,11 @@
 		}
 	}
 	if random.IntN(50) == 0 {
-		f.questions = append(f.questions, &question{by: random.IntN(len(f.nodes)), after: now})
+		f.takeovers = append(f.takeovers, &takeover{by: random.IntN(len(f.nodes)), after: now})
 	}
 }
 
-func (f *flapping) tell() {
+func (f *flapping) updateStoreStates() {
 	now := f.net.Now()
 	for _, n := range f.nodes {
 		if !now.Before(f.silentUntil[n.name]) {
@@ -277,8 +277,8 @@
 	}
 }
 
-// look asks the questions and checks each that is answered.
-func (f *flapping) look(t *testing.T) {
+// checkTakeovers asks the questions and checks each that is answered.
+func (f *flapping) checkTakeovers(t *testing.T) {
 	now := f.net.Now()
 	for _, n := range f.nodes {
 		if n.machine.StoreSilentMajority(now) {
@@ -287,22 +287,22 @@
 			break
 		}
 	}
-	for _, q := range f.questions {
-		if q.answered || !f.nodes[q.by].machine.OutageRenewalsEnded(q.after, flapGrace+flapLease) {
+	for _, q := range f.takeovers {
+		if q.over || !f.nodes[q.by].machine.OutageRenewalsEnded(q.after, flapGrace+flapLease) {
 			continue
 		}
-		q.answered = true
-		f.proved++
-		if !f.quiet(q.after, now) {
+		q.over = true
+		f.ended++
+		if !f.hadLeaseWithoutMajority(q.after, now) {
 			t.Fatalf("%s after a takeover its predecessor counts as over, and at no time for %s nobody had a majority",
 				now.Sub(q.after), flapLease)
 		}
 	}
 }
 
-// quiet reports whether for a lease's length, between the two times, no daemon
+// hadLeaseWithoutMajority reports whether for a lease's length, between the two times, no daemon
 // had a majority for the store's silence.
-func (f *flapping) quiet(from, to time.Time) bool {
+func (f *flapping) hadLeaseWithoutMajority(from, to time.Time) bool {
 	last := from
 	for _, at := range f.majority {
 		if at.Before(from) {
@@ -320,7 +320,7 @@
 // leases in a large cluster than in a small one.
 // Sequence: a third of the daemons are lost; one that is left waits for a
 // majority's word. Cause: daemons ask each other one a second.
-func TestStoreKeptByIsKnownSoon(t *testing.T) {
+func TestOutageRenewalsEndedIsPrompt(t *testing.T) {
 	const wait = 53 * time.Second
 	for _, size := range []int{3, 9, 51, 300} {
 		c := newCluster(size, 3, *seed)
--- a/core/membership/list.go
+++ b/core/membership/list.go
@@ -8,23 +8,23 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// takeList takes in the platform's list. It adds VMs to ask and notes which
+// applyList takes in the platform's list. It adds VMs to ask and notes which
 // are no longer listed; by itself it removes only VMs whose daemon was never
 // heard of.
-func (m *Machine) takeList(ev VMsListed) {
+func (m *Machine) applyList(ev VMsListed) {
 	if ev.Err != nil {
 		m.stats.ListErrors++
 		return
 	}
 	entries := entriesOf(ev.VMs)
 	for _, r := range m.sorted {
-		r.named = false
+		r.inList = false
 	}
 	byAddress := m.addresses()
 	for _, vm := range entries {
-		m.takeVM(vm, byAddress)
+		m.applyVM(vm, byAddress)
 	}
-	if !m.trusted(len(entries)) {
+	if !m.isListTrusted(len(entries)) {
 		m.stats.ListsRejected++
 		return
 	}
@@ -44,11 +44,11 @@
 	return entries
 }
 
-// trusted is whether the list just taken may count against members it does
+// isListTrusted is whether the list just taken may count against members it does
 // not name. An empty one never does. One that lacks at least half of the VMs
 // listed before is more likely old or broken than the loss of them all; it is
 // believed only after the lists stayed so for ListFresh.
-func (m *Machine) trusted(entries int) bool {
+func (m *Machine) isListTrusted(entries int) bool {
 	if entries == 0 {
 		return false
 	}
@@ -58,24 +58,24 @@
 			continue
 		}
 		before++
-		if !r.named {
+		if !r.inList {
 			missing++
 		}
 	}
 	if missing <= 1 || 2*missing < before {
-		m.distrusted = time.Time{}
+		m.untrustedSince = time.Time{}
 		return true
 	}
-	if m.distrusted.IsZero() {
-		m.distrusted = m.now
+	if m.untrustedSince.IsZero() {
+		m.untrustedSince = m.now
 	}
-	return m.now.Sub(m.distrusted) > m.o.ListMaxAge
+	return m.now.Sub(m.untrustedSince) > m.o.ListMaxAge
 }
 
-// takeVM notes one listed VM. A VM is matched with a known member by its ID,
+// applyVM notes one listed VM. A VM is matched with a known member by its ID,
 // or else by its address: a replacement that has the old VM's address is found
 // there and displaces it.
-func (m *Machine) takeVM(vm model.VM, byAddress map[string]model.DaemonID) {
+func (m *Machine) applyVM(vm model.VM, byAddress map[string]model.DaemonID) {
 	id := model.DaemonID(vm.ID)
 	if id == m.self.ID || vm.Address == m.self.Address {
 		return
@@ -89,7 +89,7 @@
 		r.Zone = vm.Zone
 		m.changed = true
 	}
-	r.listed, r.delisted, r.named = true, false, true
+	r.listed, r.delisted, r.inList = true, false, true
 	if r.State == Listed || r.State == Dead {
 		r.Address = vm.Address
 	}
@@ -115,7 +115,7 @@
 // heard of.
 func (m *Machine) delist() {
 	for _, r := range slices.Clone(m.sorted) {
-		if r.named || !r.listed {
+		if r.inList || !r.listed {
 			continue
 		}
 		r.listed, r.delisted = false, true
--- a/core/membership/machine.go
+++ b/core/membership/machine.go
@@ -35,20 +35,20 @@
 	// the exchanges that failed since.
 	lastContact time.Time
 	failed      int
-	// blaming is whether this daemon blames its own link.
-	blaming bool
-	stopped bool
+	// isolated is whether this daemon blames its own link.
+	isolated bool
+	stopped  bool
 
-	// toldAt is when this daemon last said something new of itself; okSince is
+	// storeStatusAt is when this daemon last said something new of itself; okSince is
 	// since when that was that the store answers it, zero when it does not.
-	toldAt  time.Time
-	okSince time.Time
-	// awaitsStore is whether StoreKeptBy is waited for.
-	awaitsStore bool
+	storeStatusAt time.Time
+	okSince       time.Time
+	// awaitsMajority is whether StoreKeptBy is waited for.
+	awaitsMajority bool
 
 	// listedAt is when a list was last trusted, distrusted since when not.
-	listedAt   time.Time
-	distrusted time.Time
+	listedAt       time.Time
+	untrustedSince time.Time
 	// changes are the members whose records are passed on, with how often each
 	// was; cursor is where the next records in turn begin.
 	changes map[model.DaemonID]int
@@ -93,11 +93,11 @@
 	case Tick:
 		m.tick(ev.Random)
 	case VMsListed:
-		m.takeList(ev)
+		m.applyList(ev)
 	case Received:
-		m.received(ev)
+		m.handleRequest(ev)
 	case ExchangeDone:
-		m.answered(ev)
+		m.handleExchangeDone(ev)
 	case LocalState:
 		m.local(ev)
 	case Drain:
@@ -126,7 +126,7 @@
 	v := &View{
 		Self:     m.self,
 		Members:  make([]Member, 0, len(m.sorted)+1),
-		Isolated: m.blaming,
+		Isolated: m.isolated,
 	}
 	for _, r := range m.sorted {
 		v.Members = append(v.Members, r.Member)
@@ -147,8 +147,8 @@
 	m.self.ConfigRevision = ev.ConfigRevision
 	m.self.Demand = ev.Demand
 	m.self.StoreSilent = ev.StoreSilent
-	m.noteStore()
-	m.awaitsStore = ev.AwaitsMajority
+	m.updateStoreStatus()
+	m.awaitsMajority = ev.AwaitsMajority
 	m.self.OwnedShards = shards
 }
 
@@ -176,7 +176,7 @@
 	m.self.State = Dead
 	m.self.Incarnation++
 	m.changed = true
-	m.askNext(m.o.StartFanout)
+	m.exchangeNext(m.o.StartFanout)
 }
 
 func (m *Machine) add(id model.DaemonID) *record {
--- a/core/membership/machine_test.go
+++ b/core/membership/machine_test.go
@@ -50,19 +50,19 @@
 	if _, known := m.View().Member("ghost"); known {
 		t.Error("an earlier boot's word about others was taken")
 	}
-	_, told := m.OutgoingTo("a")
-	if len(told) == 0 || told[0].GetId() != "a" || told[0].GetIncarnation() != 100 {
-		t.Errorf("the sender is not told its known incarnation: %v", told)
+	_, records := m.OutgoingTo("a")
+	if len(records) == 0 || records[0].GetId() != "a" || records[0].GetIncarnation() != 100 {
+		t.Errorf("the sender is not told its known incarnation: %v", records)
 	}
 }
 
 // Symptom: a member that was paused is removed though it is back.
 // Sequence: its suspicion's time runs out before this daemon asks it again.
 // Cause: the removal goes by failures from before its return.
-func TestRemovalNeedsAFailureAfterTheTime(t *testing.T) {
+func TestRemovalNeedsAFailureAfterTheTimeout(t *testing.T) {
 	m := single()
 	now := simnet.Start
-	answering := true
+	responding := true
 	for range 600 {
 		now = now.Add(100 * time.Millisecond)
 		for _, cmd := range m.Step(now, membership.Tick{Random: 1}) {
@@ -70,23 +70,23 @@
 			switch {
 			case !ok:
 			case ask.Peer != "a":
-				said := []*peerv1.Member{peer("a", 100, suspect)}
+				records := []*peerv1.Member{peer("a", 100, suspect)}
 				m.Step(now, membership.ExchangeDone{Peer: ask.Peer, Resp: &peerv1.ExchangeResponse{
-					Sender: peer(string(ask.Peer), 100, alive), Members: said,
+					Sender: peer(string(ask.Peer), 100, alive), Members: records,
 				}})
 			case now.Sub(simnet.Start) < 12*time.Second:
 				m.Step(now, membership.ExchangeDone{Peer: "a", Err: &port.PeerError{Kind: port.PeerUnreachable}})
 			default:
 				// The last exchange stays without an end: the member's answer is
 				// still on its way when the suspicion's time is over.
-				answering = false
+				responding = false
 			}
 		}
 		if stateOf(m, "a") == membership.Dead {
 			t.Fatalf("removed after %s", now.Sub(simnet.Start))
 		}
 	}
-	if answering || stateOf(m, "a") != membership.Suspect {
+	if responding || stateOf(m, "a") != membership.Suspect {
 		t.Errorf("the member was not asked again, state %s", stateOf(m, "a"))
 	}
 }
--- a/core/membership/merge.go
+++ b/core/membership/merge.go
@@ -5,10 +5,10 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// fromMember takes in the record that a message's sender gives of itself, and
+// mergeSender takes in the record that a message's sender gives of itself, and
 // returns nil when the message is to be ignored: it is of an earlier boot, or
 // of a daemon that uses this one's name.
-func (m *Machine) fromMember(p *peerv1.Member) *record {
+func (m *Machine) mergeSender(p *peerv1.Member) *record {
 	id := model.DaemonID(p.GetId())
 	if id == "" || id == m.self.ID || p.GetIncarnation() == 0 {
 		return nil
@@ -22,11 +22,11 @@
 		m.stats.StaleRecords++
 		return nil
 	}
-	m.takeRecord(r, r, p)
+	m.mergeRecord(r, r, p)
 	if !sameShards(r.OwnedShards, p.GetOwnedShards()) {
 		m.changed = true
 	}
-	r.takeOwn(p)
+	r.setOwnFields(p)
 	r.LastHeard = m.now
 	return r
 }
@@ -43,25 +43,25 @@
 	return true
 }
 
-// takeRecords takes in what a member says of others.
-func (m *Machine) takeRecords(by *record, members []*peerv1.Member) {
+// mergeRecords takes in what a member says of others.
+func (m *Machine) mergeRecords(by *record, members []*peerv1.Member) {
 	for _, p := range members {
 		id := model.DaemonID(p.GetId())
 		switch {
 		case id == "" || p.GetIncarnation() == 0:
 		case id == m.self.ID:
-			m.aboutSelf(p)
+			m.refute(p)
 		case m.members[id] == nil:
-			m.takeUnknown(by, p)
+			m.addUnknown(by, p)
 		default:
-			m.takeRecord(by, m.members[id], p)
+			m.mergeRecord(by, m.members[id], p)
 		}
 	}
 }
 
-// aboutSelf raises the own incarnation above one at which this daemon is
+// refute raises the own incarnation above one at which this daemon is
 // accused, or above one of an earlier boot under a clock that was ahead.
-func (m *Machine) aboutSelf(p *peerv1.Member) {
+func (m *Machine) refute(p *peerv1.Member) {
 	if m.stopped {
 		return
 	}
@@ -73,55 +73,55 @@
 	}
 }
 
-// takeUnknown adds a member first heard of from another. Dead ones are taken
+// addUnknown adds a member first heard of from another. Dead ones are taken
 // only shortly after this daemon's own start, so that it places requests' homes
 // as the others do; later they are ones it has forgotten already.
-func (m *Machine) takeUnknown(by *record, p *peerv1.Member) {
+func (m *Machine) addUnknown(by *record, p *peerv1.Member) {
 	dead := fromWire[p.GetState()] == Dead
 	if dead && m.now.Sub(m.booted) > startPeriods*m.o.Period {
 		return
 	}
 	r := m.add(model.DaemonID(p.GetId()))
 	if !dead {
-		m.takeRecord(by, r, p)
+		m.mergeRecord(by, r, p)
 		return
 	}
-	r.takeIdentity(p)
-	r.secondHand = true
+	r.setIdentity(p)
+	r.learnedDead = true
 	r.diedAt = m.now
 	m.setState(r, Dead)
 }
 
-// takeRecord takes in what by says of r.
-func (m *Machine) takeRecord(by, r *record, p *peerv1.Member) {
+// mergeRecord takes in what by says of r.
+func (m *Machine) mergeRecord(by, r *record, p *peerv1.Member) {
 	state, ok := fromWire[p.GetState()]
 	if !ok {
 		return
 	}
 	if p.GetIncarnation() < r.Incarnation {
 		m.stats.StaleRecords++
-		m.correct(r.ID)
+		m.reannounce(r.ID)
 		return
 	}
 	if p.GetIncarnation() > r.Incarnation {
-		m.raise(r, p)
+		m.mergeIncarnation(r, p)
 	} else if _, queued := m.changes[r.ID]; queued && state == r.State && by != r {
 		m.changes[r.ID]++
 	}
 	switch state {
 	case Leaving:
-		m.leaving(r)
+		m.mergeLeaving(r)
 	case Suspect:
-		m.reported(by, r, false)
+		m.mergeReport(by, r, false)
 	case Dead:
-		m.reported(by, r, true)
+		m.mergeReport(by, r, true)
 	}
 }
 
-// raise takes a record with a higher incarnation. The incarnation is raised by
+// mergeIncarnation takes a record with a higher incarnation. The incarnation is raised by
 // the member itself after all that was said of it before, which is refuted by
 // that.
-func (m *Machine) raise(r *record, p *peerv1.Member) {
+func (m *Machine) mergeIncarnation(r *record, p *peerv1.Member) {
 	if r.Address != p.GetAddress() || r.Incarnation == 0 {
 		m.changed = true
 	}
@@ -129,15 +129,15 @@
 		r.met, r.synced = m.now, false
 		r.Draining = false
 	}
-	r.takeIdentity(p)
-	r.secondHand = false
+	r.setIdentity(p)
+	r.learnedDead = false
 	m.recover(r)
 	m.announce(r.ID)
-	m.displace(r)
+	m.resolveAddressConflict(r)
 }
 
-// leaving takes the member's word that it leaves.
-func (m *Machine) leaving(r *record) {
+// mergeLeaving takes the member's word that it leaves.
+func (m *Machine) mergeLeaving(r *record) {
 	if r.Draining || r.State == Dead {
 		return
 	}
@@ -148,38 +148,38 @@
 	m.announce(r.ID)
 }
 
-// reported takes another member's word that r does not answer, or that it
+// mergeReport takes another member's word that r does not answer, or that it
 // removed r. A member that says so of itself, or that said it is leaving, is
 // believed at once.
-func (m *Machine) reported(by, r *record, dead bool) {
+func (m *Machine) mergeReport(by, r *record, dead bool) {
 	if r.State == Dead {
 		return
 	}
 	if dead && (by == r || r.Draining) {
 		r.Draining = true
-		m.bury(r)
+		m.declareDead(r)
 		return
 	}
 	if by == r {
 		return
 	}
-	m.accuse(r)
-	r.questioned = true
+	m.noteSuspected(r)
+	r.reportedSuspect = true
 	r.addReport(by.ID, dead)
 }
 
-// correct has a record passed on once more after somebody showed an older one.
-func (m *Machine) correct(id model.DaemonID) {
-	if _, queued := m.changes[id]; queued || m.members[id].secondHand {
+// reannounce has a record passed on once more after somebody showed an older one.
+func (m *Machine) reannounce(id model.DaemonID) {
+	if _, queued := m.changes[id]; queued || m.members[id].learnedDead {
 		return
 	}
-	m.changes[id] = m.relays() - 1
+	m.changes[id] = m.relayLimit() - 1
 }
 
-// displace removes the member that had r's address before. A VM that is
+// resolveAddressConflict removes the member that had r's address before. A VM that is
 // replaced under the same address leaves a record that would be asked, and
 // answered by the new daemon, for ever.
-func (m *Machine) displace(r *record) {
+func (m *Machine) resolveAddressConflict(r *record) {
 	for _, other := range m.sorted {
 		if other == r || other.Address != r.Address || other.State == Dead {
 			continue
@@ -190,7 +190,7 @@
 			m.remove(other.ID)
 		case other.Started.Before(r.Started):
 			other.Draining = true
-			m.bury(other)
+			m.declareDead(other)
 		}
 		return
 	}
--- a/core/membership/outage.go
+++ b/core/membership/outage.go
@@ -27,18 +27,18 @@
 	if !m.listed() || m.self.StoreSilent < m.o.StoreSilentAfter {
 		return time.Time{}
 	}
-	said := []time.Time{m.toldAt}
+	confirmedAt := []time.Time{m.storeStatusAt}
 	for _, r := range m.sorted {
-		if r.known() && !r.saidAsked.IsZero() && r.saidSilent >= m.o.StoreSilentAfter {
-			said = append(said, r.saidAsked)
+		if r.known() && !r.reportedAt.IsZero() && r.reportedSilence >= m.o.StoreSilentAfter {
+			confirmedAt = append(confirmedAt, r.reportedAt)
 		}
 	}
 	majority := m.majority()
-	if len(said) < majority {
+	if len(confirmedAt) < majority {
 		return time.Time{}
 	}
-	slices.SortFunc(said, func(a, b time.Time) int { return b.Compare(a) })
-	return said[majority-1]
+	slices.SortFunc(confirmedAt, func(a, b time.Time) int { return b.Compare(a) })
+	return confirmedAt[majority-1]
 }
 
 // majority is how many members are more than half of the known ones, this
--- a/core/membership/record.go
+++ b/core/membership/record.go
@@ -17,8 +17,8 @@
 	// whether an earlier one did and the last does not.
 	listed   bool
 	delisted bool
-	// named is whether the list being taken in names the VM.
-	named bool
+	// inList is whether the list being taken in names the VM.
+	inList bool
 	// met is when this daemon first heard of the member's present boot, synced
 	// whether a larger message was sent to it since.
 	met    time.Time
@@ -27,36 +27,36 @@
 	// itself, whether or not that was taken.
 	directIncarnation uint64
 
-	// asked is when the exchange in progress, or else the last one, was
+	// exchangedAt is when the exchange in progress, or else the last one, was
 	// started.
-	asked    time.Time
-	inFlight bool
+	exchangedAt time.Time
+	inFlight    bool
 	// failures counts failed exchanges since the last answer; failedAsked is
 	// when the last failed one was started.
-	failures    int
-	failedAsked time.Time
-	// questioned is whether others' reports ask for an own exchange.
-	questioned bool
-	// accusedAt is when the first failure or report that still stands came,
+	failures int
+	failedAt time.Time
+	// reportedSuspect is whether others' reports ask for an own exchange.
+	reportedSuspect bool
+	// suspectedAt is when the first failure or report that still stands came,
 	// since when the member became suspect.
-	accusedAt time.Time
-	since     time.Time
+	suspectedAt  time.Time
+	suspectSince time.Time
 	// reports are the other members that failed to reach it since its last
 	// answer, and whether they removed it.
 	reports []report
-	// secondHand is whether the member was first heard of as dead. Such
+	// learnedDead is whether the member was first heard of as dead. Such
 	// records are not passed on, or they would go round for ever between
 	// daemons that each forget them later than the others.
-	secondHand bool
-	diedAt     time.Time
+	learnedDead bool
+	diedAt      time.Time
 
-	// saidSilent is how long the member's store was silent by its last answer,
+	// reportedSilence is how long the member's store was silent by its last answer,
 	// saidAsked when that exchange was started, and okSince since when the
 	// member has said nothing else than that the store answers it; zero when it
 	// said otherwise.
-	saidSilent time.Duration
-	saidAsked  time.Time
-	okSince    time.Time
+	reportedSilence time.Duration
+	reportedAt      time.Time
+	okSince         time.Time
 }
 
 type report struct {
@@ -93,7 +93,7 @@
 // clearDoubt forgets failures and reports.
 func (r *record) clearDoubt() {
 	r.failures = 0
-	r.questioned = false
+	r.reportedSuspect = false
 	r.reports = nil
 }
 
@@ -111,7 +111,7 @@
 // inDoubt is whether the member is to be asked out of turn.
 func (r *record) inDoubt() bool {
 	return r.State != Dead && r.State != Listed &&
-		(r.State == Suspect || r.failures > 0 || r.questioned)
+		(r.State == Suspect || r.failures > 0 || r.reportedSuspect)
 }
 
 var toWire = map[State]peerv1.MemberState{
@@ -128,9 +128,9 @@
 	peerv1.MemberState_MEMBER_STATE_DEAD:    Dead,
 }
 
-// relayed is the record as it is passed on: without what only the member's own
+// relayedRecord is the record as it is passed on: without what only the member's own
 // messages say.
-func (m *Member) relayed(s State) *peerv1.Member {
+func (m *Member) relayedRecord(s State) *peerv1.Member {
 	return &peerv1.Member{
 		Id:                string(m.ID),
 		Incarnation:       m.Incarnation,
@@ -141,9 +141,9 @@
 	}
 }
 
-// own is the record as the member itself sends it.
-func (m *Member) own() *peerv1.Member {
-	p := m.relayed(m.State)
+// ownRecord is the record as the member itself sends it.
+func (m *Member) ownRecord() *peerv1.Member {
+	p := m.relayedRecord(m.State)
 	p.ConfigRevision = uint64(m.ConfigRevision)
 	p.StoreSilentMillis = m.StoreSilent.Milliseconds()
 	p.StoreOkMillis = m.StoreOK.Milliseconds()
@@ -162,16 +162,16 @@
 	return p
 }
 
-// takeIdentity takes over what both own and relayed records say.
-func (m *Member) takeIdentity(p *peerv1.Member) {
+// setIdentity takes over what both own and relayed records say.
+func (m *Member) setIdentity(p *peerv1.Member) {
 	m.Incarnation = p.GetIncarnation()
 	m.Address = p.GetAddress()
 	m.Zone = model.Zone(p.GetAvailabilityZone())
 	m.Started = time.UnixMilli(p.GetStartedUnixMillis())
 }
 
-// takeOwn takes over what only the member's own messages say.
-func (m *Member) takeOwn(p *peerv1.Member) {
+// setOwnFields takes over what only the member's own messages say.
+func (m *Member) setOwnFields(p *peerv1.Member) {
 	m.ConfigRevision = model.Revision(p.GetConfigRevision())
 	m.StoreSilent = time.Duration(p.GetStoreSilentMillis()) * time.Millisecond
 	m.StoreOK = time.Duration(p.GetStoreOkMillis()) * time.Millisecond
--- a/core/membership/relay.go
+++ b/core/membership/relay.go
@@ -20,14 +20,14 @@
 	b := batch{named: map[model.DaemonID]bool{peer: true}}
 	r := m.members[peer]
 	if r != nil {
-		m.tellBelief(&b, r)
+		m.addPeerRecord(&b, r)
 	}
-	for _, id := range m.takeChanges(peer) {
+	for _, id := range m.pickChanges(peer) {
 		m.addRecord(&b, m.members[id])
 	}
-	m.addRotating(&b, m.rotating(r))
+	m.addRotating(&b, m.rotatingCount(r))
 	m.self.StoreOK = m.storeOK()
-	return m.self.own(), b.records
+	return m.self.ownRecord(), b.records
 }
 
 // batch gathers the records of one message.
@@ -38,31 +38,31 @@
 
 // addRecord adds one record if it is to be passed on at all.
 func (m *Machine) addRecord(b *batch, r *record) bool {
-	if b.named[r.ID] || r.Incarnation == 0 || r.secondHand {
+	if b.named[r.ID] || r.Incarnation == 0 || r.learnedDead {
 		return false
 	}
 	b.named[r.ID] = true
-	b.records = append(b.records, r.relayed(r.State))
+	b.records = append(b.records, r.relayedRecord(r.State))
 	return true
 }
 
-// tellBelief tells a peer what it may have to refute, or that it uses an
+// addPeerRecord tells a peer what it may have to refute, or that it uses an
 // incarnation below the known one.
-func (m *Machine) tellBelief(b *batch, r *record) {
+func (m *Machine) addPeerRecord(b *batch, r *record) {
 	switch {
 	case r.Incarnation == 0:
 	case r.State == Dead || r.State == Suspect:
-		b.records = append(b.records, r.relayed(r.State))
-	case r.questioned:
-		b.records = append(b.records, r.relayed(Suspect))
+		b.records = append(b.records, r.relayedRecord(r.State))
+	case r.reportedSuspect:
+		b.records = append(b.records, r.relayedRecord(Suspect))
 	case r.directIncarnation != 0 && r.directIncarnation < r.Incarnation:
-		b.records = append(b.records, r.relayed(r.State))
+		b.records = append(b.records, r.relayedRecord(r.State))
 	}
 }
 
-// takeChanges picks the changes passed on least often.
-func (m *Machine) takeChanges(peer model.DaemonID) []model.DaemonID {
-	limit := m.relays()
+// pickChanges picks the changes passed on least often.
+func (m *Machine) pickChanges(peer model.DaemonID) []model.DaemonID {
+	limit := m.relayLimit()
 	ids := make([]model.DaemonID, 0, len(m.changes))
 	for id, sent := range m.changes {
 		if sent >= limit {
@@ -83,15 +83,15 @@
 	return ids
 }
 
-// relays is how often a change is passed on.
-func (m *Machine) relays() int {
+// relayLimit is how often a change is passed on.
+func (m *Machine) relayLimit() int {
 	return m.o.RelayFactor * max(1, bits.Len(uint(len(m.sorted))))
 }
 
-// rotating is how many records of no recent change the message to r carries.
+// rotatingCount is how many records of no recent change the message to r carries.
 // The larger number is for the first message between daemons of which one has
 // just started and knows few others.
-func (m *Machine) rotating(r *record) int {
+func (m *Machine) rotatingCount(r *record) int {
 	if r == nil || r.synced || r.Incarnation == 0 {
 		return m.o.RotatingRecords
 	}
--- a/core/membership/round.go
+++ b/core/membership/round.go
@@ -10,9 +10,9 @@
 // itself stood still.
 const interruptedAfter = 4
 
-// lostAfter is how many timeouts after its start an exchange whose end was
+// abandonedAfter is how many timeouts after its start an exchange whose end was
 // never told counts as over.
-const lostAfter = 5
+const abandonedAfter = 5
 
 func (m *Machine) tick(random uint64) {
 	if m.stopped || m.now.Before(m.nextRound) {
@@ -21,16 +21,16 @@
 	m.stats.Rounds++
 	m.view = nil
 	m.pcg.Seed(m.pcg.Uint64(), random)
-	m.noticeInterruption()
+	m.detectInterruption()
 	m.lastRound = m.now
 	m.nextRound = m.now.Add(m.jittered(m.o.Period))
-	m.forget()
-	m.blame()
-	m.judge()
+	m.forgetDead()
+	m.checkIsolation()
+	m.removeSuspects()
 	m.doubtBudget = m.o.DoubtFanout
-	m.askDoubtful()
-	m.askDead()
-	m.askNext(m.fanout())
+	m.exchangeDoubtful()
+	m.exchangeDead()
+	m.exchangeNext(m.fanout())
 }
 
 // jittered varies the period by a tenth, so that daemons started together do
@@ -43,11 +43,11 @@
 	return d - time.Duration(tenth/2) + time.Duration(m.rng.Int64N(tenth))
 }
 
-// noticeInterruption restarts all suspicions after this daemon stood still.
+// detectInterruption restarts all suspicions after this daemon stood still.
 // Exchanges that were in progress then failed by their deadlines though the
 // peers answered, and suspicion times ran out unwatched: going by them, a
 // daemon that slept would remove its peers on waking.
-func (m *Machine) noticeInterruption() {
+func (m *Machine) detectInterruption() {
 	if m.now.Sub(m.lastRound) <= interruptedAfter*m.o.Period {
 		return
 	}
@@ -65,15 +65,15 @@
 func (m *Machine) restartSuspicions() {
 	for _, r := range m.sorted {
 		if r.State == Suspect {
-			r.since = m.now
+			r.suspectSince = m.now
 		} else if r.State != Dead {
 			r.failures = 0
 		}
 	}
 }
 
-// forget drops members dead for longer than the retention.
-func (m *Machine) forget() {
+// forgetDead drops members dead for longer than the retention.
+func (m *Machine) forgetDead() {
 	for _, r := range slices.Clone(m.sorted) {
 		if r.State == Dead && m.now.Sub(r.diedAt) >= m.o.DeadRetention {
 			m.remove(r.ID)
@@ -85,18 +85,18 @@
 // fanout is how many peers to ask in turn this round.
 func (m *Machine) fanout() int {
 	n := m.o.Fanout
-	if m.starting() {
+	if m.isStarting() {
 		n = max(n, m.o.StartFanout)
 	}
-	if m.self.StoreSilent >= m.o.StoreSilentAfter || m.awaitsStore {
+	if m.self.StoreSilent >= m.o.StoreSilentAfter || m.awaitsMajority {
 		n = max(n, m.outageFanout())
 	}
 	return n
 }
 
-// starting is whether listed members are still to be met. It ends after a
+// isStarting is whether listed members are still to be met. It ends after a
 // turn's worth of rounds, as a list can name VMs whose daemon never runs.
-func (m *Machine) starting() bool {
+func (m *Machine) isStarting() bool {
 	if m.now.Sub(m.booted) > startPeriods*m.o.Period {
 		return false
 	}
@@ -110,29 +110,29 @@
 
 const startPeriods = 30
 
-// askNext asks the next n of the turn.
-func (m *Machine) askNext(n int) {
+// exchangeNext asks the next n of the turn.
+func (m *Machine) exchangeNext(n int) {
 	for range 2 * len(m.sorted) {
 		if n == 0 {
 			return
 		}
 		if len(m.ring) == 0 {
-			m.refill()
+			m.refillRing()
 			if len(m.ring) == 0 {
 				return
 			}
 		}
 		r := m.members[m.ring[0]]
 		m.ring = m.ring[1:]
-		if r.State == Dead || r.inDoubt() || !m.free(r) {
+		if r.State == Dead || r.inDoubt() || !m.canExchange(r) {
 			continue
 		}
-		m.ask(r)
+		m.startExchange(r)
 		n--
 	}
 }
 
-func (m *Machine) refill() {
+func (m *Machine) refillRing() {
 	m.ring = m.ring[:0]
 	for _, r := range m.sorted {
 		if r.State != Dead {
@@ -144,17 +144,17 @@
 	})
 }
 
-// askDoubtful asks the members in doubt that most need it, as far as the
+// exchangeDoubtful asks the members in doubt that most need it, as far as the
 // round's budget goes; what is left of it serves reports that come before the
 // next round. The budget keeps the cost of a whole zone's loss at what one
 // member's is.
-func (m *Machine) askDoubtful() {
+func (m *Machine) exchangeDoubtful() {
 	if m.doubtBudget == 0 {
 		return
 	}
 	var doubtful []*record
 	for _, r := range m.sorted {
-		if r.inDoubt() && m.free(r) {
+		if r.inDoubt() && m.canExchange(r) {
 			doubtful = append(doubtful, r)
 		}
 	}
@@ -162,12 +162,12 @@
 		return cmp.Or(
 			cmp.Compare(m.urgency(a), m.urgency(b)),
 			cmp.Compare(b.failures, a.failures),
-			a.asked.Compare(b.asked),
+			a.exchangedAt.Compare(b.exchangedAt),
 			cmp.Compare(a.ID, b.ID))
 	})
 	for _, r := range doubtful[:min(len(doubtful), m.doubtBudget)] {
 		m.doubtBudget--
-		m.ask(r)
+		m.startExchange(r)
 	}
 }
 
@@ -184,39 +184,39 @@
 	return 2
 }
 
-// askDead asks, now and then, one dead member that the platform still lists.
+// exchangeDead asks, now and then, one dead member that the platform still lists.
 // After two sides of a cut removed each other, nobody else would start a
 // conversation between them.
-func (m *Machine) askDead() {
+func (m *Machine) exchangeDead() {
 	if m.now.Sub(m.lastRetry) < m.o.DeadRetryInterval {
 		return
 	}
 	var oldest *record
 	for _, r := range m.sorted {
-		if r.State != Dead || !r.listed || !m.free(r) {
+		if r.State != Dead || !r.listed || !m.canExchange(r) {
 			continue
 		}
-		if oldest == nil || r.asked.Before(oldest.asked) {
+		if oldest == nil || r.exchangedAt.Before(oldest.exchangedAt) {
 			oldest = r
 		}
 	}
 	if oldest != nil {
 		m.lastRetry = m.now
-		m.ask(oldest)
+		m.startExchange(oldest)
 	}
 }
 
-// free is whether the member has an address and no exchange in progress.
-func (m *Machine) free(r *record) bool {
+// canExchange is whether the member has an address and no exchange in progress.
+func (m *Machine) canExchange(r *record) bool {
 	if r.Address == "" {
 		return false
 	}
-	return !r.inFlight || m.now.Sub(r.asked) > lostAfter*m.o.ExchangeTimeout
+	return !r.inFlight || m.now.Sub(r.exchangedAt) > abandonedAfter*m.o.ExchangeTimeout
 }
 
-func (m *Machine) ask(r *record) {
+func (m *Machine) startExchange(r *record) {
 	r.inFlight = true
-	r.asked = m.now
+	r.exchangedAt = m.now
 	m.stats.Exchanges++
 	m.commands = append(m.commands, ExchangeWith{
 		Peer: r.ID, Address: r.Address, Timeout: m.o.ExchangeTimeout,
--- a/core/membership/simnet/net.go
+++ b/core/membership/simnet/net.go
@@ -53,15 +53,15 @@
 // After runs do on node after d: at once when the node's pause ends if it is
 // paused then, never if it is down.
 func (n *Net) After(node string, d time.Duration, do func()) {
-	n.at(n.now.Add(d), func() { n.on(node, do) })
+	n.at(n.now.Add(d), func() { n.runOn(node, do) })
 }
 
-func (n *Net) on(node string, do func()) {
+func (n *Net) runOn(node string, do func()) {
 	if n.down[node] {
 		return
 	}
 	if until := n.paused[node]; until.After(n.now) {
-		n.at(until, func() { n.on(node, do) })
+		n.at(until, func() { n.runOn(node, do) })
 		return
 	}
 	do()
@@ -120,15 +120,15 @@
 		var none R
 		finish(none, &port.PeerError{Peer: to, Kind: port.PeerUnreachable})
 	})
-	n.carry(from, to, func() {
+	n.send(from, to, func() {
 		r := handle()
-		n.carry(to, from, func() { finish(r, nil) })
+		n.send(to, from, func() { finish(r, nil) })
 	})
 }
 
-// carry runs do on node to when the message arrives, if it does. A cut counts
+// send runs do on node to when the message arrives, if it does. A cut counts
 // both at the start and at the end of the way.
-func (n *Net) carry(from, to string, do func()) {
+func (n *Net) send(from, to string, do func()) {
 	if n.Cut(from, to) || n.Rand.Float64() < n.Loss {
 		return
 	}
--- a/core/membership/stats.go
+++ b/core/membership/stats.go
@@ -27,6 +27,6 @@
 	Interruptions uint64
 	// ListErrors counts failed reads of the platform's list, ListsDistrusted
 	// lists that were empty or lacked most of the VMs of the one before.
-	ListErrors      uint64
+	ListErrors    uint64
 	ListsRejected uint64
 }
