--- a/core/membership/answer.go
+++ b/core/membership/answer.go
@@ -9,7 +9,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// handleRequest takes in a request of another daemon.
+// handleRequest processes a request of another daemon.
 func (m *Machine) handleRequest(ev Received) {
 	before := m.priorStateOf(ev.From)
 	r := m.mergeSender(ev.From)
@@ -21,7 +21,7 @@
 	m.exchangeDoubtful()
 }
 
-// handleExchangeDone takes in the end of an exchange.
+// handleExchangeDone processes the end of an exchange.
 func (m *Machine) handleExchangeDone(ev ExchangeDone) {
 	r := m.members[ev.Peer]
 	if r == nil {
@@ -44,9 +44,9 @@
 	}
 }
 
-// isReachable is whether a failed exchange still shows that the daemon runs: it
-// was overloaded or speaks an older protocol. Taking this for a failure would
-// remove daemons during an upgrade.
+// isReachable reports whether a failed exchange still shows that the daemon
+// runs, because it is overloaded or uses an older protocol. Counting such
+// errors as failures would remove daemons during an upgrade.
 func isReachable(err error) bool {
 	var pe *port.PeerError
 	return errors.As(err, &pe) &&
@@ -87,13 +87,14 @@
 	return priorState{suspect: r.State == Suspect, started: r.Started.UnixMilli()}
 }
 
-// hasRecovered is whether the member was suspect and has not restarted since: it was
-// the way to it that failed.
+// hasRecovered reports whether the member was suspect and has not restarted
+// since, which means that the network path to it had failed.
 func (e priorState) hasRecovered(r *record) bool {
 	return e.suspect && e.started == r.Started.UnixMilli()
 }
 
-// handleOtherResponder handles a VM's replacement that has the old one's address.
+// handleOtherResponder processes a response from a daemon other than the one
+// contacted: a replacement VM that has the old VM's address.
 func (m *Machine) handleOtherResponder(r *record, sender *peerv1.Member, started time.Time) {
 	other := m.mergeSender(sender)
 	if other == nil {
@@ -119,8 +120,8 @@
 	if r.State != Alive && r.State != Leaving {
 		return
 	}
-	// A member that others report needs no more than one failure here: they
-	// had theirs.
+	// A member that others have reported becomes suspect after one failure
+	// here, because those reporters have already seen repeated failures.
 	if r.failures >= m.o.SuspectAfter || len(r.reports) > 0 {
 		m.suspect(r)
 	}
--- a/core/membership/cluster_changes_test.go
+++ b/core/membership/cluster_changes_test.go
@@ -10,10 +10,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Symptom: all members vanish from the views.
-// Sequence: the platform's list becomes empty, then shows the cluster of long
-// ago, with VMs that are gone and without most that run. Cause: the list is
-// believed more than the members themselves.
+// An empty list, or a stale one that names VMs that are gone and lacks most
+// that run, must not remove members that respond.
 func TestEmptyOrOldListRemovesNobody(t *testing.T) {
 	c := newCluster(8, 3, *seed)
 	c.settle(t)
@@ -37,10 +35,8 @@
 	}
 }
 
-// Symptom: the only survivor of a small cluster waits for ever for the others.
-// Sequence: two of three VMs fail at once; the survivor sees no majority, until
-// the platform's lagging list no longer names them. Cause: a daemon without a
-// majority removes nobody on its own word.
+// The only survivor of three daemons has no majority and must wait. Once the
+// platform's lagging list no longer names the other two, it must remove them.
 func TestDelistedMembersAreRemovedWithoutAMajority(t *testing.T) {
 	c := newCluster(3, 3, *seed)
 	c.settle(t)
@@ -58,7 +54,7 @@
 		t.Errorf("candidates %v", got)
 	}
 	c.list = c.list[:1]
-	// A list that lost most VMs at once is believed after a while only.
+	// A list that lost most VMs at once is trusted only after a while.
 	c.net.Run(time.Minute)
 	if got := len(survivor.removed); got != 0 {
 		t.Errorf("%d removed by a list that lost most VMs just now", got)
@@ -67,10 +63,9 @@
 	t.Logf("removed %s after the list dropped both", took+time.Minute)
 }
 
-// Symptom: a VM that was replaced is asked for ever at an address where its
-// successor answers, and keeps its share of slots.
-// Sequence: a VM fails, its replacement boots under a new name and the same
-// address. Cause: members are known by name, addresses are reused.
+// A VM that fails and is replaced under a new name and the same address must be
+// removed at once. Otherwise it would keep its share of slots and be contacted
+// forever at an address where its replacement responds.
 func TestReplacementTakesOverTheAddress(t *testing.T) {
 	for _, size := range []int{3, 8, 50} {
 		c := newCluster(size, 3, *seed)
@@ -93,9 +88,8 @@
 	}
 }
 
-// Symptom: a rebooted daemon is ignored by its peers.
-// Sequence: its VM restarts with a clock an hour behind, so that its first
-// incarnation is below the known one. Cause: lower incarnations are refused.
+// A daemon whose VM restarts with a clock one hour behind has an incarnation
+// below the known one. It must raise it, or its peers would ignore it.
 func TestRebootWithClockBehind(t *testing.T) {
 	c := newCluster(8, 3, *seed)
 	c.settle(t)
@@ -114,10 +108,9 @@
 	}
 }
 
-// Symptom: a daemon that stops as planned gets shards while it leaves, or its
-// slots wait for a suspicion after it is gone.
-// Sequence: drain, some seconds of finishing requests, stop. Cause: its word is
-// not passed on, or not believed.
+// A daemon that drains must get no shards from then on, and once it has stopped
+// its slots must be released without waiting for a suspicion. Both depend on
+// its announcements being relayed and accepted.
 func TestPlannedStop(t *testing.T) {
 	for _, size := range sizes() {
 		c := newCluster(size, 3, *seed)
@@ -137,14 +130,15 @@
 		gone += 2 * time.Second
 		t.Logf("%d daemons: leaving known everywhere after %s, its end after %s", size, announced, gone)
 		if gone > 6*time.Second {
-			t.Errorf("%d daemons: its own word was not enough for %s", size, gone)
+			t.Errorf("%d daemons: its own announcement had no effect for %s", size, gone)
 		}
 	}
 }
 
-// Symptom: a daemon goes on renewing workers' leases after the store is back
-// for all others. Sequence: the store is silent for all; then for one daemon
-// alone, which is cut off as well. Cause: it goes by what peers said long ago.
+// A daemon must not renew workers' leases on old responses. A store that is
+// silent for one daemon only is not a majority, and neither is a majority whose
+// responses are older than OutageGrace because the daemon has been cut off
+// since.
 func TestStoreSilentMajority(t *testing.T) {
 	for _, size := range []int{3, 8, 50, 300} {
 		c := newCluster(size, 3, *seed)
@@ -158,7 +152,7 @@
 		one.step(membership.LocalState{StoreSilent: time.Minute})
 		c.net.Run(40 * time.Second)
 		if one.machine.StoreSilentMajority(c.net.Now()) {
-			t.Errorf("%d daemons: a majority for the silence of one", size)
+			t.Errorf("%d daemons: a majority although the store is silent for one daemon only", size)
 		}
 		silent(10 * time.Second)
 		for _, n := range c.nodes {
@@ -180,13 +174,13 @@
 		c.net.Cut = func(a, b string) bool { return a == one.name || b == one.name }
 		c.net.Run(31 * time.Second)
 		if one.machine.StoreSilentMajority(c.net.Now()) {
-			t.Errorf("%d daemons: a daemon cut off for 31 s still counts on old answers", size)
+			t.Errorf("%d daemons: a daemon cut off for 31 s still counts old responses", size)
 		}
 	}
 }
 
-// Symptom: control traffic outgrows the 4 KB a second that a daemon may spend.
-// Sequence: the cluster grows. Cause: messages that carry all members.
+// Control traffic must stay within the 4 KB/s that a daemon may send, however
+// large the cluster is. It would exceed that if messages contained all members.
 func TestIdleTraffic(t *testing.T) {
 	const seconds = 60
 	for _, size := range append(sizes(), 300) {
--- a/core/membership/cluster_faults_test.go
+++ b/core/membership/cluster_faults_test.go
@@ -11,9 +11,9 @@
 
 var seed = flag.Uint64("seed", 1, "seed of the virtual network")
 
-// sizes are the clusters' sizes. The largest takes minutes under the race
-// detector, which finds no more in it than in the others: a cluster is driven
-// by one goroutine whatever its size.
+// sizes returns the cluster sizes to test. The largest takes minutes under the
+// race detector, which finds no more in it than in the others, because one
+// goroutine drives a cluster of any size.
 func sizes() []int {
 	if testing.Short() {
 		return []int{3, 8, 50}
@@ -21,8 +21,8 @@
 	return []int{3, 8, 50, 200}
 }
 
-// Symptom: a daemon that died stays in the views and keeps its share of slots.
-// Sequence: its VM fails without a word. Cause: nobody compares notes.
+// A daemon whose VM fails without notice must be removed from all views, or it
+// would keep its share of slots.
 func TestDeadDaemonIsRemovedEverywhere(t *testing.T) {
 	for _, size := range sizes() {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -63,9 +63,8 @@
 	return c.net.Now().Sub(begin)
 }
 
-// Symptom: daemons that run are removed and their requests lose their slots.
-// Sequence: a twentieth of all messages is lost for five minutes. Cause: a few
-// failed exchanges are taken for a death.
+// The loss of 5% of all messages for five minutes must remove no running
+// daemon.
 func TestLossRemovesNobody(t *testing.T) {
 	for _, size := range sizes() {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -85,9 +84,8 @@
 	}
 }
 
-// Symptom: a daemon that was paused finds itself removed.
-// Sequence: it stands still for 10 s, its peers' exchanges time out, it goes
-// on. Cause: the suspicion runs out before it is heard again.
+// A daemon that pauses for 10 s, so that its peers' exchanges time out, must be
+// contacted again before its suspicion expires and must not be removed.
 func TestPauseRemovesNobody(t *testing.T) {
 	for _, size := range sizes() {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -113,15 +111,14 @@
 				t.Errorf("%d removals", got)
 			}
 			if paused.machine.Stats().Interruptions == 0 {
-				t.Error("the paused daemon did not notice that it stood still")
+				t.Error("the paused daemon did not detect its interruption")
 			}
 		})
 	}
 }
 
-// Symptom: one daemon thinks that it is alone and that all others are dead.
-// Sequence: its own link is cut for a minute, then works again. Cause: it takes
-// its own failure for that of all others.
+// A daemon whose own link fails for a minute must not conclude that all other
+// daemons are dead.
 func TestOwnLinkCutRemovesNobodyThere(t *testing.T) {
 	for _, size := range sizes() {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -131,7 +128,7 @@
 			c.net.Cut = func(a, b string) bool { return a == alone.name || b == alone.name }
 			c.net.Run(time.Minute)
 			if !alone.machine.View().Isolated {
-				t.Error("the cut daemon does not blame its own link")
+				t.Error("the cut daemon does not count itself as isolated")
 			}
 			if got := len(alone.removed); got != 0 {
 				t.Errorf("the cut daemon removed %d others", got)
@@ -151,10 +148,8 @@
 	}
 }
 
-// Symptom: after a zone's cut the smaller side has removed the larger one, or
-// the sides never find each other again.
-// Sequence: one of three zones loses the others for two minutes. Cause: each
-// side sees the other fail; only one of them is right to remove it.
+// When one of three zones is partitioned for two minutes, only the larger side
+// may remove the other, and both sides must find each other again afterwards.
 func TestZoneCutAndBack(t *testing.T) {
 	for _, size := range []int{9, 51, 201} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -188,10 +183,9 @@
 	}
 }
 
-// Symptom: the smaller side of a cut removes the first members that it loses.
-// Sequence: routes between one of three zones and the others vanish one after
-// the other, over 30 s. Cause: while less than half are accused, the suspicions
-// that came first run out.
+// When the routes between one of three zones and the others fail one after the
+// other over 30 s, the smaller side must remove no members. While less than
+// half of them are suspected, the first suspicions would expire there.
 func TestGradualCutOfAZone(t *testing.T) {
 	for _, size := range []int{51, 201} {
 		c := newCluster(size, 3, *seed)
@@ -221,9 +215,8 @@
 	}
 }
 
-// Symptom: half of the daemons remove the other half and each half acts alone.
-// Sequence: two of four zones lose the other two. Cause: neither side has a
-// majority.
+// In a partition into equal halves neither side has a majority, so neither may
+// remove the other and continue alone.
 func TestEvenSplitRemovesNobody(t *testing.T) {
 	for _, size := range []int{2, 8, 80} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
--- a/core/membership/cluster_test.go
+++ b/core/membership/cluster_test.go
@@ -15,28 +15,28 @@
 
 const tickEvery = 100 * time.Millisecond
 
-// node is one daemon of a test's cluster.
+// node is one daemon of a test cluster.
 type node struct {
 	c *cluster
-	// id is the daemon's name, name that of this run of it in the network.
+	// id is the daemon's ID; name identifies this run of it in the network.
 	id      string
 	name    string
 	machine *membership.Machine
 	bytes   int
 	sent    int
-	// removed are the members that this node's view showed as dead.
+	// removed are the members that this node's view has shown as dead.
 	removed map[model.DaemonID]time.Time
-	// suspected are those it showed as suspect.
+	// suspected are the members that it has shown as suspect.
 	suspected map[model.DaemonID]time.Time
 }
 
-// cluster is a set of daemons that know each other's addresses from the
-// platform's list alone.
+// cluster is a set of daemons that learn each other's addresses from the
+// platform's list only.
 type cluster struct {
 	net   *simnet.Net
 	zones int
 	list  []model.VM
-	// at is who listens on an address.
+	// at maps an address to the node that listens on it.
 	at    map[string]*node
 	nodes []*node
 	o     membership.Options
@@ -66,7 +66,8 @@
 	})
 }
 
-// start boots a daemon on the i-th address, by whose clock it is started.
+// start boots a daemon on the i-th address, with the start time that its clock
+// shows.
 func (c *cluster) start(name string, i int, started time.Time) *node {
 	address := fmt.Sprintf("a%03d", i)
 	n := &node{
@@ -140,7 +141,7 @@
 
 func (n *node) alive() int { return len(n.machine.View().Alive()) }
 
-// up are the nodes that run.
+// up returns the running nodes.
 func (c *cluster) up() []*node {
 	var out []*node
 	for _, n := range c.nodes {
@@ -151,7 +152,7 @@
 	return out
 }
 
-// all tells whether ok holds on every running node.
+// all reports whether ok holds on every running node.
 func (c *cluster) all(ok func(*node) bool) bool {
 	for _, n := range c.up() {
 		if !ok(n) {
@@ -161,7 +162,8 @@
 	return true
 }
 
-// settle runs until every running node sees all of them alive.
+// settle runs until every running node sees all of them alive, and returns how
+// long that took.
 func (c *cluster) settle(t *testing.T) time.Duration {
 	t.Helper()
 	return c.await(t, 3*time.Minute, "all see all alive", func(n *node) bool {
@@ -189,7 +191,7 @@
 	return 0
 }
 
-// removals counts members shown as dead by nodes while they ran.
+// removals counts the members that nodes have shown as dead.
 func (c *cluster) removals() int {
 	total := 0
 	for _, n := range c.nodes {
--- a/core/membership/judge.go
+++ b/core/membership/judge.go
@@ -7,19 +7,20 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// linkDownAfter is how many exchanges in a row must fail, and how many periods
-// pass without a message from any member, before a daemon takes its own link
-// for cut.
+// linkDownAfter is how many consecutive exchanges must fail, and how many
+// periods must pass without a message from any member, before a daemon
+// considers its own link faulty.
 const linkDownAfter = 3
 
-// settlePeriods is how many periods without further accusations are waited
-// for when many members were accused at once.
+// settlePeriods is how many periods without new suspicions must pass before
+// members are removed when many are suspected at once.
 const settlePeriods = 10
 
-// checkIsolation decides whether this daemon's own link is at fault: when it hears from
-// nobody, or when about half of the members are accused. A daemon that blames
-// itself removes nobody. It still tells its suspicions: those on the same side
-// of a cut learn from them that they are on the smaller one.
+// checkIsolation determines whether this daemon's own link is at fault: either
+// no message arrives at all, or about half of the members are suspected. An
+// isolated daemon removes no members. It still reports its suspicions, from
+// which other members on its side of a partition learn that they are on the
+// smaller side.
 func (m *Machine) checkIsolation() {
 	c := m.countMembers()
 	blaming := m.isLinkDown() || 2*c.suspected >= c.total-c.total/isolationMargin
@@ -29,13 +30,14 @@
 	}
 }
 
-// isolationMargin is the part of the members by which fewer than half need be
-// accused. Some on the other side of a cut may not have been asked yet; on
-// either side of an even split, one such member would make a majority.
+// isolationMargin is the fraction of the members (one in isolationMargin) by
+// which the suspected ones may fall short of half. Some members on the other
+// side of a partition may not have been contacted yet; in an even split, a
+// single one of them would give either side a majority.
 const isolationMargin = 10
 
-// memberCounts counts the members that are not dead, this daemon included, those of
-// them that are accused, and those accused lately.
+// memberCounts counts the members that are not dead, including this daemon,
+// those of them that are suspected, and those that became suspected recently.
 type memberCounts struct {
 	total, suspected, recent int
 }
@@ -58,35 +60,37 @@
 	return c
 }
 
-// isLinkDown is whether nothing at all gets through.
+// isLinkDown reports whether no message from any member arrives.
 func (m *Machine) isLinkDown() bool {
 	silent := m.now.Sub(m.lastContact) > linkDownAfter*m.o.Period
 	return silent && m.failed >= min(linkDownAfter, len(m.sorted)) && m.failed > 0
 }
 
-// isSuspected is whether this daemon or another failed to reach the member and
-// nothing has cleared it since.
+// isSuspected reports whether this daemon or another failed to reach the member
+// and nothing has cleared the suspicion since.
 func (r *record) isSuspected() bool {
 	return r.State == Suspect || r.reportedSuspect
 }
 
-// noteSuspected notes the moment a member becomes accused.
+// noteSuspected records the time at which a member becomes suspected.
 func (m *Machine) noteSuspected(r *record) {
 	if !r.isSuspected() {
 		r.suspectedAt = m.now
 	}
 }
 
-// At most fewSuspected members, or one in fewShare, are accused in ordinary times.
+// In normal operation at most fewSuspected members, or one in fewShare, are
+// suspected.
 const (
 	fewSuspected = 2
 	fewShare     = 32
 )
 
-// suspicionsSettled is whether accusations are few or have stopped coming. When a zone is
-// cut off its members are found to fail one after the other; a majority of the
-// members looks reachable until about half are accused, and the smaller side
-// would begin to remove the larger one.
+// suspicionsSettled reports whether suspicions are few or no new ones arrive.
+// When a zone is partitioned, the failures of its members are detected one
+// after the other. A majority looks reachable until about half of the members
+// are suspected, and until then the smaller side would begin to remove the
+// larger one.
 func (m *Machine) suspicionsSettled() bool {
 	c := m.countMembers()
 	few := c.suspected <= max(fewSuspected, c.total/fewShare)
@@ -94,7 +98,7 @@
 	return few || stopped
 }
 
-// removeSuspects removes the suspects whose time has come.
+// removeSuspects removes the suspects for which the evidence suffices.
 func (m *Machine) removeSuspects() {
 	settled := m.suspicionsSettled()
 	isHeld := false
@@ -116,17 +120,18 @@
 	}
 }
 
-// suspicionExpired is whether the suspicion has lasted its time and an exchange that was
-// started after that failed too. Without the second part a member that was
-// paused, and that this daemon happened not to ask since it is back, would be
+// suspicionExpired reports whether the suspicion timeout has passed and an
+// exchange started after that failed too. Without the second condition, a
+// member that was paused and resumed, but was not contacted since, would be
 // removed.
 func (m *Machine) suspicionExpired(r *record) bool {
 	end := m.suspicionEnd(r)
 	return !m.now.Before(end) && !r.failedAt.Before(end)
 }
 
-// suspicionEnd is when the suspect may be removed. It grows with the number of
-// members by what news takes to reach them all.
+// suspicionEnd returns when the suspect may be removed. The timeout grows with
+// the logarithm of the number of members, as does the time in which news
+// reaches them all.
 func (m *Machine) suspicionEnd(r *record) time.Time {
 	if r.Draining {
 		return r.suspectSince.Add(m.o.LeaveTimeout)
@@ -135,13 +140,13 @@
 	return r.suspectSince.Add(m.o.SuspicionTimeout + spread)
 }
 
-// removedByOthers is whether enough others removed the member.
+// removedByOthers reports whether enough other members removed the member.
 func (m *Machine) removedByOthers(r *record) bool {
 	return r.State != Dead && r.deadReports() >= m.o.RemovalReports
 }
 
-// mayRemove is whether the evidence against a member whose time has come
-// suffices.
+// mayRemove reports whether the evidence against a member whose suspicion has
+// expired suffices for its removal.
 func (m *Machine) mayRemove(r *record, settled bool) bool {
 	if r.Draining || m.isDelisted(r) {
 		return true
@@ -149,13 +154,13 @@
 	return settled && !m.isolated && len(r.reports) >= m.confirmations(r)
 }
 
-// isDelisted is whether the platform stopped listing the member's VM.
+// isDelisted reports whether the platform has stopped listing the member's VM.
 func (m *Machine) isDelisted(r *record) bool {
 	return r.delisted && m.now.Sub(m.listedAt) <= m.o.ListMaxAge
 }
 
-// confirmations is how many other members' reports are needed about r: fewer
-// when there are fewer others to ask.
+// confirmations returns how many other members' reports are needed to remove r.
+// It is lower when fewer other members are reachable.
 func (m *Machine) confirmations(r *record) int {
 	others := 0
 	for _, other := range m.sorted {
@@ -182,7 +187,7 @@
 	m.announce(r.ID)
 }
 
-// recover ends a suspicion.
+// recover clears all doubt about a member and ends its suspicion.
 func (m *Machine) recover(r *record) {
 	r.clearDoubt()
 	if r.State == Suspect {
@@ -191,8 +196,8 @@
 	m.setState(r, r.liveState())
 }
 
-// noteContact notes that a message of a member arrived. Back is whether the member
-// was suspect and has not restarted since.
+// noteContact records that a message of a member arrived. The argument is
+// whether the member was suspect and has not restarted since.
 func (m *Machine) noteContact(recovered bool) {
 	wasCut := m.isolated && m.isLinkDown()
 	m.lastContact = m.now
@@ -202,9 +207,9 @@
 	}
 }
 
-// withdrawSuspicions takes back all suspicions when a daemon that blamed its own link
-// hears from the other side again. It would otherwise go on to report most
-// members as suspects, and each of them would have to refute it.
+// withdrawSuspicions clears all suspicions when an isolated daemon receives
+// messages from the other side again. Otherwise it would keep reporting most
+// members as suspects, and each of them would have to refute that.
 func (m *Machine) withdrawSuspicions() {
 	for _, r := range m.sorted {
 		if r.State == Dead || !r.isSuspected() && r.failures == 0 {
@@ -217,5 +222,5 @@
 	m.changed = true
 }
 
-// announce has a member's record passed on with the next messages.
+// announce relays a member's record with the next messages.
 func (m *Machine) announce(id model.DaemonID) { m.changes[id] = 0 }
--- a/core/membership/kept.go
+++ b/core/membership/kept.go
@@ -5,23 +5,25 @@
 	"time"
 )
 
-// span is a time in which every message of one member said that the store
-// answers it.
+// span is a period during which every message of one member reported a
+// responding store.
 type span struct{ begin, end time.Time }
 
-// OutageRenewalsEnded reports whether it is certain that no daemon renews leases by the
-// store's silence any more: there is a time S, not before after, such that a
-// majority of the known members said nothing else than that the store answers
-// them, each from S until S plus wait at least.
+// OutageRenewalsEnded reports whether it is certain that no daemon renews
+// leases on the grounds of a silent store any more. This holds if there is a
+// time S, not before after, such that a majority of the known members each
+// reported a responding store throughout the period from S to S plus wait.
 //
-// Such a daemon needs a majority that is silent. Any two majorities share a
-// member, and what that one said before S is too old after S plus OutageGrace.
-// So after names when the daemon's lease had ended for certain, and wait is
-// OutageGrace and how long what it renewed last may go on. As the silence may
-// last for any time, no length of waiting takes the place of this.
+// A daemon may renew in an outage only if a majority confirms that the store is
+// silent. Any two majorities share a member, and a statement that this member
+// made before S is too old after S plus OutageGrace. Therefore after must be a
+// time at which the other daemon's lease had certainly expired, and wait must
+// be OutageGrace plus the longest time for which its last renewal is valid. An
+// outage has no maximum length, so no fixed waiting time can replace this
+// condition.
 //
-// Once true it is so for good; later calls can return false again, since only
-// the latest answer of each member is kept.
+// Once true, the condition holds for good, but later calls can return false,
+// because only the latest response of each member is kept.
 func (m *Machine) OutageRenewalsEnded(after time.Time, wait time.Duration) bool {
 	if !m.listed() {
 		return false
@@ -39,10 +41,10 @@
 	return maxOverlap(begins, ends) >= m.majority()
 }
 
-// storeSpans returns the spans of the known members, by their own answers. A
-// span begins no earlier and ends no later than the member's own: its length
-// counts back from the answer's receipt, and it ends when the exchange was
-// started, since what the member said after its answer is not known.
+// storeSpans returns the spans of the known members, from their own responses.
+// A span is never longer than the member's own: its length counts back from the
+// receipt of the response, and it ends when the exchange was started, because
+// what the member reported after its response is unknown.
 func (m *Machine) storeSpans() []span {
 	spans := make([]span, 0, len(m.sorted)+1)
 	if !m.okSince.IsZero() {
@@ -56,8 +58,8 @@
 	return spans
 }
 
-// maxOverlap returns how many of the spans with these begins and ends share a
-// moment, at most.
+// maxOverlap returns the largest number of spans with these begins and ends
+// that share a moment.
 func maxOverlap(begins, ends []time.Time) int {
 	slices.SortFunc(begins, time.Time.Compare)
 	slices.SortFunc(ends, time.Time.Compare)
@@ -71,7 +73,8 @@
 	return most
 }
 
-// updateStoreStatus notes what this daemon's messages say of the store from now on.
+// updateStoreStatus records what this daemon's messages report of the store
+// from now on.
 func (m *Machine) updateStoreStatus() {
 	m.storeStatusAt = m.now
 	switch {
@@ -82,8 +85,8 @@
 	}
 }
 
-// storeOK is for how long this daemon's messages have said that the store
-// answers it.
+// storeOK returns how long this daemon's messages have reported a responding
+// store.
 func (m *Machine) storeOK() time.Duration {
 	if m.okSince.IsZero() {
 		return 0
@@ -91,9 +94,9 @@
 	return m.now.Sub(m.okSince)
 }
 
-// setStoreStatus notes what a member's answer, to an exchange that was started at
-// the given time, says of its store. A silent member's
-// span is dropped, so that it counts as answered again only from later on.
+// setStoreStatus records what a member's response, to an exchange that was
+// started at the given time, reports of its store. The span of a member whose
+// store is silent is dropped, so a new one can only begin later.
 func (r *record) setStoreStatus(now, started time.Time) {
 	r.reportedSilence, r.reportedAt = r.StoreSilent, started
 	r.okSince = time.Time{}
@@ -102,7 +105,7 @@
 	}
 }
 
-// maxStoreOK bounds how far back a member's word is believed. Its clock may run
-// faster than this daemon's, and over hours the difference would outgrow the
-// margin that the wait includes.
+// maxStoreOK bounds the length of a member's reported span. The member's clock
+// may run faster than this daemon's, and over hours the difference would exceed
+// the margin that the wait includes.
 const maxStoreOK = 30 * time.Minute
--- a/core/membership/kept_test.go
+++ b/core/membership/kept_test.go
@@ -11,8 +11,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// storeReport is a member's answer: when it was asked, when the answer came, and
-// for how long the store had answered it.
+// storeReport is a member's response: when the exchange was started, when the
+// response was received, and for how long the member has reported a responding
+// store.
 type storeReport struct {
 	started, received, ok time.Duration
 }
@@ -37,7 +38,7 @@
 	return storeMachine{m}
 }
 
-// report has a member answer.
+// report lets a member respond to an exchange.
 func (m storeMachine) report(id string, s storeReport, silent time.Duration) {
 	from := peer(id, 100, alive)
 	from.StoreOkMillis, from.StoreSilentMillis = s.ok.Milliseconds(), silent.Milliseconds()
@@ -46,11 +47,9 @@
 	})
 }
 
-// Symptom: a new owner takes its predecessor's tasks for over while a majority
-// that finds the store silent still lets it renew.
-// Sequence: of five daemons, some answer too early, too late, or for a shorter
-// time than is needed. Cause: members are counted that do not stand for one and
-// the same time, or for a part of it only.
+// A new owner must not take over tasks while its predecessor may still renew
+// their leases with a majority that finds the store silent. Members count only
+// if their reported spans cover one common period of the required length.
 func TestOutageRenewalsEnded(t *testing.T) {
 	const after, wait = 100 * time.Second, 50 * time.Second
 	long := storeReport{155 * time.Second, 156 * time.Second, 150 * time.Second}
@@ -58,15 +57,15 @@
 		b    storeReport
 		want bool
 	}{
-		"all the time":               {long, true},
-		"asked just in time":         {storeReport{150 * time.Second, 151 * time.Second, 150 * time.Second}, true},
-		"asked too early":            {storeReport{150*time.Second - 1, 156 * time.Second, 150 * time.Second}, false},
-		"answers since the last S":   {storeReport{155 * time.Second, 155 * time.Second, 50 * time.Second}, true},
-		"answers since later":        {storeReport{155 * time.Second, 155 * time.Second, 50*time.Second - time.Millisecond}, false},
-		"the answer was on its way":  {storeReport{155 * time.Second, 157 * time.Second, 51 * time.Second}, false},
-		"another time than the rest": {storeReport{250 * time.Second, 251 * time.Second, 60 * time.Second}, false},
-		"silent":                     {storeReport{155 * time.Second, 156 * time.Second, 0}, false},
-		"its word of an hour back":   {storeReport{time.Hour, time.Hour, time.Hour}, false},
+		"all the time":                {long, true},
+		"started just in time":        {storeReport{150 * time.Second, 151 * time.Second, 150 * time.Second}, true},
+		"started too early":           {storeReport{150*time.Second - 1, 156 * time.Second, 150 * time.Second}, false},
+		"responding since the last S": {storeReport{155 * time.Second, 155 * time.Second, 50 * time.Second}, true},
+		"responding since later":      {storeReport{155 * time.Second, 155 * time.Second, 50*time.Second - time.Millisecond}, false},
+		"the response was delayed":    {storeReport{155 * time.Second, 157 * time.Second, 51 * time.Second}, false},
+		"another time than the rest":  {storeReport{250 * time.Second, 251 * time.Second, 60 * time.Second}, false},
+		"silent":                      {storeReport{155 * time.Second, 156 * time.Second, 0}, false},
+		"reports an hour back":        {storeReport{time.Hour, time.Hour, time.Hour}, false},
 	}
 	for name, c := range cases {
 		m := newStoreMachine("a", "b", "c", "d")
@@ -79,10 +78,9 @@
 	}
 }
 
-// Symptom: as above. Sequence: this daemon has met few of the listed ones, or
-// none is listed yet, or they spoke without being asked, or this daemon itself
-// lost the store for a while. Cause: a majority of those met, or messages of
-// unknown age, taken for a majority's word.
+// The majority must be one of the known members. Listed members that have not
+// been contacted count towards its size, messages of unknown age do not count
+// as reports, and a silent store at this daemon ends its own span.
 func TestOutageRenewalsEndedCountsKnownMembersOnly(t *testing.T) {
 	const after, wait = 100 * time.Second, 50 * time.Second
 	long := storeReport{155 * time.Second, 156 * time.Second, 150 * time.Second}
@@ -90,7 +88,7 @@
 	unlisted.Step(at(0), membership.LocalState{})
 	unlisted.Step(at(200*time.Second), membership.LocalState{})
 	if unlisted.OutageRenewalsEnded(at(after), wait) {
-		t.Error("a daemon that knows no list counts as all daemons")
+		t.Error("a daemon without a list counts as a majority")
 	}
 	alone := newStoreMachine()
 	if alone.Step(at(0), membership.LocalState{}); alone.OutageRenewalsEnded(at(0), 0) {
@@ -101,11 +99,11 @@
 	unmet.report("a", long, 0)
 	unmet.report("b", long, 0)
 	if unmet.OutageRenewalsEnded(at(after), wait) {
-		t.Error("listed daemons that were not met do not count as known")
+		t.Error("listed daemons that were not contacted do not count as known")
 	}
 	unmet.report("c", long, 0)
 	if !unmet.OutageRenewalsEnded(at(after), wait) {
-		t.Error("four of seven are no majority")
+		t.Error("four of seven do not count as a majority")
 	}
 	unasked := newStoreMachine("a", "b", "c", "d")
 	unasked.Step(at(0), membership.LocalState{})
@@ -130,10 +128,9 @@
 	}
 }
 
-// Symptom: an owner renews on confirmations that are too old.
-// Sequence: of five daemons, three find the store silent, and one was last
-// asked long ago. Cause: the youngest of the confirmations is counted instead
-// of the oldest that is needed.
+// The time of an outage's confirmation must be that of the oldest response
+// needed for a majority, not of the most recent one, or an owner would renew
+// leases on confirmations that are too old.
 func TestStoreSilentAtIsTheOldestNeeded(t *testing.T) {
 	m := newStoreMachine("a", "b", "c", "d")
 	m.Step(at(100*time.Second), membership.LocalState{StoreSilent: 10 * time.Second})
@@ -154,28 +151,28 @@
 	}
 	m.report("c", storeReport{started: 102 * time.Second, received: 102 * time.Second, ok: time.Second}, 0)
 	if got := m.StoreSilentAt(); !got.Equal(at(80 * time.Second)) {
-		t.Errorf("after c's store answered: %v", got)
+		t.Errorf("after c's store responded: %v", got)
 	}
 	m.Step(at(103*time.Second), membership.LocalState{})
 	if got := m.StoreSilentAt(); !got.IsZero() {
-		t.Errorf("after the own store answered: %v", got)
+		t.Errorf("after this daemon's own store responded: %v", got)
 	}
 }
 
-// takeover is a takeover at a time, of which one daemon wants to know when all
-// that came before it is over.
+// takeover is a change of owner at a time, whose new owner waits until all
+// renewals of earlier owners have ended.
 type takeover struct {
 	by    int
 	after time.Time
 	over  bool
 }
 
-// Symptom: two owners renew tasks of one worker, or one renews and the other
-// starts them elsewhere.
-// Sequence: daemons lose the store in turn, for shorter and longer, and the
-// paths between them break and heal; at any time one of them may be an owner
-// that renews by a majority's word, and another a new one that waits for it.
-// Cause: a majority for silence in the lease's length before the answer.
+// Two owners must never both renew tasks of one worker, and a task must not be
+// started elsewhere while its old owner still renews it. Daemons lose the store
+// and the paths between them for random periods; at any time one may be an
+// owner that renews in an outage and another a new owner that waits. Before a
+// takeover is cleared there must be a lease's length in which no daemon has a
+// majority for a silent store.
 func TestFlappingStoreNeverLetsBothAct(t *testing.T) {
 	for _, size := range []int{2, 3, 4, 5, 8} {
 		t.Run(fmt.Sprint(size), func(t *testing.T) {
@@ -188,7 +185,7 @@
 			}
 			t.Logf("%d daemons: an outage confirmed in %d ticks, %d takeovers cleared", size, confirmed, proved)
 			if confirmed == 0 || proved == 0 {
-				t.Error("nothing shown")
+				t.Error("no outage was confirmed or no takeover was cleared")
 			}
 		})
 	}
@@ -199,14 +196,15 @@
 	flapLease = 6 * time.Second
 )
 
-// flapping is a cluster whose daemons lose the store and each other.
+// flapping is a cluster whose daemons lose the store and the paths to each
+// other.
 type flapping struct {
 	*cluster
 	silentUntil map[string]time.Time
 	answered    map[string]time.Time
 	cutUntil    map[[2]string]time.Time
-	// majority is when a daemon last had a majority for the store's silence,
-	// tick by tick.
+	// majority are the ticks at which some daemon had a majority for a silent
+	// store.
 	majority  []time.Time
 	takeovers []*takeover
 	confirmed int
@@ -217,7 +215,7 @@
 	f := &flapping{
 		cluster: newClusterWith(size, 2, seed, membership.Options{
 			OutageGrace: flapGrace, StoreSilentAfter: time.Second,
-			// Views that agree on who is known are what the answer rests on.
+			// The result is valid only while the views agree on the known members.
 			SuspicionTimeout: time.Hour,
 		}),
 		silentUntil: make(map[string]time.Time),
@@ -244,8 +242,8 @@
 	}
 }
 
-// injectFaults takes the store, or a path, from daemons by chance. Now and then it is
-// the store of most.
+// injectFaults makes the store silent for random daemons and cuts random paths.
+// Now and then the store becomes silent for most daemons.
 func (f *flapping) injectFaults() {
 	now, random := f.net.Now(), f.net.Rand
 	for _, n := range f.nodes {
@@ -277,7 +275,7 @@
 	}
 }
 
-// checkTakeovers asks the questions and checks each that is answered.
+// checkTakeovers polls the open takeovers and checks each that is cleared.
 func (f *flapping) checkTakeovers(t *testing.T) {
 	now := f.net.Now()
 	for _, n := range f.nodes {
@@ -294,14 +292,14 @@
 		q.over = true
 		f.ended++
 		if !f.hadLeaseWithoutMajority(q.after, now) {
-			t.Fatalf("%s after a takeover its predecessor counts as over, and at no time for %s nobody had a majority",
+			t.Fatalf("%s after a takeover it was cleared, but there was no period of %s in which no daemon had a majority",
 				now.Sub(q.after), flapLease)
 		}
 	}
 }
 
-// hadLeaseWithoutMajority reports whether for a lease's length, between the two times, no daemon
-// had a majority for the store's silence.
+// hadLeaseWithoutMajority reports whether, between the two times, there was a
+// lease's length in which no daemon had a majority for a silent store.
 func (f *flapping) hadLeaseWithoutMajority(from, to time.Time) bool {
 	last := from
 	for _, at := range f.majority {
@@ -316,10 +314,9 @@
 	return to.Sub(last) >= flapLease
 }
 
-// Symptom: after a zone's loss the tasks there wait much longer than their
-// leases in a large cluster than in a small one.
-// Sequence: a third of the daemons are lost; one that is left waits for a
-// majority's word. Cause: daemons ask each other one a second.
+// After the loss of a zone, tasks must not wait much longer than their leases
+// in a large cluster than in a small one. A daemon that waits for a majority
+// must therefore contact more than one peer per second.
 func TestOutageRenewalsEndedIsPrompt(t *testing.T) {
 	const wait = 53 * time.Second
 	for _, size := range []int{3, 9, 51, 300} {
@@ -336,13 +333,13 @@
 		owner, lost := c.nodes[1], c.net.Now()
 		c.net.Run(wait - tickEvery)
 		if owner.machine.OutageRenewalsEnded(lost, wait) {
-			t.Fatalf("%d daemons: known before its time", size)
+			t.Fatalf("%d daemons: cleared before its time", size)
 		}
 		owner.step(membership.LocalState{AwaitsMajority: true})
 		known := func() bool { return owner.machine.OutageRenewalsEnded(lost, wait) }
 		if !c.net.RunUntil(20*time.Second, known) {
-			t.Errorf("%d daemons: not known 20 s after its time", size)
+			t.Errorf("%d daemons: not cleared 20 s after its time", size)
 		}
-		t.Logf("%d daemons: known %s after its time", size, c.net.Now().Sub(lost)-wait)
+		t.Logf("%d daemons: cleared %s after its time", size, c.net.Now().Sub(lost)-wait)
 	}
 }
--- a/core/membership/list.go
+++ b/core/membership/list.go
@@ -8,9 +8,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// applyList takes in the platform's list. It adds VMs to ask and notes which
-// are no longer listed; by itself it removes only VMs whose daemon was never
-// heard of.
+// applyList processes a list of the platform. It adds VMs to contact and
+// records which ones are no longer listed. By itself it removes only VMs whose
+// daemon never sent a message.
 func (m *Machine) applyList(ev VMsListed) {
 	if ev.Err != nil {
 		m.stats.ListErrors++
@@ -32,7 +32,7 @@
 	m.delist()
 }
 
-// entriesOf returns the listed entry VMs by ID.
+// entriesOf returns the listed VMs of RoleEntry, ordered by ID.
 func entriesOf(vms []model.VM) []model.VM {
 	var entries []model.VM
 	for _, vm := range vms {
@@ -44,10 +44,11 @@
 	return entries
 }
 
-// isListTrusted is whether the list just taken may count against members it does
-// not name. An empty one never does. One that lacks at least half of the VMs
-// listed before is more likely old or broken than the loss of them all; it is
-// believed only after the lists stayed so for ListFresh.
+// isListTrusted reports whether the list just applied may count against members
+// that it does not name. An empty list never does. A list that lacks at least
+// half of the VMs listed before is more likely stale or broken than evidence of
+// their loss, so it is trusted only after the lists have lacked them for
+// ListMaxAge.
 func (m *Machine) isListTrusted(entries int) bool {
 	if entries == 0 {
 		return false
@@ -72,9 +73,9 @@
 	return m.now.Sub(m.untrustedSince) > m.o.ListMaxAge
 }
 
-// applyVM notes one listed VM. A VM is matched with a known member by its ID,
-// or else by its address: a replacement that has the old VM's address is found
-// there and displaces it.
+// applyVM applies one listed VM. The VM is matched with a known member by its
+// ID, or else by its address, which a replacement VM shares with the VM it
+// replaces.
 func (m *Machine) applyVM(vm model.VM, byAddress map[string]model.DaemonID) {
 	id := model.DaemonID(vm.ID)
 	if id == m.self.ID || vm.Address == m.self.Address {
@@ -100,7 +101,7 @@
 	}
 }
 
-// addresses maps the addresses of members that are not dead to them.
+// addresses maps the addresses of members that are not dead to their IDs.
 func (m *Machine) addresses() map[string]model.DaemonID {
 	out := make(map[string]model.DaemonID, len(m.sorted))
 	for _, r := range m.sorted {
@@ -111,8 +112,8 @@
 	return out
 }
 
-// delist notes the members that are no longer listed and drops those never
-// heard of.
+// delist marks the members that are no longer listed and removes those that
+// never sent a message.
 func (m *Machine) delist() {
 	for _, r := range slices.Clone(m.sorted) {
 		if r.inList || !r.listed {
--- a/core/membership/machine.go
+++ b/core/membership/machine.go
@@ -11,15 +11,16 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Machine is the membership state of one daemon. It is driven by one
-// goroutine.
+// Machine is the membership state of one daemon. It must be used by one
+// goroutine only.
 type Machine struct {
 	o    Options
 	self Member
-	// members are all others, and sorted the same by ID.
+	// members are all other daemons; sorted holds the same records ordered by
+	// ID.
 	members map[model.DaemonID]*record
 	sorted  []*record
-	// ring is who is still to be asked in the present turn.
+	// ring are the peers not yet contacted in the current pass over all peers.
 	ring []model.DaemonID
 	pcg  *rand.PCG
 	rng  *rand.Rand
@@ -29,28 +30,31 @@
 	nextRound time.Time
 	lastRound time.Time
 	lastRetry time.Time
-	// doubtBudget is how many members in doubt may still be asked this round.
+	// doubtBudget is how many more members in doubt may be contacted this
+	// round.
 	doubtBudget int
-	// lastContact is when a message of any other member last arrived, failed
-	// the exchanges that failed since.
+	// lastContact is when the last message of any other member arrived; failed
+	// counts the exchanges that failed since.
 	lastContact time.Time
 	failed      int
-	// isolated is whether this daemon blames its own link.
+	// isolated is whether this daemon considers its own link faulty.
 	isolated bool
 	stopped  bool
 
-	// storeStatusAt is when this daemon last said something new of itself; okSince is
-	// since when that was that the store answers it, zero when it does not.
+	// storeStatusAt is when this daemon last updated its own state. okSince is
+	// since when that state has reported a responding store; zero when the
+	// store is silent.
 	storeStatusAt time.Time
 	okSince       time.Time
-	// awaitsMajority is whether StoreKeptBy is waited for.
+	// awaitsMajority is whether this daemon waits for OutageRenewalsEnded.
 	awaitsMajority bool
 
-	// listedAt is when a list was last trusted, distrusted since when not.
+	// listedAt is when a list was last trusted. untrustedSince is since when
+	// lists have been rejected; zero while they are trusted.
 	listedAt       time.Time
 	untrustedSince time.Time
-	// changes are the members whose records are passed on, with how often each
-	// was; cursor is where the next records in turn begin.
+	// changes maps the members whose records are relayed to how often each was
+	// sent. cursor is the position of the next record to send in rotation.
 	changes map[model.DaemonID]int
 	cursor  int
 
@@ -61,7 +65,7 @@
 }
 
 // New returns a machine that knows only self. Self needs ID, Address, Zone and
-// Started; its incarnation is made from Started.
+// Started; its incarnation is derived from Started if it is zero.
 func New(self Member, o Options) *Machine {
 	if self.Incarnation == 0 {
 		self.Incarnation = uint64(self.Started.UnixMilli())
@@ -78,8 +82,8 @@
 	}
 }
 
-// Step takes one event and returns what to do. Of the errors that events
-// carry only the kind is used; none is returned.
+// Step processes one event and returns the resulting commands. Errors in events
+// are inspected for their kind only and never returned.
 func (m *Machine) Step(now time.Time, ev Event) []Command {
 	m.now = now
 	if m.booted.IsZero() {
@@ -114,7 +118,7 @@
 // Stats returns the counters.
 func (m *Machine) Stats() Stats { return m.stats }
 
-// View returns the current picture.
+// View returns the current view.
 func (m *Machine) View() *View {
 	if m.view == nil {
 		m.view = m.makeView()
@@ -152,8 +156,8 @@
 	m.self.OwnedShards = shards
 }
 
-// drain announces a planned stop under a new incarnation, so that it goes
-// ahead of all records that call this daemon alive.
+// drain announces a planned stop under a new incarnation, which takes
+// precedence over all records that report this daemon as alive.
 func (m *Machine) drain() {
 	if m.self.State != Alive {
 		return
@@ -165,8 +169,8 @@
 	m.nextRound = m.now
 }
 
-// stop makes this daemon's own record say that it is dead and tells a few
-// members; they tell the others.
+// stop marks this daemon's own record as dead and sends it to a few members,
+// which relay it.
 func (m *Machine) stop() {
 	if m.stopped {
 		return
@@ -184,13 +188,14 @@
 	m.members[id] = r
 	at, _ := m.place(id)
 	m.sorted = slices.Insert(m.sorted, at, r)
-	// A new member takes a random place in the present turn. At its end it
+	// A new member takes a random position in the current pass. At the end it
 	// could wait as many periods as there are members for its first exchange.
 	m.ring = slices.Insert(m.ring, m.rng.IntN(len(m.ring)+1), id)
 	return r
 }
 
-// place is where a member is, or would be, among the sorted.
+// place returns the position of a member in sorted, or where it would be
+// inserted, and whether it is there.
 func (m *Machine) place(id model.DaemonID) (int, bool) {
 	return slices.BinarySearchFunc(m.sorted, id, func(r *record, id model.DaemonID) int {
 		return cmp.Compare(r.ID, id)
--- a/core/membership/machine_test.go
+++ b/core/membership/machine_test.go
@@ -21,7 +21,7 @@
 	suspect = peerv1.MemberState_MEMBER_STATE_SUSPECT
 )
 
-// single returns a machine that met the peers a, b and c.
+// single returns a machine that knows the peers a, b and c.
 func single() *membership.Machine {
 	m := membership.New(membership.Member{ID: "self", Address: "at-self", Started: simnet.Start}, membership.Options{})
 	for _, id := range []string{"a", "b", "c"} {
@@ -35,9 +35,9 @@
 	return got.State
 }
 
-// Symptom: a member's address goes back to one that it had before.
-// Sequence: a message of its earlier boot arrives after one of the present.
-// Cause: messages are taken in the order they arrive.
+// A delayed message from a member's earlier boot, which arrives after one from
+// the current boot, must not restore the member's old address or add other
+// members.
 func TestEarlierBootIsRefused(t *testing.T) {
 	m := single()
 	late := peer("a", 99, alive)
@@ -48,17 +48,17 @@
 		t.Errorf("%+v", got)
 	}
 	if _, known := m.View().Member("ghost"); known {
-		t.Error("an earlier boot's word about others was taken")
+		t.Error("records in a message from an earlier boot were merged")
 	}
 	_, records := m.OutgoingTo("a")
 	if len(records) == 0 || records[0].GetId() != "a" || records[0].GetIncarnation() != 100 {
-		t.Errorf("the sender is not told its known incarnation: %v", records)
+		t.Errorf("the response does not contain the sender's known incarnation: %v", records)
 	}
 }
 
-// Symptom: a member that was paused is removed though it is back.
-// Sequence: its suspicion's time runs out before this daemon asks it again.
-// Cause: the removal goes by failures from before its return.
+// A member that resumes after a pause must not be removed for failures from
+// before its return, when its suspicion expires before this daemon contacts it
+// again.
 func TestRemovalNeedsAFailureAfterTheTimeout(t *testing.T) {
 	m := single()
 	now := simnet.Start
@@ -77,8 +77,8 @@
 			case now.Sub(simnet.Start) < 12*time.Second:
 				m.Step(now, membership.ExchangeDone{Peer: "a", Err: &port.PeerError{Kind: port.PeerUnreachable}})
 			default:
-				// The last exchange stays without an end: the member's answer is
-				// still on its way when the suspicion's time is over.
+				// The last exchange stays in flight: the member's response has
+				// not arrived when the suspicion expires.
 				responding = false
 			}
 		}
@@ -87,13 +87,12 @@
 		}
 	}
 	if responding || stateOf(m, "a") != membership.Suspect {
-		t.Errorf("the member was not asked again, state %s", stateOf(m, "a"))
+		t.Errorf("the member was not contacted again, state %s", stateOf(m, "a"))
 	}
 }
 
-// Symptom: a member that only this daemon cannot reach is removed.
-// Sequence: exchanges with it fail for a minute; the others, that answer, say
-// nothing against it. Cause: a long suspicion is taken for a proof.
+// A member that only this daemon cannot reach must not be removed, however long
+// its exchanges fail, while the other members report nothing against it.
 func TestRemovalNeedsConfirmation(t *testing.T) {
 	m := single()
 	now := simnet.Start
@@ -122,9 +121,8 @@
 	}
 }
 
-// Symptom: two sides that removed each other stay apart for ever.
-// Sequence: a member is removed, its VM is listed as live. Cause: nobody starts
-// a conversation with a dead member.
+// A removed member whose VM is still listed must be contacted. Otherwise two
+// sides of a partition that removed each other would never meet again.
 func TestDeadButListedIsAsked(t *testing.T) {
 	for _, listed := range []bool{true, false} {
 		m := single()
@@ -142,14 +140,13 @@
 			}
 		}
 		if asked != listed || stateOf(m, "a") != membership.Dead {
-			t.Errorf("listed %v: asked %v, state %s", listed, asked, stateOf(m, "a"))
+			t.Errorf("listed %v: contacted %v, state %s", listed, asked, stateOf(m, "a"))
 		}
 	}
 }
 
-// Symptom: a healthy daemon loses its share because one other cannot reach it.
-// Sequence: the path between two daemons is broken for five minutes; all others
-// reach both. Cause: one daemon's experience is taken for the truth.
+// A path between two daemons that fails for five minutes must remove neither of
+// them while all others reach both.
 func TestBrokenPathBetweenTwoRemovesNobody(t *testing.T) {
 	for _, size := range sizes() {
 		c := newCluster(size, 3, *seed)
@@ -163,9 +160,9 @@
 	}
 }
 
-// Symptom: the list of known daemons grows for ever.
-// Sequence: a daemon dies, and each daemon that boots later hears of it from
-// the one that booted before. Cause: hearing of the dead makes them new again.
+// A dead daemon must be forgotten after DeadRetention. It would be kept forever
+// if each daemon that boots later learned of it from an earlier one and counted
+// it as newly dead.
 func TestDeadAreForgotten(t *testing.T) {
 	c := newClusterWith(8, 3, *seed, membership.Options{DeadRetention: time.Minute})
 	c.settle(t)
@@ -182,7 +179,7 @@
 		}
 	}
 	if heard == 0 {
-		t.Error("no later daemon heard of the dead one while it was retained")
+		t.Error("no later daemon learned of the dead one while it was retained")
 	}
 	for _, n := range c.up() {
 		if _, known := n.machine.View().Member("d007"); known {
@@ -191,8 +188,8 @@
 	}
 }
 
-// BenchmarkDaemonSecond is one second of one daemon among others, with what
-// the virtual network costs.
+// BenchmarkDaemonSecond measures one second of one daemon in a cluster,
+// including the cost of the virtual network.
 func BenchmarkDaemonSecond(b *testing.B) {
 	for _, size := range []int{8, 50, 300} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/core/membership/member.go
+++ b/core/membership/member.go
@@ -6,11 +6,11 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// State is what a daemon believes of a member.
+// State is a daemon's view of a member's state.
 type State uint8
 
-// The states of a member. Listed is a VM that the platform lists and of whose
-// daemon nothing is known yet.
+// The states of a member. Listed is a VM that the platform lists and whose
+// daemon has not been contacted yet.
 const (
 	Listed State = iota
 	Alive
@@ -35,20 +35,21 @@
 	Queued   uint32
 }
 
-// ShardEpoch is a shard that a member owns and the epoch it owns it under.
+// ShardEpoch is a shard that a member owns and the epoch under which it owns
+// it.
 type ShardEpoch struct {
 	Shard model.ShardID
 	Epoch model.Epoch
-	// Free is the room of the shard's worker that has most. It is sent along
-	// and its changes are not announced.
+	// Free is the free capacity of the shard's worker with the most room. It is
+	// sent with the shard, and its changes do not cause a Changed command.
 	Free model.Resources
 }
 
 func sameShard(a, b ShardEpoch) bool { return a.Shard == b.Shard && a.Epoch == b.Epoch }
 
-// Member is one daemon as another sees it. Demand, StoreSilent, StoreOK,
-// OwnedShards and ConfigRevision are as of the last message that came from the member
-// itself; at N members they can be N periods old.
+// Member is one daemon as seen by another. Demand, StoreSilent, StoreOK,
+// OwnedShards and ConfigRevision are as of the last message from the member
+// itself; with N members they can be N periods old.
 type Member struct {
 	ID          model.DaemonID
 	Incarnation uint64
@@ -56,21 +57,22 @@
 	Address     string
 	Zone        model.Zone
 	Started     time.Time
-	// Draining is whether the member said that it is leaving; it stays set
+	// Draining is whether the member announced that it is leaving. It stays set
 	// when the member becomes suspect or dead.
 	Draining bool
-	// VMLeaving is whether the platform says that the member's VM is leaving.
+	// VMLeaving is whether the platform reports the member's VM as leaving.
 	VMLeaving      bool
 	ConfigRevision model.Revision
 	Demand         map[string]Demand
-	// StoreSilent is how long the store had not answered the member when it
-	// said so.
+	// StoreSilent is the time since the store's last response to the member, as
+	// of the member's last message.
 	StoreSilent time.Duration
-	// StoreOK is for how long, when it said so, every message of the member had
-	// said that the store answers it, that is StoreSilent below
+	// StoreOK is how long, as of the member's last message, all its messages
+	// have reported a responding store, that is, a StoreSilent below
 	// Options.StoreSilentAfter.
 	StoreOK     time.Duration
 	OwnedShards []ShardEpoch
-	// LastHeard is when this daemon last had a message from the member itself.
+	// LastHeard is when this daemon last received a message from the member
+	// itself.
 	LastHeard time.Time
 }
--- a/core/membership/merge.go
+++ b/core/membership/merge.go
@@ -5,9 +5,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// mergeSender takes in the record that a message's sender gives of itself, and
-// returns nil when the message is to be ignored: it is of an earlier boot, or
-// of a daemon that uses this one's name.
+// mergeSender merges the record that a message's sender gives of itself. It
+// returns nil when the message is to be ignored, because it is from an earlier
+// boot or from a daemon that uses this daemon's ID.
 func (m *Machine) mergeSender(p *peerv1.Member) *record {
 	id := model.DaemonID(p.GetId())
 	if id == "" || id == m.self.ID || p.GetIncarnation() == 0 {
@@ -43,7 +43,7 @@
 	return true
 }
 
-// mergeRecords takes in what a member says of others.
+// mergeRecords merges the records that a member sent about others.
 func (m *Machine) mergeRecords(by *record, members []*peerv1.Member) {
 	for _, p := range members {
 		id := model.DaemonID(p.GetId())
@@ -59,8 +59,8 @@
 	}
 }
 
-// refute raises the own incarnation above one at which this daemon is
-// accused, or above one of an earlier boot under a clock that was ahead.
+// refute raises this daemon's own incarnation above one at which it is reported
+// as suspect or dead, or above one of an earlier boot whose clock was ahead.
 func (m *Machine) refute(p *peerv1.Member) {
 	if m.stopped {
 		return
@@ -73,9 +73,9 @@
 	}
 }
 
-// addUnknown adds a member first heard of from another. Dead ones are taken
-// only shortly after this daemon's own start, so that it places requests' homes
-// as the others do; later they are ones it has forgotten already.
+// addUnknown adds a member first learned of from another. Dead members are
+// added only shortly after this daemon's own start, so that it assigns request
+// homes like the others; later they are members that it has already forgotten.
 func (m *Machine) addUnknown(by *record, p *peerv1.Member) {
 	dead := fromWire[p.GetState()] == Dead
 	if dead && m.now.Sub(m.booted) > startPeriods*m.o.Period {
@@ -92,7 +92,7 @@
 	m.setState(r, Dead)
 }
 
-// mergeRecord takes in what by says of r.
+// mergeRecord merges the record of r that the member by sent.
 func (m *Machine) mergeRecord(by, r *record, p *peerv1.Member) {
 	state, ok := fromWire[p.GetState()]
 	if !ok {
@@ -118,9 +118,8 @@
 	}
 }
 
-// mergeIncarnation takes a record with a higher incarnation. The incarnation is raised by
-// the member itself after all that was said of it before, which is refuted by
-// that.
+// mergeIncarnation merges a record with a higher incarnation. Only the member
+// itself raises its incarnation, which refutes all earlier reports about it.
 func (m *Machine) mergeIncarnation(r *record, p *peerv1.Member) {
 	if r.Address != p.GetAddress() || r.Incarnation == 0 {
 		m.changed = true
@@ -136,7 +135,7 @@
 	m.resolveAddressConflict(r)
 }
 
-// mergeLeaving takes the member's word that it leaves.
+// mergeLeaving records a member's announcement that it is leaving.
 func (m *Machine) mergeLeaving(r *record) {
 	if r.Draining || r.State == Dead {
 		return
@@ -148,9 +147,9 @@
 	m.announce(r.ID)
 }
 
-// mergeReport takes another member's word that r does not answer, or that it
-// removed r. A member that says so of itself, or that said it is leaving, is
-// believed at once.
+// mergeReport records another member's report that r does not respond, or that
+// it removed r. A removal reported by r itself, or one of a member that
+// announced that it is leaving, takes effect at once.
 func (m *Machine) mergeReport(by, r *record, dead bool) {
 	if r.State == Dead {
 		return
@@ -168,7 +167,7 @@
 	r.addReport(by.ID, dead)
 }
 
-// reannounce has a record passed on once more after somebody showed an older one.
+// reannounce relays a record once more after another member sent an older one.
 func (m *Machine) reannounce(id model.DaemonID) {
 	if _, queued := m.changes[id]; queued || m.members[id].learnedDead {
 		return
@@ -176,9 +175,9 @@
 	m.changes[id] = m.relayLimit() - 1
 }
 
-// resolveAddressConflict removes the member that had r's address before. A VM that is
-// replaced under the same address leaves a record that would be asked, and
-// answered by the new daemon, for ever.
+// resolveAddressConflict removes the member that had r's address before.
+// Without this, the record of a VM that was replaced under the same address
+// would be contacted forever, with the new daemon responding.
 func (m *Machine) resolveAddressConflict(r *record) {
 	for _, other := range m.sorted {
 		if other == r || other.Address != r.Address || other.State == Dead {
--- a/core/membership/options.go
+++ b/core/membership/options.go
@@ -2,62 +2,68 @@
 
 import "time"
 
-// Options tunes a Machine. A field left zero takes its default.
+// Options configures a Machine. Zero fields take their default.
 type Options struct {
-	// Period is the time between rounds of exchanges; 1 s.
+	// Period is the time between rounds of exchanges; default 1 s.
 	Period time.Duration
-	// Fanout is how many peers are asked each period; 1.
+	// Fanout is how many peers are contacted each period; default 1.
 	Fanout int
-	// StartFanout is Fanout until all listed members are known; 3.
+	// StartFanout replaces Fanout until all listed members are known; default
+	// 3.
 	StartFanout int
-	// DoubtFanout is how many members in doubt are asked besides, each period;
-	// 2.
+	// DoubtFanout is how many members in doubt are contacted in addition each
+	// period; default 2.
 	DoubtFanout int
-	// ExchangeTimeout is the deadline of an exchange; 750 ms. It should end
-	// before the next round, or members in doubt are asked only every other
-	// period.
+	// ExchangeTimeout is the timeout of an exchange; default 750 ms. It should
+	// be shorter than Period, or members in doubt are contacted only every
+	// other period.
 	ExchangeTimeout time.Duration
-	// SuspectAfter is how many failures in a row make a member suspect; 3.
+	// SuspectAfter is how many consecutive failures make a member suspect;
+	// default 3.
 	SuspectAfter int
 	// SuspicionTimeout is how long a member stays suspect before it may be
-	// removed, to which one period for each doubling of the members is added.
-	// It must be longer than the pauses a daemon should survive; 12 s.
+	// removed; default 12 s. One period is added for each doubling of the
+	// number of members. It must exceed the pauses that a daemon should
+	// survive.
 	SuspicionTimeout time.Duration
-	// LeaveTimeout takes the place of SuspicionTimeout for a member that said
-	// it is leaving; 3 s.
+	// LeaveTimeout replaces SuspicionTimeout for a member that announced that
+	// it is leaving; default 3 s.
 	LeaveTimeout time.Duration
-	// Confirmations is how many other members must have failed to reach a
-	// suspect before it is removed, as far as there are others; 1.
+	// Confirmations is how many other members must report a suspect as
+	// unreachable before it is removed, or all others if there are fewer;
+	// default 1.
 	Confirmations int
-	// RemovalReports is how many members' removals are believed without a failed
-	// exchange of one's own; 3.
+	// RemovalReports is how many members must report that they removed a member
+	// for this daemon to remove it without a failed exchange of its own;
+	// default 3.
 	RemovalReports int
-	// DeadRetention is how long a removed member stays known; 10 min.
+	// DeadRetention is how long a removed member stays known; default 10 min.
 	DeadRetention time.Duration
-	// DeadRetryInterval is the time between exchanges with dead members that the
-	// platform still lists, all of them together; 5 s.
+	// DeadRetryInterval is the time between exchanges with dead members that
+	// the platform still lists, counted over all of them; default 5 s.
 	DeadRetryInterval time.Duration
-	// ListMaxAge is how long an answer of the platform's list counts; 2 min.
+	// ListMaxAge is how long a platform list stays valid; default 2 min.
 	ListMaxAge time.Duration
-	// StoreSilentAfter is the silence from which the store counts as silent;
-	// 3 s.
+	// StoreSilentAfter is the time without a response after which the store
+	// counts as silent; default 3 s.
 	StoreSilentAfter time.Duration
-	// OutageGrace is the age up to which a member's answer about the store
-	// counts for its silence; 20 s. Like StoreSilentAfter it must be the same on
-	// all daemons.
+	// OutageGrace is the maximum age at which a member's response counts as
+	// confirmation of a silent store; default 20 s. Like StoreSilentAfter it
+	// must be the same on all daemons.
 	OutageGrace time.Duration
-	// MaxChanges bounds the recent changes in one message; 6.
+	// MaxChanges bounds the recent changes in one message; default 6.
 	MaxChanges int
-	// RotatingRecords is how many other records a message carries; 2.
+	// RotatingRecords is how many other records a message contains; default 2.
 	RotatingRecords int
-	// MaxSyncRecords bounds the records in the first message to a member; 64.
+	// MaxSyncRecords bounds the records in the first message to a member;
+	// default 64.
 	MaxSyncRecords int
 	// RelayFactor times log2 of the number of members is how often a change is
-	// passed on; 2.
+	// relayed; default 2.
 	RelayFactor int
 }
 
-// withDefaults fills in the fields left zero.
+// withDefaults returns the options with defaults in place of zero fields.
 func (o Options) withDefaults() Options {
 	durations := []struct {
 		field *time.Duration
--- a/core/membership/outage.go
+++ b/core/membership/outage.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// outageShare is the part of OutageGrace within which a majority is asked
-// while the store is silent; the rest is left for exchanges that fail.
+// outageShare is the fraction of OutageGrace within which a majority is
+// contacted while the store is silent; the rest is a reserve for exchanges that
+// fail.
 const outageShare = 0.6
 
 // StoreSilentMajority reports whether the store is silent for this daemon and,
-// by their own answers, for a majority of the known members, each answer not
+// by their own responses, for a majority of the known members, with no response
 // older than OutageGrace.
 func (m *Machine) StoreSilentMajority(now time.Time) bool {
 	at := m.StoreSilentAt()
 	return !at.IsZero() && now.Sub(at) <= m.o.OutageGrace
 }
 
-// StoreSilentAt returns the latest time since when a majority of the known
-// members, this daemon among them, said of themselves that the store is silent
-// for them; zero when no majority did, or the store answers this daemon.
+// StoreSilentAt returns the latest time since which a majority of the known
+// members, including this daemon, have each reported a silent store; zero when
+// there is no such majority or the store responds to this daemon.
 //
-// An answer counts from when its exchange was started here, so the time that a
-// message spent on its way cannot make it look younger.
+// A response counts from the time at which its exchange was started here, so a
+// delay in the network cannot make it look more recent.
 func (m *Machine) StoreSilentAt() time.Time {
 	if !m.listed() || m.self.StoreSilent < m.o.StoreSilentAfter {
 		return time.Time{}
@@ -41,10 +42,10 @@
 	return confirmedAt[majority-1]
 }
 
-// majority is how many members are more than half of the known ones, this
-// daemon included. Members that the platform lists and that were never met
-// count as well: a daemon that has met nobody yet would be a majority by
-// itself, however many others there are.
+// majority returns the smallest number that is more than half of the known
+// members, including this daemon. Members that the platform lists and that have
+// not been contacted count as well; otherwise a daemon that has contacted no
+// one would be a majority by itself, however many others there are.
 func (m *Machine) majority() int {
 	known := 1
 	for _, r := range m.sorted {
@@ -57,12 +58,12 @@
 
 func (r *record) known() bool { return r.State != Dead }
 
-// listed reports whether the platform's list was ever taken in. Before that
-// this daemon cannot know how few of the members it knows.
+// listed reports whether a list of the platform has ever been trusted. Before
+// that, this daemon cannot know how many members it is missing.
 func (m *Machine) listed() bool { return !m.listedAt.IsZero() }
 
-// outageFanout is how many peers to ask each period so that a majority has
-// answered within the share of OutageGrace.
+// outageFanout returns how many peers to contact each period so that a majority
+// has responded within outageShare of OutageGrace.
 func (m *Machine) outageFanout() int {
 	majority := len(m.sorted)/2 + 1
 	periods := int(outageShare * float64(m.o.OutageGrace) / float64(m.o.Period))
--- a/core/membership/record.go
+++ b/core/membership/record.go
@@ -9,62 +9,64 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// record is what a daemon holds of one member.
+// record is the state that a daemon keeps of one member.
 type record struct {
 	Member
 
-	// listed is whether the platform's last trusted list names the VM, delisted
-	// whether an earlier one did and the last does not.
+	// listed is whether the platform's last trusted list names the VM; delisted
+	// is whether an earlier one did and the last does not.
 	listed   bool
 	delisted bool
-	// inList is whether the list being taken in names the VM.
+	// inList is whether the list being applied names the VM.
 	inList bool
-	// met is when this daemon first heard of the member's present boot, synced
-	// whether a larger message was sent to it since.
+	// met is when this daemon first learned of the member's current boot;
+	// synced is whether a larger message has been sent to it since.
 	met    time.Time
 	synced bool
 	// directIncarnation is the incarnation in the last message from the member
-	// itself, whether or not that was taken.
+	// itself, whether or not it was merged.
 	directIncarnation uint64
 
-	// exchangedAt is when the exchange in progress, or else the last one, was
+	// exchangedAt is when the exchange in flight, or else the last one, was
 	// started.
 	exchangedAt time.Time
 	inFlight    bool
-	// failures counts failed exchanges since the last answer; failedAsked is
+	// failures counts failed exchanges since the last response; failedAt is
 	// when the last failed one was started.
 	failures int
 	failedAt time.Time
-	// reportedSuspect is whether others' reports ask for an own exchange.
+	// reportedSuspect is whether others reported the member, so that this
+	// daemon must contact it itself.
 	reportedSuspect bool
-	// suspectedAt is when the first failure or report that still stands came,
-	// since when the member became suspect.
+	// suspectedAt is when the first uncleared failure or report came;
+	// suspectSince is when the member became suspect.
 	suspectedAt  time.Time
 	suspectSince time.Time
-	// reports are the other members that failed to reach it since its last
-	// answer, and whether they removed it.
+	// reports are the other members that failed to reach the member since its
+	// last response, and whether they removed it.
 	reports []report
-	// learnedDead is whether the member was first heard of as dead. Such
-	// records are not passed on, or they would go round for ever between
+	// learnedDead is whether the member was first learned of as dead. Such
+	// records are not relayed; otherwise they would circulate forever between
 	// daemons that each forget them later than the others.
 	learnedDead bool
 	diedAt      time.Time
 
-	// reportedSilence is how long the member's store was silent by its last answer,
-	// saidAsked when that exchange was started, and okSince since when the
-	// member has said nothing else than that the store answers it; zero when it
-	// said otherwise.
+	// reportedSilence is how long the store had been silent as of the member's
+	// last response, and reportedAt is when that exchange was started. okSince
+	// is since when the member has reported nothing but a responding store;
+	// zero when its last response reported a silent one.
 	reportedSilence time.Duration
 	reportedAt      time.Time
 	okSince         time.Time
 }
 
+// report is another member's failure to reach a member.
 type report struct {
 	by   model.DaemonID
 	dead bool
 }
 
-// addReport notes what another member experienced.
+// addReport records that another member failed to reach this one or removed it.
 func (r *record) addReport(by model.DaemonID, dead bool) {
 	for i := range r.reports {
 		if r.reports[i].by == by {
@@ -90,14 +92,14 @@
 	return n
 }
 
-// clearDoubt forgets failures and reports.
+// clearDoubt clears failures and reports.
 func (r *record) clearDoubt() {
 	r.failures = 0
 	r.reportedSuspect = false
 	r.reports = nil
 }
 
-// liveState is the state of a member that is not in doubt.
+// liveState returns the state of a member that is not in doubt.
 func (r *record) liveState() State {
 	switch {
 	case r.Incarnation == 0:
@@ -108,7 +110,7 @@
 	return Alive
 }
 
-// inDoubt is whether the member is to be asked out of turn.
+// inDoubt reports whether the member is to be contacted out of rotation.
 func (r *record) inDoubt() bool {
 	return r.State != Dead && r.State != Listed &&
 		(r.State == Suspect || r.failures > 0 || r.reportedSuspect)
@@ -128,8 +130,8 @@
 	peerv1.MemberState_MEMBER_STATE_DEAD:    Dead,
 }
 
-// relayedRecord is the record as it is passed on: without what only the member's own
-// messages say.
+// relayedRecord returns the record as relayed to others, without the fields
+// that only the member's own messages contain.
 func (m *Member) relayedRecord(s State) *peerv1.Member {
 	return &peerv1.Member{
 		Id:                string(m.ID),
@@ -141,7 +143,7 @@
 	}
 }
 
-// ownRecord is the record as the member itself sends it.
+// ownRecord returns the record as the member itself sends it.
 func (m *Member) ownRecord() *peerv1.Member {
 	p := m.relayedRecord(m.State)
 	p.ConfigRevision = uint64(m.ConfigRevision)
@@ -162,7 +164,7 @@
 	return p
 }
 
-// setIdentity takes over what both own and relayed records say.
+// setIdentity sets the fields that both own and relayed records contain.
 func (m *Member) setIdentity(p *peerv1.Member) {
 	m.Incarnation = p.GetIncarnation()
 	m.Address = p.GetAddress()
@@ -170,7 +172,7 @@
 	m.Started = time.UnixMilli(p.GetStartedUnixMillis())
 }
 
-// setOwnFields takes over what only the member's own messages say.
+// setOwnFields sets the fields that only the member's own messages contain.
 func (m *Member) setOwnFields(p *peerv1.Member) {
 	m.ConfigRevision = model.Revision(p.GetConfigRevision())
 	m.StoreSilent = time.Duration(p.GetStoreSilentMillis()) * time.Millisecond
--- a/core/membership/relay.go
+++ b/core/membership/relay.go
@@ -9,7 +9,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Outgoing is OutgoingTo for a peer that is not known.
+// Outgoing is OutgoingTo for an unknown peer.
 func (m *Machine) Outgoing() (self *peerv1.Member, records []*peerv1.Member) {
 	return m.OutgoingTo("")
 }
@@ -30,13 +30,14 @@
 	return m.self.ownRecord(), b.records
 }
 
-// batch gathers the records of one message.
+// batch collects the records of one message.
 type batch struct {
 	named   map[model.DaemonID]bool
 	records []*peerv1.Member
 }
 
-// addRecord adds one record if it is to be passed on at all.
+// addRecord adds one record, unless it is already in the batch or not to be
+// relayed, and reports whether it did.
 func (m *Machine) addRecord(b *batch, r *record) bool {
 	if b.named[r.ID] || r.Incarnation == 0 || r.learnedDead {
 		return false
@@ -46,8 +47,8 @@
 	return true
 }
 
-// addPeerRecord tells a peer what it may have to refute, or that it uses an
-// incarnation below the known one.
+// addPeerRecord adds the peer's own record if the peer may have to refute it,
+// or if the peer uses an incarnation below the known one.
 func (m *Machine) addPeerRecord(b *batch, r *record) {
 	switch {
 	case r.Incarnation == 0:
@@ -60,7 +61,7 @@
 	}
 }
 
-// pickChanges picks the changes passed on least often.
+// pickChanges picks the changes that were relayed least often.
 func (m *Machine) pickChanges(peer model.DaemonID) []model.DaemonID {
 	limit := m.relayLimit()
 	ids := make([]model.DaemonID, 0, len(m.changes))
@@ -83,14 +84,14 @@
 	return ids
 }
 
-// relayLimit is how often a change is passed on.
+// relayLimit returns how often a change is relayed.
 func (m *Machine) relayLimit() int {
 	return m.o.RelayFactor * max(1, bits.Len(uint(len(m.sorted))))
 }
 
-// rotatingCount is how many records of no recent change the message to r carries.
-// The larger number is for the first message between daemons of which one has
-// just started and knows few others.
+// rotatingCount returns how many records without a recent change the message to
+// r contains. The larger number is for the first message between daemons of
+// which one has just started and knows few others.
 func (m *Machine) rotatingCount(r *record) int {
 	if r == nil || r.synced || r.Incarnation == 0 {
 		return m.o.RotatingRecords
@@ -102,8 +103,8 @@
 	return m.o.MaxSyncRecords
 }
 
-// addRotating adds the next n records in turn. They repair what the passing on
-// of changes missed.
+// addRotating adds the next n records in rotation. They repair changes that
+// relaying did not deliver.
 func (m *Machine) addRotating(b *batch, n int) {
 	for range len(m.sorted) {
 		if n == 0 {
--- a/core/membership/round.go
+++ b/core/membership/round.go
@@ -7,11 +7,11 @@
 )
 
 // interruptedAfter is how many periods without a round mean that this daemon
-// itself stood still.
+// itself was paused.
 const interruptedAfter = 4
 
-// abandonedAfter is how many timeouts after its start an exchange whose end was
-// never told counts as over.
+// abandonedAfter is how many timeouts after its start an exchange without a
+// reported end counts as finished.
 const abandonedAfter = 5
 
 func (m *Machine) tick(random uint64) {
@@ -33,8 +33,8 @@
 	m.exchangeNext(m.fanout())
 }
 
-// jittered varies the period by a tenth, so that daemons started together do
-// not go on asking all at the same moment.
+// jittered varies a duration by up to a tenth in total, so that daemons that
+// started together do not keep contacting peers at the same moment.
 func (m *Machine) jittered(d time.Duration) time.Duration {
 	tenth := int64(d / 10)
 	if tenth == 0 {
@@ -43,10 +43,10 @@
 	return d - time.Duration(tenth/2) + time.Duration(m.rng.Int64N(tenth))
 }
 
-// detectInterruption restarts all suspicions after this daemon stood still.
-// Exchanges that were in progress then failed by their deadlines though the
-// peers answered, and suspicion times ran out unwatched: going by them, a
-// daemon that slept would remove its peers on waking.
+// detectInterruption restarts all suspicions after this daemon was paused.
+// During a pause, exchanges in flight time out although the peers responded,
+// and suspicion timeouts expire unobserved, so a resumed daemon would otherwise
+// remove its peers.
 func (m *Machine) detectInterruption() {
 	if m.now.Sub(m.lastRound) <= interruptedAfter*m.o.Period {
 		return
@@ -60,8 +60,8 @@
 	}
 }
 
-// restartSuspicions lets suspects be suspect anew from now and takes back
-// failures that are not yet a suspicion.
+// restartSuspicions restarts the timeout of all suspicions and clears failures
+// that have not yet caused a suspicion.
 func (m *Machine) restartSuspicions() {
 	for _, r := range m.sorted {
 		if r.State == Suspect {
@@ -72,7 +72,7 @@
 	}
 }
 
-// forgetDead drops members dead for longer than the retention.
+// forgetDead drops members that have been dead for longer than DeadRetention.
 func (m *Machine) forgetDead() {
 	for _, r := range slices.Clone(m.sorted) {
 		if r.State == Dead && m.now.Sub(r.diedAt) >= m.o.DeadRetention {
@@ -82,7 +82,7 @@
 	}
 }
 
-// fanout is how many peers to ask in turn this round.
+// fanout returns how many peers to contact in rotation this round.
 func (m *Machine) fanout() int {
 	n := m.o.Fanout
 	if m.isStarting() {
@@ -94,8 +94,9 @@
 	return n
 }
 
-// isStarting is whether listed members are still to be met. It ends after a
-// turn's worth of rounds, as a list can name VMs whose daemon never runs.
+// isStarting reports whether listed members have not been contacted yet. It
+// turns false after startPeriods, because a list can name VMs whose daemon
+// never runs.
 func (m *Machine) isStarting() bool {
 	if m.now.Sub(m.booted) > startPeriods*m.o.Period {
 		return false
@@ -108,9 +109,11 @@
 	return false
 }
 
+// startPeriods is how many periods after its start a daemon, or a newly met
+// member, counts as starting.
 const startPeriods = 30
 
-// exchangeNext asks the next n of the turn.
+// exchangeNext starts exchanges with the next n peers of the rotation.
 func (m *Machine) exchangeNext(n int) {
 	for range 2 * len(m.sorted) {
 		if n == 0 {
@@ -132,6 +135,7 @@
 	}
 }
 
+// refillRing begins the next pass: it shuffles all members that are not dead.
 func (m *Machine) refillRing() {
 	m.ring = m.ring[:0]
 	for _, r := range m.sorted {
@@ -144,10 +148,10 @@
 	})
 }
 
-// exchangeDoubtful asks the members in doubt that most need it, as far as the
-// round's budget goes; what is left of it serves reports that come before the
-// next round. The budget keeps the cost of a whole zone's loss at what one
-// member's is.
+// exchangeDoubtful starts exchanges with the most urgent members in doubt,
+// within the round's budget. The rest of the budget is available for reports
+// that arrive before the next round. The budget keeps the cost of losing a
+// whole zone the same as that of losing one member.
 func (m *Machine) exchangeDoubtful() {
 	if m.doubtBudget == 0 {
 		return
@@ -171,9 +175,11 @@
 	}
 }
 
-// urgency ranks members in doubt. Those nearest to a verdict go first: were
-// all asked in turn, many in doubt at once would all stay undecided, and a
-// daemon on the smaller side of a cut would learn too late that it is.
+// urgency ranks members in doubt, the most urgent first. Members that are not
+// yet suspect precede suspects whose timeout has passed, and all other suspects
+// come last. In plain rotation, many members in doubt at once would all stay
+// undecided, and a daemon on the smaller side of a partition would detect that
+// too late.
 func (m *Machine) urgency(r *record) int {
 	switch {
 	case r.State != Suspect:
@@ -184,9 +190,9 @@
 	return 2
 }
 
-// exchangeDead asks, now and then, one dead member that the platform still lists.
-// After two sides of a cut removed each other, nobody else would start a
-// conversation between them.
+// exchangeDead contacts one dead member that the platform still lists every
+// DeadRetryInterval. Otherwise two sides of a partition that removed each other
+// would never exchange messages again.
 func (m *Machine) exchangeDead() {
 	if m.now.Sub(m.lastRetry) < m.o.DeadRetryInterval {
 		return
@@ -206,7 +212,8 @@
 	}
 }
 
-// canExchange is whether the member has an address and no exchange in progress.
+// canExchange reports whether the member has an address and no exchange in
+// flight.
 func (m *Machine) canExchange(r *record) bool {
 	if r.Address == "" {
 		return false
--- a/core/membership/simnet/net.go
+++ b/core/membership/simnet/net.go
@@ -1,6 +1,7 @@
 // Package simnet runs the nodes of a test in virtual time over a network that
-// can lose, delay and cut messages. It is an event heap with a fixed seed: two
-// runs of a test do the same, and an hour takes as long as its events.
+// can lose, delay and block messages. It is an event heap with a fixed seed:
+// two runs of a test behave identically, and a run takes only as long as its
+// events need.
 package simnet
 
 import (
@@ -14,15 +15,15 @@
 // Start is the time at which every Net begins.
 var Start = time.Date(2026, 12, 2, 6, 0, 0, 0, time.UTC)
 
-// Net is the network and the clock. The fields may be changed during a run.
+// Net is the network and its clock. The fields may be changed during a run.
 type Net struct {
 	// Rand decides losses and delays.
 	Rand *rand.Rand
 	// Loss is the probability that one message, request or response, is lost.
 	Loss float64
-	// Delay is the least time of a message; up to as much again is added.
+	// Delay is the minimum latency of a message; up to the same again is added.
 	Delay time.Duration
-	// Cut tells whether no message passes between two nodes.
+	// Cut reports whether messages between two nodes are blocked.
 	Cut func(a, b string) bool
 
 	now    time.Time
@@ -50,8 +51,8 @@
 // Since returns the virtual time since Start.
 func (n *Net) Since() time.Duration { return n.now.Sub(Start) }
 
-// After runs do on node after d: at once when the node's pause ends if it is
-// paused then, never if it is down.
+// After runs do on node after d. If the node is paused then, do runs when the
+// pause ends; if it is down, do never runs.
 func (n *Net) After(node string, d time.Duration, do func()) {
 	n.at(n.now.Add(d), func() { n.runOn(node, do) })
 }
@@ -67,7 +68,8 @@
 	do()
 }
 
-// Every runs do on node each period, from a random part of the first one.
+// Every runs do on node once per period, starting at a random point within the
+// first one.
 func (n *Net) Every(node string, period time.Duration, do func()) {
 	var again func()
 	again = func() {
@@ -77,20 +79,21 @@
 	n.After(node, time.Duration(n.Rand.Int64N(int64(period))), again)
 }
 
-// Kill ends a node: it answers nothing, not even with a refusal.
+// Kill ends a node. Messages to it get no response, not even a refusal.
 func (n *Net) Kill(node string) { n.down[node] = true }
 
-// Down tells whether a node was killed.
+// Down reports whether a node was killed.
 func (n *Net) Down(node string) bool { return n.down[node] }
 
-// Pause stops a node for d; what would have happened on it happens at the end.
+// Pause pauses a node for d. Events due on it meanwhile run at the end of the
+// pause.
 func (n *Net) Pause(node string, d time.Duration) { n.paused[node] = n.now.Add(d) }
 
-// Run lets time pass by d.
+// Run advances the time by d.
 func (n *Net) Run(d time.Duration) { n.RunUntil(d, func() bool { return false }) }
 
-// RunUntil lets time pass until done, checked after each event, or by d at
-// most. It tells whether done became true.
+// RunUntil advances the time until done returns true, checked after each event,
+// or by at most d. It reports whether done became true.
 func (n *Net) RunUntil(d time.Duration, done func() bool) bool {
 	end := n.now.Add(d)
 	for len(n.events) > 0 && !n.events[0].at.After(end) {
@@ -105,9 +108,9 @@
 	return false
 }
 
-// Call carries a request from one node to another and its response back.
-// Handle runs on to, done runs on from exactly once: with the response, or
-// with a *port.PeerError at the deadline.
+// Call sends a request from one node to another and returns its response.
+// Handle runs on to. Done runs on from exactly once: with the response, or with
+// a *port.PeerError at the timeout.
 func Call[R any](n *Net, from, to string, timeout time.Duration, handle func() R, done func(R, error)) {
 	over := false
 	finish := func(r R, err error) {
@@ -126,8 +129,8 @@
 	})
 }
 
-// send runs do on node to when the message arrives, if it does. A cut counts
-// both at the start and at the end of the way.
+// send runs do on node to when the message arrives, unless it is lost. Cut is
+// checked both when the message is sent and when it arrives.
 func (n *Net) send(from, to string, do func()) {
 	if n.Cut(from, to) || n.Rand.Float64() < n.Loss {
 		return
@@ -151,7 +154,7 @@
 	do     func()
 }
 
-// events is a heap by time, then by order of scheduling.
+// events is a heap ordered by time, then by order of scheduling.
 type events []event
 
 func (e events) Len() int { return len(e) }
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -2,14 +2,14 @@
 
 import "github.com/guavarill/guavarill/core/model"
 
-// View is an immutable picture of the members. Its slices must not be changed.
+// View is an immutable view of the members. Its slices must not be changed.
 type View struct {
 	// Self is this daemon's own record.
 	Self Member
-	// Members are all known members, this daemon included, by ID.
+	// Members are all known members, including this daemon, ordered by ID.
 	Members []Member
 	// Isolated is whether this daemon fails to reach a majority of the members
-	// that are not dead, so that it removes nobody.
+	// that are not dead, in which case it removes none.
 	Isolated bool
 }
 
@@ -24,27 +24,27 @@
 	return out
 }
 
-// Candidates returns the daemons that may own shards: alive, and neither the
-// daemon nor its VM leaving.
+// Candidates returns the daemons that may own shards: those that are alive and
+// whose VM is not leaving.
 func (v *View) Candidates() []model.DaemonID {
 	return v.ids(func(m *Member) bool { return m.State == Alive && !m.VMLeaving })
 }
 
-// Active returns the daemons among which the slots of instances are
-// divided: all that may still send requests, leaving and suspect ones
-// included.
+// Active returns the daemons that may still send requests, including leaving
+// and suspect ones. The slots of instances are divided among them.
 func (v *View) Active() []model.DaemonID {
 	return v.ids(func(m *Member) bool {
 		return m.State == Alive || m.State == Leaving || m.State == Suspect
 	})
 }
 
-// Known returns the daemons that were heard of, recently dead ones included.
+// Known returns the daemons that have been contacted or reported, including
+// recently dead ones.
 func (v *View) Known() []model.DaemonID {
 	return v.ids(func(m *Member) bool { return m.State != Listed })
 }
 
-// Member returns the record of one member.
+// Member returns the record of one member and whether it is known.
 func (v *View) Member(id model.DaemonID) (Member, bool) {
 	lo, hi := 0, len(v.Members)
 	for lo < hi {
