--- a/core/storebudget/bucket.go
+++ b/core/storebudget/bucket.go
@@ -13,9 +13,9 @@
 	tokens float64
 	filled time.Time
 
-	factor float64
-	cutAt  time.Time
-	growth float64 // of the factor, per second
+	factor    float64
+	reducedAt time.Time
+	growth    float64 // of the factor, per second
 }
 
 func (b *bucket) setRate(now time.Time, rate float64, burstTime time.Duration) {
@@ -31,14 +31,14 @@
 
 // factorAt is the part of the rate that holds at a moment.
 func (b *bucket) factorAt(at time.Time) float64 {
-	grown := b.factor + b.growth*at.Sub(b.cutAt).Seconds()
+	grown := b.factor + b.growth*at.Sub(b.reducedAt).Seconds()
 	return min(1, grown)
 }
 
 // fill adds the tokens of the time since the last fill.
 func (b *bucket) fill(now time.Time) {
 	if b.filled.IsZero() {
-		b.filled, b.cutAt, b.factor = now, now, 1
+		b.filled, b.reducedAt, b.factor = now, now, 1
 		return
 	}
 	elapsed := now.Sub(b.filled).Seconds()
@@ -50,12 +50,12 @@
 	b.filled = now
 }
 
-// cut lowers the rate to a factor that grows back to one within ramp, and
+// reduceRate lowers the rate to a factor that grows back to one within ramp, and
 // leaves at most the given tokens.
-func (b *bucket) cut(now time.Time, factor float64, ramp time.Duration, tokens float64) {
+func (b *bucket) reduceRate(now time.Time, factor float64, ramp time.Duration, tokens float64) {
 	b.fill(now)
 	b.factor = max(factor, minFactor)
-	b.cutAt = now
+	b.reducedAt = now
 	b.growth = (1 - b.factor) / ramp.Seconds()
 	b.tokens = min(b.tokens, tokens)
 }
--- a/core/storebudget/budget.go
+++ b/core/storebudget/budget.go
@@ -49,30 +49,30 @@
 // again; the call may have to wait longer still. rnd is a random value over
 // its whole range.
 func (b *Budget) Allow(now time.Time, class Class, rnd uint64) (ok bool, retryAt time.Time) {
-	u := unit(rnd)
+	u := unitFloat(rnd)
 	p := &policies[class]
 	l := &b.lanes[p.lane]
-	if !l.open() {
-		if ok, at := l.ready(now, u); !ok {
-			return false, soonest(at, now.Add(askAgain))
+	if !l.isOpen() {
+		if ok, at := l.probeReady(now, u); !ok {
+			return false, earliest(at, now.Add(maxRecheck))
 		}
 	}
 	if ok, wait := b.buckets[p.bucket].take(now, p.reserve); !ok {
 		return false, now.Add(wait)
 	}
-	if !l.open() {
+	if !l.isOpen() {
 		l.probing = true
-		l.wait(now, b.backoff(p.lane), backoffLow)
+		l.scheduleProbe(now, b.backoff(p.lane), backoffLow)
 	}
 	return true, time.Time{}
 }
 
-// askAgain bounds the time until a caller asks again while its lane is closed.
+// maxRecheck bounds the time until a caller asks again while its lane is closed.
 // An answer in another lane shortens the wait, and a caller that sleeps through
 // the whole of a long backoff would not hear of it.
-const askAgain = time.Second
+const maxRecheck = time.Second
 
-func soonest(a, b time.Time) time.Time {
+func earliest(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
 	}
@@ -97,7 +97,7 @@
 func (b *Budget) answered(now time.Time, class Class) {
 	id := policies[class].lane
 	l := &b.lanes[id]
-	if l.open() {
+	if l.isOpen() {
 		return
 	}
 	outage := l.failures >= b.o.OutageAfter
@@ -106,7 +106,7 @@
 		return
 	}
 	b.beginRecovery(now)
-	b.hastenOthers(now)
+	b.expediteOthers(now)
 }
 
 // The tokens that cutting a bucket leaves: after an outage those of a lease's
@@ -125,13 +125,13 @@
 	}
 	b.recovered = now
 	for i := range b.buckets {
-		b.buckets[i].cut(now, b.o.RampStart, b.o.RampTime, recoveryTokens)
+		b.buckets[i].reduceRate(now, b.o.RampStart, b.o.RampTime, recoveryTokens)
 	}
 }
 
-func (b *Budget) hastenOthers(now time.Time) {
+func (b *Budget) expediteOthers(now time.Time) {
 	for i := range b.lanes {
-		b.lanes[i].hasten(now, b.o.spread(laneID(i)))
+		b.lanes[i].expediteProbe(now, b.o.probeSpread(laneID(i)))
 	}
 }
 
@@ -141,12 +141,12 @@
 func (b *Budget) failed(now time.Time, class Class) {
 	id := policies[class].lane
 	l := &b.lanes[id]
-	if l.settled() {
+	if l.ignoresFailure() {
 		return
 	}
 	l.failures++
 	l.probing = false
-	l.wait(now, b.backoff(id), backoffLow)
+	l.scheduleProbe(now, b.backoff(id), backoffLow)
 }
 
 // overloaded halves the bucket's rate and backs off briefly. The store is
@@ -154,17 +154,17 @@
 func (b *Budget) overloaded(now time.Time, class Class) {
 	p := &policies[class]
 	l := &b.lanes[p.lane]
-	if l.settled() {
+	if l.ignoresFailure() {
 		return
 	}
 	if l.failures >= b.o.OutageAfter {
 		b.beginRecovery(now)
 	}
 	bk := &b.buckets[p.bucket]
-	bk.cut(now, bk.factorAt(now)/2, b.o.RampTime, overloadTokens)
+	bk.reduceRate(now, bk.factorAt(now)/2, b.o.RampTime, overloadTokens)
 	l.failures = 1
 	l.probing = false
-	l.wait(now, b.backoff(p.lane), backoffLow)
+	l.scheduleProbe(now, b.backoff(p.lane), backoffLow)
 }
 
 // backoff is the longest wait after the lane's failures so far.
@@ -177,8 +177,8 @@
 	return min(d, limit)
 }
 
-// unit maps a random value to [0, 1).
-func unit(rnd uint64) float64 {
+// unitFloat maps a random value to [0, 1).
+func unitFloat(rnd uint64) float64 {
 	const mantissaBits = 53
 	return float64(rnd>>(64-mantissaBits)) / (1 << mantissaBits)
 }
--- a/core/storebudget/herd_test.go
+++ b/core/storebudget/herd_test.go
@@ -27,36 +27,36 @@
 	writesBound = int(DefaultStoreWrites * DefaultHeadroom)
 )
 
-// want is something a daemon keeps trying to do. With every set it is done
+// operation is something a daemon keeps trying to do. With every set it is done
 // again and again, else once after the outage.
-type want struct {
+type operation struct {
 	class Class
 	every time.Duration
 	done  time.Time
 }
 
-// turn is the moment at which a daemon asks for a call or its call ends.
-type turn struct {
-	at     time.Time
-	order  int
-	daemon *herdDaemon
-	want   *want
-	ends   bool
-	failed bool
+// simEvent is the moment at which a daemon asks for a call or its call ends.
+type simEvent struct {
+	at        time.Time
+	order     int
+	daemon    *herdDaemon
+	operation *operation
+	ends      bool
+	failed    bool
 }
 
-type turns []*turn
+type eventQueue []*simEvent
 
-func (q turns) Len() int { return len(q) }
-func (q turns) Less(i, j int) bool {
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
 	if q[i].at.Equal(q[j].at) {
 		return q[i].order < q[j].order
 	}
 	return q[i].at.Before(q[j].at)
 }
-func (q turns) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
-func (q *turns) Push(x any)   { *q = append(*q, x.(*turn)) }
-func (q *turns) Pop() any {
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)   { *q = append(*q, x.(*simEvent)) }
+func (q *eventQueue) Pop() any {
 	old := *q
 	last := old[len(old)-1]
 	*q = old[:len(old)-1]
@@ -64,13 +64,13 @@
 }
 
 type herdDaemon struct {
-	budget *Budget
-	wants  []*want
+	budget     *Budget
+	operations []*operation
 }
 
 // herd is the store as it comes back, and the daemons that call it.
 type herd struct {
-	queue  turns
+	queue  eventQueue
 	orders int
 	rnd    *rand.Rand
 	back   time.Time
@@ -84,9 +84,9 @@
 	}
 	daemons := make([]*herdDaemon, herdDaemons)
 	for i := range daemons {
-		daemons[i] = &herdDaemon{budget: New(epoch, o), wants: newWants()}
-		for _, w := range daemons[i].wants {
-			h.add(&turn{at: h.firstAsk(w), daemon: daemons[i], want: w})
+		daemons[i] = &herdDaemon{budget: New(epoch, o), operations: newOperations()}
+		for _, w := range daemons[i].operations {
+			h.add(&simEvent{at: h.firstAsk(w), daemon: daemons[i], operation: w})
 		}
 	}
 	return h, daemons
@@ -95,9 +95,9 @@
 // firstAsk is when a daemon begins to want something: daemons are out of step,
 // and the calls of a takeover begin only near the end of a long outage, which
 // keeps the simulation short and the lanes as closed as they get.
-func (h *herd) firstAsk(w *want) time.Time {
+func (h *herd) firstAsk(w *operation) time.Time {
 	if w.every > 0 {
-		return epoch.Add(fraction(w.every, h.rnd.Float64()))
+		return epoch.Add(scale(w.every, h.rnd.Float64()))
 	}
 	late := h.back.Add(-shortOutage)
 	if late.Before(epoch) {
@@ -106,25 +106,25 @@
 	return late
 }
 
-// newWants gives what a daemon wants at once when its lease has lapsed: it
+// newOperations gives what a daemon wants at once when its lease has lapsed: it
 // takes over shards, reads them and opens its watches.
-func newWants() []*want {
-	wants := []*want{
+func newOperations() []*operation {
+	wants := []*operation{
 		{class: ClassLease, every: 4 * time.Second},
 		{class: ClassCommit, every: 1363 * time.Millisecond}, // 220 commits/s in all
 		{class: ClassPoll, every: 30 * time.Second},
 		{class: ClassReadBack},
 	}
 	for range takeoverReads {
-		wants = append(wants, &want{class: ClassRead})
+		wants = append(wants, &operation{class: ClassRead})
 	}
 	for range watchesOpened {
-		wants = append(wants, &want{class: ClassWatch})
+		wants = append(wants, &operation{class: ClassWatch})
 	}
 	return wants
 }
 
-func (h *herd) add(t *turn) {
+func (h *herd) add(t *simEvent) {
 	h.orders++
 	t.order = h.orders
 	heap.Push(&h.queue, t)
@@ -132,7 +132,7 @@
 
 func (h *herd) run(until time.Time) {
 	for len(h.queue) > 0 && h.queue[0].at.Before(until) {
-		t := heap.Pop(&h.queue).(*turn)
+		t := heap.Pop(&h.queue).(*simEvent)
 		if t.ends {
 			h.end(t)
 			continue
@@ -141,8 +141,8 @@
 	}
 }
 
-func (h *herd) ask(t *turn) {
-	ok, at := t.daemon.budget.Allow(t.at, t.want.class, h.rnd.Uint64())
+func (h *herd) ask(t *simEvent) {
+	ok, at := t.daemon.budget.Allow(t.at, t.operation.class, h.rnd.Uint64())
 	if !ok {
 		t.at = at
 		h.add(t)
@@ -152,7 +152,7 @@
 	if t.at.Before(h.back) {
 		second--
 	}
-	h.calls[policies[t.want.class].bucket][second]++
+	h.calls[policies[t.operation.class].bucket][second]++
 	t.ends, t.failed = true, t.at.Before(h.back)
 	t.at = t.at.Add(h.duration(t.failed))
 	h.add(t)
@@ -170,18 +170,18 @@
 	return callTimeout
 }
 
-func (h *herd) end(t *turn) {
+func (h *herd) end(t *simEvent) {
 	if t.failed {
-		t.daemon.budget.Observe(t.at, t.want.class, Failed)
-		h.add(&turn{at: t.at, daemon: t.daemon, want: t.want})
+		t.daemon.budget.Observe(t.at, t.operation.class, Failed)
+		h.add(&simEvent{at: t.at, daemon: t.daemon, operation: t.operation})
 		return
 	}
-	t.daemon.budget.Observe(t.at, t.want.class, Answered)
-	if t.want.done.IsZero() {
-		t.want.done = t.at
+	t.daemon.budget.Observe(t.at, t.operation.class, Answered)
+	if t.operation.done.IsZero() {
+		t.operation.done = t.at
 	}
-	if t.want.every > 0 {
-		h.add(&turn{at: t.at.Add(t.want.every), daemon: t.daemon, want: t.want})
+	if t.operation.every > 0 {
+		h.add(&simEvent{at: t.at.Add(t.operation.every), daemon: t.daemon, operation: t.operation})
 	}
 }
 
@@ -213,7 +213,7 @@
 	}
 	last := make(map[Class]time.Duration)
 	for _, d := range daemons {
-		for _, w := range d.wants {
+		for _, w := range d.operations {
 			if w.done.IsZero() {
 				t.Fatalf("a %s call never succeeded", w.class)
 			}
@@ -264,7 +264,7 @@
 // short backoffs.
 // Cause: the number of daemons did not reach the budgets. The test also shows
 // that the figures above are the budget's doing.
-func TestDaemonsThatBelieveThemselvesAloneComeBackAtOnce(t *testing.T) {
+func TestBudgetsForOneDaemonOverloadTheStore(t *testing.T) {
 	alone := Options{RampStart: 1, BackoffCap: time.Second, LeaseBackoffCap: time.Second}
 	h, _ := newHerd(alone, shortOutage)
 	h.run(h.back.Add(settleTime))
--- a/core/storebudget/lane.go
+++ b/core/storebudget/lane.go
@@ -6,9 +6,9 @@
 // when the next call may try again.
 type lane struct {
 	failures int
-	// gate is when the next probe may go, known once drawn.
-	gate  time.Time
-	drawn bool
+	// probeAt is when the next probe may go, known once drawn.
+	probeAt    time.Time
+	probeDrawn bool
 	// from, span and low describe the gate still to be drawn: it lies between
 	// low and the whole of span after from.
 	from time.Time
@@ -18,33 +18,33 @@
 	probing bool
 }
 
-// open is whether no failure holds calls back.
-func (l *lane) open() bool { return l.failures == 0 }
+// isOpen is whether no failure holds calls back.
+func (l *lane) isOpen() bool { return l.failures == 0 }
 
-// settled is whether a failure reported now was a call's that was already in
+// ignoresFailure is whether a failure reported now was a call's that was already in
 // flight when the lane closed.
-func (l *lane) settled() bool { return !l.open() && !l.probing }
+func (l *lane) ignoresFailure() bool { return !l.isOpen() && !l.probing }
 
-func (l *lane) wait(from time.Time, span time.Duration, low float64) {
+func (l *lane) scheduleProbe(from time.Time, span time.Duration, low float64) {
 	l.from, l.span, l.low = from, span, low
-	l.drawn = false
+	l.probeDrawn = false
 }
 
-// ready is whether a probe may go now, and if not when.
-func (l *lane) ready(now time.Time, u float64) (bool, time.Time) {
-	if !l.drawn {
-		l.gate = l.from.Add(fraction(l.span, l.low+(1-l.low)*u))
-		l.drawn = true
+// probeReady is whether a probe may go now, and if not when.
+func (l *lane) probeReady(now time.Time, u float64) (bool, time.Time) {
+	if !l.probeDrawn {
+		l.probeAt = l.from.Add(scale(l.span, l.low+(1-l.low)*u))
+		l.probeDrawn = true
 	}
-	return !now.Before(l.gate), l.gate
+	return !now.Before(l.probeAt), l.probeAt
 }
 
-// hasten lets a closed lane probe within span, because calls of another lane
+// expediteProbe lets a closed lane probe within span, because calls of another lane
 // are answered again. Its past failures no longer count: a probe that set out
 // before the store came back is still going to fail, and must not send the
 // lane back to its longest wait.
-func (l *lane) hasten(now time.Time, span time.Duration) {
-	if l.open() {
+func (l *lane) expediteProbe(now time.Time, span time.Duration) {
+	if l.isOpen() {
 		return
 	}
 	l.failures = 1
@@ -52,9 +52,9 @@
 	if latest.Before(now.Add(span)) {
 		return
 	}
-	l.wait(now, span, 0)
+	l.scheduleProbe(now, span, 0)
 }
 
-func fraction(d time.Duration, f float64) time.Duration {
+func scale(d time.Duration, f float64) time.Duration {
 	return time.Duration(float64(d) * f)
 }
--- a/core/storebudget/options.go
+++ b/core/storebudget/options.go
@@ -82,10 +82,10 @@
 	return max(least, total*o.Headroom/float64(o.Daemons))
 }
 
-// spread is the time over which the daemons' first probes of a lane are dealt
+// probeSpread is the time over which the daemons' first probes of a lane are dealt
 // once another lane is answered: twice what the store needs for one call of
 // each daemon.
-func (o *Options) spread(l laneID) time.Duration {
+func (o *Options) probeSpread(l laneID) time.Duration {
 	total := o.StoreWrites
 	if l == laneRead {
 		total = o.StoreReads
