--- a/core/storebudget/bucket.go
+++ b/core/storebudget/bucket.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// minFactor is the least part of its rate that refusals leave to a bucket.
+// minFactor is the minimum fraction of its rate that a bucket keeps after
+// refusals.
 const minFactor = 1.0 / 16
 
-// bucket is a token bucket whose rate can be cut to a factor that grows back
-// to one in a straight line.
+// bucket is a token bucket whose rate can be reduced to a factor that grows
+// back to one linearly.
 type bucket struct {
 	rate   float64
 	burst  float64
@@ -29,13 +30,13 @@
 	b.tokens = min(b.tokens, b.burst)
 }
 
-// factorAt is the part of the rate that holds at a moment.
+// factorAt returns the fraction of the rate that applies at a time.
 func (b *bucket) factorAt(at time.Time) float64 {
 	grown := b.factor + b.growth*at.Sub(b.reducedAt).Seconds()
 	return min(1, grown)
 }
 
-// fill adds the tokens of the time since the last fill.
+// fill adds the tokens for the time since the last fill.
 func (b *bucket) fill(now time.Time) {
 	if b.filled.IsZero() {
 		b.filled, b.reducedAt, b.factor = now, now, 1
@@ -50,8 +51,8 @@
 	b.filled = now
 }
 
-// reduceRate lowers the rate to a factor that grows back to one within ramp, and
-// leaves at most the given tokens.
+// reduceRate reduces the rate to a factor that grows back to one within ramp,
+// and leaves at most the given tokens.
 func (b *bucket) reduceRate(now time.Time, factor float64, ramp time.Duration, tokens float64) {
 	b.fill(now)
 	b.factor = max(factor, minFactor)
@@ -60,8 +61,8 @@
 	b.tokens = min(b.tokens, tokens)
 }
 
-// take takes a token if reserve more are left, or else says how long it takes
-// until it could.
+// take takes a token if reserve more are left; otherwise it returns how long to
+// wait before trying again.
 func (b *bucket) take(now time.Time, reserve float64) (bool, time.Duration) {
 	b.fill(now)
 	missing := 1 + reserve - b.tokens
@@ -73,5 +74,5 @@
 	return false, time.Duration(seconds * float64(time.Second))
 }
 
-// tokenSlack forgives the rounding of the wait that take gave before.
+// tokenSlack absorbs the rounding of the wait that an earlier take returned.
 const tokenSlack = 1e-6
--- a/core/storebudget/budget.go
+++ b/core/storebudget/budget.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// ThrottledError says that the budget holds a call back until RetryAt.
+// ThrottledError reports that the budget delays a call until RetryAt.
 type ThrottledError struct {
 	Class   Class
 	RetryAt time.Time
@@ -16,7 +16,7 @@
 	return fmt.Sprintf("%s calls wait until %s", e.Class, e.RetryAt.Format(time.RFC3339Nano))
 }
 
-// Budget holds one daemon's calls to the store within its share.
+// Budget limits one daemon's calls to the store to its share.
 type Budget struct {
 	o       Options
 	buckets [bucketCount]bucket
@@ -25,14 +25,14 @@
 	recovered time.Time
 }
 
-// New makes a budget with whole bursts.
+// New returns a budget with full buckets.
 func New(now time.Time, o Options) *Budget {
 	b := &Budget{o: o.withDefaults()}
 	b.setRates(now)
 	return b
 }
 
-// SetDaemons changes the number of daemons that share the store.
+// SetDaemons sets the number of daemons that share the store.
 func (b *Budget) SetDaemons(now time.Time, daemons int) {
 	b.o.Daemons = max(daemons, 1)
 	b.setRates(now)
@@ -45,9 +45,9 @@
 	}
 }
 
-// Allow asks for one call. When it is not allowed, retryAt is when to ask
-// again; the call may have to wait longer still. rnd is a random value over
-// its whole range.
+// Allow requests permission for one call. If the call is not allowed, retryAt
+// is when to ask again; the call may then be delayed further. rnd is a random
+// value over its whole range.
 func (b *Budget) Allow(now time.Time, class Class, rnd uint64) (ok bool, retryAt time.Time) {
 	u := unitFloat(rnd)
 	p := &policies[class]
@@ -67,9 +67,9 @@
 	return true, time.Time{}
 }
 
-// maxRecheck bounds the time until a caller asks again while its lane is closed.
-// An answer in another lane shortens the wait, and a caller that sleeps through
-// the whole of a long backoff would not hear of it.
+// maxRecheck bounds the time until a caller asks again while its lane is
+// closed. A successful call in another lane shortens the backoff, which a
+// caller that sleeps through a long backoff would miss.
 const maxRecheck = time.Second
 
 func earliest(a, b time.Time) time.Time {
@@ -79,7 +79,7 @@
 	return b
 }
 
-// backoffLow is the part of a backoff that is never cut by jitter.
+// backoffLow is the fraction of a backoff that jitter never removes.
 const backoffLow = 0.5
 
 // Observe reports the end of an allowed call.
@@ -109,16 +109,16 @@
 	b.expediteOthers(now)
 }
 
-// The tokens that cutting a bucket leaves: after an outage those of a lease's
-// renewal and of one commit, after a refusal one.
+// The tokens that remain when a bucket's rate is reduced: after an outage one
+// for the renewal of a lease and one for a commit, after a refusal one.
 const (
 	recoveryTokens = 2
 	overloadTokens = 1
 )
 
-// beginRecovery takes away what was saved up and cuts the rates after an
-// outage. Lanes find the store back
-// one after the other; the first one's moment counts for all.
+// beginRecovery removes saved tokens and reduces the rates after an outage.
+// Lanes detect the store's return one after the other; only the first detection
+// within RampTime has an effect.
 func (b *Budget) beginRecovery(now time.Time) {
 	if !b.recovered.IsZero() && now.Sub(b.recovered) < b.o.RampTime {
 		return
@@ -129,15 +129,16 @@
 	}
 }
 
+// expediteOthers lets the other lanes probe soon.
 func (b *Budget) expediteOthers(now time.Time) {
 	for i := range b.lanes {
 		b.lanes[i].expediteProbe(now, b.o.probeSpread(laneID(i)))
 	}
 }
 
-// failed counts a failure. Several calls in flight fail together when the
-// store goes away; only the first of them counts, or one blip would back off
-// as far as a long outage.
+// failed counts a failure. When the store becomes unavailable, several calls in
+// flight fail together. Only the first of them counts; otherwise a brief
+// interruption would cause the backoff of a long outage.
 func (b *Budget) failed(now time.Time, class Class) {
 	id := policies[class].lane
 	l := &b.lanes[id]
@@ -149,8 +150,8 @@
 	l.scheduleProbe(now, b.backoff(id), backoffLow)
 }
 
-// overloaded halves the bucket's rate and backs off briefly. The store is
-// there, so an outage that was counted is over.
+// overloaded halves the bucket's rate and backs off briefly. The store
+// responds, so an outage that was counted has ended.
 func (b *Budget) overloaded(now time.Time, class Class) {
 	p := &policies[class]
 	l := &b.lanes[p.lane]
@@ -167,7 +168,7 @@
 	l.scheduleProbe(now, b.backoff(p.lane), backoffLow)
 }
 
-// backoff is the longest wait after the lane's failures so far.
+// backoff returns the longest wait after the lane's failures so far.
 func (b *Budget) backoff(id laneID) time.Duration {
 	limit := b.o.backoffCap(id)
 	d := b.o.BackoffBase
--- a/core/storebudget/budget_test.go
+++ b/core/storebudget/budget_test.go
@@ -22,17 +22,15 @@
 	return n
 }
 
-// Symptom: a daemon loses its lease while the store works.
-// Sequence: commits use up the daemon's share of writes; the renewal of the
-// lease has to wait for them.
-// Cause: commits and renewals drew from one bucket without an order.
+// Commits that exhaust the daemon's share of writes must not delay the renewal
+// of its lease, or it would lose the lease while the store works.
 func TestLeaseRenewalPassesExhaustedCommits(t *testing.T) {
 	b := New(epoch, Options{Daemons: 300})
 	if drain(b, epoch, ClassCommit) == 0 {
 		t.Fatal("no commit was allowed")
 	}
 	if !allowed(b, epoch, ClassLease) {
-		t.Fatal("commits left no token to the lease")
+		t.Fatal("commits left no token for the lease")
 	}
 }
 
@@ -40,7 +38,7 @@
 	b := New(epoch, Options{Daemons: 1000, StoreReads: 1})
 	for _, c := range []Class{ClassPoll, ClassWatch, ClassRead, ClassReadBack} {
 		if drain(b, epoch, c) == 0 {
-			t.Errorf("less urgent classes left nothing to %s", c)
+			t.Errorf("less urgent classes left no token for %s", c)
 		}
 	}
 }
@@ -80,23 +78,20 @@
 	}
 }
 
-// Symptom: after a blip of some milliseconds a daemon stays away for seconds.
-// Sequence: eight calls are in flight as a connection breaks; all fail; the
-// backoff doubles eight times.
-// Cause: each failure of one event was counted.
+// A broken connection fails all calls in flight. If each of them doubled the
+// backoff, an interruption of some milliseconds would block calls for seconds.
 func TestCallsThatFailTogetherCountOnce(t *testing.T) {
 	b := New(epoch, Options{Daemons: 7})
 	for range 8 {
 		b.Observe(epoch, ClassCommit, Failed)
 	}
 	if !allowed(b, epoch.Add(DefaultBackoffBase), ClassCommit) {
-		t.Fatal("one blip backs off longer than one failure")
+		t.Fatal("failures at the same time back off longer than one failure")
 	}
 }
 
-// Symptom: a store that struggles back is hit by every call that waited.
-// Sequence: the wait after a failure ends; all waiting calls go at once.
-// Cause: the end of a wait opened the lane instead of admitting one probe.
+// At the end of a backoff only one call may probe the store. If all pending
+// calls went at once, they would overload a store that is recovering.
 func TestOneProbeUntilAnAnswer(t *testing.T) {
 	b := New(epoch, Options{Daemons: 7})
 	b.Observe(epoch, ClassCommit, Failed)
@@ -125,7 +120,7 @@
 	b.Observe(now, ClassLease, Answered)
 	b.Observe(now, ClassCommit, Failed)
 	if !allowed(b, now.Add(time.Second), ClassCommit) {
-		t.Fatal("commits wait out their backoff although the store answers")
+		t.Fatal("commits wait for the end of their backoff although the store responds")
 	}
 }
 
--- a/core/storebudget/class.go
+++ b/core/storebudget/class.go
@@ -1,6 +1,6 @@
 package storebudget
 
-// Class orders calls by what waiting would cost.
+// Class orders calls by the cost of delaying them.
 type Class uint8
 
 // The classes, most urgent first within reads and within writes.
@@ -9,13 +9,14 @@
 	ClassLease Class = iota
 	// ClassCommit is a transaction.
 	ClassCommit
-	// ClassReadBack is a read that settles a change whose outcome is unknown.
+	// ClassReadBack is a read that determines the outcome of a change whose
+	// result is unknown.
 	ClassReadBack
-	// ClassRead is a read that something waits for.
+	// ClassRead is a read whose result is needed now.
 	ClassRead
 	// ClassWatch is the opening of a watch.
 	ClassWatch
-	// ClassPoll is a periodic read that may as well happen later.
+	// ClassPoll is a periodic read that can be delayed.
 	ClassPoll
 
 	classCount
@@ -36,15 +37,16 @@
 
 // The results.
 const (
-	// Answered: the store decided the call, whatever the answer.
+	// Answered: the store decided the call, whatever the outcome.
 	Answered Result = iota
-	// Failed: no answer, or one that says that the store cannot work.
+	// Failed: there was no response, or one that reports that the store cannot
+	// work.
 	Failed
-	// Overloaded: the store refused the call for its rate.
+	// Overloaded: the store refused the call because of its rate.
 	Overloaded
 )
 
-// lane is a group of classes that fail together.
+// laneID identifies a lane, a group of classes that fail together.
 type laneID uint8
 
 const (
@@ -55,6 +57,7 @@
 	laneCount
 )
 
+// bucketID identifies the bucket from which calls take their tokens.
 type bucketID uint8
 
 const (
@@ -64,11 +67,11 @@
 	bucketCount
 )
 
-// policy is what sets a class apart.
+// policy is how calls of a class are limited.
 type policy struct {
 	lane   laneID
 	bucket bucketID
-	// reserve is how many tokens the class leaves to more urgent ones.
+	// reserve is how many tokens the class leaves for more urgent ones.
 	reserve float64
 }
 
--- a/core/storebudget/doc.go
+++ b/core/storebudget/doc.go
@@ -1,19 +1,19 @@
 // Package storebudget decides when a daemon may call the platform's store.
 //
 // The store's rates are fixed and shared by all daemons, so each daemon gets a
-// share of reads and one of writes, held in a token bucket each. Within a
-// share, calls are ordered by Class: each class leaves tokens for those before
-// it, so that polls cannot delay the renewal of a lease.
+// share of the reads and one of the writes, each enforced by a token bucket.
+// Within a share, calls are ordered by Class: each class leaves tokens for more
+// urgent ones, so that polls cannot delay the renewal of a lease.
 //
-// Failures close a lane (leases, writes, reads) for a jittered, exponentially
-// growing time, after which one call is let through as a probe. When a lane is
-// answered again after an outage, the other lanes probe at random moments
-// within a spread that grows with the number of daemons, what the buckets
-// saved up is taken away, and their rates ramp up from a part. Without that,
-// all daemons would come back in the same second with a whole burst each, and
-// the store would go down again.
+// Failures close a lane (leases, writes or reads) for a jittered, exponentially
+// growing time, after which one call is admitted as a probe. When a call in a
+// lane is answered after an outage, the other lanes probe at random moments
+// within a spread that grows with the number of daemons, the buckets' saved
+// tokens are removed, and their rates ramp up from a fraction. Otherwise all
+// daemons would return in the same second with a full burst each, and overload
+// the store again.
 //
-// Allow asks for one call and Observe reports how it ended. Both are handed
-// the time; Allow is handed a random value too. A Budget is not safe for
-// concurrent use.
+// Allow requests permission for one call and Observe reports how the call
+// ended. Both receive the time; Allow also receives a random value. A Budget is
+// not safe for concurrent use.
 package storebudget
--- a/core/storebudget/herd_test.go
+++ b/core/storebudget/herd_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The simulation's figures.
+// The parameters of the simulation.
 const (
 	herdDaemons  = 300
 	outageLength = time.Hour
@@ -20,22 +20,22 @@
 	takeoverReads = 12
 	watchesOpened = 4
 
-	// readsBound is half of the two thousand reads a second that the store
+	// readsBound is half of the two thousand reads per second that the store
 	// serves.
 	readsBound = 1000
 	// writesBound is the sum of all daemons' shares of writes.
 	writesBound = int(DefaultStoreWrites * DefaultHeadroom)
 )
 
-// operation is something a daemon keeps trying to do. With every set it is done
-// again and again, else once after the outage.
+// operation is a call that a daemon keeps attempting. With every set it is
+// repeated at that interval, otherwise it is done once after the outage.
 type operation struct {
 	class Class
 	every time.Duration
 	done  time.Time
 }
 
-// simEvent is the moment at which a daemon asks for a call or its call ends.
+// simEvent is a time at which a daemon requests a call or its call ends.
 type simEvent struct {
 	at        time.Time
 	order     int
@@ -68,7 +68,7 @@
 	operations []*operation
 }
 
-// herd is the store as it comes back, and the daemons that call it.
+// herd is the store as it returns from an outage, and the daemons that call it.
 type herd struct {
 	queue  eventQueue
 	orders int
@@ -92,9 +92,9 @@
 	return h, daemons
 }
 
-// firstAsk is when a daemon begins to want something: daemons are out of step,
-// and the calls of a takeover begin only near the end of a long outage, which
-// keeps the simulation short and the lanes as closed as they get.
+// firstAsk returns when a daemon first attempts an operation. Daemons are not
+// synchronized, and the calls of a takeover begin only near the end of a long
+// outage, which keeps the simulation short and the lanes as closed as they get.
 func (h *herd) firstAsk(w *operation) time.Time {
 	if w.every > 0 {
 		return epoch.Add(scale(w.every, h.rnd.Float64()))
@@ -106,8 +106,8 @@
 	return late
 }
 
-// newOperations gives what a daemon wants at once when its lease has lapsed: it
-// takes over shards, reads them and opens its watches.
+// newOperations returns what a daemon attempts at once when its lease has
+// expired: it takes over shards, reads them and opens its watches.
 func newOperations() []*operation {
 	wants := []*operation{
 		{class: ClassLease, every: 4 * time.Second},
@@ -158,8 +158,8 @@
 	h.add(t)
 }
 
-// duration of a call: while the store is down some are refused at once and
-// some run into the timeout.
+// duration returns how long a call takes. During the outage some calls are
+// refused at once and some run into the timeout.
 func (h *herd) duration(failed bool) time.Duration {
 	if !failed {
 		return answerTime
@@ -185,7 +185,8 @@
 	}
 }
 
-// peak is the most calls in any of the seconds [from, to) since the return.
+// peak returns the most calls in any of the seconds [from, to) since the
+// store's return.
 func (h *herd) peak(b bucketID, from, to int64) int {
 	most := 0
 	for second, n := range h.calls[b] {
@@ -196,11 +197,10 @@
 	return most
 }
 
-// Symptom: the store comes back after an hour, answers for a second, and is
-// down again.
-// Sequence: every daemon wants to renew its lease, commit, read its shards
-// and open its watches; all find the store back within the same moment.
-// Cause: the daemons' retries ran in step, with a burst saved up by each.
+// After an outage of an hour, every daemon renews its lease, commits, reads its
+// shards and opens its watches. If the retries were synchronized and each
+// daemon had saved up a burst, the store would be overloaded again within a
+// second.
 func TestDaemonsDoNotComeBackAtOnce(t *testing.T) {
 	h, daemons := newHerd(Options{Daemons: herdDaemons}, outageLength)
 	h.run(h.back.Add(settleTime))
@@ -242,10 +242,9 @@
 	}
 }
 
-// Symptom: a blip of the store is followed by seconds in which it is overrun.
-// Sequence: the outage is so short that backoffs are still short; all daemons
-// find the store back within a second.
-// Cause: the way back relied on long backoffs to deal out the calls.
+// After an outage that is so short that backoffs are still short, all daemons
+// detect the store's return within a second. The spread of the calls must not
+// depend on long backoffs, or the store would be overloaded.
 func TestShortOutagesAreFollowedByNoHerd(t *testing.T) {
 	for _, outage := range []time.Duration{time.Second, 2 * time.Second, 5 * time.Second, 20 * time.Second} {
 		h, _ := newHerd(Options{Daemons: herdDaemons}, outage)
@@ -258,12 +257,9 @@
 	}
 }
 
-// Symptom: the store comes back and is overrun although each daemon has a
-// budget.
-// Sequence: as above, but each daemon's budget is that of a daemon alone, with
-// short backoffs.
-// Cause: the number of daemons did not reach the budgets. The test also shows
-// that the figures above are the budget's doing.
+// Budgets that assume a single daemon, with short backoffs, overload the store
+// when it returns. This shows that the bounds in the tests above hold because
+// of the budgets, and that the number of daemons must reach them.
 func TestBudgetsForOneDaemonOverloadTheStore(t *testing.T) {
 	alone := Options{RampStart: 1, BackoffCap: time.Second, LeaseBackoffCap: time.Second}
 	h, _ := newHerd(alone, shortOutage)
--- a/core/storebudget/lane.go
+++ b/core/storebudget/lane.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// lane counts the failures in a row of the classes that share it, and says
-// when the next call may try again.
+// lane counts the consecutive failures of the classes that share it and
+// determines when the next call may probe the store.
 type lane struct {
 	failures int
-	// probeAt is when the next probe may go, known once drawn.
+	// probeAt is when the next probe may start; valid once probeDrawn is set.
 	probeAt    time.Time
 	probeDrawn bool
-	// from, span and low describe the gate still to be drawn: it lies between
-	// low and the whole of span after from.
+	// from, span and low define the range from which probeAt is drawn: between
+	// low times span and span after from.
 	from time.Time
 	span time.Duration
 	low  float64
-	// probing is true between the admission of a probe and its result.
+	// probing is set between the admission of a probe and its result.
 	probing bool
 }
 
-// isOpen is whether no failure holds calls back.
+// isOpen reports whether no failure delays calls.
 func (l *lane) isOpen() bool { return l.failures == 0 }
 
-// ignoresFailure is whether a failure reported now was a call's that was already in
-// flight when the lane closed.
+// ignoresFailure reports whether a failure reported now is that of a call that
+// was already in flight when the lane closed, so that it does not count.
 func (l *lane) ignoresFailure() bool { return !l.isOpen() && !l.probing }
 
+// scheduleProbe sets the range from which the time of the next probe is drawn.
 func (l *lane) scheduleProbe(from time.Time, span time.Duration, low float64) {
 	l.from, l.span, l.low = from, span, low
 	l.probeDrawn = false
 }
 
-// probeReady is whether a probe may go now, and if not when.
+// probeReady reports whether a probe may start now, and when it may.
 func (l *lane) probeReady(now time.Time, u float64) (bool, time.Time) {
 	if !l.probeDrawn {
 		l.probeAt = l.from.Add(scale(l.span, l.low+(1-l.low)*u))
@@ -39,10 +40,10 @@
 	return !now.Before(l.probeAt), l.probeAt
 }
 
-// expediteProbe lets a closed lane probe within span, because calls of another lane
-// are answered again. Its past failures no longer count: a probe that set out
-// before the store came back is still going to fail, and must not send the
-// lane back to its longest wait.
+// expediteProbe lets a closed lane probe within span, because calls of another
+// lane succeed again. Its past failures no longer count: a probe that started
+// before the store came back will still fail, and must not return the lane to
+// its longest backoff.
 func (l *lane) expediteProbe(now time.Time, span time.Duration) {
 	if l.isOpen() {
 		return
@@ -55,6 +56,7 @@
 	l.scheduleProbe(now, span, 0)
 }
 
+// scale returns d times f.
 func scale(d time.Duration, f float64) time.Duration {
 	return time.Duration(float64(d) * f)
 }
--- a/core/storebudget/options.go
+++ b/core/storebudget/options.go
@@ -5,39 +5,41 @@
 	"time"
 )
 
-// Options sets a budget's figures. A zero field takes its default.
+// Options configures a Budget. Zero fields take their default.
 type Options struct {
 	// Daemons is how many daemons share the store.
 	Daemons int
-	// StoreReads and StoreWrites are the calls a second that the daemons
-	// together are to make at most in steady state.
+	// StoreReads and StoreWrites are the maximum calls per second of all
+	// daemons together in steady state.
 	StoreReads  float64
 	StoreWrites float64
-	// Headroom multiplies a daemon's equal share, because shards are not
-	// owned evenly and not all daemons use their share at once.
+	// Headroom multiplies a daemon's equal share, because shards are not owned
+	// evenly and not all daemons use their share at once.
 	Headroom float64
-	// MinReads and MinWrites are the least share of a daemon, in calls a
+	// MinReads and MinWrites are the minimum share of a daemon in calls per
 	// second.
 	MinReads  float64
 	MinWrites float64
-	// BurstTime is how much of its share a daemon may save up.
+	// BurstTime is how much of its share, in time, a daemon may save up.
 	BurstTime time.Duration
-	// BackoffBase is the wait after a first failure; it doubles with each
-	// further one up to LeaseBackoffCap for leases and BackoffCap for others.
+	// BackoffBase is the wait after the first failure. It doubles with each
+	// further one, up to LeaseBackoffCap for leases and BackoffCap for other
+	// calls.
 	BackoffBase     time.Duration
 	LeaseBackoffCap time.Duration
 	BackoffCap      time.Duration
-	// OutageAfter is how many failures in a row make an outage, whose end is
-	// followed by a ramp.
+	// OutageAfter is how many consecutive failures count as an outage. The end
+	// of an outage starts a ramp.
 	OutageAfter int
-	// RampStart is the part of the rates that holds at the end of an outage;
-	// within RampTime it grows to the whole.
+	// RampStart is the fraction of the rates that applies at the end of an
+	// outage; it grows to one within RampTime.
 	RampStart float64
 	RampTime  time.Duration
 }
 
-// The defaults of Options. The rates follow from several hundred writes and
-// two thousand reads a second, less what operators and others need.
+// The defaults of Options. The rates follow from a store that serves several
+// hundred writes and two thousand reads per second, less what operators and
+// others need.
 const (
 	DefaultStoreReads      = 1500.0
 	DefaultStoreWrites     = 300.0
@@ -73,7 +75,7 @@
 	return o
 }
 
-// rate is one daemon's share of a bucket in calls a second.
+// rate returns one daemon's share of a bucket in calls per second.
 func (o *Options) rate(b bucketID) float64 {
 	total, least := o.StoreWrites, o.MinWrites
 	if b == bucketReads {
@@ -82,9 +84,9 @@
 	return max(least, total*o.Headroom/float64(o.Daemons))
 }
 
-// probeSpread is the time over which the daemons' first probes of a lane are dealt
-// once another lane is answered: twice what the store needs for one call of
-// each daemon.
+// probeSpread returns the time over which the daemons' first probes of a lane
+// are spread once a call in another lane is answered: twice what the store
+// needs for one call of each daemon.
 func (o *Options) probeSpread(l laneID) time.Duration {
 	total := o.StoreWrites
 	if l == laneRead {
