--- a/core/dissemination/broadcaster.go
+++ b/core/dissemination/broadcaster.go
@@ -53,17 +53,17 @@
 func (s *Broadcaster) ListsChanged(lists []*peerv1.ShardTargets) {
 	for _, l := range lists {
 		owner := l.GetOwner()
-		s.list(topic{key: owner, root: model.DaemonID(owner)}, s.self, l.GetShard())
+		s.list(pushTree{key: owner, root: model.DaemonID(owner)}, s.self, l.GetShard())
 	}
 }
 
 // HintsAdded tells of new hints, seen here first or pushed here.
 func (s *Broadcaster) HintsAdded(hints []*peerv1.LeavingTarget, seenHere bool) {
 	for _, h := range hints {
-		t := topic{key: h.GetAddress()}
+		t := pushTree{key: h.GetAddress()}
 		s.hint(t, s.self, h)
 		if seenHere {
-			s.toTop(t, func(b *outbox) { b.leaving[h.GetAddress()] = hintItem{t, h} })
+			s.sendToRoot(t, func(b *outbox) { b.leaving[h.GetAddress()] = hintItem{t, h} })
 		}
 	}
 }
@@ -71,33 +71,33 @@
 // ConfigChanged tells of a configuration that was installed in place of the
 // one with revision base, read from the store here or pushed here.
 func (s *Broadcaster) ConfigChanged(base, revision uint64, readHere bool) {
-	t := topic{key: "config " + strconv.FormatUint(revision, 10)}
+	t := pushTree{key: "config " + strconv.FormatUint(revision, 10)}
 	s.config(t, s.self, base)
 	if readHere {
-		s.toTop(t, func(b *outbox) { b.addConfig(t, base) })
+		s.sendToRoot(t, func(b *outbox) { b.addConfig(t, base) })
 	}
 }
 
-func (s *Broadcaster) list(t topic, from model.DaemonID, shard uint32) {
+func (s *Broadcaster) list(t pushTree, from model.DaemonID, shard uint32) {
 	for _, child := range t.children(from, s.members, s.fanout) {
 		s.outbox(child).shards[shard] = t
 	}
 }
 
-func (s *Broadcaster) hint(t topic, from model.DaemonID, h *peerv1.LeavingTarget) {
+func (s *Broadcaster) hint(t pushTree, from model.DaemonID, h *peerv1.LeavingTarget) {
 	for _, child := range t.children(from, s.members, s.fanout) {
 		s.outbox(child).leaving[h.GetAddress()] = hintItem{t, h}
 	}
 }
 
-func (s *Broadcaster) config(t topic, from model.DaemonID, base uint64) {
+func (s *Broadcaster) config(t pushTree, from model.DaemonID, base uint64) {
 	for _, child := range t.children(from, s.members, s.fanout) {
 		s.outbox(child).addConfig(t, base)
 	}
 }
 
-// toTop sends a change to where its tree starts.
-func (s *Broadcaster) toTop(t topic, add func(*outbox)) {
+// sendToRoot sends a change to where its tree starts.
+func (s *Broadcaster) sendToRoot(t pushTree, add func(*outbox)) {
 	order := t.order(s.members)
 	if len(order) > 0 && order[0] != s.self {
 		add(s.outbox(order[0]))
@@ -150,7 +150,7 @@
 		s.list(t, peer, shard)
 	}
 	for _, item := range box.leaving {
-		s.hint(item.topic, peer, item.hint)
+		s.hint(item.tree, peer, item.hint)
 	}
 	if box.config != nil {
 		s.config(box.config.topic, peer, box.config.base)
--- a/core/dissemination/broadcaster_test.go
+++ b/core/dissemination/broadcaster_test.go
@@ -41,15 +41,15 @@
 
 // daemon has all that carries changes between daemons.
 type daemon struct {
-	f        *fleet
-	id       string
-	machine  *membership.Machine
-	table    *dissemination.Table
-	config   *config
-	composer *dissemination.Composer
-	spreader *dissemination.Broadcaster
-	bytes    int
-	sent     int
+	f           *fleet
+	id          string
+	machine     *membership.Machine
+	table       *dissemination.Table
+	config      *config
+	composer    *dissemination.Composer
+	broadcaster *dissemination.Broadcaster
+	bytes       int
+	sent        int
 	// learned are the times at which lists and configurations arrived.
 	learned map[string]time.Time
 }
@@ -81,8 +81,8 @@
 			ID: model.DaemonID(id), Address: id, Started: f.net.Now(),
 		}, membership.Options{}),
 		table: dissemination.NewTable(), config: &config{},
-		spreader: dissemination.NewBroadcaster(model.DaemonID(id), 0),
-		learned:  make(map[string]time.Time),
+		broadcaster: dissemination.NewBroadcaster(model.DaemonID(id), 0),
+		learned:     make(map[string]time.Time),
 	}
 	d.composer = dissemination.NewComposer("test", 1, 0, d.machine, d.table, d.config)
 	f.daemons = append(f.daemons, d)
@@ -100,7 +100,7 @@
 			d.call(cmd.Peer, cmd.Timeout, d.composer.Request(cmd.Peer), func(bool) {})
 		case membership.Changed:
 			v := d.machine.View()
-			d.spreader.SetMembers(append(v.Candidates(), leavers(v)...))
+			d.broadcaster.SetMembers(append(v.Candidates(), leavers(v)...))
 		}
 	}
 }
@@ -116,9 +116,9 @@
 }
 
 func (d *daemon) push() {
-	for _, p := range d.spreader.Next() {
+	for _, p := range d.broadcaster.Next() {
 		d.call(p.Peer, 750*time.Millisecond, d.composer.PushRequest(p), func(ok bool) {
-			d.spreader.PushDone(p.Peer, ok)
+			d.broadcaster.PushDone(p.Peer, ok)
 			d.push()
 		})
 	}
@@ -141,10 +141,10 @@
 func (d *daemon) serve(req *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
 	d.step(membership.Received{From: req.GetSender(), Members: req.GetMembers()})
 	taken := d.composer.MergeRequest(d.f.net.Now(), req)
-	d.spreader.ListsChanged(taken.Lists)
-	d.spreader.HintsAdded(taken.Leaving, false)
+	d.broadcaster.ListsChanged(taken.Lists)
+	d.broadcaster.HintsAdded(taken.Leaving, false)
 	if base, installed := d.config.apply(req.GetConfig()); installed {
-		d.spreader.ConfigChanged(base, d.config.revision, false)
+		d.broadcaster.ConfigChanged(base, d.config.revision, false)
 	}
 	d.note(taken, nil)
 	resp := d.composer.Response(req)
@@ -173,8 +173,8 @@
 	d.sent++
 }
 
-// spread is how long a piece of news took to reach the running daemons.
-func (f *fleet) spread(t *testing.T, key string, from time.Time, limit time.Duration) (median, worst time.Duration) {
+// awaitSpread is how long a piece of news took to reach the running daemons.
+func (f *fleet) awaitSpread(t *testing.T, key string, from time.Time, limit time.Duration) (median, worst time.Duration) {
 	t.Helper()
 	done := func() bool {
 		for _, d := range f.daemons {
@@ -208,7 +208,7 @@
 	}
 	d.table.PutOwn(l)
 	d.learned[listKey(shard, sequence)] = d.f.net.Now()
-	d.spreader.ListsChanged([]*peerv1.ShardTargets{l})
+	d.broadcaster.ListsChanged([]*peerv1.ShardTargets{l})
 	d.push()
 	return d.f.net.Now()
 }
@@ -224,22 +224,22 @@
 				for i := range dead {
 					f.net.Kill(f.daemons[1+i*(size-1)/dead].id)
 				}
-				median, worst := f.spread(t, listKey(0, 1), f.daemons[0].publish(0, 1, 20), 10*time.Second)
+				median, worst := f.awaitSpread(t, listKey(0, 1), f.daemons[0].publish(0, 1, 20), 10*time.Second)
 				report(t, "list", dead, median, worst)
 				from := f.net.Now()
 				d := f.daemons[0]
 				hint := []*peerv1.LeavingTarget{{Address: "10.0.0.1:8080", Task: "orders@1/1", Attempt: 1}}
-				d.spreader.HintsAdded(d.table.MarkLeaving(from, hint), true)
+				d.broadcaster.HintsAdded(d.table.MarkLeaving(from, hint), true)
 				d.learned["hint 10.0.0.1:8080"] = from
 				d.push()
-				median, worst = f.spread(t, "hint 10.0.0.1:8080", from, 10*time.Second)
+				median, worst = f.awaitSpread(t, "hint 10.0.0.1:8080", from, 10*time.Second)
 				report(t, "hint", dead, median, worst)
 				from = f.net.Now()
 				d.config.revision = 1
-				d.spreader.ConfigChanged(0, 1, true)
+				d.broadcaster.ConfigChanged(0, 1, true)
 				d.note(dissemination.Changes{}, nil)
 				d.push()
-				median, worst = f.spread(t, "config 1", from, 10*time.Second)
+				median, worst = f.awaitSpread(t, "config 1", from, 10*time.Second)
 				report(t, "config", dead, median, worst)
 			})
 		}
@@ -261,7 +261,7 @@
 		f.daemons[0].publish(7, 2, 5)
 		f.net.Run(2 * time.Second)
 		f.net.Cut = func(a, b string) bool { return false }
-		_, worst := f.spread(t, listKey(7, 2), f.net.Now(), 20*time.Second)
+		_, worst := f.awaitSpread(t, listKey(7, 2), f.net.Now(), 20*time.Second)
 		t.Logf("%d daemons: repaired %s after the link was back", size, worst)
 	}
 }
--- a/core/dissemination/composer.go
+++ b/core/dissemination/composer.go
@@ -60,7 +60,7 @@
 		Sender:   self,
 		Members:  records,
 		Digest:   c.digest(c.table.Digest()),
-		Leaving:  c.table.fresh(),
+		Leaving:  c.table.recentHints(),
 	}
 }
 
@@ -98,9 +98,9 @@
 	resp := &peerv1.ExchangeResponse{
 		Sender:  self,
 		Members: records,
-		Digest:  c.digest(c.table.answerDigest(versions)),
+		Digest:  c.digest(c.table.responseDigest(versions)),
 		Config:  c.configFor(req.GetDigest()),
-		Leaving: c.table.fresh(),
+		Leaving: c.table.recentHints(),
 	}
 	if left := c.maxBytes - proto.Size(resp); left > 0 {
 		resp.Targets = c.table.newerThan(versions, min(left, MaxListBytes))
--- a/core/dissemination/digest.go
+++ b/core/dissemination/digest.go
@@ -82,10 +82,10 @@
 	t.wanted[shard] = v
 }
 
-// answerDigest returns what to say in answer to a digest. A peer that holds
+// responseDigest returns what to say in answer to a digest. A peer that holds
 // less than half of the lists is told all versions, so that a daemon that just
 // started has every list after its second exchange.
-func (t *Table) answerDigest(theirs []*peerv1.ShardVersion) []*peerv1.ShardVersion {
+func (t *Table) responseDigest(theirs []*peerv1.ShardVersion) []*peerv1.ShardVersion {
 	t.NoteDigest(theirs)
 	held := int64(0)
 	for _, v := range theirs {
--- a/core/dissemination/hints.go
+++ b/core/dissemination/hints.go
@@ -36,7 +36,7 @@
 	t.now = now
 	var fresh []*peerv1.LeavingTarget
 	for _, l := range leaving {
-		if t.mark(now, l) {
+		if t.addHint(now, l) {
 			fresh = append(fresh, l)
 		}
 	}
@@ -46,7 +46,7 @@
 	return fresh
 }
 
-func (t *Table) mark(now time.Time, l *peerv1.LeavingTarget) bool {
+func (t *Table) addHint(now time.Time, l *peerv1.LeavingTarget) bool {
 	if len(t.hints) >= MaxHints {
 		return false
 	}
@@ -56,7 +56,7 @@
 	}
 	shard, target := t.find(l.GetAddress())
 	if target != nil {
-		if !h.about(target) || target.GetLeaving() {
+		if !h.matches(target) || target.GetLeaving() {
 			return false
 		}
 		h.shard, h.placed = shard, true
@@ -65,9 +65,9 @@
 	return true
 }
 
-// about reports whether the hint is about this use of the address. A hint
-// without a task is about whatever runs there.
-func (h hint) about(target *peerv1.Target) bool {
+// matches reports whether the hint is matches this use of the address. A hint
+// without a task is matches whatever runs there.
+func (h hint) matches(target *peerv1.Target) bool {
 	return h.task == "" || h.task == target.GetTask() && h.attempt == target.GetAttempt()
 }
 
@@ -83,10 +83,10 @@
 	return 0, nil
 }
 
-// hinted returns the target as it is to be treated.
-func (t *Table) hinted(target *peerv1.Target) *peerv1.Target {
+// withHint returns the target as it is to be treated.
+func (t *Table) withHint(target *peerv1.Target) *peerv1.Target {
 	h, ok := t.hints[target.GetAddress()]
-	if !ok || target.GetLeaving() || !h.about(target) {
+	if !ok || target.GetLeaving() || !h.matches(target) {
 		return target
 	}
 	marked := proto.Clone(target).(*peerv1.Target)
@@ -109,7 +109,7 @@
 	for address, h := range t.hints {
 		target := listed[address]
 		gone := target == nil && h.placed && h.shard == list.GetShard()
-		settled := target != nil && (target.GetLeaving() || !h.about(target))
+		settled := target != nil && (target.GetLeaving() || !h.matches(target))
 		if gone || settled {
 			delete(t.hints, address)
 		}
@@ -124,8 +124,8 @@
 	MaxRepeated = 8
 )
 
-// fresh returns the hints to repeat, by address.
-func (t *Table) fresh() []*peerv1.LeavingTarget {
+// recentHints returns the hints to repeat, by address.
+func (t *Table) recentHints() []*peerv1.LeavingTarget {
 	var out []*peerv1.LeavingTarget
 	for address, h := range t.hints {
 		if t.now.Sub(h.marked) <= HintRepeat {
--- a/core/dissemination/outbox.go
+++ b/core/dissemination/outbox.go
@@ -24,28 +24,28 @@
 
 // outbox gathers the changes for one child, with the trees they go along.
 type outbox struct {
-	shards  map[uint32]topic
+	shards  map[uint32]pushTree
 	leaving map[string]hintItem
 	config  *configItem
 }
 
 type hintItem struct {
-	topic topic
-	hint  *peerv1.LeavingTarget
+	tree pushTree
+	hint *peerv1.LeavingTarget
 }
 
 type configItem struct {
-	topic topic
+	topic pushTree
 	base  uint64
 }
 
 func newOutbox() *outbox {
-	return &outbox{shards: make(map[uint32]topic), leaving: make(map[string]hintItem)}
+	return &outbox{shards: make(map[uint32]pushTree), leaving: make(map[string]hintItem)}
 }
 
 // addConfig keeps the newest tree and the oldest base, so that the delta
 // covers all gathered changes.
-func (b *outbox) addConfig(t topic, base uint64) {
+func (b *outbox) addConfig(t pushTree, base uint64) {
 	if b.config != nil {
 		base = min(base, b.config.base)
 	}
--- a/core/dissemination/table.go
+++ b/core/dissemination/table.go
@@ -49,7 +49,7 @@
 
 // PutOwn installs a list that this daemon made as the shard's owner and
 // reports whether it was newer than the one held.
-func (t *Table) PutOwn(list *peerv1.ShardTargets) bool { return t.take(list) }
+func (t *Table) PutOwn(list *peerv1.ShardTargets) bool { return t.install(list) }
 
 // Merge installs the lists that are newer than those held and reports whether
 // there were any.
@@ -59,14 +59,14 @@
 func (t *Table) Install(lists []*peerv1.ShardTargets) []*peerv1.ShardTargets {
 	var taken []*peerv1.ShardTargets
 	for _, l := range lists {
-		if t.take(l) {
+		if t.install(l) {
 			taken = append(taken, l)
 		}
 	}
 	return taken
 }
 
-func (t *Table) take(list *peerv1.ShardTargets) bool {
+func (t *Table) install(list *peerv1.ShardTargets) bool {
 	shard := list.GetShard()
 	if shard == SummaryShard {
 		return false
@@ -87,14 +87,14 @@
 	if w, ok := t.wanted[shard]; ok && next.compare(w) >= 0 {
 		delete(t.wanted, shard)
 	}
-	t.remember(shard)
+	t.noteRecent(shard)
 	t.dropHintsOf(list)
 	t.version++
 	return true
 }
 
-// remember puts a shard first among those changed last.
-func (t *Table) remember(shard uint32) {
+// noteRecent puts a shard first among those changed last.
+func (t *Table) noteRecent(shard uint32) {
 	if at := slices.Index(t.recent, shard); at >= 0 {
 		t.recent = slices.Delete(t.recent, at, at+1)
 	}
@@ -167,7 +167,7 @@
 	return func(yield func(model.ShardID, *peerv1.Target) bool) {
 		for _, shard := range t.order {
 			for _, target := range t.lists[shard].GetTargets() {
-				if !yield(model.ShardID(shard), t.hinted(target)) {
+				if !yield(model.ShardID(shard), t.withHint(target)) {
 					return
 				}
 			}
--- a/core/dissemination/table_test.go
+++ b/core/dissemination/table_test.go
@@ -26,20 +26,20 @@
 	}
 }
 
-type number struct {
+type listVersion struct {
 	epoch    int64
 	sequence uint64
 }
 
-func numberOf(t *dissemination.Table, shard uint32) number {
+func versionOf(t *dissemination.Table, shard uint32) listVersion {
 	l, ok := t.List(model.ShardID(shard))
 	if !ok {
-		return number{}
+		return listVersion{}
 	}
-	return number{l.GetEpoch(), l.GetSequence()}
+	return listVersion{l.GetEpoch(), l.GetSequence()}
 }
 
-func (n number) less(o number) bool {
+func (n listVersion) less(o listVersion) bool {
 	return n.epoch < o.epoch || n.epoch == o.epoch && n.sequence < o.sequence
 }
 
@@ -66,13 +66,13 @@
 // world is a set of tables and the messages under way between them.
 type world struct {
 	tables  []*dissemination.Table
-	newest  []number
+	newest  []listVersion
 	written []*peerv1.ShardTargets
 	rnd     *rand.Rand
 }
 
 func newWorld(tables, shards int) *world {
-	w := &world{newest: make([]number, shards), rnd: rand.New(rand.NewPCG(1, 2))}
+	w := &world{newest: make([]listVersion, shards), rnd: rand.New(rand.NewPCG(1, 2))}
 	for range tables {
 		w.tables = append(w.tables, dissemination.NewTable())
 	}
@@ -82,7 +82,7 @@
 // step publishes a list, or delivers any list ever published, or one half or
 // both of an exchange; it returns whether no table went back.
 func (w *world) step(s uint32) bool {
-	before := w.numbers()
+	before := w.versions()
 	to := w.tables[s%uint32(len(w.tables))]
 	from := w.tables[s>>4%uint32(len(w.tables))]
 	shard := s >> 8 % uint32(len(w.newest))
@@ -98,7 +98,7 @@
 	case 3:
 		exchange(to, from)
 	}
-	for i, n := range w.numbers() {
+	for i, n := range w.versions() {
 		if n.less(before[i]) {
 			return false
 		}
@@ -111,7 +111,7 @@
 func (w *world) publish(on *dissemination.Table, shard uint32, newOwner bool) {
 	n := &w.newest[shard]
 	if newOwner || n.epoch == 0 {
-		*n = number{n.epoch + 1, 0}
+		*n = listVersion{n.epoch + 1, 0}
 	}
 	n.sequence++
 	l := list(shard, n.epoch, n.sequence)
@@ -125,11 +125,11 @@
 	a.NoteDigest(b.Digest())
 }
 
-func (w *world) numbers() []number {
-	var out []number
+func (w *world) versions() []listVersion {
+	var out []listVersion
 	for _, t := range w.tables {
 		for shard := range w.newest {
-			out = append(out, numberOf(t, uint32(shard)))
+			out = append(out, versionOf(t, uint32(shard)))
 		}
 	}
 	return out
@@ -146,7 +146,7 @@
 	}
 	for _, t := range w.tables {
 		for shard, want := range w.newest {
-			if numberOf(t, uint32(shard)) != want {
+			if versionOf(t, uint32(shard)) != want {
 				return false
 			}
 		}
--- a/core/dissemination/tree.go
+++ b/core/dissemination/tree.go
@@ -19,18 +19,18 @@
 // views of the members agree compute the same tree; where they differ, some
 // are pushed to twice and some only reached by repair.
 func Children(root, self model.DaemonID, members []model.DaemonID, fanout int) []model.DaemonID {
-	return topic{key: string(root), root: root}.children(self, members, fanout)
+	return pushTree{key: string(root), root: root}.children(self, members, fanout)
 }
 
-// topic names a push tree. Trees with a root start there; the others, for
+// pushTree names a push tree. Trees with a root start there; the others, for
 // changes whose messages do not say where they began, start at the member that
 // the key's order puts first.
-type topic struct {
+type pushTree struct {
 	key  string
 	root model.DaemonID
 }
 
-func (t topic) children(from model.DaemonID, members []model.DaemonID, fanout int) []model.DaemonID {
+func (t pushTree) children(from model.DaemonID, members []model.DaemonID, fanout int) []model.DaemonID {
 	order := t.order(members)
 	at := slices.Index(order, from)
 	if at < 0 {
@@ -42,7 +42,7 @@
 }
 
 // order returns the tree's members, level by level.
-func (t topic) order(members []model.DaemonID) []model.DaemonID {
+func (t pushTree) order(members []model.DaemonID) []model.DaemonID {
 	type ranked struct {
 		id   model.DaemonID
 		hash uint64
