--- a/core/dissemination/broadcaster.go
+++ b/core/dissemination/broadcaster.go
@@ -8,23 +8,24 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Broadcaster decides whom to push changes to. It is driven by one goroutine.
+// Broadcaster decides to which daemons changes are pushed. It must be used by
+// one goroutine only.
 //
-// A child has at most one push in flight. Changes that come meanwhile gather,
-// so that a child slower than the changes gets fewer, larger messages and not
-// a growing queue.
+// A child has at most one push in flight. Changes that occur meanwhile are
+// batched, so that a child slower than the changes gets fewer, larger messages
+// instead of a growing queue.
 type Broadcaster struct {
 	self    model.DaemonID
 	fanout  int
 	members []model.DaemonID
 	pending map[model.DaemonID]*outbox
-	// inFlight is what each push in progress carries, to be passed to the
-	// child's children when it fails.
+	// inFlight is the contents of each push in flight, which are pushed to the
+	// child's children if it fails.
 	inFlight map[model.DaemonID]*outbox
 }
 
-// NewBroadcaster returns a spreader that knows no members yet; fanout is
-// DefaultFanout when 0.
+// NewBroadcaster returns a broadcaster without members. If fanout is not
+// positive, it is DefaultFanout.
 func NewBroadcaster(self model.DaemonID, fanout int) *Broadcaster {
 	if fanout <= 0 {
 		fanout = DefaultFanout
@@ -37,9 +38,9 @@
 	}
 }
 
-// SetMembers gives the daemons over which the trees go: View.Candidates and
-// those leaving, this daemon included. Changes that wait for a daemon no
-// longer among them are dropped; it repairs itself when it is back.
+// SetMembers sets the daemons that form the trees: View.Candidates and those
+// leaving, including this daemon. Pending changes for a daemon that is no
+// longer among them are dropped; that daemon repairs itself when it returns.
 func (s *Broadcaster) SetMembers(members []model.DaemonID) {
 	s.members = slices.Clone(members)
 	for id := range s.pending {
@@ -49,7 +50,8 @@
 	}
 }
 
-// ListsChanged tells of lists that were installed, made here or pushed here.
+// ListsChanged queues pushes of lists that were installed, whether they were
+// made here or pushed here.
 func (s *Broadcaster) ListsChanged(lists []*peerv1.ShardTargets) {
 	for _, l := range lists {
 		owner := l.GetOwner()
@@ -57,7 +59,8 @@
 	}
 }
 
-// HintsAdded tells of new hints, seen here first or pushed here.
+// HintsAdded queues pushes of new hints, whether they were first seen here or
+// pushed here.
 func (s *Broadcaster) HintsAdded(hints []*peerv1.LeavingTarget, seenHere bool) {
 	for _, h := range hints {
 		t := pushTree{key: h.GetAddress()}
@@ -68,8 +71,8 @@
 	}
 }
 
-// ConfigChanged tells of a configuration that was installed in place of the
-// one with revision base, read from the store here or pushed here.
+// ConfigChanged queues pushes of a configuration that replaced the one with
+// revision base, whether it was read from the store here or pushed here.
 func (s *Broadcaster) ConfigChanged(base, revision uint64, readHere bool) {
 	t := pushTree{key: "config " + strconv.FormatUint(revision, 10)}
 	s.config(t, s.self, base)
@@ -96,7 +99,7 @@
 	}
 }
 
-// sendToRoot sends a change to where its tree starts.
+// sendToRoot queues a change for the root of its tree.
 func (s *Broadcaster) sendToRoot(t pushTree, add func(*outbox)) {
 	order := t.order(s.members)
 	if len(order) > 0 && order[0] != s.self {
@@ -113,7 +116,7 @@
 	return box
 }
 
-// Next returns the pushes to start now, by peer.
+// Next returns the pushes to start now, ordered by peer.
 func (s *Broadcaster) Next() []Push {
 	var out []Push
 	for _, id := range s.ready() {
@@ -136,10 +139,10 @@
 	return ids
 }
 
-// PushDone tells of the end of a push; call Next after it. A child that failed
-// may never have got the changes, so its children are taken over: without that
-// one dead daemon near the root would leave up to a fanout-th of all entries
-// to slower repair.
+// PushDone reports the end of a push. Next must be called after it. A child
+// that failed may not have received the changes, so they are queued for its own
+// children. Otherwise one dead daemon near the root would leave up to a
+// fanout-th of all entries to slower repair.
 func (s *Broadcaster) PushDone(peer model.DaemonID, ok bool) {
 	box := s.inFlight[peer]
 	delete(s.inFlight, peer)
--- a/core/dissemination/broadcaster_test.go
+++ b/core/dissemination/broadcaster_test.go
@@ -39,7 +39,7 @@
 	return base, true
 }
 
-// daemon has all that carries changes between daemons.
+// daemon is one daemon with all parts that distribute changes.
 type daemon struct {
 	f           *fleet
 	id          string
@@ -50,7 +50,7 @@
 	broadcaster *dissemination.Broadcaster
 	bytes       int
 	sent        int
-	// learned are the times at which lists and configurations arrived.
+	// learned are the times at which lists, hints and configurations arrived.
 	learned map[string]time.Time
 }
 
@@ -173,7 +173,8 @@
 	d.sent++
 }
 
-// awaitSpread is how long a piece of news took to reach the running daemons.
+// awaitSpread runs until a change has reached all running daemons and returns
+// how long that took.
 func (f *fleet) awaitSpread(t *testing.T, key string, from time.Time, limit time.Duration) (median, worst time.Duration) {
 	t.Helper()
 	done := func() bool {
@@ -213,9 +214,10 @@
 	return d.f.net.Now()
 }
 
-// Symptom: entries send requests by lists that are seconds or minutes old.
-// Sequence: a list, a hint and a configuration change while daemons are dead
-// but not yet known to be. Cause: the push ends at a dead daemon.
+// Changes of a list, a hint and the configuration must reach all daemons within
+// seconds although some daemons on the tree are dead and not yet known to be.
+// Otherwise a push would end at a dead daemon, and entries would use stale
+// lists.
 func TestChangeReachesEveryDaemon(t *testing.T) {
 	for _, size := range []int{3, 8, 50, 200} {
 		for _, dead := range slices.Compact([]int{0, size / 10, size / 3}) {
@@ -246,9 +248,8 @@
 	}
 }
 
-// Symptom: an entry keeps a list that others replaced long ago.
-// Sequence: its push is lost and no further one comes. Cause: nothing compares
-// what daemons hold.
+// A daemon that misses a push must get the list by repair, even if no further
+// push follows. This requires daemons to compare the versions that they hold.
 func TestLostPushIsRepaired(t *testing.T) {
 	for _, size := range []int{3, 8, 50, 200} {
 		f := newFleet(size)
@@ -266,9 +267,9 @@
 	}
 }
 
-// Symptom: a daemon that just started serves nobody for minutes.
-// Sequence: it boots among daemons that hold 220 lists. Cause: it is told of
-// them a few at a time.
+// A daemon that starts among daemons that hold 220 lists must get all of them
+// soon. It would serve no requests for minutes if it learned of them a few at a
+// time.
 func TestNewDaemonCatchesUp(t *testing.T) {
 	f := newFleet(8)
 	for shard := range uint32(220) {
@@ -284,9 +285,9 @@
 	t.Logf("220 lists of 118 targets held %s after the start", f.net.Now().Sub(begin))
 }
 
-// Symptom: control traffic outgrows 4 KB a second.
-// Sequence: a fleet of 300 with lists held, idle and with changes. Cause: full
-// digests in every message, or changes sent more often than needed.
+// Control traffic must stay within 4 KB/s per daemon in a fleet of up to 300
+// daemons, idle and with changes. It would exceed that with full digests in
+// every message, or if changes were sent more often than needed.
 func TestTrafficPerDaemon(t *testing.T) {
 	const changes = 20
 	for _, size := range []int{3, 8, 50, 200, 300} {
@@ -324,8 +325,8 @@
 	}
 }
 
-// traffic is what all daemons together, and the busiest, sent in the time
-// given, or since reset when 0.
+// traffic returns what all daemons together, and the busiest one, sent during
+// the given time, or since reset if it is 0.
 func (f *fleet) traffic(during time.Duration) (bytes, sent, most int) {
 	if during > 0 {
 		f.reset()
@@ -343,8 +344,9 @@
 	return fmt.Sprintf("list %d/%d", shard, sequence)
 }
 
-// report logs how news spread and holds it to its bounds: at once while all
-// daemons answer, and within the 6 s of a configuration while some are dead.
+// report logs how a change spread and checks it against its limits: 100 ms
+// while all daemons respond, and the 6 s of a configuration while some are
+// dead.
 func report(t *testing.T, what string, dead int, median, worst time.Duration) {
 	t.Helper()
 	t.Logf("%s: median %s worst %s", what, median, worst)
--- a/core/dissemination/composer.go
+++ b/core/dissemination/composer.go
@@ -9,28 +9,29 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// DefaultMaxBytes bounds a message with its lists. A whole configuration, which
-// cannot be divided, goes beyond it alone; see MaxMessageBytes of package
-// grpcpeer.
+// DefaultMaxBytes bounds a message including its lists. Only a whole
+// configuration, which cannot be divided, may exceed it; see MaxMessageBytes of
+// package grpcpeer.
 const DefaultMaxBytes = 256 << 10
 
-// MemberSource gives the member records of a message; *membership.Machine is
-// one.
+// MemberSource supplies the member records of a message. *membership.Machine
+// implements it.
 type MemberSource interface {
 	OutgoingTo(peer model.DaemonID) (self *peerv1.Member, records []*peerv1.Member)
 }
 
-// ConfigSource gives the configuration in force.
+// ConfigSource supplies the configuration in force.
 type ConfigSource interface {
 	// Revision is 0 while no configuration is known.
 	Revision() uint64
 	Hash() uint64
-	// DeltaSince returns the change from revision rev, or the whole document
-	// when rev is 0 or too old, or nil when there is nothing newer.
+	// DeltaSince returns the change from revision rev, the whole document if
+	// rev is 0 or too old, or nil if there is nothing newer.
 	DeltaSince(rev uint64) *peerv1.ConfigDelta
 }
 
-// Composer puts messages together. It is driven by one goroutine.
+// Composer builds messages and merges received ones. It must be used by one
+// goroutine only.
 type Composer struct {
 	cluster  string
 	protocol uint32
@@ -40,7 +41,7 @@
 	config   ConfigSource
 }
 
-// NewComposer returns a composer; maxBytes is DefaultMaxBytes when 0.
+// NewComposer returns a composer. If maxBytes is 0, it is DefaultMaxBytes.
 func NewComposer(cluster string, protocol uint32, maxBytes int, members MemberSource, table *Table, config ConfigSource) *Composer {
 	if maxBytes == 0 {
 		maxBytes = DefaultMaxBytes
@@ -64,7 +65,7 @@
 	}
 }
 
-// PushRequest returns the request that carries a push. Lists beyond the byte
+// PushRequest returns the request that contains a push. Lists beyond the byte
 // bound are left to repair.
 func (c *Composer) PushRequest(p Push) *peerv1.ExchangeRequest {
 	req := c.Request(p.Peer)
@@ -90,8 +91,8 @@
 	return req
 }
 
-// Response returns the response to req. Call it after req's contents were
-// taken in: a list just received is then not sent back.
+// Response returns the response to req. It must be called after MergeRequest,
+// so that a list just received is not sent back.
 func (c *Composer) Response(req *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
 	self, records := c.members.OutgoingTo(model.DaemonID(req.GetSender().GetId()))
 	versions := req.GetDigest().GetShards()
@@ -108,8 +109,9 @@
 	return resp
 }
 
-// configFor returns what a peer lacks of the configuration. A peer with the
-// same revision and another hash is sent the whole document, which it checks.
+// configFor returns the part of the configuration that a peer lacks. A peer
+// with the same revision and another hash is sent the whole document, which it
+// checks.
 func (c *Composer) configFor(d *peerv1.Digest) *peerv1.ConfigDelta {
 	own, theirs := c.config.Revision(), d.GetConfigRevision()
 	switch {
@@ -131,15 +133,15 @@
 	}
 }
 
-// Changes is what a message brought that was new here.
+// Changes are the contents of a message that were new to this daemon.
 type Changes struct {
 	Lists   []*peerv1.ShardTargets
 	Leaving []*peerv1.LeavingTarget
 }
 
-// MergeRequest takes in the lists and hints of a request; call it before
-// Response. What it returns is to be given to the Spreader, as it may have
-// come along a tree.
+// MergeRequest merges the lists and hints of a request. It must be called
+// before Response. The returned changes must be passed to the Broadcaster, as
+// the request may be a push along a tree.
 func (c *Composer) MergeRequest(now time.Time, req *peerv1.ExchangeRequest) Changes {
 	return Changes{
 		Lists:   c.table.Install(req.GetTargets()),
@@ -147,9 +149,10 @@
 	}
 }
 
-// MergeResponse takes in the lists, hints and digest of a response. What it
-// returns repairs this daemon and is not to be pushed on: others that lack it
-// repair themselves, and a push by each of them would multiply the traffic.
+// MergeResponse merges the lists, hints and digest of a response. The returned
+// changes repair this daemon and must not be pushed: other daemons that lack
+// them repair themselves, and a push by each of them would multiply the
+// traffic.
 func (c *Composer) MergeResponse(now time.Time, resp *peerv1.ExchangeResponse) Changes {
 	taken := Changes{
 		Lists:   c.table.Install(resp.GetTargets()),
--- a/core/dissemination/digest.go
+++ b/core/dissemination/digest.go
@@ -8,16 +8,16 @@
 
 // Sizes of digests.
 const (
-	// SliceLength is how many versions a message carries after a summary
-	// differed; half of them are those changed last, where a difference most
-	// likely is.
+	// SliceLength is how many versions a message contains after a summary
+	// differed; half of them are those changed last, which most likely contain
+	// the difference.
 	SliceLength = 32
-	// MaxWanted is how many wanted versions a digest names.
+	// MaxWanted is how many wanted versions a digest names at most.
 	MaxWanted = 256
 )
 
-// Digest returns what the next message says of the lists held: the summary and
-// the wanted versions, and after a summary differed a slice of the versions.
+// Digest returns the digest for the next message: the summary, the wanted
+// versions and, after a summary differed, a slice of the versions.
 func (t *Table) Digest() []*peerv1.ShardVersion {
 	if t.differs {
 		return t.digest(SliceLength)
@@ -59,7 +59,7 @@
 	return shards[:min(len(shards), MaxWanted)]
 }
 
-// NoteDigest takes a digest from a peer: it remembers versions that are newer than
+// NoteDigest processes a peer's digest: it records versions that are newer than
 // the ones held and whether the peer's summary differs.
 func (t *Table) NoteDigest(versions []*peerv1.ShardVersion) {
 	t.differs = false
@@ -82,9 +82,9 @@
 	t.wanted[shard] = v
 }
 
-// responseDigest returns what to say in answer to a digest. A peer that holds
-// less than half of the lists is told all versions, so that a daemon that just
-// started has every list after its second exchange.
+// responseDigest returns the digest with which to respond to a digest. A peer
+// that holds less than half of the lists is sent all versions, so that a daemon
+// that just started has every list after its second exchange.
 func (t *Table) responseDigest(theirs []*peerv1.ShardVersion) []*peerv1.ShardVersion {
 	t.NoteDigest(theirs)
 	held := int64(0)
--- a/core/dissemination/dissemination_capacity_test.go
+++ b/core/dissemination/dissemination_capacity_test.go
@@ -22,7 +22,7 @@
 	capacityInstances = 118
 )
 
-// capacityList is one shard's list as its owner makes it.
+// capacityList returns one shard's list as its owner makes it.
 func capacityList(shard uint32, sequence uint64, instances int) *peerv1.ShardTargets {
 	l := &peerv1.ShardTargets{Shard: shard, Epoch: 81_234, Sequence: sequence, Owner: "entry-mvd-a-017"}
 	for i := range instances {
@@ -36,7 +36,7 @@
 	return l
 }
 
-// capacityTable is a table with all lists as they come off the wire.
+// capacityTable returns a table with all lists as decoded from messages.
 func capacityTable(tb testing.TB) (table *dissemination.Table, bytes int) {
 	table = dissemination.NewTable()
 	for shard := range uint32(capacityShards) {
@@ -54,8 +54,8 @@
 	return table, bytes
 }
 
-// BenchmarkCapacityTargetHeap is the memory and the encoded size of a target in
-// the table of all shards' lists.
+// BenchmarkCapacityTargetHeap measures the memory and the encoded size of a
+// target in the table of all shards' lists.
 func BenchmarkCapacityTargetHeap(b *testing.B) {
 	const targets = capacityShards * capacityInstances
 	var perTarget, encoded float64
@@ -70,8 +70,8 @@
 	b.ReportMetric(encoded, "B/target")
 }
 
-// BenchmarkCapacityTargetScan is one pass over all targets of the table, as
-// made for each update of the engine.
+// BenchmarkCapacityTargetScan measures one pass over all targets of the table,
+// as made for each update of the engine.
 func BenchmarkCapacityTargetScan(b *testing.B) {
 	table, _ := capacityTable(b)
 	byService := make(map[string][]*peerv1.Target)
@@ -88,8 +88,9 @@
 	b.ReportMetric(float64((measure.Processor()-begin).Nanoseconds())/n, "cpu-ns/target")
 }
 
-// BenchmarkCapacityPush is the processor time for a list of 118 targets at one
-// daemon: to decode it, take it in and encode it for each of four children.
+// BenchmarkCapacityPush measures the processor time for a list of 118 targets
+// at one daemon: to decode it, install it and encode it for each of four
+// children.
 func BenchmarkCapacityPush(b *testing.B) {
 	table, _ := capacityTable(b)
 	sequence := uint64(2)
@@ -116,10 +117,10 @@
 	b.ReportMetric(float64((measure.Processor()-begin).Nanoseconds())/float64(sequence-2), "cpu-ns/push")
 }
 
-// BenchmarkCapacityExchange is what daemons say to each other when nothing
-// changes, and what it costs a daemon to take part: all that membership and
-// dissemination do, with the virtual network's cost. Every daemon owns its
-// part of 220 shards, and all lists are held everywhere.
+// BenchmarkCapacityExchange measures the traffic between daemons when nothing
+// changes and its processor time per daemon: all of membership and
+// dissemination, including the cost of the virtual network. Every daemon owns
+// its part of 220 shards, and all daemons hold all lists.
 func BenchmarkCapacityExchange(b *testing.B) {
 	for _, c := range []struct{ daemons, services int }{{8, 20}, {50, 20}, {300, 0}, {300, 20}, {300, 120}} {
 		b.Run(fmt.Sprintf("daemons=%d/services=%d", c.daemons, c.services), func(b *testing.B) {
@@ -150,8 +151,8 @@
 	}
 }
 
-// capacityLocal is what the i-th of size daemons says of itself: its shards,
-// and that it has requests for some services.
+// capacityLocal returns the state that the i-th of size daemons reports about
+// itself: its shards, and requests for some services.
 func capacityLocal(i, size, services int) membership.LocalState {
 	local := membership.LocalState{ConfigRevision: 40_000, Demand: make(map[string]membership.Demand)}
 	for shard := i; shard < capacityShards; shard += size {
@@ -166,7 +167,8 @@
 	return local
 }
 
-// BenchmarkCapacityMemberHeap is the memory of the record of one other daemon.
+// BenchmarkCapacityMemberHeap measures the memory of the record of one other
+// daemon.
 func BenchmarkCapacityMemberHeap(b *testing.B) {
 	const members = 300
 	var perMember float64
--- a/core/dissemination/doc.go
+++ b/core/dissemination/doc.go
@@ -1,49 +1,48 @@
-// Package dissemination carries the lists of service instances, the leaving
-// hints and the configuration from the daemons that decide them to all
-// entries.
+// Package dissemination distributes the lists of service instances, the leaving
+// hints and the configuration from the daemons that decide them to all entries.
 //
 // # Lists
 //
-// The owner of a shard publishes the whole list of the shard's instances,
-// numbered by (epoch, sequence): the owner's epoch and the ledger commit the
-// list was made from. A Table holds the newest list of each shard. A list with
-// a lower or equal number is never taken, so repeated, reordered and late
-// messages, and those of a former owner, change nothing.
+// The owner of a shard publishes the whole list of the shard's instances, with the
+// version (epoch, sequence): the owner's epoch and the ledger commit from which the
+// list was made. A Table holds the newest list of each shard. A list with a lower
+// or equal version is never installed, so repeated, reordered and late messages,
+// and those of a former owner, change nothing.
 //
-// An entry holds the lists of all shards, also of services that it has no
-// callers for; holding only the services it uses comes later.
+// An entry holds the lists of all shards, including those of services for which it
+// has no callers.
 //
 // # Push
 //
-// Right after a change its owner pushes it along a shallow tree that every
-// daemon computes alike from the owner's name and its own view of the members
-// (Children). A Spreader keeps one push per child in flight and gathers what
-// changes meanwhile. When a child does not answer, its own children are pushed
-// to in its place. Hints and configurations do not say in their messages where
-// they began; their tree depends on the target's address or the revision, and
-// whoever has the news first also sends it to where that tree starts.
+// Right after a change, its owner pushes it along a shallow tree that every daemon
+// computes from the owner's name and its own view of the members (Children). A
+// Broadcaster keeps one push per child in flight and batches the changes that occur
+// meanwhile. When a child does not respond, the change is pushed to the child's own
+// children instead. Messages do not name the origin of hints and configurations;
+// their tree depends on the target's address or the revision, and the daemon that
+// learns of the change first also sends it to the root of that tree.
 //
 // # Repair
 //
-// Every exchange carries a summary of the lists held: one hash. When the
-// summaries differ, the response carries a slice of the responder's versions:
-// those changed last and a part that rotates from message to message. The
-// requester remembers versions that are newer than its own as wanted and names
-// them in its next digests, and any peer that holds something newer than a
-// digest names answers with the lists. A push that got lost is so repaired
-// after about two exchanges with any up-to-date peers.
+// Every exchange contains a summary of the lists held: one hash. When the summaries
+// differ, the response contains a slice of the responder's versions: those of the
+// lists changed last and a part that rotates from message to message. The requester
+// records versions that are newer than its own as wanted and names them in its next
+// digests, and any peer that holds a newer list than a digest names responds with
+// it. A lost push is thereby repaired after about two exchanges with any up-to-date
+// peers.
 //
-// The summary travels as a ShardVersion whose shard is SummaryShard, epoch the
-// number of lists and sequence the hash; no real shard has that number.
+// The summary is sent as a ShardVersion whose shard is SummaryShard, whose epoch is
+// the number of lists and whose sequence is the hash; no real shard has that number.
 //
 // # Leaving hints
 //
-// A hint that a target is leaving is not a list: it goes ahead of the list
-// that will say the same, is pushed at once, and lasts until a newer list says
-// so too or HintRetention has passed.
+// A hint that a target is leaving precedes the list that will say the same. It is
+// pushed at once, and lasts until a newer list confirms or contradicts it or
+// HintRetention has passed.
 //
 // # Bounds
 //
-// A Composer puts a message together: members, configuration and hints, then
-// as many lists as fit a byte bound. Lists that do not fit are left to repair.
+// A Composer builds a message from members, configuration and hints, and adds as
+// many lists as fit a byte bound. Lists that do not fit are left to repair.
 package dissemination
--- a/core/dissemination/hints.go
+++ b/core/dissemination/hints.go
@@ -10,28 +10,29 @@
 	peerv1 "github.com/guavarill/guavarill/api/peer/v1"
 )
 
-// HintRetention is how long a leaving hint lasts when no newer list of its
-// shard arrives. Without an end, a hint about a target that stays after all
+// HintRetention is how long a leaving hint lasts if no newer list of its shard
+// arrives. Without a limit, a hint about a target that does not leave after all
 // would keep it out of use until its shard's next change.
 const HintRetention = 30 * time.Second
 
-// MaxHints bounds the hints held; further ones are left to the lists.
+// MaxHints bounds the hints held. Further targets that leave become known only
+// by the lists.
 const MaxHints = 4096
 
-// hint is what is known of a leaving target ahead of its shard's list.
+// hint is what is known of a leaving target before its shard's list says so.
 type hint struct {
 	task    string
 	attempt uint32
 	marked  time.Time
-	// shard is the one whose list named the target when the hint came, if
-	// placed.
+	// shard is the shard whose list named the target when the hint arrived;
+	// valid if placed is set.
 	shard  uint32
 	placed bool
 }
 
-// MarkLeaving takes leaving hints and returns those that were new: the ones to
-// push on. A hint whose task and attempt are not those held under its address
-// is about an earlier user of the address and is ignored.
+// MarkLeaving adds leaving hints and returns those that were new and must be
+// pushed on. A hint whose task and attempt differ from those listed under its
+// address is about an earlier use of the address and is ignored.
 func (t *Table) MarkLeaving(now time.Time, leaving []*peerv1.LeavingTarget) []*peerv1.LeavingTarget {
 	t.now = now
 	var fresh []*peerv1.LeavingTarget
@@ -65,13 +66,13 @@
 	return true
 }
 
-// matches reports whether the hint is matches this use of the address. A hint
-// without a task is matches whatever runs there.
+// matches reports whether the hint is about this use of the address. A hint
+// without a task is about any task that runs there.
 func (h hint) matches(target *peerv1.Target) bool {
 	return h.task == "" || h.task == target.GetTask() && h.attempt == target.GetAttempt()
 }
 
-// find returns the target with the address, over all shards.
+// find returns the target with the address, and its shard, over all shards.
 func (t *Table) find(address string) (uint32, *peerv1.Target) {
 	for _, shard := range t.order {
 		for _, target := range t.lists[shard].GetTargets() {
@@ -83,7 +84,8 @@
 	return 0, nil
 }
 
-// withHint returns the target as it is to be treated.
+// withHint returns the target, as a copy marked leaving if a hint applies to
+// it.
 func (t *Table) withHint(target *peerv1.Target) *peerv1.Target {
 	h, ok := t.hints[target.GetAddress()]
 	if !ok || target.GetLeaving() || !h.matches(target) {
@@ -94,10 +96,11 @@
 	return marked
 }
 
-// dropHintsOf ends the hints that a newer list confirms or overtakes: the
+// dropHintsOf drops the hints that a newer list confirms or contradicts: the
 // target is no longer listed, is marked leaving there, or its address serves
-// another attempt. While the target is listed as before the hint stays: the
-// list may have been made before the hint's sender saw the target leave.
+// another attempt. While the target is listed as before, the hint is kept,
+// because the list may have been made before the hint's sender saw the target
+// leave.
 func (t *Table) dropHintsOf(list *peerv1.ShardTargets) {
 	if len(t.hints) == 0 {
 		return
@@ -116,15 +119,15 @@
 	}
 }
 
-// HintRepeat is how long a hint goes with every message after it was marked,
-// and MaxRepeated how many do. A push that got lost would otherwise leave an
-// entry to learn of it from the next list.
+// HintRepeat is how long a hint is repeated in every message after it was
+// added, and MaxRepeated is how many hints a message repeats. Without this, a
+// lost push would leave an entry without the hint until the next list.
 const (
 	HintRepeat  = 3 * time.Second
 	MaxRepeated = 8
 )
 
-// recentHints returns the hints to repeat, by address.
+// recentHints returns the hints to repeat, ordered by address.
 func (t *Table) recentHints() []*peerv1.LeavingTarget {
 	var out []*peerv1.LeavingTarget
 	for address, h := range t.hints {
@@ -138,8 +141,8 @@
 	return out[:min(len(out), MaxRepeated)]
 }
 
-// Expire lets time pass and ends the hints whose retention has passed. It is
-// called about once a second.
+// Expire advances the time and drops the hints whose retention has passed. It
+// should be called about once per second.
 func (t *Table) Expire(now time.Time) {
 	t.now = now
 	for address, h := range t.hints {
--- a/core/dissemination/outbox.go
+++ b/core/dissemination/outbox.go
@@ -8,21 +8,23 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Push is one message to a child: an ExchangeRequest that carries these
-// besides the usual (Composer.PushRequest). Its end must come back as
-// Spreader.Answered.
+// Push is one message to a child: an ExchangeRequest with these additional
+// contents (Composer.PushRequest). Its end must be reported to
+// Broadcaster.PushDone.
 type Push struct {
 	Peer model.DaemonID
-	// Shards are those whose lists to send as the table holds them then.
+	// Shards are the shards whose lists are sent, as held by the table when the
+	// request is built.
 	Shards []uint32
 	// Leaving are hints to send.
 	Leaving []*peerv1.LeavingTarget
-	// ConfigBase, when Config is set, is the revision to send a delta from.
+	// Config is whether to send the configuration, and ConfigBase is the
+	// revision from which to send a delta.
 	Config     bool
 	ConfigBase uint64
 }
 
-// outbox gathers the changes for one child, with the trees they go along.
+// outbox batches the changes for one child, each with its push tree.
 type outbox struct {
 	shards  map[uint32]pushTree
 	leaving map[string]hintItem
@@ -43,8 +45,8 @@
 	return &outbox{shards: make(map[uint32]pushTree), leaving: make(map[string]hintItem)}
 }
 
-// addConfig keeps the newest tree and the oldest base, so that the delta
-// covers all gathered changes.
+// addConfig keeps the newest tree and the oldest base, so that the delta covers
+// all batched changes.
 func (b *outbox) addConfig(t pushTree, base uint64) {
 	if b.config != nil {
 		base = min(base, b.config.base)
--- a/core/dissemination/table.go
+++ b/core/dissemination/table.go
@@ -15,16 +15,16 @@
 // is larger.
 const MaxListBytes = 192 << 10
 
-// recentLength is how many shards are remembered as changed last.
+// recentLength is how many of the shards changed last are recorded.
 const recentLength = SliceLength / 2
 
-// Table holds the newest list of each shard. It is driven by one goroutine.
-// The lists it returns are shared and must not be changed.
+// Table holds the newest list of each shard. It must be used by one goroutine
+// only. The lists it returns are shared and must not be changed.
 type Table struct {
 	lists   map[uint32]*peerv1.ShardTargets
 	order   []uint32
 	summary uint64
-	// wanted are versions heard of that are newer than the ones held.
+	// wanted are versions in peers' digests that are newer than the ones held.
 	wanted map[uint32]version
 	// hints are leaving targets by address.
 	hints map[string]hint
@@ -33,7 +33,7 @@
 	recent []uint32
 	// cursor is where the next rotating slice begins.
 	cursor int
-	// differs is whether the last summary seen was another.
+	// differs is whether the last received summary differed from the own one.
 	differs bool
 	version uint64
 }
@@ -47,15 +47,16 @@
 	}
 }
 
-// PutOwn installs a list that this daemon made as the shard's owner and
-// reports whether it was newer than the one held.
+// PutOwn installs a list that this daemon made as the shard's owner and reports
+// whether it was newer than the one held.
 func (t *Table) PutOwn(list *peerv1.ShardTargets) bool { return t.install(list) }
 
 // Merge installs the lists that are newer than those held and reports whether
 // there were any.
 func (t *Table) Merge(lists []*peerv1.ShardTargets) bool { return len(t.Install(lists)) > 0 }
 
-// Install is Merge and returns the lists that were installed: those to push on.
+// Install does the same as Merge and returns the lists that were installed,
+// which must be pushed on.
 func (t *Table) Install(lists []*peerv1.ShardTargets) []*peerv1.ShardTargets {
 	var taken []*peerv1.ShardTargets
 	for _, l := range lists {
@@ -93,7 +94,7 @@
 	return true
 }
 
-// noteRecent puts a shard first among those changed last.
+// noteRecent moves a shard to the front of those changed last.
 func (t *Table) noteRecent(shard uint32) {
 	if at := slices.Index(t.recent, shard); at >= 0 {
 		t.recent = slices.Delete(t.recent, at, at+1)
@@ -102,7 +103,8 @@
 	t.recent = t.recent[:min(len(t.recent), recentLength)]
 }
 
-// Version changes whenever Targets may yield something else.
+// Version returns a number that changes whenever Targets may yield something
+// else.
 func (t *Table) Version() uint64 { return t.version }
 
 // Len returns how many lists are held.
@@ -113,7 +115,7 @@
 	return &peerv1.ShardVersion{Shard: shard, Epoch: v.epoch, Sequence: v.sequence}
 }
 
-// held returns the version of the list held, zero when there is none.
+// held returns the version of the list held, or zero if there is none.
 func (t *Table) held(shard uint32) version {
 	if l := t.lists[shard]; l != nil {
 		return versionOf(l)
@@ -121,9 +123,9 @@
 	return version{}
 }
 
-// NewerThan returns the lists that are newer than the versions named, at most
-// MaxListBytes of them. Shards that versions does not name are not considered:
-// a digest names a part only.
+// NewerThan returns the lists that are newer than the named versions, at most
+// MaxListBytes of them. Shards that versions does not name are not considered,
+// because a digest names only some of them.
 func (t *Table) NewerThan(versions []*peerv1.ShardVersion) []*peerv1.ShardTargets {
 	return t.newerThan(versions, MaxListBytes)
 }
@@ -161,8 +163,8 @@
 	return model.DaemonID(l.GetOwner()), model.Epoch(l.GetEpoch()), true
 }
 
-// Targets yields all targets by shard and place in its list. Those under a
-// leaving hint are yielded as copies marked leaving.
+// Targets yields all targets ordered by shard and position in its list. Those
+// with a leaving hint are yielded as copies marked leaving.
 func (t *Table) Targets() iter.Seq2[model.ShardID, *peerv1.Target] {
 	return func(yield func(model.ShardID, *peerv1.Target) bool) {
 		for _, shard := range t.order {
--- a/core/dissemination/table_test.go
+++ b/core/dissemination/table_test.go
@@ -43,9 +43,9 @@
 	return n.epoch < o.epoch || n.epoch == o.epoch && n.sequence < o.sequence
 }
 
-// Whatever the order, loss and repetition of lists and digests, no table ever
-// goes back, and tables that can talk end up with the newest list of each
-// shard.
+// Whatever the order, loss and repetition of lists and digests, no table
+// returns to an older list, and tables that exchange messages converge to the
+// newest list of each shard.
 func TestTablesConvergeAndNeverGoBack(t *testing.T) {
 	const tables, shards = 4, 3
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
@@ -63,7 +63,7 @@
 	properties.TestingRun(t)
 }
 
-// world is a set of tables and the messages under way between them.
+// world is a set of tables and all lists published so far.
 type world struct {
 	tables  []*dissemination.Table
 	newest  []listVersion
@@ -79,8 +79,9 @@
 	return w
 }
 
-// step publishes a list, or delivers any list ever published, or one half or
-// both of an exchange; it returns whether no table went back.
+// step publishes a list, delivers any list published before, or runs one half
+// or both of an exchange. It reports whether no table returned to an older
+// list.
 func (w *world) step(s uint32) bool {
 	before := w.versions()
 	to := w.tables[s%uint32(len(w.tables))]
@@ -106,8 +107,8 @@
 	return true
 }
 
-// publish makes the next list of a shard, under a higher epoch and a sequence
-// that starts again when the owner changes.
+// publish makes the next list of a shard. A new owner has a higher epoch, and
+// its sequence starts again.
 func (w *world) publish(on *dissemination.Table, shard uint32, newOwner bool) {
 	n := &w.newest[shard]
 	if newOwner || n.epoch == 0 {
@@ -135,7 +136,7 @@
 	return out
 }
 
-// heal lets all tables exchange and returns whether all hold the newest lists.
+// heal lets all tables exchange and reports whether all hold the newest lists.
 func (w *world) heal() bool {
 	for range 6 {
 		for _, a := range w.tables {
@@ -157,9 +158,8 @@
 	return true
 }
 
-// Symptom: a target that left gets new requests again.
-// Sequence: a hint that it leaves arrives, then a list made before that.
-// Cause: the list takes the hint's place though it is older news.
+// A list made before a leaving hint, which arrives after it, must not end the
+// hint, or the target that left would get new requests again.
 func TestHintOutlivesListsMadeBefore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := dissemination.NewTable()
@@ -173,16 +173,16 @@
 	}
 	table.PutOwn(list(0, 1, 2))
 	if !leaving(table) {
-		t.Error("a list that still names the target undid the hint")
+		t.Error("a list that still names the target ended the hint")
 	}
 	table.Expire(now.Add(dissemination.HintRetention + time.Second))
 	if leaving(table) {
-		t.Error("the hint has no end")
+		t.Error("the hint does not expire")
 	}
 	table.MarkLeaving(now, []*peerv1.LeavingTarget{hint})
 	table.PutOwn(list(0, 2, 1))
 	if leaving(table) {
-		t.Error("the hint is taken for one about the next attempt at the address")
+		t.Error("the hint is applied to the next attempt at the address")
 	}
 }
 
--- a/core/dissemination/tree.go
+++ b/core/dissemination/tree.go
@@ -13,18 +13,18 @@
 // daemons are reached in five steps.
 const DefaultFanout = 4
 
-// Children returns whom self pushes a change to that root published: its
-// children in the tree over members and root, in which all other members
+// Children returns the daemons to which self pushes a change published by root:
+// its children in the tree over members and root, in which all other members
 // follow the root in the order of a hash of root and member. Daemons whose
-// views of the members agree compute the same tree; where they differ, some
-// are pushed to twice and some only reached by repair.
+// views of the members agree compute the same tree. Where the views differ,
+// some daemons are pushed to twice and some are reached only by repair.
 func Children(root, self model.DaemonID, members []model.DaemonID, fanout int) []model.DaemonID {
 	return pushTree{key: string(root), root: root}.children(self, members, fanout)
 }
 
-// pushTree names a push tree. Trees with a root start there; the others, for
-// changes whose messages do not say where they began, start at the member that
-// the key's order puts first.
+// pushTree identifies a push tree. A tree with a root starts there. The others,
+// for changes whose messages do not name their origin, start at the member that
+// comes first in the order of the key's hash.
 type pushTree struct {
 	key  string
 	root model.DaemonID
--- a/core/dissemination/version.go
+++ b/core/dissemination/version.go
@@ -9,8 +9,8 @@
 	peerv1 "github.com/guavarill/guavarill/api/peer/v1"
 )
 
-// SummaryShard is the shard number under which a digest carries the summary
-// of all lists held.
+// SummaryShard is the shard number under which a digest contains the summary of
+// all lists held.
 const SummaryShard uint32 = math.MaxUint32
 
 // version orders the lists of one shard.
@@ -30,8 +30,9 @@
 	return cmp.Compare(v.sequence, o.sequence)
 }
 
-// hash mixes a shard and its version, so that the summary of a table is the
-// exclusive or of its entries' hashes and a change costs one step.
+// hash returns a hash of a shard and its version. The summary of a table is the
+// exclusive or of its entries' hashes, so that a change updates it in constant
+// time.
 func (v version) hash(shard uint32) uint64 {
 	var b [20]byte
 	putUint64(b[0:], uint64(shard))
