--- a/core/dissemination/broadcaster.go
+++ b/core/dissemination/broadcaster.go
@@ -156,6 +156,6 @@
 		s.hint(item.tree, peer, item.hint)
 	}
 	if box.config != nil {
-		s.config(box.config.topic, peer, box.config.base)
+		s.config(box.config.tree, peer, box.config.base)
 	}
 }
--- a/core/dissemination/outbox.go
+++ b/core/dissemination/outbox.go
@@ -37,8 +37,8 @@
 }
 
 type configItem struct {
-	topic pushTree
-	base  uint64
+	tree pushTree
+	base uint64
 }
 
 func newOutbox() *outbox {
@@ -51,7 +51,7 @@
 	if b.config != nil {
 		base = min(base, b.config.base)
 	}
-	b.config = &configItem{topic: t, base: base}
+	b.config = &configItem{tree: t, base: base}
 }
 
 func (b *outbox) push(peer model.DaemonID) Push {
