--- a/core/dissemination/broadcaster_test.go
+++ b/core/dissemination/broadcaster_test.go
@@ -39,18 +39,18 @@
 	return base, true
 }
 
-// daemon has all that carries changes between daemons.
+// daemon is one daemon with all parts that distribute changes.
 type daemon struct {
-	f        *fleet
-	id       string
-	machine  *membership.Machine
-	table    *dissemination.Table
-	config   *config
-	composer *dissemination.Composer
-	spreader *dissemination.Broadcaster
-	bytes    int
-	sent     int
-	// learned are the times at which lists and configurations arrived.
+	f           *fleet
+	id          string
+	machine     *membership.Machine
+	table       *dissemination.Table
+	config      *config
+	composer    *dissemination.Composer
+	broadcaster *dissemination.Broadcaster
+	bytes       int
+	sent        int
+	// learned are the times at which lists, hints and configurations arrived.
 	learned map[string]time.Time
 }
 
@@ -81,8 +81,8 @@
 			ID: model.DaemonID(id), Address: id, Started: f.net.Now(),
 		}, membership.Options{}),
 		table: dissemination.NewTable(), config: &config{},
-		spreader: dissemination.NewBroadcaster(model.DaemonID(id), 0),
-		learned:  make(map[string]time.Time),
+		broadcaster: dissemination.NewBroadcaster(model.DaemonID(id), 0),
+		learned:     make(map[string]time.Time),
 	}
 	d.composer = dissemination.NewComposer("test", 1, 0, d.machine, d.table, d.config)
 	f.daemons = append(f.daemons, d)
@@ -100,7 +100,7 @@
 			d.call(cmd.Peer, cmd.Timeout, d.composer.Request(cmd.Peer), func(bool) {})
 		case membership.Changed:
 			v := d.machine.View()
-			d.spreader.SetMembers(append(v.Candidates(), leavers(v)...))
+			d.broadcaster.SetMembers(append(v.Candidates(), leavers(v)...))
 		}
 	}
 }
@@ -116,9 +116,9 @@
 }
 
 func (d *daemon) push() {
-	for _, p := range d.spreader.Next() {
+	for _, p := range d.broadcaster.Next() {
 		d.call(p.Peer, 750*time.Millisecond, d.composer.PushRequest(p), func(ok bool) {
-			d.spreader.PushDone(p.Peer, ok)
+			d.broadcaster.PushDone(p.Peer, ok)
 			d.push()
 		})
 	}
@@ -141,10 +141,10 @@
 func (d *daemon) serve(req *peerv1.ExchangeRequest) *peerv1.ExchangeResponse {
 	d.step(membership.Received{From: req.GetSender(), Members: req.GetMembers()})
 	taken := d.composer.MergeRequest(d.f.net.Now(), req)
-	d.spreader.ListsChanged(taken.Lists)
-	d.spreader.HintsAdded(taken.Leaving, false)
+	d.broadcaster.ListsChanged(taken.Lists)
+	d.broadcaster.HintsAdded(taken.Leaving, false)
 	if base, installed := d.config.apply(req.GetConfig()); installed {
-		d.spreader.ConfigChanged(base, d.config.revision, false)
+		d.broadcaster.ConfigChanged(base, d.config.revision, false)
 	}
 	d.note(taken, nil)
 	resp := d.composer.Response(req)
@@ -173,8 +173,9 @@
 	d.sent++
 }
 
-// spread is how long a piece of news took to reach the running daemons.
-func (f *fleet) spread(t *testing.T, key string, from time.Time, limit time.Duration) (median, worst time.Duration) {
+// awaitSpread runs until a change has reached all running daemons and returns
+// how long that took.
+func (f *fleet) awaitSpread(t *testing.T, key string, from time.Time, limit time.Duration) (median, worst time.Duration) {
 	t.Helper()
 	done := func() bool {
 		for _, d := range f.daemons {
@@ -208,14 +209,15 @@
 	}
 	d.table.PutOwn(l)
 	d.learned[listKey(shard, sequence)] = d.f.net.Now()
-	d.spreader.ListsChanged([]*peerv1.ShardTargets{l})
+	d.broadcaster.ListsChanged([]*peerv1.ShardTargets{l})
 	d.push()
 	return d.f.net.Now()
 }
 
-// Symptom: entries send requests by lists that are seconds or minutes old.
-// Sequence: a list, a hint and a configuration change while daemons are dead
-// but not yet known to be. Cause: the push ends at a dead daemon.
+// Changes of a list, a hint and the configuration must reach all daemons within
+// seconds although some daemons on the tree are dead and not yet known to be.
+// Otherwise a push would end at a dead daemon, and entries would use stale
+// lists.
 func TestChangeReachesEveryDaemon(t *testing.T) {
 	for _, size := range []int{3, 8, 50, 200} {
 		for _, dead := range slices.Compact([]int{0, size / 10, size / 3}) {
@@ -224,31 +226,30 @@
 				for i := range dead {
 					f.net.Kill(f.daemons[1+i*(size-1)/dead].id)
 				}
-				median, worst := f.spread(t, listKey(0, 1), f.daemons[0].publish(0, 1, 20), 10*time.Second)
+				median, worst := f.awaitSpread(t, listKey(0, 1), f.daemons[0].publish(0, 1, 20), 10*time.Second)
 				report(t, "list", dead, median, worst)
 				from := f.net.Now()
 				d := f.daemons[0]
 				hint := []*peerv1.LeavingTarget{{Address: "10.0.0.1:8080", Task: "orders@1/1", Attempt: 1}}
-				d.spreader.HintsAdded(d.table.MarkLeaving(from, hint), true)
+				d.broadcaster.HintsAdded(d.table.MarkLeaving(from, hint), true)
 				d.learned["hint 10.0.0.1:8080"] = from
 				d.push()
-				median, worst = f.spread(t, "hint 10.0.0.1:8080", from, 10*time.Second)
+				median, worst = f.awaitSpread(t, "hint 10.0.0.1:8080", from, 10*time.Second)
 				report(t, "hint", dead, median, worst)
 				from = f.net.Now()
 				d.config.revision = 1
-				d.spreader.ConfigChanged(0, 1, true)
+				d.broadcaster.ConfigChanged(0, 1, true)
 				d.note(dissemination.Changes{}, nil)
 				d.push()
-				median, worst = f.spread(t, "config 1", from, 10*time.Second)
+				median, worst = f.awaitSpread(t, "config 1", from, 10*time.Second)
 				report(t, "config", dead, median, worst)
 			})
 		}
 	}
 }
 
-// Symptom: an entry keeps a list that others replaced long ago.
-// Sequence: its push is lost and no further one comes. Cause: nothing compares
-// what daemons hold.
+// A daemon that misses a push must get the list by repair, even if no further
+// push follows. This requires daemons to compare the versions that they hold.
 func TestLostPushIsRepaired(t *testing.T) {
 	for _, size := range []int{3, 8, 50, 200} {
 		f := newFleet(size)
@@ -261,14 +262,14 @@
 		f.daemons[0].publish(7, 2, 5)
 		f.net.Run(2 * time.Second)
 		f.net.Cut = func(a, b string) bool { return false }
-		_, worst := f.spread(t, listKey(7, 2), f.net.Now(), 20*time.Second)
+		_, worst := f.awaitSpread(t, listKey(7, 2), f.net.Now(), 20*time.Second)
 		t.Logf("%d daemons: repaired %s after the link was back", size, worst)
 	}
 }
 
-// Symptom: a daemon that just started serves nobody for minutes.
-// Sequence: it boots among daemons that hold 220 lists. Cause: it is told of
-// them a few at a time.
+// A daemon that starts among daemons that hold 220 lists must get all of them
+// soon. It would serve no requests for minutes if it learned of them a few at a
+// time.
 func TestNewDaemonCatchesUp(t *testing.T) {
 	f := newFleet(8)
 	for shard := range uint32(220) {
@@ -284,9 +285,9 @@
 	t.Logf("220 lists of 118 targets held %s after the start", f.net.Now().Sub(begin))
 }
 
-// Symptom: control traffic outgrows 4 KB a second.
-// Sequence: a fleet of 300 with lists held, idle and with changes. Cause: full
-// digests in every message, or changes sent more often than needed.
+// Control traffic must stay within 4 KB/s per daemon in a fleet of up to 300
+// daemons, idle and with changes. It would exceed that with full digests in
+// every message, or if changes were sent more often than needed.
 func TestTrafficPerDaemon(t *testing.T) {
 	const changes = 20
 	for _, size := range []int{3, 8, 50, 200, 300} {
@@ -324,8 +325,8 @@
 	}
 }
 
-// traffic is what all daemons together, and the busiest, sent in the time
-// given, or since reset when 0.
+// traffic returns what all daemons together, and the busiest one, sent during
+// the given time, or since reset if it is 0.
 func (f *fleet) traffic(during time.Duration) (bytes, sent, most int) {
 	if during > 0 {
 		f.reset()
@@ -343,8 +344,9 @@
 	return fmt.Sprintf("list %d/%d", shard, sequence)
 }
 
-// report logs how news spread and holds it to its bounds: at once while all
-// daemons answer, and within the 6 s of a configuration while some are dead.
+// report logs how a change spread and checks it against its limits: 100 ms
+// while all daemons respond, and the 6 s of a configuration while some are
+// dead.
 func report(t *testing.T, what string, dead int, median, worst time.Duration) {
 	t.Helper()
 	t.Logf("%s: median %s worst %s", what, median, worst)
--- a/core/dissemination/table_test.go
+++ b/core/dissemination/table_test.go
@@ -26,26 +26,26 @@
 	}
 }
 
-type number struct {
+type listVersion struct {
 	epoch    int64
 	sequence uint64
 }
 
-func numberOf(t *dissemination.Table, shard uint32) number {
+func versionOf(t *dissemination.Table, shard uint32) listVersion {
 	l, ok := t.List(model.ShardID(shard))
 	if !ok {
-		return number{}
+		return listVersion{}
 	}
-	return number{l.GetEpoch(), l.GetSequence()}
+	return listVersion{l.GetEpoch(), l.GetSequence()}
 }
 
-func (n number) less(o number) bool {
+func (n listVersion) less(o listVersion) bool {
 	return n.epoch < o.epoch || n.epoch == o.epoch && n.sequence < o.sequence
 }
 
-// Whatever the order, loss and repetition of lists and digests, no table ever
-// goes back, and tables that can talk end up with the newest list of each
-// shard.
+// Whatever the order, loss and repetition of lists and digests, no table
+// returns to an older list, and tables that exchange messages converge to the
+// newest list of each shard.
 func TestTablesConvergeAndNeverGoBack(t *testing.T) {
 	const tables, shards = 4, 3
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
@@ -63,26 +63,27 @@
 	properties.TestingRun(t)
 }
 
-// world is a set of tables and the messages under way between them.
+// world is a set of tables and all lists published so far.
 type world struct {
 	tables  []*dissemination.Table
-	newest  []number
+	newest  []listVersion
 	written []*peerv1.ShardTargets
 	rnd     *rand.Rand
 }
 
 func newWorld(tables, shards int) *world {
-	w := &world{newest: make([]number, shards), rnd: rand.New(rand.NewPCG(1, 2))}
+	w := &world{newest: make([]listVersion, shards), rnd: rand.New(rand.NewPCG(1, 2))}
 	for range tables {
 		w.tables = append(w.tables, dissemination.NewTable())
 	}
 	return w
 }
 
-// step publishes a list, or delivers any list ever published, or one half or
-// both of an exchange; it returns whether no table went back.
+// step publishes a list, delivers any list published before, or runs one half
+// or both of an exchange. It reports whether no table returned to an older
+// list.
 func (w *world) step(s uint32) bool {
-	before := w.numbers()
+	before := w.versions()
 	to := w.tables[s%uint32(len(w.tables))]
 	from := w.tables[s>>4%uint32(len(w.tables))]
 	shard := s >> 8 % uint32(len(w.newest))
@@ -98,7 +99,7 @@
 	case 3:
 		exchange(to, from)
 	}
-	for i, n := range w.numbers() {
+	for i, n := range w.versions() {
 		if n.less(before[i]) {
 			return false
 		}
@@ -106,12 +107,12 @@
 	return true
 }
 
-// publish makes the next list of a shard, under a higher epoch and a sequence
-// that starts again when the owner changes.
+// publish makes the next list of a shard. A new owner has a higher epoch, and
+// its sequence starts again.
 func (w *world) publish(on *dissemination.Table, shard uint32, newOwner bool) {
 	n := &w.newest[shard]
 	if newOwner || n.epoch == 0 {
-		*n = number{n.epoch + 1, 0}
+		*n = listVersion{n.epoch + 1, 0}
 	}
 	n.sequence++
 	l := list(shard, n.epoch, n.sequence)
@@ -125,17 +126,17 @@
 	a.NoteDigest(b.Digest())
 }
 
-func (w *world) numbers() []number {
-	var out []number
+func (w *world) versions() []listVersion {
+	var out []listVersion
 	for _, t := range w.tables {
 		for shard := range w.newest {
-			out = append(out, numberOf(t, uint32(shard)))
+			out = append(out, versionOf(t, uint32(shard)))
 		}
 	}
 	return out
 }
 
-// heal lets all tables exchange and returns whether all hold the newest lists.
+// heal lets all tables exchange and reports whether all hold the newest lists.
 func (w *world) heal() bool {
 	for range 6 {
 		for _, a := range w.tables {
@@ -146,7 +147,7 @@
 	}
 	for _, t := range w.tables {
 		for shard, want := range w.newest {
-			if numberOf(t, uint32(shard)) != want {
+			if versionOf(t, uint32(shard)) != want {
 				return false
 			}
 		}
@@ -157,9 +158,8 @@
 	return true
 }
 
-// Symptom: a target that left gets new requests again.
-// Sequence: a hint that it leaves arrives, then a list made before that.
-// Cause: the list takes the hint's place though it is older news.
+// A list made before a leaving hint, which arrives after it, must not end the
+// hint, or the target that left would get new requests again.
 func TestHintOutlivesListsMadeBefore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := dissemination.NewTable()
@@ -173,16 +173,16 @@
 	}
 	table.PutOwn(list(0, 1, 2))
 	if !leaving(table) {
-		t.Error("a list that still names the target undid the hint")
+		t.Error("a list that still names the target ended the hint")
 	}
 	table.Expire(now.Add(dissemination.HintRetention + time.Second))
 	if leaving(table) {
-		t.Error("the hint has no end")
+		t.Error("the hint does not expire")
 	}
 	table.MarkLeaving(now, []*peerv1.LeavingTarget{hint})
 	table.PutOwn(list(0, 2, 1))
 	if leaving(table) {
-		t.Error("the hint is taken for one about the next attempt at the address")
+		t.Error("the hint is applied to the next attempt at the address")
 	}
 }
 
--- a/core/membership/round.go
+++ b/core/membership/round.go
@@ -7,12 +7,12 @@
 )
 
 // interruptedAfter is how many periods without a round mean that this daemon
-// itself stood still.
+// itself was paused.
 const interruptedAfter = 4
 
-// lostAfter is how many timeouts after its start an exchange whose end was
-// never told counts as over.
-const lostAfter = 5
+// abandonedAfter is how many timeouts after its start an exchange without a
+// reported end counts as finished.
+const abandonedAfter = 5
 
 func (m *Machine) tick(random uint64) {
 	if m.stopped || m.now.Before(m.nextRound) {
@@ -21,20 +21,20 @@
 	m.stats.Rounds++
 	m.view = nil
 	m.pcg.Seed(m.pcg.Uint64(), random)
-	m.noticeInterruption()
+	m.detectInterruption()
 	m.lastRound = m.now
 	m.nextRound = m.now.Add(m.jittered(m.o.Period))
-	m.forget()
-	m.blame()
-	m.judge()
+	m.forgetDead()
+	m.checkIsolation()
+	m.removeSuspects()
 	m.doubtBudget = m.o.DoubtFanout
-	m.askDoubtful()
-	m.askDead()
-	m.askNext(m.fanout())
+	m.exchangeDoubtful()
+	m.exchangeDead()
+	m.exchangeNext(m.fanout())
 }
 
-// jittered varies the period by a tenth, so that daemons started together do
-// not go on asking all at the same moment.
+// jittered varies a duration by up to a tenth in total, so that daemons that
+// started together do not keep contacting peers at the same moment.
 func (m *Machine) jittered(d time.Duration) time.Duration {
 	tenth := int64(d / 10)
 	if tenth == 0 {
@@ -43,11 +43,11 @@
 	return d - time.Duration(tenth/2) + time.Duration(m.rng.Int64N(tenth))
 }
 
-// noticeInterruption restarts all suspicions after this daemon stood still.
-// Exchanges that were in progress then failed by their deadlines though the
-// peers answered, and suspicion times ran out unwatched: going by them, a
-// daemon that slept would remove its peers on waking.
-func (m *Machine) noticeInterruption() {
+// detectInterruption restarts all suspicions after this daemon was paused.
+// During a pause, exchanges in flight time out although the peers responded,
+// and suspicion timeouts expire unobserved, so a resumed daemon would otherwise
+// remove its peers.
+func (m *Machine) detectInterruption() {
 	if m.now.Sub(m.lastRound) <= interruptedAfter*m.o.Period {
 		return
 	}
@@ -60,20 +60,20 @@
 	}
 }
 
-// restartSuspicions lets suspects be suspect anew from now and takes back
-// failures that are not yet a suspicion.
+// restartSuspicions restarts the timeout of all suspicions and clears failures
+// that have not yet caused a suspicion.
 func (m *Machine) restartSuspicions() {
 	for _, r := range m.sorted {
 		if r.State == Suspect {
-			r.since = m.now
+			r.suspectSince = m.now
 		} else if r.State != Dead {
 			r.failures = 0
 		}
 	}
 }
 
-// forget drops members dead for longer than the retention.
-func (m *Machine) forget() {
+// forgetDead drops members that have been dead for longer than DeadRetention.
+func (m *Machine) forgetDead() {
 	for _, r := range slices.Clone(m.sorted) {
 		if r.State == Dead && m.now.Sub(r.diedAt) >= m.o.DeadRetention {
 			m.remove(r.ID)
@@ -82,21 +82,22 @@
 	}
 }
 
-// fanout is how many peers to ask in turn this round.
+// fanout returns how many peers to contact in rotation this round.
 func (m *Machine) fanout() int {
 	n := m.o.Fanout
-	if m.starting() {
+	if m.isStarting() {
 		n = max(n, m.o.StartFanout)
 	}
-	if m.self.StoreSilent >= m.o.StoreSilentAfter || m.awaitsStore {
+	if m.self.StoreSilent >= m.o.StoreSilentAfter || m.awaitsMajority {
 		n = max(n, m.outageFanout())
 	}
 	return n
 }
 
-// starting is whether listed members are still to be met. It ends after a
-// turn's worth of rounds, as a list can name VMs whose daemon never runs.
-func (m *Machine) starting() bool {
+// isStarting reports whether listed members have not been contacted yet. It
+// turns false after startPeriods, because a list can name VMs whose daemon
+// never runs.
+func (m *Machine) isStarting() bool {
 	if m.now.Sub(m.booted) > startPeriods*m.o.Period {
 		return false
 	}
@@ -108,31 +109,34 @@
 	return false
 }
 
+// startPeriods is how many periods after its start a daemon, or a newly met
+// member, counts as starting.
 const startPeriods = 30
 
-// askNext asks the next n of the turn.
-func (m *Machine) askNext(n int) {
+// exchangeNext starts exchanges with the next n peers of the rotation.
+func (m *Machine) exchangeNext(n int) {
 	for range 2 * len(m.sorted) {
 		if n == 0 {
 			return
 		}
 		if len(m.ring) == 0 {
-			m.refill()
+			m.refillRing()
 			if len(m.ring) == 0 {
 				return
 			}
 		}
 		r := m.members[m.ring[0]]
 		m.ring = m.ring[1:]
-		if r.State == Dead || r.inDoubt() || !m.free(r) {
+		if r.State == Dead || r.inDoubt() || !m.canExchange(r) {
 			continue
 		}
-		m.ask(r)
+		m.startExchange(r)
 		n--
 	}
 }
 
-func (m *Machine) refill() {
+// refillRing begins the next pass: it shuffles all members that are not dead.
+func (m *Machine) refillRing() {
 	m.ring = m.ring[:0]
 	for _, r := range m.sorted {
 		if r.State != Dead {
@@ -144,17 +148,17 @@
 	})
 }
 
-// askDoubtful asks the members in doubt that most need it, as far as the
-// round's budget goes; what is left of it serves reports that come before the
-// next round. The budget keeps the cost of a whole zone's loss at what one
-// member's is.
-func (m *Machine) askDoubtful() {
+// exchangeDoubtful starts exchanges with the most urgent members in doubt,
+// within the round's budget. The rest of the budget is available for reports
+// that arrive before the next round. The budget keeps the cost of losing a
+// whole zone the same as that of losing one member.
+func (m *Machine) exchangeDoubtful() {
 	if m.doubtBudget == 0 {
 		return
 	}
 	var doubtful []*record
 	for _, r := range m.sorted {
-		if r.inDoubt() && m.free(r) {
+		if r.inDoubt() && m.canExchange(r) {
 			doubtful = append(doubtful, r)
 		}
 	}
@@ -162,18 +166,20 @@
 		return cmp.Or(
 			cmp.Compare(m.urgency(a), m.urgency(b)),
 			cmp.Compare(b.failures, a.failures),
-			a.asked.Compare(b.asked),
+			a.exchangedAt.Compare(b.exchangedAt),
 			cmp.Compare(a.ID, b.ID))
 	})
 	for _, r := range doubtful[:min(len(doubtful), m.doubtBudget)] {
 		m.doubtBudget--
-		m.ask(r)
+		m.startExchange(r)
 	}
 }
 
-// urgency ranks members in doubt. Those nearest to a verdict go first: were
-// all asked in turn, many in doubt at once would all stay undecided, and a
-// daemon on the smaller side of a cut would learn too late that it is.
+// urgency ranks members in doubt, the most urgent first. Members that are not
+// yet suspect precede suspects whose timeout has passed, and all other suspects
+// come last. In plain rotation, many members in doubt at once would all stay
+// undecided, and a daemon on the smaller side of a partition would detect that
+// too late.
 func (m *Machine) urgency(r *record) int {
 	switch {
 	case r.State != Suspect:
@@ -184,39 +190,40 @@
 	return 2
 }
 
-// askDead asks, now and then, one dead member that the platform still lists.
-// After two sides of a cut removed each other, nobody else would start a
-// conversation between them.
-func (m *Machine) askDead() {
+// exchangeDead contacts one dead member that the platform still lists every
+// DeadRetryInterval. Otherwise two sides of a partition that removed each other
+// would never exchange messages again.
+func (m *Machine) exchangeDead() {
 	if m.now.Sub(m.lastRetry) < m.o.DeadRetryInterval {
 		return
 	}
 	var oldest *record
 	for _, r := range m.sorted {
-		if r.State != Dead || !r.listed || !m.free(r) {
+		if r.State != Dead || !r.listed || !m.canExchange(r) {
 			continue
 		}
-		if oldest == nil || r.asked.Before(oldest.asked) {
+		if oldest == nil || r.exchangedAt.Before(oldest.exchangedAt) {
 			oldest = r
 		}
 	}
 	if oldest != nil {
 		m.lastRetry = m.now
-		m.ask(oldest)
+		m.startExchange(oldest)
 	}
 }
 
-// free is whether the member has an address and no exchange in progress.
-func (m *Machine) free(r *record) bool {
+// canExchange reports whether the member has an address and no exchange in
+// flight.
+func (m *Machine) canExchange(r *record) bool {
 	if r.Address == "" {
 		return false
 	}
-	return !r.inFlight || m.now.Sub(r.asked) > lostAfter*m.o.ExchangeTimeout
+	return !r.inFlight || m.now.Sub(r.exchangedAt) > abandonedAfter*m.o.ExchangeTimeout
 }
 
-func (m *Machine) ask(r *record) {
+func (m *Machine) startExchange(r *record) {
 	r.inFlight = true
-	r.asked = m.now
+	r.exchangedAt = m.now
 	m.stats.Exchanges++
 	m.commands = append(m.commands, ExchangeWith{
 		Peer: r.ID, Address: r.Address, Timeout: m.o.ExchangeTimeout,
