--- a/settings/check.go
+++ b/settings/check.go
@@ -11,7 +11,8 @@
 	"github.com/guavarill/guavarill/core/manifest"
 )
 
-// Check returns an *InvalidError for the first setting that cannot be.
+// Check validates each setting and the relations between them. It returns an
+// *InvalidError for the first setting that is invalid.
 func (d *Daemon) Check() error {
 	checks := []func() error{
 		d.checkNames, d.checkAddresses, d.checkPeerAddress, d.checkVMList,
@@ -46,7 +47,7 @@
 func (d *Daemon) checkAddresses() error {
 	addresses := []struct {
 		flag, value string
-		// anyPort is whether the system may choose the port.
+		// anyPort allows port 0, with which the system chooses the port.
 		anyPort bool
 	}{
 		{"listen-callers", d.ListenCallers, true},
@@ -65,8 +66,9 @@
 	return nil
 }
 
-// splitAddress returns the host of host:port. Port 0 lets the system choose a
-// port to listen on, and is nowhere to call.
+// splitAddress validates host:port and returns the host. Port 0 is allowed only
+// with anyPort: it lets the system choose a port to listen on, but no peer can
+// connect to it.
 func splitAddress(flag, value string, anyPort bool) (string, error) {
 	host, port, err := net.SplitHostPort(value)
 	if err != nil {
@@ -82,7 +84,9 @@
 	return host, nil
 }
 
-// checkPeerAddress refuses an address that other VMs could not reach.
+// checkPeerAddress rejects a peer address that other VMs cannot reach: a
+// wildcard, a host name or, in --peer-address, port 0. Without --peer-address it
+// checks the host of --listen-peers.
 func (d *Daemon) checkPeerAddress() error {
 	flag, value, anyPort := "peer-address", d.PeerAddress, false
 	if value == "" {
@@ -117,8 +121,8 @@
 	return nil
 }
 
-// minLease leaves room for a few lost renewals and the margin kept at a
-// lease's end.
+// minLease is the shortest allowed lease. It leaves time for a few lost renewals
+// and for the safety margin at the end of a lease.
 const minLease = 3 * time.Second
 
 func (d *Daemon) checkTimes() error {
@@ -146,15 +150,15 @@
 	return nil
 }
 
-// callsPerLease is how many calls of the store must find room in a lease: it is
-// renewed after a third of its time, and the answer to a renewal that failed
-// must come before the margin at its end.
+// callsPerLease is the number of store calls, each as long as --store-timeout,
+// that must fit into --lease-ttl. The lease is renewed after a third of its TTL,
+// and a failed renewal must return before the safety margin at the lease's end.
 const callsPerLease = 3
 
-// checkTimesTogether refuses times that defeat each other. A call of the store
-// that takes as long as the lease makes an outage look like a pause of this
-// daemon, which then gives its shards up. A stop that ends before the balancer
-// noticed cuts off requests.
+// checkTimesTogether rejects durations that conflict with each other. If a store
+// call may take as long as the lease, the daemon cannot distinguish a store outage
+// from a pause of its own process, and it gives up its shards. A planned stop that
+// ends before the load balancer has noticed it cuts off requests.
 func (d *Daemon) checkTimesTogether() error {
 	if callsPerLease*d.StoreCall > d.LeaseTTL {
 		detail := fmt.Sprintf("at most a third of --lease-ttl %s", d.LeaseTTL)
@@ -189,8 +193,8 @@
 	return nil
 }
 
-// checkTLS names the first of the three files that is missing while another
-// one is given.
+// checkTLS requires the certificate, the key and the CA file together. If only
+// some are set, the error names the first one that is missing.
 func (d *Daemon) checkTLS() error {
 	if d.TLSCert == "" && d.TLSKey == "" && d.TLSCA == "" {
 		return nil
--- a/settings/doc.go
+++ b/settings/doc.go
@@ -1,3 +1,3 @@
-// Package settings holds the daemon's settings as flags and environment
-// variables, and checks them as a whole before anything starts.
+// Package settings defines the settings of guavarilld, parses them from flags and
+// environment variables, and validates all of them before the daemon starts.
 package settings
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// Reason says what is wrong with a setting.
+// Reason describes why a setting is invalid.
 type Reason string
 
-// The reasons of an InvalidError.
+// The reasons of an InvalidError. Operators see these texts.
 const (
 	Missing    Reason = "is required"
 	NotAddress Reason = "is not host:port"
@@ -21,12 +21,14 @@
 	Incomplete Reason = "is required too: --tls-cert, --tls-key and --tls-ca go together"
 )
 
-// InvalidError names the flag and the value that cannot be.
+// InvalidError reports a setting that is missing or has an invalid value.
 type InvalidError struct {
+	// Flag is the name of the flag without the leading dashes.
 	Flag   string
 	Value  string
 	Reason Reason
-	// Detail adds what the value is compared with.
+	// Detail is optional and gives the limit or the other setting that the value
+	// conflicts with.
 	Detail string
 }
 
--- a/settings/page_test.go
+++ b/settings/page_test.go
@@ -23,9 +23,9 @@
 | --- | --- | --- | --- |
 `
 
-// Symptom: an operator sets a variable from the page and the daemon ignores it.
-// Sequence: a flag is renamed or gets another default; the page stays.
-// Cause: the page and the flags are written by hand in two places.
+// Guards against a settings page that disagrees with the flags: if a flag is
+// renamed or its default changes and the page is not updated, an operator sets a
+// variable from the page and the daemon ignores it.
 func TestPageListsTheFlags(t *testing.T) {
 	var page strings.Builder
 	page.WriteString(pageHead)
@@ -45,8 +45,8 @@
 	return "`" + text + "`"
 }
 
-// choices lists a flag's values; the tag is repeated, so Get would return the
-// first only.
+// choices formats the allowed values of a flag. The choice tag is repeated for each
+// value, so tag.Get would return only the first one.
 func choices(tag reflect.StructTag) string {
 	var values []string
 	for _, part := range strings.Split(string(tag), `choice:"`)[1:] {
--- a/settings/parse.go
+++ b/settings/parse.go
@@ -7,9 +7,10 @@
 	flags "github.com/jessevdk/go-flags"
 )
 
-// Parse reads the settings from flags and the environment, without Check. An
-// error is a *flags.Error, of type ErrHelp when --help was given, or a
-// *HostNameError.
+// Parse reads the settings from args and from environment variables; a flag takes
+// precedence over its variable. An empty --id defaults to the host name. Parse does
+// not call Check. The error is a *flags.Error, with type ErrHelp if --help was
+// given, or a *HostNameError.
 func Parse(args []string) (Daemon, error) {
 	var d Daemon
 	parser := flags.NewParser(&d, flags.HelpFlag|flags.PassDoubleDash)
@@ -18,8 +19,8 @@
 	if err != nil {
 		return d, err
 	}
-	// Taken in silence, a flag that lost its dashes would leave the daemon
-	// with a default that nobody chose.
+	// If positional arguments were ignored, a flag typed without its dashes would
+	// silently leave the setting at its default.
 	if len(rest) > 0 {
 		return d, &flags.Error{Type: flags.ErrUnknown, Message: fmt.Sprintf("unexpected argument %q", rest[0])}
 	}
@@ -32,7 +33,8 @@
 	return d, nil
 }
 
-// HostNameError says that the VM's name, which --id defaults to, is not known.
+// HostNameError reports that the VM's host name, the default of --id, could not
+// be read.
 type HostNameError struct{ Cause error }
 
 // Error implements error.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Daemon is everything that guavarilld can be told. Each field is a flag, an
-// environment variable, its default and its explanation.
+// Daemon holds all settings of guavarilld. The tags of each field define its flag,
+// environment variable, default and description.
 type Daemon struct {
 	Cluster string `long:"cluster" env:"GUAVARILL_CLUSTER" description:"name of the cluster; keys in the store and calls between daemons carry it (required)"`
 	ID      string `long:"id" env:"GUAVARILL_ID" description:"this daemon's name, unique within the cluster; default: the VM's host name"`
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,7 +8,7 @@
 	flags "github.com/jessevdk/go-flags"
 )
 
-// good are the settings that have no default.
+// good sets the flags that have no usable default.
 var good = []string{
 	"--cluster=c", "--id=entry-1", "--zone=a",
 	"--peer-address=10.0.0.1:8082", "--store=10.0.0.9:2379", "--vm-list=http://10.0.0.9/vms",
@@ -79,10 +79,10 @@
 			d := parse(t, c.arg)
 			var invalid *InvalidError
 			if err := d.Check(); !errors.As(err, &invalid) {
-				t.Fatalf("error %v", err)
+				t.Fatalf("Check returned %v, want an *InvalidError", err)
 			}
 			if invalid.Flag != c.flag || invalid.Value != c.value || invalid.Reason != c.reason {
-				t.Errorf("refused --%s %q %q", invalid.Flag, invalid.Value, invalid.Reason)
+				t.Errorf("got an error for --%s %q: %q", invalid.Flag, invalid.Value, invalid.Reason)
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	if d.Zone != "from-environment" {
-		t.Errorf("zone %q", d.Zone)
+		t.Errorf("zone is %q, want the value of GUAVARILL_ZONE", d.Zone)
 	}
 }
 
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	if d.ID != name {
-		t.Errorf("id %q, host name %q", d.ID, name)
+		t.Errorf("id is %q, want the host name %q", d.ID, name)
 	}
 }
 
@@ -114,7 +114,7 @@
 	for _, arg := range []string{"lease-ttl=10s", "--lease=10s", "--lease-ttl=10", "--log-level=loud"} {
 		var wrong *flags.Error
 		if _, err := Parse([]string{arg}); !errors.As(err, &wrong) {
-			t.Errorf("%s: error %v", arg, err)
+			t.Errorf("%s: Parse returned %v, want a *flags.Error", arg, err)
 		}
 	}
 }
