--- a/server/build.go
+++ b/server/build.go
@@ -22,15 +22,16 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// marginShare bounds the margin at the end of the daemon's lease to a part of
-// the lease. The lease is renewed after a third of its time: a margin of two
-// thirds or more would leave the daemon unsure of a lease that it holds.
+// marginShare limits the safety margin at the end of the daemon's lease to a fifth
+// of the lease's TTL. The lease is renewed after a third of its TTL, so with a
+// margin of two thirds or more the daemon could not rely on a lease that it holds.
 const marginShare = 5
 
-// renewsPerLease is how often a task's lease is renewed in its time.
+// renewsPerLease is the number of renewals of a task's lease within its duration.
 const renewsPerLease = 6
 
-// build listens, connects and makes the daemon with its servers.
+// build opens the listeners, creates the clients, and creates the daemon and its
+// servers. On error, the caller closes whatever was opened.
 func (s *Server) build() error {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// daemonOptions are the daemon's defaults with what the settings say.
+// daemonOptions returns the daemon's default options, overridden by the settings.
 func (s *Server) daemonOptions(registry *prometheus.Registry) daemon.Options {
 	options := daemon.DefaultOptions(s.identity(), s.ports())
 	options.Logger = s.log
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// connect makes the clients of the store, workers, targets and other daemons.
+// connect creates the clients for the store, workers, targets and other daemons.
 func (s *Server) connect(registry *prometheus.Registry) error {
 	if err := s.readTLS(); err != nil {
 		return err
@@ -111,7 +112,8 @@
 	return nil
 }
 
-// readTLS reads the TLS files when any are set.
+// readTLS loads the TLS files if they are set; Check has verified that either all
+// three or none are.
 func (s *Server) readTLS() error {
 	if s.settings.TLSCert == "" {
 		return nil
@@ -167,7 +169,7 @@
 	}
 }
 
-// makeServers makes the servers of callers, operators and other daemons.
+// makeServers creates the servers for callers, operators and other daemons.
 func (s *Server) makeServers(registry *prometheus.Registry) {
 	s.callers = callerapi.New(callerapi.Options{
 		Engine:         s.daemon.Engine(),
--- a/server/doc.go
+++ b/server/doc.go
@@ -1,4 +1,4 @@
-// Package server makes a whole guavarill process out of settings: the daemon,
-// its adapters, and its three listeners. The command guavarilld and the demo
-// are thin around it.
+// Package server assembles a guavarill process from its settings: the daemon, its
+// adapters, and the listeners for callers, operators and other daemons. The command
+// guavarilld and the demo are thin wrappers around it.
 package server
--- a/server/errors.go
+++ b/server/errors.go
@@ -1,6 +1,6 @@
 package server
 
-// Part is a part of a process that can fail to start or to go on.
+// Part names a part of the process that can fail to start or to stop.
 type Part string
 
 // The parts of a process.
@@ -13,9 +13,11 @@
 	PartDaemon  Part = "daemon"
 )
 
-// StartError says which part of a process failed.
+// StartError reports which part of the process failed to start.
 type StartError struct {
-	Part    Part
+	Part Part
+	// Address is the address that was listened on or connected to; it is empty for
+	// parts without one.
 	Address string
 	Cause   error
 }
@@ -32,9 +34,9 @@
 // Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// StopError says which part of a planned stop did not end in time: requests of
-// callers were cut off, or shards were not handed over and their new owners
-// wait for this daemon's lease to end.
+// StopError reports which part of a planned stop did not finish in time. With
+// PartCallers, requests in flight were cut off. With PartDaemon, some shards were
+// not handed over, and their new owners wait until this daemon's lease expires.
 type StopError struct {
 	Part  Part
 	Cause error
--- a/server/inforce_test.go
+++ b/server/inforce_test.go
@@ -17,8 +17,8 @@
 	"github.com/guavarill/guavarill/standin/site"
 )
 
-// fleet is a number of whole processes over loopback, on one stand-in
-// platform.
+// fleet is a set of complete guavarill processes on the loopback interface that
+// share one stand-in platform.
 type fleet struct {
 	site    *site.Site
 	servers []*server.Server
@@ -100,7 +100,7 @@
 	deadline := time.Now().Add(fleetWait)
 	for !reached() {
 		if time.Now().After(deadline) {
-			b.Fatalf("%s: not within %s", what, fleetWait)
+			b.Fatalf("timed out waiting for %s after %s", what, fleetWait)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -118,8 +118,8 @@
 	return m.Normalised()
 }
 
-// BenchmarkConfigInForce measures the time from the store's acceptance of a
-// change, as told to the operator, until every daemon has it in force.
+// BenchmarkConfigInForce measures the time from the response that reports a
+// change as accepted by the store until the change is in force on every daemon.
 func BenchmarkConfigInForce(b *testing.B) {
 	for _, size := range []int{3, 8, 50, 200} {
 		b.Run(fmt.Sprintf("daemons=%d", size), func(b *testing.B) {
@@ -128,9 +128,10 @@
 	}
 }
 
-// BenchmarkConfigInForceFaults is the same with a fault at each change: the
-// store's watches tell nothing; one daemon after the other is killed just
-// before a change, so that peers still push to it.
+// BenchmarkConfigInForceFaults measures the same time under faults. In
+// frozen-watches, the store's watches deliver no events. In killed-daemon, a daemon
+// is killed just before each change, while its peers still push to it, until three
+// daemons are left.
 func BenchmarkConfigInForceFaults(b *testing.B) {
 	const size = 8
 	b.Run("frozen-watches", func(b *testing.B) {
@@ -144,7 +145,7 @@
 	})
 }
 
-// killOne kills the last daemon, while more than three are left.
+// killOne kills the last daemon if more than three are running.
 func (f *fleet) killOne() {
 	last := len(f.servers) - 1
 	if last < 3 {
@@ -181,7 +182,7 @@
 	}
 	accepted, ok := result.(config.ApplyAccepted)
 	if !ok {
-		b.Fatalf("change %d: %#v", n, result)
+		b.Fatalf("change %d was not accepted: %#v", n, result)
 	}
 	began := time.Now()
 	f.waitFor(b, "change in force", func() bool { return f.allAt(accepted.Revision) })
--- a/server/server.go
+++ b/server/server.go
@@ -21,7 +21,7 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// Server is one guavarill process.
+// Server is one guavarill process: the daemon with its listeners and clients.
 type Server struct {
 	settings settings.Daemon
 	log      *logrus.Logger
@@ -45,8 +45,9 @@
 
 type listeners struct{ callers, admin, peers net.Listener }
 
-// New listens and connects but does not serve yet. An error is a
-// *settings.InvalidError or a *StartError; nothing is left open then.
+// New validates the settings, opens the listeners and creates the clients, but does
+// not serve yet; Run does. The error is a *settings.InvalidError or a *StartError,
+// and nothing is left open in that case.
 func New(s settings.Daemon, log *logrus.Logger) (*Server, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -59,9 +60,10 @@
 	return srv, nil
 }
 
-// ready returns why the process takes no requests. From the beginning of a
-// planned stop it fails, as it does on the callers' side: a balancer that probes
-// the operators' port would otherwise send requests until the process is gone.
+// ready returns an error that gives the reason if the process accepts no requests.
+// It fails from the beginning of a planned stop, like the readiness check on the
+// callers' port. Otherwise a load balancer that probes the operators' port would
+// send requests until the process has exited.
 func (s *Server) ready() error {
 	if s.stopping.Load() {
 		return &traffic.NotServingError{Reason: traffic.Stopping}
@@ -69,6 +71,8 @@
 	return s.daemon.Engine().Serving()
 }
 
+// askDrain makes Run begin a planned stop. It does not block; further requests have
+// no effect.
 func (s *Server) askDrain() {
 	select {
 	case s.drainAsk <- struct{}{}:
@@ -76,21 +80,23 @@
 	}
 }
 
-// CallersAddress returns where callers reach the process.
+// CallersAddress returns the host:port of the callers' listener.
 func (s *Server) CallersAddress() string { return s.listeners.callers.Addr().String() }
 
-// AdminAddress returns where operators reach the process.
+// AdminAddress returns the host:port of the operators' listener.
 func (s *Server) AdminAddress() string { return s.listeners.admin.Addr().String() }
 
-// PeersAddress returns where other daemons reach the process.
+// PeersAddress returns the host:port of the listener for other daemons. It is not
+// necessarily the address that is advertised to them.
 func (s *Server) PeersAddress() string { return s.listeners.peers.Addr().String() }
 
-// Daemon returns the daemon within the process.
+// Daemon returns the daemon that the process runs.
 func (s *Server) Daemon() *daemon.Daemon { return s.daemon }
 
-// Run serves until ctx ends or an operator asks for a drain, and then stops in
-// the planned way: readiness is withdrawn, shards are handed over, requests in
-// flight end. An error is a *StopError, or the failure of a listener.
+// Run serves until ctx is cancelled, an operator requests a drain or a listener
+// fails. It then performs a planned stop: readiness fails, shards are handed over,
+// and requests in flight complete. After Kill it returns without a planned stop. The
+// error is a *StopError or the failure of a listener.
 func (s *Server) Run(ctx context.Context) error {
 	group, inner := errgroup.WithContext(context.Background())
 	group.Go(func() error { s.daemon.Run(); return nil })
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -32,7 +32,7 @@
      size: {milliCPU: 500, memoryMB: 256}, slots: 8, connections: 60, timeout: 2s}
 `
 
-// patience bounds each wait; a test that reaches it has failed.
+// patience is the timeout of each wait; a test that reaches it fails.
 const patience = 40 * time.Second
 
 type process struct {
@@ -85,13 +85,14 @@
 	deadline := time.Now().Add(patience)
 	for !reached() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// get returns the status of a GET, 0 when there is no answer, and the body.
+// get sends a GET request and returns the status code and the body. The status is 0
+// if there is no response.
 func get(t *testing.T, address, path string) (int, string) {
 	t.Helper()
 	resp, err := http.Get("http://" + address + path)
@@ -124,10 +125,10 @@
 func TestLifeOfAProcess(t *testing.T) {
 	p := start(t)
 	if status, _ := get(t, p.AdminAddress(), "/livez"); status != http.StatusOK {
-		t.Fatalf("/livez %d", status)
+		t.Fatalf("/livez returned status %d", status)
 	}
 	if status, why := get(t, p.AdminAddress(), "/readyz"); status != http.StatusServiceUnavailable {
-		t.Fatalf("/readyz without configuration: %d %s", status, why)
+		t.Fatalf("/readyz without a configuration returned status %d: %s", status, why)
 	}
 	eventually(t, "manifest accepted", func() bool {
 		result, err := p.client.Apply(context.Background(), []byte(document), nil, false)
@@ -158,18 +159,19 @@
 			t.Errorf("planned stop: %v", err)
 		}
 	case <-time.After(patience):
-		t.Error("planned stop does not end")
+		t.Error("planned stop did not finish in time")
 	}
 	if status, _ := get(t, p.AdminAddress(), "/livez"); status != 0 {
-		t.Errorf("/livez after the end: %d", status)
+		t.Errorf("/livez after the stop returned status %d", status)
 	}
 }
 
 var metricName = regexp.MustCompile("guavarill_[a-z_]+")
 
-// checkMetricsPage compares the operators' page with the metrics that the
-// process serves. Those with labels appear once they were counted, so a name
-// on the page alone is looked for in its family's absence only if unlabelled.
+// checkMetricsPage compares the operators' page with the metrics that the process
+// serves: every served metric must be documented, and every documented metric
+// without labels must be served. A metric with labels is served only after its first
+// observation, so its absence is not an error.
 func checkMetricsPage(t *testing.T, address string) {
 	t.Helper()
 	page, err := os.ReadFile("../docs/operations/metrics.md")
@@ -182,22 +184,21 @@
 		name, isHelp := strings.CutPrefix(line, "# HELP ")
 		name, _, _ = strings.Cut(name, " ")
 		if isHelp && strings.HasPrefix(name, "guavarill_") && !slices.Contains(documented, name) {
-			t.Errorf("%s is served and not documented", name)
+			t.Errorf("%s is served but not documented", name)
 		}
 	}
 	for _, row := range strings.Split(string(page), "\n| `")[1:] {
 		name, rest, _ := strings.Cut(row, "`")
 		labels, _, _ := strings.Cut(strings.TrimPrefix(rest, " | "), " |")
 		if labels == "" && !strings.Contains(served, "# HELP "+name+" ") {
-			t.Errorf("%s is documented and not served", name)
+			t.Errorf("%s is documented but not served", name)
 		}
 	}
 }
 
-// Symptom: a stop that cut requests off looks like a good one.
-// Sequence: a planned stop begins; the handover or a request does not end in
-// time.
-// Cause: the end of the time is taken for the end of the work.
+// Guards against a planned stop that cuts off requests but reports success: the
+// handover or a request exceeds the drain timeout, and the stop treats the timeout as
+// completion.
 func TestStopThatTakesTooLongIsAnError(t *testing.T) {
 	p := start(t)
 	p.settings.DrainTimeout = time.Millisecond
@@ -206,7 +207,7 @@
 	}
 	var failed *StopError
 	if err := <-p.done; !errors.As(err, &failed) {
-		t.Errorf("error %v", err)
+		t.Errorf("Run returned %v, want a *StopError", err)
 	}
 }
 
@@ -214,7 +215,7 @@
 	_, err := New(settings.Daemon{Cluster: "c", ID: "entry-1"}, logrus.New())
 	var invalid *settings.InvalidError
 	if !errors.As(err, &invalid) || invalid.Flag != "zone" {
-		t.Errorf("error %v", err)
+		t.Errorf("New returned %v, want an *InvalidError for --zone", err)
 	}
 }
 
@@ -222,14 +223,14 @@
 	p := start(t)
 	var refused *traffic.NotServingError
 	if err := p.ready(); !errors.As(err, &refused) {
-		t.Errorf("error %v", err)
+		t.Errorf("ready returned %v, want a *NotServingError", err)
 	}
 }
 
-// Symptom: a task runs in two places after a takeover in an outage.
-// Sequence: one daemon runs with the settings' default, a test or a library's
-// user with the daemon's own.
-// Cause: two defaults for what all daemons must have the same.
+// Guards against a task that runs in two places after a takeover during a store
+// outage. This happens if the default in settings differs from the default in package
+// daemon, which tests and library users get, for a value that must be equal on all
+// daemons.
 func TestSharedTimesHaveOneDefault(t *testing.T) {
 	s, err := settings.Parse(nil)
 	if err != nil {
@@ -237,9 +238,9 @@
 	}
 	o := daemon.DefaultOptions(daemon.Identity{}, daemon.Ports{})
 	if s.OutageGrace != o.Session.OutageGrace || s.OutageGrace != o.Ownership.OutageGrace {
-		t.Errorf("outage grace %s, %s, %s", s.OutageGrace, o.Session.OutageGrace, o.Ownership.OutageGrace)
+		t.Errorf("outage grace is %s in settings, %s in Session, %s in Ownership", s.OutageGrace, o.Session.OutageGrace, o.Ownership.OutageGrace)
 	}
 	if s.TaskLease != workersession.DefaultLease || s.RacksPerShard != o.RacksShard {
-		t.Errorf("lease %s, %d racks", s.TaskLease, s.RacksPerShard)
+		t.Errorf("settings have task lease %s and %d racks per shard; the daemon has other defaults", s.TaskLease, s.RacksPerShard)
 	}
 }
--- a/server/stop.go
+++ b/server/stop.go
@@ -8,6 +8,7 @@
 	"golang.org/x/sync/errgroup"
 )
 
+// stopped wraps err, if any, in a *StopError for part.
 func stopped(part Part, err error) error {
 	if err == nil {
 		return nil
@@ -15,9 +16,9 @@
 	return &StopError{Part: part, Cause: err}
 }
 
-// stop is the planned stop. Requests in flight and the handover of shards end
-// side by side; the peers' listener closes last, so that other daemons hear
-// this one's farewell.
+// stop performs the planned stop within DrainTimeout. Requests in flight complete
+// while shards are handed over. The peers' listener closes only afterwards, so that
+// other daemons can learn that this one is leaving.
 func (s *Server) stop() error {
 	s.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), s.settings.DrainTimeout)
@@ -30,13 +31,15 @@
 	return err
 }
 
-// Kill ends the process's work at once, as its VM's end would: nothing is
-// handed over, nobody is told.
+// Kill stops all work at once, as a failure of the VM would: no shard is handed
+// over and no other daemon is notified.
 func (s *Server) Kill() {
 	s.killOnce.Do(func() { close(s.killed) })
 	s.closeAll()
 }
 
+// closeAll closes the servers, the daemon, the clients and the listeners. It skips
+// those that were not created, so it also cleans up after a failed start.
 func (s *Server) closeAll() {
 	if s.callers != nil {
 		_ = s.callers.Close()
