--- a/cmd/guavarilld/main.go
+++ b/cmd/guavarilld/main.go
@@ -1,11 +1,12 @@
-// Command guavarilld is the guavarill daemon: entry, scheduler and member.
+// Command guavarilld is the guavarill daemon. It serves callers' requests, schedules
+// tasks on workers, and is a member of the cluster of daemons.
 //
-// SIGTERM and SIGINT begin a planned stop; a second one ends the process at
-// once.
+// SIGTERM or SIGINT begins a planned stop; a second signal terminates the process
+// at once.
 //
-// Exit codes: 0 after a planned stop and for --help; 1 after a failure, which
-// includes a port in use, TLS files that cannot be read, and a stop in which
-// requests were cut off; 2 for settings that cannot be.
+// The exit code is 0 after a planned stop and for --help; 1 after a failure, such as
+// a port in use, unreadable TLS files, or a stop that cut off requests; and 2 for
+// invalid settings.
 package main
 
 import (
@@ -34,12 +35,13 @@
 
 func main() { os.Exit(run(context.Background(), os.Args[1:], os.Stdout, os.Stderr)) }
 
-// run runs the daemon until a signal, a drain or the end of ctx.
+// run runs the daemon until it receives a signal or a drain request, or until ctx is
+// cancelled, and returns the exit code.
 func run(ctx context.Context, args []string, out, errOut io.Writer) int {
 	log := logrus.New()
 	log.SetOutput(errOut)
-	// The HTTP client writes a line for each unasked answer of a target to the
-	// standard logger; the connection is counted and closed anyway.
+	// net/http logs each unsolicited response of a target to the standard logger.
+	// Such a connection is counted and closed anyway, so debug level is enough.
 	stdlog.SetOutput(log.WriterLevel(logrus.DebugLevel))
 	srv, err := start(args, log)
 	if err != nil {
@@ -47,7 +49,8 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// From the first signal on, signals have their usual effect again.
+	// Restore the default signal handling after the first signal, so that a second
+	// one terminates the process.
 	context.AfterFunc(ctx, stop)
 	if err := srv.Run(ctx); err != nil {
 		log.WithError(err).Error("stopped")
@@ -56,8 +59,9 @@
 	return exitOK
 }
 
-// start returns a process that listens. An error is a *flags.Error, a
-// *settings.HostNameError, a *settings.InvalidError or a *server.StartError.
+// start parses the settings, configures log, and returns a server whose listeners
+// are open. The error is a *flags.Error, a *settings.HostNameError, a
+// *settings.InvalidError or a *server.StartError.
 func start(args []string, log *logrus.Logger) (*server.Server, error) {
 	s, err := settings.Parse(args)
 	if err != nil {
@@ -67,7 +71,8 @@
 	return server.New(s, log)
 }
 
-// report says why the daemon does not start and returns the exit code.
+// report prints help to out, or reports on errOut or log why the daemon cannot
+// start, and returns the exit code.
 func report(err error, log *logrus.Logger, out, errOut io.Writer) int {
 	var wrong *settings.InvalidError
 	var usage *flags.Error
@@ -86,6 +91,7 @@
 	return exitFailed
 }
 
+// configure applies the log format and level of the settings to log.
 func configure(log *logrus.Logger, s settings.Daemon) {
 	if s.LogFormat == "json" {
 		log.SetFormatter(&logrus.JSONFormatter{})
--- a/cmd/guavarilld/main_test.go
+++ b/cmd/guavarilld/main_test.go
@@ -29,7 +29,8 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	// A daemon that starts although it should not stops at once.
+	// The context is already cancelled, so a daemon that starts by mistake stops at
+	// once.
 	ended, end := context.WithCancel(context.Background())
 	end()
 	for _, c := range []struct {
@@ -54,16 +55,15 @@
 				t.Errorf("exit code %d, want %d", code, c.code)
 			}
 			if text := out.String() + errOut.String(); !strings.Contains(text, c.says) {
-				t.Errorf("does not say %s:\n%s", c.says, text)
+				t.Errorf("output does not contain %s:\n%s", c.says, text)
 			}
 		})
 	}
 }
 
-// Symptom: a daemon that could not listen looks like one with wrong settings,
-// or holds other ports so that the next try fails too.
-// Sequence: another process has the peers' port; the daemon is started twice.
-// Cause: listeners opened before the one that failed are left open.
+// Guards against a port in use that is reported as invalid settings, and against
+// listeners that stay open after a failed start, so that the next start fails too.
+// Another process holds the peers' port, and the daemon is started twice.
 func TestPortInUseIsTypedAndLeavesNothingOpen(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -77,12 +77,12 @@
 		_, err := start(arguments("--listen-callers="+free, "--listen-peers="+taken.Addr().String()), log)
 		var failed *server.StartError
 		if !errors.As(err, &failed) || failed.Part != server.PartPeers || !errors.Is(err, syscall.EADDRINUSE) {
-			t.Fatalf("error %v", err)
+			t.Fatalf("start returned %v, want a *StartError for the peers' listener", err)
 		}
 	}
 	again, err := net.Listen("tcp", free)
 	if err != nil {
-		t.Fatalf("callers' port is still held: %v", err)
+		t.Fatalf("callers' port is still in use: %v", err)
 	}
 	_ = again.Close()
 }
