--- a/cmd/guavarill/main.go
+++ b/cmd/guavarill/main.go
@@ -1,4 +1,5 @@
-// Command guavarill is the operators' command; see package cli.
+// Command guavarill is the command-line client for operators; package cli implements
+// it.
 package main
 
 import (
