--- a/demo/demo.go
+++ b/demo/demo.go
@@ -141,7 +141,7 @@
 	srv, err := server.New(settings.Daemon{
 		Cluster: r.o.Deployment.Name, ID: m.id, Zone: string(m.zone),
 		ListenCallers: "127.0.0.1:0", ListenAdmin: "127.0.0.1:0", ListenPeers: "127.0.0.1:0",
-		Store: r.site.StoreAddress(), VMList: r.site.VMListURL(), StoreCall: time.Second,
+		Store: r.site.StoreAddress(), VMList: r.site.VMListURL(), StoreTimeout: time.Second,
 		StoreReads: 1500, StoreWrites: 300,
 		LeaseTTL: leaseTTL, TaskLease: taskLease, OutageGrace: outageGrace,
 		BalancerNotice: balancerNotice, DrainTimeout: drainTimeout,
--- a/server/build.go
+++ b/server/build.go
@@ -61,7 +61,7 @@
 	options.RacksShard = s.settings.RacksPerShard
 	options.CommitsPerSecond = s.settings.StoreWrites / 2
 	options.TimelineEvents = s.settings.TimelineEvents
-	options.Timing.StoreCall = s.settings.StoreCall
+	options.Timing.StoreCall = s.settings.StoreTimeout
 	options.Ownership.LeaseTTL = s.settings.LeaseTTL
 	options.Ownership.Margin = min(ownership.DefaultMargin, s.settings.LeaseTTL/marginShare)
 	options.Ownership.OutageGrace = s.settings.OutageGrace
@@ -133,7 +133,7 @@
 		StoreReads: s.settings.StoreReads, StoreWrites: s.settings.StoreWrites,
 	})
 	store, err := etcdstore.New(etcdstore.Options{
-		Endpoint: s.settings.Store, CallTimeout: s.settings.StoreCall,
+		Endpoint: s.settings.Store, CallTimeout: s.settings.StoreTimeout,
 		Budget: budget, Registerer: registry,
 	})
 	if err != nil {
--- a/server/inforce_test.go
+++ b/server/inforce_test.go
@@ -51,7 +51,7 @@
 	srv, err := server.New(settings.Daemon{
 		Cluster: "agency", ID: id, Zone: string(zone),
 		ListenCallers: "127.0.0.1:0", ListenAdmin: "127.0.0.1:0", ListenPeers: "127.0.0.1:0",
-		Store: f.site.StoreAddress(), VMList: f.site.VMListURL(), StoreCall: 2 * time.Second,
+		Store: f.site.StoreAddress(), VMList: f.site.VMListURL(), StoreTimeout: 2 * time.Second,
 		StoreReads: 1500, StoreWrites: 300,
 		LeaseTTL: 10 * time.Second, TaskLease: 30 * time.Second, OutageGrace: 20 * time.Second,
 		BalancerNotice: time.Second, DrainTimeout: 10 * time.Second, RacksPerShard: 2, MaxBodyBytes: 1 << 20, TimelineEvents: 100,
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -45,7 +45,7 @@
 	return settings.Daemon{
 		Cluster: "c", ID: "entry-1", Zone: "a",
 		ListenCallers: "127.0.0.1:0", ListenAdmin: "127.0.0.1:0", ListenPeers: "127.0.0.1:0",
-		Store: platform.StoreAddress(), VMList: platform.VMListURL(), StoreCall: time.Second,
+		Store: platform.StoreAddress(), VMList: platform.VMListURL(), StoreTimeout: time.Second,
 		StoreReads: 1000, StoreWrites: 300,
 		LeaseTTL: 3 * time.Second, TaskLease: 6 * time.Second, OutageGrace: 3 * time.Second,
 		BalancerNotice: time.Second, DrainTimeout: 30 * time.Second,
--- a/settings/check.go
+++ b/settings/check.go
@@ -16,7 +16,7 @@
 func (d *Daemon) Check() error {
 	checks := []func() error{
 		d.checkNames, d.checkAddresses, d.checkPeerAddress, d.checkVMList,
-		d.checkTimes, d.checkTimesTogether, d.checkNumbers, d.checkTLS,
+		d.checkDurations, d.checkDurationRelations, d.checkNumbers, d.checkTLS,
 	}
 	for _, check := range checks {
 		if err := check(); err != nil {
@@ -125,13 +125,13 @@
 // and for the safety margin at the end of a lease.
 const minLease = 3 * time.Second
 
-func (d *Daemon) checkTimes() error {
+func (d *Daemon) checkDurations() error {
 	times := []struct {
 		flag  string
 		value time.Duration
 		least time.Duration
 	}{
-		{"store-timeout", d.StoreCall, 0},
+		{"store-timeout", d.StoreTimeout, 0},
 		{"lease-ttl", d.LeaseTTL, minLease},
 		{"task-lease", d.TaskLease, minLease},
 		{"outage-grace", d.OutageGrace, 0},
@@ -140,7 +140,7 @@
 	}
 	for _, t := range times {
 		if t.value <= 0 {
-			return &InvalidError{Flag: t.flag, Value: t.value.String(), Reason: NotAbove0}
+			return &InvalidError{Flag: t.flag, Value: t.value.String(), Reason: NotPositive}
 		}
 		if t.value < t.least {
 			detail := "at least " + t.least.String()
@@ -150,19 +150,19 @@
 	return nil
 }
 
-// callsPerLease is the number of store calls, each as long as --store-timeout,
+// storeCallsPerLease is the number of store calls, each as long as --store-timeout,
 // that must fit into --lease-ttl. The lease is renewed after a third of its TTL,
 // and a failed renewal must return before the safety margin at the lease's end.
-const callsPerLease = 3
+const storeCallsPerLease = 3
 
-// checkTimesTogether rejects durations that conflict with each other. If a store
+// checkDurationRelations rejects durations that conflict with each other. If a store
 // call may take as long as the lease, the daemon cannot distinguish a store outage
 // from a pause of its own process, and it gives up its shards. A planned stop that
 // ends before the load balancer has noticed it cuts off requests.
-func (d *Daemon) checkTimesTogether() error {
-	if callsPerLease*d.StoreCall > d.LeaseTTL {
+func (d *Daemon) checkDurationRelations() error {
+	if storeCallsPerLease*d.StoreTimeout > d.LeaseTTL {
 		detail := fmt.Sprintf("at most a third of --lease-ttl %s", d.LeaseTTL)
-		return &InvalidError{Flag: "store-timeout", Value: d.StoreCall.String(), Reason: TooLong, Detail: detail}
+		return &InvalidError{Flag: "store-timeout", Value: d.StoreTimeout.String(), Reason: TooLong, Detail: detail}
 	}
 	if d.DrainTimeout <= d.BalancerNotice {
 		detail := fmt.Sprintf("longer than --balancer-notice %s", d.BalancerNotice)
@@ -187,7 +187,7 @@
 		case math.IsNaN(n.value), math.IsInf(n.value, 0):
 			return &InvalidError{Flag: n.flag, Value: fmt.Sprint(n.value), Reason: NotFinite}
 		case n.value <= 0:
-			return &InvalidError{Flag: n.flag, Value: fmt.Sprint(n.value), Reason: NotAbove0}
+			return &InvalidError{Flag: n.flag, Value: fmt.Sprint(n.value), Reason: NotPositive}
 		}
 	}
 	return nil
--- a/settings/errors.go
+++ b/settings/errors.go
@@ -7,18 +7,18 @@
 
 // The reasons of an InvalidError. Operators see these texts.
 const (
-	Missing    Reason = "is required"
-	NotAddress Reason = "is not host:port"
-	NotPort    Reason = "has no port that other machines can reach"
-	NotIP      Reason = "must name an IP number"
-	Wildcard   Reason = "must not be a wildcard"
-	NotURL     Reason = "is not an http or https URL"
-	NotName    Reason = "may hold lower case letters, digits and inner dashes only"
-	TooLong    Reason = "is too long"
-	NotAbove0  Reason = "must be above 0"
-	NotFinite  Reason = "must be a finite number"
-	TooShort   Reason = "is too short"
-	Incomplete Reason = "is required too: --tls-cert, --tls-key and --tls-ca go together"
+	Missing     Reason = "is required"
+	NotAddress  Reason = "is not host:port"
+	NotPort     Reason = "has no port that other machines can reach"
+	NotIP       Reason = "must name an IP number"
+	Wildcard    Reason = "must not be a wildcard"
+	NotURL      Reason = "is not an http or https URL"
+	NotName     Reason = "may hold lower case letters, digits and inner dashes only"
+	TooLong     Reason = "is too long"
+	NotPositive Reason = "must be above 0"
+	NotFinite   Reason = "must be a finite number"
+	TooShort    Reason = "is too short"
+	Incomplete  Reason = "is required too: --tls-cert, --tls-key and --tls-ca go together"
 )
 
 // InvalidError reports a setting that is missing or has an invalid value.
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -14,9 +14,9 @@
 	ListenPeers   string `long:"listen-peers" env:"GUAVARILL_LISTEN_PEERS" default:"0.0.0.0:8082" description:"host:port on which other daemons are answered"`
 	PeerAddress   string `long:"peer-address" env:"GUAVARILL_PEER_ADDRESS" description:"host:port under which other daemons reach --listen-peers, an IP number; default: the address listened on (required when that is a wildcard)"`
 
-	Store     string        `long:"store" env:"GUAVARILL_STORE" description:"host:port of the platform's key-value service (required)"`
-	VMList    string        `long:"vm-list" env:"GUAVARILL_VM_LIST" description:"URL of the platform's list of VMs (required)"`
-	StoreCall time.Duration `long:"store-timeout" env:"GUAVARILL_STORE_TIMEOUT" default:"2s" description:"deadline of one call of the store; at most a third of --lease-ttl"`
+	Store        string        `long:"store" env:"GUAVARILL_STORE" description:"host:port of the platform's key-value service (required)"`
+	VMList       string        `long:"vm-list" env:"GUAVARILL_VM_LIST" description:"URL of the platform's list of VMs (required)"`
+	StoreTimeout time.Duration `long:"store-timeout" env:"GUAVARILL_STORE_TIMEOUT" default:"2s" description:"deadline of one call of the store; at most a third of --lease-ttl"`
 
 	StoreReads  float64 `long:"store-reads" env:"GUAVARILL_STORE_READS" default:"1500" description:"reads a second that all daemons together may make of the store"`
 	StoreWrites float64 `long:"store-writes" env:"GUAVARILL_STORE_WRITES" default:"300" description:"writes a second that all daemons together may make of the store"`
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,15 +8,15 @@
 	flags "github.com/jessevdk/go-flags"
 )
 
-// good sets the flags that have no usable default.
-var good = []string{
+// requiredArgs sets the flags that have no usable default.
+var requiredArgs = []string{
 	"--cluster=c", "--id=entry-1", "--zone=a",
 	"--peer-address=10.0.0.1:8082", "--store=10.0.0.9:2379", "--vm-list=http://10.0.0.9/vms",
 }
 
 func parse(t *testing.T, args ...string) Daemon {
 	t.Helper()
-	d, err := Parse(append(good[:len(good):len(good)], args...))
+	d, err := Parse(append(requiredArgs[:len(requiredArgs):len(requiredArgs)], args...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,23 +55,23 @@
 		{"--peer-address=10.0.0.1:0", "peer-address", "10.0.0.1:0", NotPort},
 		{"--vm-list=", "vm-list", "", Missing},
 		{"--vm-list=10.0.0.9/vms", "vm-list", "10.0.0.9/vms", NotURL},
-		{"--store-timeout=-1s", "store-timeout", "-1s", NotAbove0},
+		{"--store-timeout=-1s", "store-timeout", "-1s", NotPositive},
 		{"--store-timeout=3.5s", "store-timeout", "3.5s", TooLong},
-		{"--lease-ttl=-10s", "lease-ttl", "-10s", NotAbove0},
+		{"--lease-ttl=-10s", "lease-ttl", "-10s", NotPositive},
 		{"--lease-ttl=1s", "lease-ttl", "1s", TooShort},
-		{"--task-lease=-30s", "task-lease", "-30s", NotAbove0},
+		{"--task-lease=-30s", "task-lease", "-30s", NotPositive},
 		{"--task-lease=2s", "task-lease", "2s", TooShort},
-		{"--outage-grace=-1s", "outage-grace", "-1s", NotAbove0},
-		{"--balancer-notice=0s", "balancer-notice", "0s", NotAbove0},
-		{"--drain-timeout=-1m", "drain-timeout", "-1m0s", NotAbove0},
+		{"--outage-grace=-1s", "outage-grace", "-1s", NotPositive},
+		{"--balancer-notice=0s", "balancer-notice", "0s", NotPositive},
+		{"--drain-timeout=-1m", "drain-timeout", "-1m0s", NotPositive},
 		{"--drain-timeout=5s", "drain-timeout", "5s", TooShort},
-		{"--store-reads=0", "store-reads", "0", NotAbove0},
+		{"--store-reads=0", "store-reads", "0", NotPositive},
 		{"--store-reads=NaN", "store-reads", "NaN", NotFinite},
-		{"--store-writes=-1", "store-writes", "-1", NotAbove0},
+		{"--store-writes=-1", "store-writes", "-1", NotPositive},
 		{"--store-writes=+Inf", "store-writes", "+Inf", NotFinite},
-		{"--racks-per-shard=-2", "racks-per-shard", "-2", NotAbove0},
-		{"--max-body-bytes=0", "max-body-bytes", "0", NotAbove0},
-		{"--timeline-events=0", "timeline-events", "0", NotAbove0},
+		{"--racks-per-shard=-2", "racks-per-shard", "-2", NotPositive},
+		{"--max-body-bytes=0", "max-body-bytes", "0", NotPositive},
+		{"--timeline-events=0", "timeline-events", "0", NotPositive},
 		{"--tls-cert=cert.pem", "tls-key", "", Incomplete},
 		{"--tls-ca=ca.pem", "tls-cert", "", Incomplete},
 	} {
