--- a/server/build.go
+++ b/server/build.go
@@ -22,13 +22,13 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// marginShare limits the safety margin at the end of the daemon's lease to a fifth
+// marginDivisor limits the safety margin at the end of the daemon's lease to a fifth
 // of the lease's TTL. The lease is renewed after a third of its TTL, so with a
 // margin of two thirds or more the daemon could not rely on a lease that it holds.
-const marginShare = 5
+const marginDivisor = 5
 
-// renewsPerLease is the number of renewals of a task's lease within its duration.
-const renewsPerLease = 6
+// renewalsPerLease is the number of renewals of a task's lease within its duration.
+const renewalsPerLease = 6
 
 // build opens the listeners, creates the clients, and creates the daemon and its
 // servers. On error, the caller closes whatever was opened.
@@ -63,11 +63,11 @@
 	options.TimelineEvents = s.settings.TimelineEvents
 	options.Timing.StoreCall = s.settings.StoreTimeout
 	options.Ownership.LeaseTTL = s.settings.LeaseTTL
-	options.Ownership.Margin = min(ownership.DefaultMargin, s.settings.LeaseTTL/marginShare)
+	options.Ownership.Margin = min(ownership.DefaultMargin, s.settings.LeaseTTL/marginDivisor)
 	options.Ownership.OutageGrace = s.settings.OutageGrace
 	options.Members.OutageGrace = s.settings.OutageGrace
 	options.Session.Lease = s.settings.TaskLease
-	options.Session.RenewEvery = s.settings.TaskLease / renewsPerLease
+	options.Session.RenewEvery = s.settings.TaskLease / renewalsPerLease
 	options.Session.OutageGrace = s.settings.OutageGrace
 	if s.settings.Seed != 0 {
 		options.Seed = s.settings.Seed
@@ -181,7 +181,7 @@
 		Daemon:   s.daemon,
 		Gatherer: registry,
 		Ready:    s.ready,
-		Drain:    s.askDrain,
+		Drain:    s.requestDrain,
 	})
 	options := grpcpeer.ServerOptions{Cluster: s.settings.Cluster}
 	if s.tls != nil {
--- a/server/inforce_test.go
+++ b/server/config_bench_test.go
@@ -38,7 +38,7 @@
 	for i := range size {
 		f.startServer(b, i)
 	}
-	f.waitFor(b, "all members known", f.allKnown)
+	f.waitFor(b, "all members known", f.allMembersAlive)
 	return f
 }
 
@@ -74,7 +74,7 @@
 	f.site.Close()
 }
 
-func (f *fleet) allKnown() bool {
+func (f *fleet) allMembersAlive() bool {
 	for _, srv := range f.servers {
 		st, err := srv.Daemon().Status(context.Background())
 		if err != nil || st.Shards == 0 {
@@ -141,12 +141,12 @@
 	})
 	b.Run("killed-daemon", func(b *testing.B) {
 		f := startFleet(b, size)
-		f.measureChanges(b, f.killOne)
+		f.measureChanges(b, f.killLast)
 	})
 }
 
-// killOne kills the last daemon if more than three are running.
-func (f *fleet) killOne() {
+// killLast kills the last daemon if more than three are running.
+func (f *fleet) killLast() {
 	last := len(f.servers) - 1
 	if last < 3 {
 		return
@@ -185,11 +185,11 @@
 		b.Fatalf("change %d was not accepted: %#v", n, result)
 	}
 	began := time.Now()
-	f.waitFor(b, "change in force", func() bool { return f.allAt(accepted.Revision) })
+	f.waitFor(b, "change in force", func() bool { return f.allHaveRevision(accepted.Revision) })
 	return time.Since(began)
 }
 
-func (f *fleet) allAt(revision model.Revision) bool {
+func (f *fleet) allHaveRevision(revision model.Revision) bool {
 	for _, srv := range f.servers {
 		current, err := srv.Daemon().Config(context.Background())
 		if err != nil || current == nil || current.Revision < revision {
--- a/server/server.go
+++ b/server/server.go
@@ -36,11 +36,11 @@
 	target     *httptarget.Target
 	tls        *tlsfiles.Source
 
-	listeners listeners
-	stopping  atomic.Bool
-	drainAsk  chan struct{}
-	killed    chan struct{}
-	killOnce  sync.Once
+	listeners     listeners
+	stopping      atomic.Bool
+	drainRequests chan struct{}
+	killed        chan struct{}
+	killOnce      sync.Once
 }
 
 type listeners struct{ callers, admin, peers net.Listener }
@@ -52,7 +52,7 @@
 	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	srv := &Server{settings: s, log: log, drainAsk: make(chan struct{}, 1), killed: make(chan struct{})}
+	srv := &Server{settings: s, log: log, drainRequests: make(chan struct{}, 1), killed: make(chan struct{})}
 	if err := srv.build(); err != nil {
 		srv.closeAll()
 		return nil, err
@@ -71,11 +71,11 @@
 	return s.daemon.Engine().Serving()
 }
 
-// askDrain makes Run begin a planned stop. It does not block; further requests have
+// requestDrain makes Run begin a planned stop. It does not block; further requests have
 // no effect.
-func (s *Server) askDrain() {
+func (s *Server) requestDrain() {
 	select {
-	case s.drainAsk <- struct{}{}:
+	case s.drainRequests <- struct{}{}:
 	default:
 	}
 }
@@ -108,7 +108,7 @@
 	}).Info("serving")
 	select {
 	case <-ctx.Done():
-	case <-s.drainAsk:
+	case <-s.drainRequests:
 	case <-inner.Done():
 	case <-s.killed:
 		return group.Wait()
--- a/server/server_test.go
+++ b/server/server_test.go
@@ -24,7 +24,7 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-const document = `
+const testManifest = `
 cluster: c
 teams: [{name: t}]
 workloads:
@@ -32,8 +32,8 @@
      size: {milliCPU: 500, memoryMB: 256}, slots: 8, connections: 60, timeout: 2s}
 `
 
-// patience is the timeout of each wait; a test that reaches it fails.
-const patience = 40 * time.Second
+// waitTimeout is the timeout of each wait; a test that reaches it fails.
+const waitTimeout = 40 * time.Second
 
 type process struct {
 	*Server
@@ -82,7 +82,7 @@
 
 func eventually(t *testing.T, what string, reached func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !reached() {
 		if time.Now().After(deadline) {
 			t.Fatalf("timed out waiting for: %s", what)
@@ -131,7 +131,7 @@
 		t.Fatalf("/readyz without a configuration returned status %d: %s", status, why)
 	}
 	eventually(t, "manifest accepted", func() bool {
-		result, err := p.client.Apply(context.Background(), []byte(document), nil, false)
+		result, err := p.client.Apply(context.Background(), []byte(testManifest), nil, false)
 		return err == nil && result.Outcome == adminapi.Accepted
 	})
 	eventually(t, "ready", func() bool {
@@ -158,7 +158,7 @@
 		if err != nil {
 			t.Errorf("planned stop: %v", err)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Error("planned stop did not finish in time")
 	}
 	if status, _ := get(t, p.AdminAddress(), "/livez"); status != 0 {
--- a/server/stop.go
+++ b/server/stop.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// stopped wraps err, if any, in a *StopError for part.
-func stopped(part Part, err error) error {
+// stopError wraps err, if any, in a *StopError for part.
+func stopError(part Part, err error) error {
 	if err == nil {
 		return nil
 	}
@@ -24,8 +24,8 @@
 	ctx, cancel := context.WithTimeout(context.Background(), s.settings.DrainTimeout)
 	defer cancel()
 	var group errgroup.Group
-	group.Go(func() error { return stopped(PartCallers, s.callers.Stop(ctx)) })
-	group.Go(func() error { return stopped(PartDaemon, s.daemon.Drain(ctx)) })
+	group.Go(func() error { return stopError(PartCallers, s.callers.Stop(ctx)) })
+	group.Go(func() error { return stopError(PartDaemon, s.daemon.Drain(ctx)) })
 	err := group.Wait()
 	s.closeAll()
 	return err
