--- a/cmd/guavarilld/main.go
+++ b/cmd/guavarilld/main.go
@@ -45,7 +45,7 @@
 	stdlog.SetOutput(log.WriterLevel(logrus.DebugLevel))
 	srv, err := start(args, log)
 	if err != nil {
-		return report(err, log, out, errOut)
+		return reportStartError(err, log, out, errOut)
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -67,13 +67,13 @@
 	if err != nil {
 		return nil, err
 	}
-	configure(log, s)
+	configureLogger(log, s)
 	return server.New(s, log)
 }
 
-// report prints help to out, or reports on errOut or log why the daemon cannot
+// reportStartError prints help to out, or reports on errOut or log why the daemon cannot
 // start, and returns the exit code.
-func report(err error, log *logrus.Logger, out, errOut io.Writer) int {
+func reportStartError(err error, log *logrus.Logger, out, errOut io.Writer) int {
 	var wrong *settings.InvalidError
 	var usage *flags.Error
 	switch {
@@ -91,8 +91,8 @@
 	return exitFailed
 }
 
-// configure applies the log format and level of the settings to log.
-func configure(log *logrus.Logger, s settings.Daemon) {
+// configureLogger applies the log format and level of the settings to log.
+func configureLogger(log *logrus.Logger, s settings.Daemon) {
 	if s.LogFormat == "json" {
 		log.SetFormatter(&logrus.JSONFormatter{})
 	}
