--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,7 +8,7 @@
 	flags "github.com/jessevdk/go-flags"
 )
 
-// requiredArgs sets the flags that have no usable default.
+// requiredArgs sets the flags that have no fixed default.
 var requiredArgs = []string{
 	"--cluster=c", "--id=entry-1", "--zone=a",
 	"--peer-address=10.0.0.1:8082", "--store=10.0.0.9:2379", "--vm-list=http://10.0.0.9/vms",
