--- a/server/config_bench_test.go
+++ b/server/config_bench_test.go
@@ -38,7 +38,7 @@
 	for i := range size {
 		f.startServer(b, i)
 	}
-	f.waitFor(b, "all members known", f.allMembersAlive)
+	f.waitFor(b, "all members alive", f.allMembersAlive)
 	return f
 }
 
