--- a/server/build.go
+++ b/server/build.go
@@ -22,15 +22,16 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// marginShare bounds the margin at the end of the daemon's lease to a part of
-// the lease. The lease is renewed after a third of its time: a margin of two
-// thirds or more would leave the daemon unsure of a lease that it holds.
-const marginShare = 5
+// marginDivisor limits the safety margin at the end of the daemon's lease to a fifth
+// of the lease's TTL. The lease is renewed after a third of its TTL, so with a
+// margin of two thirds or more the daemon could not rely on a lease that it holds.
+const marginDivisor = 5
 
-// renewsPerLease is how often a task's lease is renewed in its time.
-const renewsPerLease = 6
+// renewalsPerLease is the number of renewals of a task's lease within its duration.
+const renewalsPerLease = 6
 
-// build listens, connects and makes the daemon with its servers.
+// build opens the listeners, creates the clients, and creates the daemon and its
+// servers. On error, the caller closes whatever was opened.
 func (s *Server) build() error {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// daemonOptions are the daemon's defaults with what the settings say.
+// daemonOptions returns the daemon's default options, overridden by the settings.
 func (s *Server) daemonOptions(registry *prometheus.Registry) daemon.Options {
 	options := daemon.DefaultOptions(s.identity(), s.ports())
 	options.Logger = s.log
@@ -60,13 +61,13 @@
 	options.RacksShard = s.settings.RacksPerShard
 	options.CommitsPerSecond = s.settings.StoreWrites / 2
 	options.TimelineEvents = s.settings.TimelineEvents
-	options.Timing.StoreCall = s.settings.StoreCall
+	options.Timing.StoreCall = s.settings.StoreTimeout
 	options.Ownership.LeaseTTL = s.settings.LeaseTTL
-	options.Ownership.Margin = min(ownership.DefaultMargin, s.settings.LeaseTTL/marginShare)
+	options.Ownership.Margin = min(ownership.DefaultMargin, s.settings.LeaseTTL/marginDivisor)
 	options.Ownership.OutageGrace = s.settings.OutageGrace
 	options.Members.OutageGrace = s.settings.OutageGrace
 	options.Session.Lease = s.settings.TaskLease
-	options.Session.RenewEvery = s.settings.TaskLease / renewsPerLease
+	options.Session.RenewEvery = s.settings.TaskLease / renewalsPerLease
 	options.Session.OutageGrace = s.settings.OutageGrace
 	if s.settings.Seed != 0 {
 		options.Seed = s.settings.Seed
@@ -93,7 +94,7 @@
 	return nil
 }
 
-// connect makes the clients of the store, workers, targets and other daemons.
+// connect creates the clients for the store, workers, targets and other daemons.
 func (s *Server) connect(registry *prometheus.Registry) error {
 	if err := s.readTLS(); err != nil {
 		return err
@@ -111,7 +112,8 @@
 	return nil
 }
 
-// readTLS reads the TLS files when any are set.
+// readTLS loads the TLS files if they are set; Check has verified that either all
+// three or none are.
 func (s *Server) readTLS() error {
 	if s.settings.TLSCert == "" {
 		return nil
@@ -131,7 +133,7 @@
 		StoreReads: s.settings.StoreReads, StoreWrites: s.settings.StoreWrites,
 	})
 	store, err := etcdstore.New(etcdstore.Options{
-		Endpoint: s.settings.Store, CallTimeout: s.settings.StoreCall,
+		Endpoint: s.settings.Store, CallTimeout: s.settings.StoreTimeout,
 		Budget: budget, Registerer: registry,
 	})
 	if err != nil {
@@ -167,7 +169,7 @@
 	}
 }
 
-// makeServers makes the servers of callers, operators and other daemons.
+// makeServers creates the servers for callers, operators and other daemons.
 func (s *Server) makeServers(registry *prometheus.Registry) {
 	s.callers = callerapi.New(callerapi.Options{
 		Engine:         s.daemon.Engine(),
@@ -179,7 +181,7 @@
 		Daemon:   s.daemon,
 		Gatherer: registry,
 		Ready:    s.ready,
-		Drain:    s.askDrain,
+		Drain:    s.requestDrain,
 	})
 	options := grpcpeer.ServerOptions{Cluster: s.settings.Cluster}
 	if s.tls != nil {
--- a/server/inforce_test.go
+++ b/server/config_bench_test.go
@@ -17,8 +17,8 @@
 	"github.com/guavarill/guavarill/standin/site"
 )
 
-// fleet is a number of whole processes over loopback, on one stand-in
-// platform.
+// fleet is a set of complete guavarill processes on the loopback interface that
+// share one stand-in platform.
 type fleet struct {
 	site    *site.Site
 	servers []*server.Server
@@ -38,7 +38,7 @@
 	for i := range size {
 		f.startServer(b, i)
 	}
-	f.waitFor(b, "all members known", f.allKnown)
+	f.waitFor(b, "all members alive", f.allMembersAlive)
 	return f
 }
 
@@ -51,7 +51,7 @@
 	srv, err := server.New(settings.Daemon{
 		Cluster: "agency", ID: id, Zone: string(zone),
 		ListenCallers: "127.0.0.1:0", ListenAdmin: "127.0.0.1:0", ListenPeers: "127.0.0.1:0",
-		Store: f.site.StoreAddress(), VMList: f.site.VMListURL(), StoreCall: 2 * time.Second,
+		Store: f.site.StoreAddress(), VMList: f.site.VMListURL(), StoreTimeout: 2 * time.Second,
 		StoreReads: 1500, StoreWrites: 300,
 		LeaseTTL: 10 * time.Second, TaskLease: 30 * time.Second, OutageGrace: 20 * time.Second,
 		BalancerNotice: time.Second, DrainTimeout: 10 * time.Second, RacksPerShard: 2, MaxBodyBytes: 1 << 20, TimelineEvents: 100,
@@ -74,7 +74,7 @@
 	f.site.Close()
 }
 
-func (f *fleet) allKnown() bool {
+func (f *fleet) allMembersAlive() bool {
 	for _, srv := range f.servers {
 		st, err := srv.Daemon().Status(context.Background())
 		if err != nil || st.Shards == 0 {
@@ -100,7 +100,7 @@
 	deadline := time.Now().Add(fleetWait)
 	for !reached() {
 		if time.Now().After(deadline) {
-			b.Fatalf("%s: not within %s", what, fleetWait)
+			b.Fatalf("timed out waiting for %s after %s", what, fleetWait)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -118,8 +118,8 @@
 	return m.Normalised()
 }
 
-// BenchmarkConfigInForce measures the time from the store's acceptance of a
-// change, as told to the operator, until every daemon has it in force.
+// BenchmarkConfigInForce measures the time from the response that reports a
+// change as accepted by the store until the change is in force on every daemon.
 func BenchmarkConfigInForce(b *testing.B) {
 	for _, size := range []int{3, 8, 50, 200} {
 		b.Run(fmt.Sprintf("daemons=%d", size), func(b *testing.B) {
@@ -128,9 +128,10 @@
 	}
 }
 
-// BenchmarkConfigInForceFaults is the same with a fault at each change: the
-// store's watches tell nothing; one daemon after the other is killed just
-// before a change, so that peers still push to it.
+// BenchmarkConfigInForceFaults measures the same time under faults. In
+// frozen-watches, the store's watches deliver no events. In killed-daemon, a daemon
+// is killed just before each change, while its peers still push to it, until three
+// daemons are left.
 func BenchmarkConfigInForceFaults(b *testing.B) {
 	const size = 8
 	b.Run("frozen-watches", func(b *testing.B) {
@@ -140,12 +141,12 @@
 	})
 	b.Run("killed-daemon", func(b *testing.B) {
 		f := startFleet(b, size)
-		f.measureChanges(b, f.killOne)
+		f.measureChanges(b, f.killLast)
 	})
 }
 
-// killOne kills the last daemon, while more than three are left.
-func (f *fleet) killOne() {
+// killLast kills the last daemon if more than three are running.
+func (f *fleet) killLast() {
 	last := len(f.servers) - 1
 	if last < 3 {
 		return
@@ -181,14 +182,14 @@
 	}
 	accepted, ok := result.(config.ApplyAccepted)
 	if !ok {
-		b.Fatalf("change %d: %#v", n, result)
+		b.Fatalf("change %d was not accepted: %#v", n, result)
 	}
 	began := time.Now()
-	f.waitFor(b, "change in force", func() bool { return f.allAt(accepted.Revision) })
+	f.waitFor(b, "change in force", func() bool { return f.allHaveRevision(accepted.Revision) })
 	return time.Since(began)
 }
 
-func (f *fleet) allAt(revision model.Revision) bool {
+func (f *fleet) allHaveRevision(revision model.Revision) bool {
 	for _, srv := range f.servers {
 		current, err := srv.Daemon().Config(context.Background())
 		if err != nil || current == nil || current.Revision < revision {
--- a/server/stop.go
+++ b/server/stop.go
@@ -8,35 +8,38 @@
 	"golang.org/x/sync/errgroup"
 )
 
-func stopped(part Part, err error) error {
+// stopError wraps err, if any, in a *StopError for part.
+func stopError(part Part, err error) error {
 	if err == nil {
 		return nil
 	}
 	return &StopError{Part: part, Cause: err}
 }
 
-// stop is the planned stop. Requests in flight and the handover of shards end
-// side by side; the peers' listener closes last, so that other daemons hear
-// this one's farewell.
+// stop performs the planned stop within DrainTimeout. Requests in flight complete
+// while shards are handed over. The peers' listener closes only afterwards, so that
+// other daemons can learn that this one is leaving.
 func (s *Server) stop() error {
 	s.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), s.settings.DrainTimeout)
 	defer cancel()
 	var group errgroup.Group
-	group.Go(func() error { return stopped(PartCallers, s.callers.Stop(ctx)) })
-	group.Go(func() error { return stopped(PartDaemon, s.daemon.Drain(ctx)) })
+	group.Go(func() error { return stopError(PartCallers, s.callers.Stop(ctx)) })
+	group.Go(func() error { return stopError(PartDaemon, s.daemon.Drain(ctx)) })
 	err := group.Wait()
 	s.closeAll()
 	return err
 }
 
-// Kill ends the process's work at once, as its VM's end would: nothing is
-// handed over, nobody is told.
+// Kill stops all work at once, as a failure of the VM would: no shard is handed
+// over and no other daemon is notified.
 func (s *Server) Kill() {
 	s.killOnce.Do(func() { close(s.killed) })
 	s.closeAll()
 }
 
+// closeAll closes the servers, the daemon, the clients and the listeners. It skips
+// those that were not created, so it also cleans up after a failed start.
 func (s *Server) closeAll() {
 	if s.callers != nil {
 		_ = s.callers.Close()
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -8,15 +8,15 @@
 	flags "github.com/jessevdk/go-flags"
 )
 
-// good are the settings that have no default.
-var good = []string{
+// requiredArgs sets the flags that have no fixed default.
+var requiredArgs = []string{
 	"--cluster=c", "--id=entry-1", "--zone=a",
 	"--peer-address=10.0.0.1:8082", "--store=10.0.0.9:2379", "--vm-list=http://10.0.0.9/vms",
 }
 
 func parse(t *testing.T, args ...string) Daemon {
 	t.Helper()
-	d, err := Parse(append(good[:len(good):len(good)], args...))
+	d, err := Parse(append(requiredArgs[:len(requiredArgs):len(requiredArgs)], args...))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,23 +55,23 @@
 		{"--peer-address=10.0.0.1:0", "peer-address", "10.0.0.1:0", NotPort},
 		{"--vm-list=", "vm-list", "", Missing},
 		{"--vm-list=10.0.0.9/vms", "vm-list", "10.0.0.9/vms", NotURL},
-		{"--store-timeout=-1s", "store-timeout", "-1s", NotAbove0},
+		{"--store-timeout=-1s", "store-timeout", "-1s", NotPositive},
 		{"--store-timeout=3.5s", "store-timeout", "3.5s", TooLong},
-		{"--lease-ttl=-10s", "lease-ttl", "-10s", NotAbove0},
+		{"--lease-ttl=-10s", "lease-ttl", "-10s", NotPositive},
 		{"--lease-ttl=1s", "lease-ttl", "1s", TooShort},
-		{"--task-lease=-30s", "task-lease", "-30s", NotAbove0},
+		{"--task-lease=-30s", "task-lease", "-30s", NotPositive},
 		{"--task-lease=2s", "task-lease", "2s", TooShort},
-		{"--outage-grace=-1s", "outage-grace", "-1s", NotAbove0},
-		{"--balancer-notice=0s", "balancer-notice", "0s", NotAbove0},
-		{"--drain-timeout=-1m", "drain-timeout", "-1m0s", NotAbove0},
+		{"--outage-grace=-1s", "outage-grace", "-1s", NotPositive},
+		{"--balancer-notice=0s", "balancer-notice", "0s", NotPositive},
+		{"--drain-timeout=-1m", "drain-timeout", "-1m0s", NotPositive},
 		{"--drain-timeout=5s", "drain-timeout", "5s", TooShort},
-		{"--store-reads=0", "store-reads", "0", NotAbove0},
+		{"--store-reads=0", "store-reads", "0", NotPositive},
 		{"--store-reads=NaN", "store-reads", "NaN", NotFinite},
-		{"--store-writes=-1", "store-writes", "-1", NotAbove0},
+		{"--store-writes=-1", "store-writes", "-1", NotPositive},
 		{"--store-writes=+Inf", "store-writes", "+Inf", NotFinite},
-		{"--racks-per-shard=-2", "racks-per-shard", "-2", NotAbove0},
-		{"--max-body-bytes=0", "max-body-bytes", "0", NotAbove0},
-		{"--timeline-events=0", "timeline-events", "0", NotAbove0},
+		{"--racks-per-shard=-2", "racks-per-shard", "-2", NotPositive},
+		{"--max-body-bytes=0", "max-body-bytes", "0", NotPositive},
+		{"--timeline-events=0", "timeline-events", "0", NotPositive},
 		{"--tls-cert=cert.pem", "tls-key", "", Incomplete},
 		{"--tls-ca=ca.pem", "tls-cert", "", Incomplete},
 	} {
@@ -79,10 +79,10 @@
 			d := parse(t, c.arg)
 			var invalid *InvalidError
 			if err := d.Check(); !errors.As(err, &invalid) {
-				t.Fatalf("error %v", err)
+				t.Fatalf("Check returned %v, want an *InvalidError", err)
 			}
 			if invalid.Flag != c.flag || invalid.Value != c.value || invalid.Reason != c.reason {
-				t.Errorf("refused --%s %q %q", invalid.Flag, invalid.Value, invalid.Reason)
+				t.Errorf("got an error for --%s %q: %q", invalid.Flag, invalid.Value, invalid.Reason)
 			}
 		})
 	}
@@ -95,7 +95,7 @@
 		t.Fatal(err)
 	}
 	if d.Zone != "from-environment" {
-		t.Errorf("zone %q", d.Zone)
+		t.Errorf("zone is %q, want the value of GUAVARILL_ZONE", d.Zone)
 	}
 }
 
@@ -106,7 +106,7 @@
 		t.Fatal(err)
 	}
 	if d.ID != name {
-		t.Errorf("id %q, host name %q", d.ID, name)
+		t.Errorf("id is %q, want the host name %q", d.ID, name)
 	}
 }
 
@@ -114,7 +114,7 @@
 	for _, arg := range []string{"lease-ttl=10s", "--lease=10s", "--lease-ttl=10", "--log-level=loud"} {
 		var wrong *flags.Error
 		if _, err := Parse([]string{arg}); !errors.As(err, &wrong) {
-			t.Errorf("%s: error %v", arg, err)
+			t.Errorf("%s: Parse returned %v, want a *flags.Error", arg, err)
 		}
 	}
 }
