--- a/core/membership/machine_test.go
+++ b/core/membership/machine_test.go
@@ -132,15 +132,15 @@
 			vms = append(vms, model.VM{ID: "a", Role: model.RoleEntry, Address: "at-a"})
 		}
 		m.Step(simnet.Start, membership.VMsListed{VMs: vms})
-		asked := false
+		contacted := false
 		for i := range 100 {
 			for _, cmd := range m.Step(simnet.Start.Add(time.Duration(i)*100*time.Millisecond), membership.Tick{Random: 1}) {
 				ask, ok := cmd.(membership.ExchangeWith)
-				asked = asked || ok && ask.Peer == "a"
+				contacted = contacted || ok && ask.Peer == "a"
 			}
 		}
-		if asked != listed || stateOf(m, "a") != membership.Dead {
-			t.Errorf("listed %v: contacted %v, state %s", listed, asked, stateOf(m, "a"))
+		if contacted != listed || stateOf(m, "a") != membership.Dead {
+			t.Errorf("listed %v: contacted %v, state %s", listed, contacted, stateOf(m, "a"))
 		}
 	}
 }
--- a/core/membership/merge.go
+++ b/core/membership/merge.go
@@ -65,9 +65,9 @@
 	if m.stopped {
 		return
 	}
-	accused := p.GetState() == toWire[Suspect] || p.GetState() == toWire[Dead]
+	isReported := p.GetState() == toWire[Suspect] || p.GetState() == toWire[Dead]
 	inc := p.GetIncarnation()
-	if inc > m.self.Incarnation || accused && inc == m.self.Incarnation {
+	if inc > m.self.Incarnation || isReported && inc == m.self.Incarnation {
 		m.self.Incarnation = inc + 1
 		m.stats.Refutations++
 	}
--- a/core/membership/suspicion.go
+++ b/core/membership/suspicion.go
@@ -23,9 +23,9 @@
 // smaller side.
 func (m *Machine) checkIsolation() {
 	c := m.countMembers()
-	blaming := m.isLinkDown() || 2*c.suspected >= c.total-c.total/isolationMargin
-	if blaming != m.isolated {
-		m.isolated = blaming
+	isolated := m.isLinkDown() || 2*c.suspected >= c.total-c.total/isolationMargin
+	if isolated != m.isolated {
+		m.isolated = isolated
 		m.changed = true
 	}
 }
