--- a/core/jobsched/incarnation.go
+++ b/core/jobsched/incarnation.go
@@ -10,66 +10,68 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// A worker may start again under the id that it had, at the same address. The next
-// incarnation knows nothing of before and counts anew, and what was sent to the one
-// before may reach it: only its entry and its reports say that it is another one. Were
-// it taken for the one before, its first ends would look as if they had been told
-// already; one notices by attempts that are "not there" though their worker is well,
-// and by tasks that are done twice.
+// A worker may restart with the same id at the same address. The new incarnation
+// knows nothing of the previous one and numbers its ends from 1, and orders sent to
+// the previous incarnation may reach it. Only its entry and its reports show that
+// it is a different one. If it were taken for the previous one, its first ends
+// would look as if they had been processed already; this shows as attempts that are
+// "not there" although their worker is healthy, and as tasks that are done twice.
 //
-// So each incarnation has a session of its own. A report ends the session that it was
-// asked for when another incarnation has answered, and is taken in by that one's.
+// So the machine keeps a separate worker for each incarnation. If another
+// incarnation answers than the one a report was requested from, the requested one
+// has ended, and the report is applied to the one that answered.
 
-// incarnations are the sessions with the incarnations of one worker, in the order in
-// which they were added.
-type incarnations struct{ sessions []*worker }
+// workerIncarnations holds the incarnations of one worker in the order in which
+// they were added.
+type workerIncarnations struct{ all []*worker }
 
-// addSession adds the session with an incarnation. Orders to another one of its id may
-// have reached it, with leases up to the longest that a worker takes.
-func (m *Machine) addSession(w *worker) {
-	all := m.incarnations[w.id.ID]
-	if all == nil {
-		all = new(incarnations)
-		m.incarnations[w.id.ID] = all
+// addIncarnation adds an incarnation of a worker. If others of the same id are
+// known, orders to them may have reached this one, with leases of up to MaxLease.
+func (m *Machine) addIncarnation(w *worker) {
+	group := m.incarnations[w.id.ID]
+	if group == nil {
+		group = new(workerIncarnations)
+		m.incarnations[w.id.ID] = group
 	} else {
 		w.leaseBound = m.now.Add(m.options.MaxLease + w.drift(m.options.MaxLease) + leaseSlack)
 	}
-	all.sessions = append(all.sessions, w)
-	w.siblings = all
+	group.all = append(group.all, w)
+	w.siblings = group
 	m.workers.Set(w.id, w)
 }
 
-// dropSession forgets a session.
-func (m *Machine) dropSession(w *worker) {
+// dropIncarnation forgets an incarnation of a worker.
+func (m *Machine) dropIncarnation(w *worker) {
 	m.workers.Delete(w.id)
-	w.siblings.sessions = slices.DeleteFunc(w.siblings.sessions, func(other *worker) bool { return other == w })
-	if len(w.siblings.sessions) == 0 {
+	w.siblings.all = slices.DeleteFunc(w.siblings.all, func(other *worker) bool { return other == w })
+	if len(w.siblings.all) == 0 {
 		delete(m.incarnations, w.id.ID)
 	}
 }
 
-// latest returns the session with an incarnation of a worker that was added last, nil
+// latestIncarnation returns the incarnation of a worker that was added last, or nil
 // if there is none.
-func (m *Machine) latest(id model.WorkerID) *worker {
-	all := m.incarnations[id]
-	if all == nil {
+func (m *Machine) latestIncarnation(id model.WorkerID) *worker {
+	group := m.incarnations[id]
+	if group == nil {
 		return nil
 	}
-	return all.sessions[len(all.sessions)-1]
+	return group.all[len(group.all)-1]
 }
 
-// contested reports whether another incarnation of the worker has answered, too, and it
-// is not known yet which of them is there: nothing new is started on either.
-func (w *worker) contested() bool {
-	return len(w.siblings.sessions) > 1 && slices.ContainsFunc(w.siblings.sessions, func(other *worker) bool {
-		return other != w && other.answered && !other.over
+// isContested reports whether another incarnation of the worker has answered as
+// well, and it is not known yet which of the two is current. Nothing new is started
+// on either.
+func (w *worker) isContested() bool {
+	return len(w.siblings.all) > 1 && slices.ContainsFunc(w.siblings.all, func(other *worker) bool {
+		return other != w && other.answered && !other.ended
 	})
 }
 
-// answering returns the session with the incarnation that has answered a call to w,
-// which was started at the time given.
-func (m *Machine) answering(w *worker, startedMs int64) *worker {
-	m.startsTold = m.startsTold || startedMs != 0
+// answeringIncarnation returns the incarnation that answered a call to w,
+// identified by its start time.
+func (m *Machine) answeringIncarnation(w *worker, startedMs int64) *worker {
+	m.startTimesReported = m.startTimesReported || startedMs != 0
 	if startedMs == 0 || startedMs == w.id.StartedMs {
 		return w
 	}
@@ -81,122 +83,124 @@
 	entry.Incarnation = id
 	next := newWorker(entry)
 	next.full = w.full
-	m.addSession(next)
+	m.addIncarnation(next)
 	m.noteFound(next)
 	return next
 }
 
-// succeed ends the session with an incarnation, as another one has answered a call to
-// it. It returns the session that the report is to be taken in by, nil if that one's own
-// reports tell the rest, in their order.
-func (m *Machine) succeed(w, next *worker, ev Renewed) *worker {
-	if next.over {
-		// It has ended since, and what it listed with it.
-		if living := next.siblings.living(); living == nil {
-			m.workerOver(w)
+// handleOtherIncarnation ends an incarnation after another one has answered a call
+// to it. It returns the incarnation to which the report must be applied, or nil if
+// that one's own reports will cover its content in the right order.
+func (m *Machine) handleOtherIncarnation(w, next *worker, ev Renewed) *worker {
+	if next.ended {
+		// It has ended since, and the attempts it listed with it.
+		if current := next.siblings.lastActive(); current == nil {
+			m.endIncarnation(w)
 		} else {
-			m.replaced(w, living, Renewed{SentAt: ev.SentAt})
+			m.replaceIncarnation(w, current, Renewed{SentAt: ev.SentAt})
 		}
 		return nil
 	}
-	own := next.answered || next.renewing
-	m.replaced(w, next, ev)
-	if own {
+	reportsItself := next.answered || next.renewing
+	m.replaceIncarnation(w, next, ev)
+	if reportsItself {
 		next.renewAt = m.now
 		return nil
 	}
 	return next
 }
 
-// living returns the last of the sessions that has not ended, or nil.
-func (i *incarnations) living() *worker {
-	for _, w := range slices.Backward(i.sessions) {
-		if !w.over {
+// lastActive returns the last incarnation that has not ended, or nil.
+func (i *workerIncarnations) lastActive() *worker {
+	for _, w := range slices.Backward(i.all) {
+		if !w.ended {
 			return w
 		}
 	}
 	return nil
 }
 
-// endEarlier ends the sessions with all incarnations that have certainly ended, as this
-// one has answered a call that was sent after their last answers had come.
-func (m *Machine) endEarlier(w *worker, ev Renewed) {
-	for _, other := range slices.Clone(w.siblings.sessions) {
-		ended := other.answered && !other.over && other.heardAt.Before(ev.SentAt)
+// endEarlierIncarnations ends all incarnations that have certainly ended because w
+// answered a call that was sent after their last answers arrived.
+func (m *Machine) endEarlierIncarnations(w *worker, ev Renewed) {
+	for _, other := range slices.Clone(w.siblings.all) {
+		ended := other.answered && !other.ended && other.lastReportAt.Before(ev.SentAt)
 		if other != w && ended && other.entry.Address == w.entry.Address {
-			m.replaced(other, w, ev)
+			m.replaceIncarnation(other, w, ev)
 		}
 	}
 }
 
-// replaced ends the session with an incarnation, as another one has answered a call to
-// it. What the report lists, or what may have been started since it was asked for, is
-// on that one. What is on its way there is barred there.
-func (m *Machine) replaced(w, next *worker, ev Renewed) {
-	if w.id.StartedMs == 0 && !w.answered && !next.over {
-		m.identified(w, next)
+// replaceIncarnation ends incarnation w after next has answered a call to it.
+// Attempts in the report, and those that were started after it was requested,
+// belong to next and move there. Starts that are still unanswered are blocked on
+// next.
+func (m *Machine) replaceIncarnation(w, next *worker, ev Renewed) {
+	if w.id.StartedMs == 0 && !w.answered && !next.ended {
+		m.identifyIncarnation(w, next)
 		return
 	}
-	m.noteReplaced(w, next, ev.Report)
+	m.noteRestart(w, next, ev.Report)
 	for _, a := range w.attempts.All() {
 		switch {
 		case ev.Report.lists(a.key):
 			m.moveAttempt(a, next)
 		case a.phase == phaseRunning && !a.startedAt.Before(ev.SentAt):
-			a.before = w
+			a.previousWorker = w
 			m.moveAttempt(a, next)
 		case a.unanswered():
-			m.barAt(a, next)
+			m.blockStartAt(a, next)
 		}
 	}
-	for _, key := range slices.SortedFunc(maps.Keys(w.unbarred), attemptKey.compare) {
-		m.barAt(m.addUnwanted(w, &RunningAttempt{Key: key.task, Attempt: key.attempt}), next)
+	for _, key := range slices.SortedFunc(maps.Keys(w.pendingStarts), attemptKey.compare) {
+		m.blockStartAt(m.addOrphan(w, &RunningAttempt{Key: key.task, Attempt: key.attempt}), next)
 	}
-	m.workerOver(w)
+	m.endIncarnation(w)
 }
 
-// unanswered reports whether the attempt's start was sent by this leader and has not
-// been answered: it may be carried out yet, by whichever incarnation is there then.
+// unanswered reports whether this leader sent the attempt's start and got no
+// answer. The start may still be carried out by whichever incarnation receives it.
 func (a *attempt) unanswered() bool { return a.startedAt.IsZero() && !a.inherited }
 
-// barAt has a start that was not answered barred at the next incarnation of its
-// worker, since what the one before was told ends with it. The task waits until that
-// is certain, or it would run in two places.
-func (m *Machine) barAt(a *attempt, next *worker) {
+// blockStartAt blocks an unanswered start on the next incarnation of its worker,
+// because a stop acknowledged by the previous incarnation has no effect on it.
+// Until the block is acknowledged the task waits, since it might otherwise run
+// twice.
+func (m *Machine) blockStartAt(a *attempt, next *worker) {
 	if a.phase == phaseDoubtful {
-		a.before = a.worker
+		a.previousWorker = a.worker
 	}
 	m.moveAttempt(a, next)
 	if a.phase != phaseStopping {
 		m.setPhase(a, phaseDoubtful)
 	}
-	a.barredAt, a.stopSentAt = time.Time{}, time.Time{}
+	a.stopAckedAt, a.stopSentAt = time.Time{}, time.Time{}
 	m.stops.Set(a, struct{}{})
 }
 
-// identified ends the session with a worker that a roster or an entry has named by its
-// id alone. Whether it is the incarnation that has answered is not known: what that one
-// tells in its first report is all that is there.
-func (m *Machine) identified(w, next *worker) {
+// identifyIncarnation ends a worker that a roster or an entry has named by its id
+// alone, in favor of the incarnation that answered. It is unknown whether the two
+// are the same; the first report of next is the only evidence of what runs there.
+func (m *Machine) identifyIncarnation(w, next *worker) {
 	maps.Copy(next.lost, w.lost)
-	maps.Copy(next.still, w.still)
+	maps.Copy(next.inheritedStalls, w.inheritedStalls)
 	if next.answered {
 		m.dropInherited(w)
 	}
 	for _, a := range w.attempts.All() {
 		m.moveAttempt(a, next)
 	}
-	if w.unaccounted && !next.answered {
-		next.unaccounted = true
+	if w.attemptsUnknown && !next.answered {
+		next.attemptsUnknown = true
 		m.unresolved.Set(next.id, w.leaseBound)
 	}
-	w.over, w.unaccounted = true, false
+	w.ended, w.attemptsUnknown = true, false
 	m.unresolved.Delete(w.id)
 }
 
-// noteReplaced notes that a worker that had answered has started again.
-func (m *Machine) noteReplaced(w, next *worker, r Report) {
-	if !w.answered || w.over {
+// noteRestart notes that a worker that had answered has restarted.
+func (m *Machine) noteRestart(w, next *worker, r Report) {
+	if !w.answered || w.ended {
 		return
 	}
 	first := int64(0)
@@ -204,11 +208,11 @@
 		first = r.Ended[0].Number
 	}
 	m.emit(Note{Decision: joblog.MessageWorkerRestarted, Worker: next.id, Reason: fmt.Sprintf(
-		"the one before was started at %d; of that, ends up to %d were taken in and up to %d acknowledged; this one tells %d ends from %d on",
-		w.id.StartedMs, w.seenEnds, w.ackedEnds, len(r.Ended), first)})
+		"the previous incarnation was started at %d; its ends up to %d were processed and up to %d acknowledged; this incarnation reports %d ends from %d on",
+		w.id.StartedMs, w.lastSeenEnd, w.lastAckedEnd, len(r.Ended), first)})
 }
 
-// lists reports whether the report tells of an attempt, that it runs or how it ended.
+// lists reports whether the report contains an attempt, as running or as ended.
 func (r *Report) lists(key attemptKey) bool {
 	for i := range r.Running {
 		if r.Running[i].Key == key.task && r.Running[i].Attempt == key.attempt {
@@ -223,10 +227,11 @@
 	return false
 }
 
-// sameAttempt returns an attempt that a worker tells of, if the machine has it on
-// another incarnation of the worker, to which it was sent: it is on this one then. It
-// returns nil for one that only an earlier leader's roster had there.
-func (m *Machine) sameAttempt(t *task, w *worker, number int) *attempt {
+// moveFromOtherIncarnation returns the attempt with the given number if the machine
+// has it on another incarnation of worker w, and moves it to w, which has reported
+// it. It returns nil for an attempt that is known only from an earlier leader's
+// roster; that one is dropped.
+func (m *Machine) moveFromOtherIncarnation(t *task, w *worker, number int) *attempt {
 	for _, a := range t.attempts {
 		if a.key.attempt != number || a.worker.id.ID != w.id.ID {
 			continue
@@ -241,7 +246,7 @@
 	return nil
 }
 
-// moveAttempt moves an attempt to the session with another incarnation.
+// moveAttempt moves an attempt to another incarnation of its worker.
 func (m *Machine) moveAttempt(a *attempt, to *worker) {
 	learned := a.learnKey.Generation != 0
 	m.learnStop(a)
--- a/core/jobsched/preempt.go
+++ b/core/jobsched/preempt.go
@@ -8,22 +8,22 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// reservation keeps room on a worker for a task while others are stopped to
-// make it. Without it the room would go to whatever is placed next, and the
-// task would wait as long as smaller ones keep coming.
+// reservation keeps room on a worker for a task while other attempts are stopped to
+// free it. Otherwise the room would go to whatever task is placed next, and the
+// task would wait as long as smaller ones keep arriving.
 type reservation struct {
 	task  *task
 	size  model.Resources
 	until time.Time
-	// trial is set for a task that is about to be tried there.
+	// trial is set for a task that is about to go on trial there.
 	trial bool
 }
 
-// reservationSlack is how long a reservation outlasts the time of a stop: the
-// end of a stopped attempt is seen with the next report.
+// reservationSlack is how long a reservation outlasts StopTime: the end of a
+// stopped attempt only becomes known with the next report.
 const reservationSlack = 1500 * time.Millisecond
 
-// roomFor returns what is neither committed nor reserved for other tasks.
+// roomFor returns the room that is neither committed nor reserved for other tasks.
 func (w *worker) roomFor(t *task) model.Resources {
 	room := w.room()
 	for _, r := range w.reserved {
@@ -34,10 +34,10 @@
 	return room
 }
 
-// release ends the reservations that are over, or of a task that has started, is
-// not to be tried there any more, or whose job is over. A round of placement relies
-// on it that room comes free between two of them only.
-func (w *worker) release(now time.Time) {
+// dropReservations removes reservations that have expired, whose task has started
+// or is to be tried elsewhere, or whose job is over. It runs only between placement
+// rounds, because a round relies on room not increasing.
+func (w *worker) dropReservations(now time.Time) {
 	if len(w.reserved) == 0 {
 		return
 	}
@@ -47,21 +47,22 @@
 	})
 }
 
-// startReserved starts the tasks for which room was made on the worker as soon
-// as it is there. Left to their step's turn they might come too late: it ends
-// with the first of its tasks that fits nowhere.
+// startReserved starts the tasks with a reservation on the worker as soon as they
+// fit. Waiting for the step's turn might be too late: a turn ends with the first
+// task that fits nowhere.
 func (m *Machine) startReserved(w *worker) {
 	for _, r := range slices.Clone(w.reserved) {
 		t := r.task
-		if t.idle() && t.step.ready() && !m.heldBack(t.step, m.now) && m.allowed(t, w) && m.restartStored(t) && m.mayTry(t) && m.trialStored(t, w) {
+		if t.idle() && t.step.ready() && !m.startsHeldBack(t.step, m.now) && m.isFeasible(t, w) && m.ensureRestartStored(t) && m.mayStartAfterCrashes(t) && m.ensureTrialStored(t, w) {
 			m.startAttempt(t, w, t.last+1)
-			// Its reservation would count beside its attempt for those that follow.
-			w.release(m.now)
+			// Otherwise the reservation would count in addition to the attempt for
+			// the following tasks.
+			w.dropReservations(m.now)
 		}
 	}
 }
 
-// isReserved reports whether room is being made for the task already.
+// isReserved reports whether room is already reserved for the task.
 func (m *Machine) isReserved(t *task) bool {
 	w := t.reservedOn
 	if w == nil || m.workers.Get(w.id) != w {
@@ -70,15 +71,15 @@
 	return slices.ContainsFunc(w.reserved, func(r reservation) bool { return r.task == t })
 }
 
-// impatient reports whether the step's long-running tasks have waited too long
-// for room to be considerate.
-func (m *Machine) impatient(s *step) bool {
-	return !s.waitsSince.IsZero() && m.now.Sub(s.waitsSince) >= longRunningPatience
+// hasWaitedLong reports whether the step's long-running tasks have waited long
+// enough for room to preempt short work of the same or higher priority.
+func (m *Machine) hasWaitedLong(s *step) bool {
+	return !s.waitingSince.IsZero() && m.now.Sub(s.waitingSince) >= longRunningMaxWait
 }
 
-// preempt makes room for a task that fits nowhere by stopping what is less
-// urgent, on the worker where that loses least. It returns false when no worker
-// has enough to stop.
+// preempt makes room for a task that fits nowhere by stopping less urgent attempts
+// on the worker where that loses the least work. It returns false if no worker has
+// enough of them.
 func (m *Machine) preempt(t *task) bool {
 	if t.step.spec.BestEffort || t.step.spec.Gang {
 		return false
@@ -86,21 +87,21 @@
 	if m.isReserved(t) {
 		return true
 	}
-	if m.displacesNothing(t.step) {
+	if m.isPreemptionFutile(t.step) {
 		return false
 	}
-	best, victims := m.cheapestDisplacement(t)
+	best, victims := m.cheapestPreemption(t)
 	if best == nil {
 		return false
 	}
 	m.reserve(t, best, m.options.StopTime+reservationSlack, false)
 	for _, a := range victims {
-		m.requestStop(a, "more urgent work needs its room: "+t.key().String())
+		m.requestStop(a, "preempted by a more urgent task: "+t.key().String())
 	}
 	return true
 }
 
-// reserve keeps room for a task on a worker.
+// reserve reserves room for a task on a worker for the duration d.
 func (m *Machine) reserve(t *task, w *worker, d time.Duration, forTrial bool) {
 	t.reservedOn = w
 	w.reserved = append(w.reserved, reservation{
@@ -108,18 +109,18 @@
 	})
 }
 
-// cheapestDisplacement returns the worker on which room for a task loses least,
-// and what is to be stopped there; no worker when there is none.
-func (m *Machine) cheapestDisplacement(t *task) (*worker, []*attempt) {
-	m.pass.look(m.workers.Len())
+// cheapestPreemption returns the worker on which making room for a task loses the
+// least work, and the attempts to stop there. The worker is nil if there is none.
+func (m *Machine) cheapestPreemption(t *task) (*worker, []*attempt) {
+	m.pass.spend(m.workers.Len())
 	var best *worker
 	var victims []*attempt
 	lost, anywhere := 0.0, false
 	for _, w := range m.workers.All() {
-		if !w.couldHold(t) || !m.passes(fitFilters, t, w) {
+		if !w.fitsAfterPreemption(t) || !m.passes(fitFilters, t, w) {
 			continue
 		}
-		list, cost, ok := m.displaced(t, w)
+		list, cost, ok := m.preemptionVictims(t, w)
 		if !ok {
 			continue
 		}
@@ -129,20 +130,22 @@
 		}
 	}
 	if !anywhere {
-		m.noteNothingDisplaced(t.step)
+		m.recordFutilePreemption(t.step)
 	}
 	return best, victims
 }
 
-// couldHold reports whether the task would fit if everything on the worker that
-// may yield did. It spares the search on workers that long-running tasks fill.
-func (w *worker) couldHold(t *task) bool {
-	return t.step.spec.Committed().Fits(w.roomFor(t).Add(w.yielding))
+// fitsAfterPreemption reports whether the task would fit if all reclaimable room on
+// the worker were freed. It is a cheap check that skips workers filled by
+// long-running tasks.
+func (w *worker) fitsAfterPreemption(t *task) bool {
+	return t.step.spec.Committed().Fits(w.roomFor(t).Add(w.reclaimable))
 }
 
-// displaced returns attempts on w that leave enough room for the task when they
-// are stopped, those first that lose least, and the work lost in seconds.
-func (m *Machine) displaced(t *task, w *worker) ([]*attempt, float64, bool) {
+// preemptionVictims returns the attempts on w to stop so that the task fits, those
+// that lose least first, and the lost work in seconds. It returns false if stopping
+// all of them would not suffice.
+func (m *Machine) preemptionVictims(t *task, w *worker) ([]*attempt, float64, bool) {
 	need := t.step.spec.Committed()
 	room := w.roomFor(t)
 	var victims []*attempt
@@ -155,7 +158,7 @@
 	if need.Fits(room) {
 		return nil, 0, true
 	}
-	for _, a := range m.lessUrgent(t, w) {
+	for _, a := range m.preemptibleAttempts(t, w) {
 		victims = append(victims, a)
 		room = room.Add(a.size)
 		cost += m.lostWork(a)
@@ -166,11 +169,11 @@
 	return nil, 0, false
 }
 
-// lessUrgent returns the attempts on w that the task may displace, those first
-// whose stop loses least.
-func (m *Machine) lessUrgent(t *task, w *worker) []*attempt {
+// preemptibleAttempts returns the attempts on w that the task may preempt, those
+// that lose least first.
+func (m *Machine) preemptibleAttempts(t *task, w *worker) []*attempt {
 	var list []*attempt
-	impatient := m.impatient(t.step)
+	impatient := m.hasWaitedLong(t.step)
 	for _, a := range w.attempts.All() {
 		if a.phase != phaseRunning || a.task == nil || a.longRunning || a.step().spec.Gang {
 			continue
@@ -184,12 +187,12 @@
 	return list
 }
 
-// longRunningPatience is how long a long-running task waits for room before it
-// displaces short work of its own priority. Such work comes and goes, and on a
-// crowded cluster always fills the gaps that a large task would need joined.
-const longRunningPatience = time.Second
+// longRunningMaxWait is how long a long-running task waits for room before it
+// preempts short work of its own priority. Short work comes and goes, and on a
+// crowded cluster always fills the gaps that a large task would need combined.
+const longRunningMaxWait = time.Second
 
-// lostWork estimates, in seconds, what the stop of an attempt loses.
+// lostWork estimates the work, in seconds, that is lost by stopping an attempt.
 func (m *Machine) lostWork(a *attempt) float64 {
 	if a.step().spec.Checkpointing {
 		return checkpointedLoss
@@ -197,6 +200,7 @@
 	return m.now.Sub(a.startedAt).Seconds() + checkpointedLoss
 }
 
-// checkpointedLoss is what the stop of an attempt loses that resumes from a
-// checkpoint: the restoring, and the wait for another worker.
+// checkpointedLoss is the work, in seconds, that is lost by stopping any attempt,
+// even one that resumes from a checkpoint: restoring it and waiting for another
+// worker.
 const checkpointedLoss = 0.4
--- /dev/null
+++ b/core/jobsched/stall.go
@@ -0,0 +1,107 @@
+package jobsched
+
+import (
+	"fmt"
+	"time"
+)
+
+const (
+	// stallTimeout is how long an attempt may report no progress before it is
+	// stopped and started elsewhere. Progress is reported in whole percent, and the
+	// longest tasks of the users take a few seconds for all hundred.
+	stallTimeout = 1500 * time.Millisecond
+	// bestEffortStallTimeout is the same for best-effort work, which may find no
+	// processor free.
+	bestEffortStallTimeout = 5 * time.Second
+)
+
+// checkAttempts stops stalled attempts and those that a draining worker would cut
+// short. It also updates the health of workers and notes attempts whose workers are
+// unreachable.
+func (m *Machine) checkAttempts() {
+	for _, w := range m.workers.All() {
+		if w.entry.Draining {
+			m.evacuate(w)
+		}
+		m.noteHoldingAttempts(w)
+		for _, a := range w.attempts.All() {
+			if a.phase == phaseRunning && w.unreachableSince.IsZero() {
+				w.health.recordSurvival(a.startedAt, m.now)
+			}
+			if a.isStalled(m.now) {
+				w.health.recordFailure(m.now)
+				a.task.failedOn = w
+				m.requestStop(a, fmt.Sprintf("stands still at %d%%", a.percent))
+			}
+		}
+	}
+}
+
+// isStalled reports whether the attempt has made no progress for too long although
+// its worker is reachable.
+func (a *attempt) isStalled(now time.Time) bool {
+	if a.phase != phaseRunning || a.task == nil || !a.worker.unreachableSince.IsZero() {
+		return false
+	}
+	if a.percent >= 100 || a.throttle < fullSpeed || a.step().spec.Gang {
+		return false
+	}
+	limit := stallTimeout
+	if a.bestEffortCPU > 0 {
+		limit = bestEffortStallTimeout
+	}
+	return now.Sub(a.lastAdvance()) > limit
+}
+
+// lastAdvance returns the later of the attempt's start and its last progress, as
+// far as known.
+func (a *attempt) lastAdvance() time.Time {
+	if a.startedAt.After(a.advancedAt) {
+		return a.startedAt
+	}
+	return a.advancedAt
+}
+
+// inheritedStall is the lack of progress of an attempt that an earlier leader
+// recorded.
+type inheritedStall struct {
+	percent int
+	since   time.Time
+}
+
+// applyInheritedStall continues the stall that an earlier leader recorded, if the
+// attempt has made no progress since.
+func (a *attempt) applyInheritedStall(percent int) {
+	stall, ok := a.worker.inheritedStalls[a.key]
+	delete(a.worker.inheritedStalls, a.key)
+	if ok && stall.percent == percent {
+		a.startedAt, a.advancedAt, a.percent = stall.since, stall.since, percent
+	}
+}
+
+// evacuate stops attempts that a draining worker would cut short, so that they run
+// elsewhere. Long-running tasks are stopped at once. Others are stopped only if
+// they resume from a checkpoint and are unlikely to finish in the remaining time.
+func (m *Machine) evacuate(w *worker) {
+	for _, a := range w.attempts.All() {
+		if a.phase != phaseRunning || a.task == nil || a.step().spec.Gang {
+			continue
+		}
+		spec := a.step().spec
+		switch {
+		case spec.LongRunning:
+			m.requestStop(a, "its worker leaves")
+		case spec.Checkpointing && a.remaining(m.now) > w.entry.Remaining:
+			m.requestStop(a, "its worker leaves before it is expected to finish")
+		}
+	}
+}
+
+// remaining estimates the attempt's remaining run time from its progress so far, or
+// from the step's estimate if it has made none.
+func (a *attempt) remaining(now time.Time) time.Duration {
+	if a.percent <= 0 {
+		return time.Duration(a.step().spec.EstimateMs) * time.Millisecond
+	}
+	return now.Sub(a.startedAt) * time.Duration(100-a.percent) / time.Duration(a.percent)
+}
--- a/core/jobsched/note.go
+++ b/core/jobsched/waitnote.go
@@ -8,7 +8,7 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// noteAttempt notes a decision on one attempt.
+// noteAttempt emits a note about one attempt.
 func (m *Machine) noteAttempt(decision string, a *attempt, reason string) {
 	m.emit(Note{
 		Decision: decision, Job: a.key.task.Job, Task: a.key.task.String(), Attempt: a.key.attempt,
@@ -24,42 +24,43 @@
 }
 
 const (
-	// waitNoted is how long a step waits for a worker before that is noted, and
-	// waitNotedAgain the time until the next note on it.
-	waitNoted      = time.Second
-	waitNotedAgain = 3 * time.Second
+	// waitNoteDelay is how long a step waits for a worker before that is noted.
+	// waitNoteInterval is the time until the next note about it.
+	waitNoteDelay    = time.Second
+	waitNoteInterval = 3 * time.Second
 )
 
-// noteWaiting notes why a step that is ready finds no worker.
+// noteWaiting notes why no worker is found for a ready step.
 func (m *Machine) noteWaiting(s *step) {
 	switch {
-	case s.waitsSince.IsZero():
-		s.waitsSince = m.now
-	case m.now.Sub(s.waitsSince) >= waitNoted && !m.now.Before(s.noteAt) && m.pass.mayNote():
-		s.noteAt = m.now.Add(waitNotedAgain)
+	case s.waitingSince.IsZero():
+		s.waitingSince = m.now
+	case m.now.Sub(s.waitingSince) >= waitNoteDelay && !m.now.Before(s.nextNoteAt) && m.pass.takeNote():
+		s.nextNoteAt = m.now.Add(waitNoteInterval)
 		m.emit(Note{
 			Decision: joblog.MessageStepWaits, Job: s.job().id, Task: s.name(), Routine: !s.spec.LongRunning,
-			Reason: fmt.Sprintf("for %s; workers ruled out: %s", m.now.Sub(s.waitsSince).Round(time.Millisecond), m.ruledOut(s)),
+			Reason: fmt.Sprintf("for %s; workers ruled out: %s", m.now.Sub(s.waitingSince).Round(time.Millisecond), m.ruledOut(s)),
 		})
 	}
 }
 
-// namedFilter is a filter, and the reason for which it rules a worker out.
+// namedFilter is a placement filter with the reason that it is reported under.
 type namedFilter struct {
 	name   string
 	filter placementFilter
 }
 
-// filterNames name the reasons for which placement rules a worker out.
+// filterNames lists the filters in the order in which ruledOut applies them.
 var filterNames = []namedFilter{
 	{"not usable", filterUsable}, {"other service", filterService}, {"label", filterLabel},
-	{"on probation", filterProbing}, {"no ticket", filterTicket}, {"no room", filterRoom},
+	{"on probation", filterProbation}, {"no ticket", filterTicket}, {"no room", filterRoom},
 	{"spread", filterSpread}, {"on trial", filterTrial}, {"would disturb", filterInterference},
 }
 
-// ruledOut counts the workers by the first reason for which they do not do.
+// ruledOut counts the workers that cannot take the step's first task, by the first
+// filter that rejects each of them.
 func (m *Machine) ruledOut(s *step) string {
-	m.pass.look(m.workers.Len())
+	m.pass.spend(m.workers.Len())
 	counts := make([]int, len(filterNames))
 	for _, w := range m.workers.All() {
 		for i, f := range filterNames {
--- a/core/jobsched/workers.go
+++ b/core/jobsched/workers.go
@@ -7,29 +7,29 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// workersListed takes the platform's list in. A worker that is missing from it
-// may have left, may have lost its entry in an outage of the platform's store,
-// or may be cut off and run on: nothing is started on it, and what runs there
-// is over when it says so or when its lease has certainly run out. An unusable
-// entry is as good as none.
+// workersListed applies the platform's list. A worker that is missing from it may
+// have left, may have lost its entry in an outage of the platform's store, or may
+// be partitioned and still running. Nothing is started on it, and its attempts are
+// over only when it reports that, or when their leases have certainly ended. An
+// unusable entry is treated as a missing one.
 func (m *Machine) workersListed(list WorkersListed) {
 	m.listed = true
 	for _, w := range m.workers.All() {
 		w.listed = false
 	}
-	usable, unusable := m.judge(list)
+	usable, unusable := m.classifyEntries(list)
 	sizes := m.fullSizes()
 	for _, e := range usable {
 		w := m.workers.Get(e.Incarnation)
 		if w == nil {
 			w = newWorker(e)
 			w.full = w.full.Max(sizes[e.Machine])
-			m.addSession(w)
+			m.addIncarnation(w)
 			m.noteFound(w)
 		}
 		m.updateEntry(w, e)
 	}
-	m.watchEntries(unusable)
+	m.trackEntries(unusable)
 	m.changed = true
 }
 
@@ -49,7 +49,7 @@
 	}
 }
 
-// fullSizes returns the full capacities of the VMs that are known.
+// fullSizes returns the largest known capacity of each VM.
 func (m *Machine) fullSizes() map[string]model.Resources {
 	sizes := make(map[string]model.Resources, m.workers.Len())
 	for _, w := range m.workers.All() {
@@ -60,35 +60,35 @@
 	return sizes
 }
 
-// earlierLeasesEnd returns when nothing runs any more under a lease that an
-// earlier leader gave.
+// earlierLeasesEnd returns when all leases granted by earlier leaders have ended.
 func (m *Machine) earlierLeasesEnd() time.Time {
 	bound := m.recoveredAt.Add(m.options.LeaderTTL + m.options.Lease)
 	return bound.Add(time.Duration(float64(m.options.Lease)*clockDrift) + leaseSlack)
 }
 
-// loseRoster notes that the stored roster could not be read. Attempts may run on
-// any worker until the time given, also on one that the platform's list lacks, so
-// nothing is started before. Leases are renewed on workers that are on a roster
-// of this leader or a later one, and each commit says for how long that roster may
-// lack others: the next leader waits no longer than this one.
-func (m *Machine) loseRoster(until time.Time, reason string) {
+// markRosterLost records that the stored roster could not be read. Until the given
+// time attempts may be running on any worker, even one missing from the platform's
+// list, so nothing is started before. Leases are renewed only on workers that are
+// on a roster of this leader or a later one, and each commit stores how much longer
+// the roster may lack workers, so that the next leader waits no longer than this
+// one.
+func (m *Machine) markRosterLost(until time.Time, reason string) {
 	m.rosterLostUntil = until
-	m.restarts.unheard = true
+	m.restarts.leaseExpiredUnanswered = true
 	m.roster.outdated = true
 	m.emit(Note{Decision: joblog.MessageRosterLost, Reason: reason + "; nothing is started until " +
 		m.rosterLostUntil.Sub(m.now).String() + " from now, when all earlier leases have ended"})
 }
 
-// rosterLostLeft returns how long the stored roster may still lack workers.
+// rosterLostLeft returns how much longer the stored roster may lack workers.
 func (m *Machine) rosterLostLeft() time.Duration { return max(m.rosterLostUntil.Sub(m.now), 0) }
 
-// held reports whether a task must wait because an earlier leader may have
-// started it on a worker that has not answered yet, or because the statements of
-// that leader's roster still stand: the first commit ends that. Jobs that came
-// after the take-over can have been started elsewhere only while that leader may
-// still have been at work.
-func (m *Machine) held(j *jobState) bool {
+// startsHeld reports whether starts of the job are held back. That is so while an
+// earlier leader may have started its tasks on a worker that has not answered yet,
+// and until the first commit of this leader ends the guarantees of the earlier
+// leader's roster. Jobs accepted after the takeover can have been started elsewhere
+// only while the earlier leader may still have been acting, for LeaderTTL.
+func (m *Machine) startsHeld(j *jobState) bool {
 	if !m.commit.stored || m.now.Before(m.rosterLostUntil) {
 		return true
 	}
@@ -98,53 +98,53 @@
 	return j.recovered || m.now.Before(m.recoveredAt.Add(m.options.LeaderTTL))
 }
 
-// expireWorkers settles workers that have not answered for so long that
-// nothing can run there any more.
+// expireWorkers handles workers that have not answered for so long that their
+// leases have ended, and forgets those that have left.
 func (m *Machine) expireWorkers() {
 	for id, bound := range m.unresolved.All() {
 		if !m.now.Before(bound) {
 			m.unresolved.Delete(id)
-			m.restarts.unheard = true
+			m.restarts.leaseExpiredUnanswered = true
 			m.changed = true
 		}
 	}
 	for _, w := range m.workers.All() {
-		heard := w.answered && w.silentSince.IsZero() && !w.over
-		if !heard && !m.now.Before(w.leaseBound) {
-			m.giveUp(w)
+		reachable := w.answered && w.unreachableSince.IsZero() && !w.ended
+		if !reachable && !m.now.Before(w.leaseBound) {
+			m.loseUnreachable(w)
 		}
-		if m.departed(w) {
+		if m.hasDeparted(w) {
 			m.forget(w)
 		}
 	}
 }
 
-// departed reports whether a worker has left: it is not on the list, and no attempt
-// may run there. That is enough where another incarnation has followed it. Where no
-// end is awaited from it either, it is enough that it said it would leave, or does
-// not answer. Else, or where it is not known what ran there, it must be silent until
-// its leases have ended.
-func (m *Machine) departed(w *worker) bool {
+// hasDeparted reports whether a worker has left: it is not listed, and no attempt
+// may be running there. If another incarnation has followed it, that is enough. If
+// it has no ends left to report and its attempts are known, it must also be
+// draining or unreachable. Otherwise it must be unreachable until its leases have
+// ended.
+func (m *Machine) hasDeparted(w *worker) bool {
 	if !m.listed || w.listed || w.attempts.Len() > 0 {
 		return false
 	}
-	if w.over {
+	if w.ended {
 		return true
 	}
-	silent := !w.silentSince.IsZero()
-	if !w.unaccounted && w.outstanding() == 0 {
-		return silent || w.entry.Draining
+	unreachable := !w.unreachableSince.IsZero()
+	if !w.attemptsUnknown && w.outstanding() == 0 {
+		return unreachable || w.entry.Draining
 	}
-	return silent && !m.now.Before(w.leaseBound)
+	return unreachable && !m.now.Before(w.leaseBound)
 }
 
 func (m *Machine) loseAttempt(a *attempt, reason string) {
 	a.worker.lost[a.key] = struct{}{}
-	if a.unanswered() && a.barredAt.IsZero() {
-		a.worker.unbarred[a.key] = struct{}{}
+	if a.unanswered() && a.stopAckedAt.IsZero() {
+		a.worker.pendingStarts[a.key] = struct{}{}
 	}
 	if a.task != nil {
-		a.task.givenUp = true
+		a.task.attemptLost = true
 	}
 	m.noteAttempt(joblog.MessageAttemptLost, a, reason)
 	m.endAttempt(a, endLost, "")
@@ -152,43 +152,43 @@
 }
 
 func (m *Machine) forget(w *worker) {
-	m.dropSession(w)
+	m.dropIncarnation(w)
 	m.unresolved.Delete(w.id)
 	m.roster.outdated = true
 	m.learner.DropWorker(w.learnID())
-	m.emit(Note{Decision: "worker gone", Worker: w.id, Reason: "not listed, and nothing of it is left"})
+	m.emit(Note{Decision: "worker gone", Worker: w.id, Reason: "not listed, and none of its attempts is left"})
 }
 
-// workerOver takes in that the incarnation has ended, with all that ran on it.
-func (m *Machine) workerOver(w *worker) {
-	if w.unaccounted {
+// endIncarnation marks an incarnation as ended, together with all attempts on it.
+func (m *Machine) endIncarnation(w *worker) {
+	if w.attemptsUnknown {
 		m.unseenCrash = true
 	}
-	m.crashAttempts(w, "another incarnation answers at its address")
-	w.over = true
-	w.unaccounted = false
+	m.loseAttemptsInCrash(w, "another incarnation answers at its address")
+	w.ended = true
+	w.attemptsUnknown = false
 	m.unresolved.Delete(w.id)
 }
 
-// silent notes that a call to w got no answer.
-func (m *Machine) silent(w *worker, sentAt time.Time) {
-	if w.silentSince.IsZero() {
-		w.silentSince = sentAt
+// markUnreachable records that a call to w got no answer.
+func (m *Machine) markUnreachable(w *worker, sentAt time.Time) {
+	if w.unreachableSince.IsZero() {
+		w.unreachableSince = sentAt
 		m.emit(Note{Decision: joblog.MessageWorkerSilent, Worker: w.id, Reason: "no answer"})
 	}
 }
 
-// heard notes that w has answered a Renew.
-func (m *Machine) heard(w *worker) {
-	if !w.silentSince.IsZero() {
+// markReachable records that w has answered a Renew.
+func (m *Machine) markReachable(w *worker) {
+	if !w.unreachableSince.IsZero() {
 		m.emit(Note{Decision: "worker answers again", Worker: w.id,
-			Reason: "after " + m.now.Sub(w.silentSince).Round(time.Millisecond).String()})
+			Reason: "after " + m.now.Sub(w.unreachableSince).Round(time.Millisecond).String()})
 	}
-	w.silentSince = time.Time{}
-	w.heardAt = m.now
+	w.unreachableSince = time.Time{}
+	w.lastReportAt = m.now
 	if !w.answered {
 		w.answered = true
-		w.unaccounted = false
+		w.attemptsUnknown = false
 		m.dropInherited(w)
 		m.changed = true
 	}
@@ -198,5 +198,5 @@
 	}
 }
 
-// worker returns the session with the worker, or nil.
+// worker returns the given incarnation of a worker, or nil if unknown.
 func (m *Machine) worker(id model.Incarnation) *worker { return m.workers.Get(id) }
--- a/core/routing/balancer_test.go
+++ b/core/routing/balancer_test.go
@@ -26,30 +26,31 @@
 	return list
 }
 
-// bench drives a balancer with a clock of its own.
-type bench struct {
+// fixture drives a balancer with its own clock.
+type fixture struct {
 	t   testing.TB
 	b   *Balancer
 	now time.Time
 	rnd *rand.Rand
 }
 
-func newBench(t testing.TB, list []Target) *bench {
-	x := &bench{t: t, b: New("near", Options{}), now: start, rnd: rand.New(rand.NewPCG(1, 1))}
+func newFixture(t testing.TB, list []Target) *fixture {
+	x := &fixture{t: t, b: New("near", Options{}), now: start, rnd: rand.New(rand.NewPCG(1, 1))}
 	x.b.Update(x.now, list)
 	return x
 }
 
-func (x *bench) pick(q Query) (*Choice, bool) { return x.b.Pick(x.now, x.rnd.Uint64(), q) }
+func (x *fixture) pick(q Query) (*Choice, bool) { return x.b.Pick(x.now, x.rnd.Uint64(), q) }
 
-// serve lets n requests pass one after another, each as long as take says.
-func (x *bench) serve(n int, take func(address string) Result) map[string]int {
+// serve runs n requests one after another, each with the result that take
+// returns.
+func (x *fixture) serve(n int, take func(address string) Result) map[string]int {
 	x.t.Helper()
 	served := make(map[string]int)
 	for range n {
 		c, ok := x.pick(Query{Ahead: 1000})
 		if !ok {
-			x.t.Fatal("nothing to pick")
+			x.t.Fatal("no target was picked")
 		}
 		served[c.Address()]++
 		r := take(c.Address())
@@ -59,9 +60,9 @@
 	return served
 }
 
-func quick(string) Result { return Result{Latency: usual} }
+func usualResult(string) Result { return Result{Latency: usual} }
 
-func (x *bench) state(address string) TargetState {
+func (x *fixture) state(address string) TargetState {
 	for _, s := range x.b.Snapshot() {
 		if s.Address == address {
 			return s
@@ -73,35 +74,35 @@
 
 const bad = "10.0.0.3:80"
 
-func onBad(r Result) func(string) Result {
+func resultOnBad(r Result) func(string) Result {
 	return func(address string) Result {
 		if address == bad {
 			return r
 		}
-		return quick(address)
+		return usualResult(address)
 	}
 }
 
 func TestNewTargetsStartWithOneRequest(t *testing.T) {
-	x := newBench(t, targets(2, 4))
+	x := newFixture(t, targets(2, 4))
 	first, _ := x.pick(Query{})
 	second, _ := x.pick(Query{})
 	if _, ok := x.pick(Query{}); ok || first.Address() == second.Address() {
-		t.Fatal("an unproven target got a second request")
+		t.Fatal("a new target got a second request before its first response")
 	}
 	first.Done(x.now, Result{Latency: usual})
 	second.Done(x.now, Result{Latency: usual})
-	x.serve(20, quick)
+	x.serve(20, usualResult)
 	if free := x.b.Free(); free != 8 {
-		t.Errorf("%d of 8 slots are free after 20 answers", free)
+		t.Errorf("%d of 8 slots are free after 20 responses", free)
 	}
 }
 
-// Symptom: at low load one instance gets everything, and others nothing for
-// hours. Sequence: one answers quicker than what is assumed of those that were
-// never asked. Cause: the assumption is never put to the test.
+// If the latency assumed of untried targets were above the measured ones, at
+// low load one instance that responds quickly would receive all requests and
+// the others none, and the assumption would never be tested.
 func TestUnprovenTargetsAreTried(t *testing.T) {
-	x := newBench(t, targets(4, 4))
+	x := newFixture(t, targets(4, 4))
 	served := x.serve(100, func(string) Result { return Result{Latency: time.Millisecond / 4} })
 	for _, target := range targets(4, 4) {
 		if served[target.Address] < minSamples {
@@ -110,35 +111,35 @@
 	}
 }
 
-// Symptom: requests reach an instance that is shutting down. Sequence: a sign
-// says that it leaves; the list of targets, which lags, still shows it.
-// Cause: the list is believed over the sign.
+// The list of targets may be outdated and still show an instance that is known
+// to be shutting down. A target marked as leaving must receive no new requests,
+// whatever the list shows for the same attempt.
 func TestLeavingGetsNothingNew(t *testing.T) {
-	x := newBench(t, targets(2, 2))
-	x.serve(20, quick)
+	x := newFixture(t, targets(2, 2))
+	x.serve(20, usualResult)
 	running, _ := x.pick(Query{})
 	leaving := running.Address()
 	x.b.MarkLeaving(leaving)
-	if n := x.serve(50, quick)[leaving]; n != 0 {
+	if n := x.serve(50, usualResult)[leaving]; n != 0 {
 		t.Errorf("%d requests went to a leaving target", n)
 	}
 	running.Done(x.now, Result{Latency: usual})
 	x.b.Update(x.now, targets(2, 2))
-	if n := x.serve(50, quick)[leaving]; n != 0 {
-		t.Errorf("%d requests went to a leaving target once the list came", n)
+	if n := x.serve(50, usualResult)[leaving]; n != 0 {
+		t.Errorf("%d requests went to a leaving target after an update", n)
 	}
 	replaced := targets(2, 2)
 	for i := range replaced {
 		replaced[i].Task.Attempt = 2
 	}
 	x.b.Update(x.now, replaced)
-	if n := x.serve(50, quick)[leaving]; n == 0 {
-		t.Error("the next attempt at the address gets nothing")
+	if n := x.serve(50, usualResult)[leaving]; n == 0 {
+		t.Error("the next attempt at the address got no requests")
 	}
 }
 
 func TestUnlistedGetsNothingNew(t *testing.T) {
-	x := newBench(t, targets(2, 2))
+	x := newFixture(t, targets(2, 2))
 	c, _ := x.pick(Query{})
 	x.b.Update(x.now, nil)
 	if _, ok := x.pick(Query{Ahead: 1000}); ok || x.b.Slots() != 0 {
@@ -147,167 +148,166 @@
 	c.Done(x.now, Result{Latency: usual})
 	c.Done(x.now, Result{Latency: usual})
 	if n := x.b.Free(); n != 0 {
-		t.Errorf("%d slots are free on no target", n)
+		t.Errorf("%d slots are free without a target", n)
 	}
 }
 
-// Symptom: one slow instance sets the tail of the whole service. Sequence: it
-// turns ten times slower; then it is well again. Cause: targets are chosen by
-// free slots alone, or are never tried again.
-func TestSlowTargetIsLeftEarlyAndComesBack(t *testing.T) {
-	x := newBench(t, targets(8, 2))
-	x.serve(400, quick)
-	slow := x.serve(800, onBad(Result{Latency: 10 * usual}))
+// A target that becomes ten times slower must not determine the tail latency of
+// the service, which happens when targets are chosen by free slots alone. Once
+// it is fast again it must be used again.
+func TestSlowTargetIsAvoidedAndRestored(t *testing.T) {
+	x := newFixture(t, targets(8, 2))
+	x.serve(400, usualResult)
+	slow := x.serve(800, resultOnBad(Result{Latency: 10 * usual}))
 	if slow[bad] > 12 {
 		t.Errorf("%d of 800 requests went to the slow target", slow[bad])
 	}
 	if s := x.state(bad).State; s == Healthy {
 		t.Fatalf("the slow target is %v", s)
 	}
-	x.serve(6000, quick)
+	x.serve(6000, usualResult)
 	if s := x.state(bad).State; s != Healthy {
 		t.Errorf("the target is %v long after it recovered", s)
 	}
-	if n := x.serve(800, quick)[bad]; n < 20 {
+	if n := x.serve(800, usualResult)[bad]; n < 20 {
 		t.Errorf("%d of 800 requests went to the recovered target", n)
 	}
 }
 
-// A slot on a slow target is worth more than a long wait, and less than a
-// short one.
+// A slot on a slow target is better than a long wait and worse than a short
+// one.
 func TestSlowTargetServesALongQueue(t *testing.T) {
-	x := newBench(t, targets(8, 1))
-	x.serve(400, quick)
+	x := newFixture(t, targets(8, 1))
+	x.serve(400, usualResult)
 	for range 7 {
 		if _, ok := x.pick(Query{Avoid: []string{bad}}); !ok {
 			t.Fatal("no quick target is free")
 		}
 	}
-	x.serve(20, onBad(Result{Latency: 4 * usual}))
+	x.serve(20, resultOnBad(Result{Latency: 4 * usual}))
 	if s := x.state(bad).State; s != Slow {
 		t.Fatalf("the target is %v", s)
 	}
 	if _, ok := x.pick(Query{}); ok {
-		t.Error("the slow target was taken though a quick one is free soon")
+		t.Error("the slow target was picked though a fast one is free soon")
 	}
 	if c, ok := x.pick(Query{Ahead: 10}); !ok || c.Address() != bad {
-		t.Error("the slow target was not taken for a long queue")
+		t.Error("the slow target was not picked for a long queue")
 	}
 }
 
-func TestFailingTargetRests(t *testing.T) {
-	x := newBench(t, targets(8, 2))
-	x.serve(200, quick)
-	if n := x.serve(400, onBad(Result{Latency: time.Millisecond, Outcome: Failed}))[bad]; n > 8 {
+func TestFailingTargetIsEjected(t *testing.T) {
+	x := newFixture(t, targets(8, 2))
+	x.serve(200, usualResult)
+	if n := x.serve(400, resultOnBad(Result{Latency: time.Millisecond, Outcome: Failed}))[bad]; n > 8 {
 		t.Errorf("%d of 400 requests went to the failing target", n)
 	}
-	if s := x.state(bad).State; s != Resting {
+	if s := x.state(bad).State; s != Ejected {
 		t.Errorf("the failing target is %v", s)
 	}
 }
 
-// Symptom: every request is refused here though half of the instances would
-// serve it. Sequence: all targets fail, or only look so from here. Cause:
-// every target that looks bad is left.
-func TestNeverAllRest(t *testing.T) {
+// When all targets fail, or only appear to fail from this entry, ejecting every
+// one of them would refuse all requests although some instances would serve
+// them.
+func TestNotAllTargetsAreEjected(t *testing.T) {
 	for _, outcome := range []Outcome{Failed, Refused, Silent} {
-		x := newBench(t, targets(10, 2))
-		x.serve(200, quick)
+		x := newFixture(t, targets(10, 2))
+		x.serve(200, usualResult)
 		x.serve(400, func(string) Result { return Result{Latency: usual, Outcome: outcome} })
-		resting := 0
+		ejected := 0
 		for _, s := range x.b.Snapshot() {
-			if s.State == Resting && !x.b.targets[s.Address].lastResort {
-				resting++
+			if s.State == Ejected && !x.b.targets[s.Address].lastResort {
+				ejected++
 			}
 		}
-		if resting > 5 {
-			t.Errorf("outcome %d: %d of 10 targets get nothing", outcome, resting)
+		if ejected > 5 {
+			t.Errorf("outcome %d: %d of 10 targets are ejected", outcome, ejected)
 		}
 	}
 }
 
-// Symptom: after a middlebox lost its flows, well instances are left for
-// minutes, or every old connection costs one more request. Sequence: an
-// exchange stays unanswered; a new connection to the same target works; older
-// ones do not. Cause: the target is blamed for its connection.
-func TestSilenceBlamesTheConnectionFirst(t *testing.T) {
-	x := newBench(t, targets(1, 2))
-	x.serve(50, quick)
+// When a middlebox drops its flows, exchanges on old connections stay
+// unanswered while new connections to the same target work. The target must not
+// be ejected for its connection, and not every old connection may cost another
+// request.
+func TestFirstSilenceIsAttributedToTheConnection(t *testing.T) {
+	x := newFixture(t, targets(1, 2))
+	x.serve(50, usualResult)
 	lost, _ := x.pick(Query{NonIdempotent: true})
 	x.now = x.now.Add(lost.OverdueAfter())
-	lost.Overdue(x.now)
+	lost.ReportOverdue(x.now)
 	c, _ := x.pick(Query{})
-	if c.Fresh() || !c.TrustSince().After(start) || c.TrustSince().After(x.now) {
-		t.Fatalf("after an overdue exchange: fresh %v, trust since %v", c.Fresh(), c.TrustSince())
+	if c.RequiresNewConnection() || !c.TrustSince().After(start) || c.TrustSince().After(x.now) {
+		t.Fatalf("after an overdue exchange: new connection required %v, trust since %v", c.RequiresNewConnection(), c.TrustSince())
 	}
 	c.Done(x.now, Result{Outcome: Canceled})
 
 	x.now = x.now.Add(lost.SilenceAfter())
-	lost.Overdue(x.now)
+	lost.ReportOverdue(x.now)
 	if s := x.state("10.0.0.0:80"); s.State != Suspect || s.InFlight != 0 || s.Held != 1 {
 		t.Fatalf("after a silence: %+v", s)
 	}
 	proof, ok := x.pick(Query{NonIdempotent: true})
-	if !ok || !proof.Fresh() {
-		t.Fatal("the suspect target is not tried over a new connection")
+	if !ok || !proof.RequiresNewConnection() {
+		t.Fatal("the suspect target was not probed over a new connection")
 	}
 	if _, ok := x.pick(Query{Ahead: 1000}); ok {
 		t.Fatal("the suspect target got a second request")
 	}
 	proof.Done(x.now, Result{Latency: usual})
 	if s := x.state("10.0.0.0:80").State; s != Healthy {
-		t.Errorf("the target that answered is %v", s)
+		t.Errorf("the target that responded is %v", s)
 	}
-	x.now = x.now.Add(maxLimbo)
+	x.now = x.now.Add(maxHold)
 	lost.Done(x.now, Result{Outcome: Silent})
 	if s := x.state("10.0.0.0:80"); s.State != Healthy || s.InFlight+s.Held != 0 {
-		t.Errorf("the end of the lost exchange was held against the target: %+v", s)
+		t.Errorf("the end of the lost exchange changed the target's state: %+v", s)
 	}
 }
 
 func TestSilenceOfOneConnectionAmongMany(t *testing.T) {
-	x := newBench(t, targets(1, 2))
-	x.serve(50, quick)
+	x := newFixture(t, targets(1, 2))
+	x.serve(50, usualResult)
 	lost, _ := x.pick(Query{})
-	x.serve(20, quick)
+	x.serve(20, usualResult)
 	x.now = x.now.Add(lost.SilenceAfter())
 	lost.Done(x.now, Result{Outcome: Silent})
 	if s := x.state("10.0.0.0:80").State; s != Healthy {
-		t.Errorf("a target that answers other requests is %v", s)
+		t.Errorf("a target that responds to other requests is %v", s)
 	}
 }
 
-// Symptom: an instance refuses requests, or queues them, as sent beyond its
-// slots. Sequence: an answer is late, its exchange is given up as silent, and
-// the slot goes to another request; the instance works on both. Cause: giving
-// up an exchange does not end it.
+// Abandoning an exchange does not end it: the instance may still process the
+// request. If the slot went to another request immediately, the instance would
+// receive more than its slots allow.
 func TestSlotOfASilentExchangeStaysTakenForAWhile(t *testing.T) {
-	x := newBench(t, targets(1, 1))
-	x.serve(50, quick)
+	x := newFixture(t, targets(1, 1))
+	x.serve(50, usualResult)
 	lost, _ := x.pick(Query{})
 	x.now = x.now.Add(lost.SilenceAfter())
 	lost.Done(x.now, Result{Outcome: Silent})
 	if _, ok := x.pick(Query{Ahead: 1000}); ok {
-		t.Fatal("the slot was given again at once")
+		t.Fatal("the slot of the silent exchange was reused immediately")
 	}
-	x.now = x.now.Add(maxLimbo)
+	x.now = x.now.Add(maxHold)
 	if _, ok := x.pick(Query{Ahead: 1000}); !ok {
-		t.Error("the slot never came back")
+		t.Error("the slot of the silent exchange was not released")
 	}
 }
 
-func TestSecondSilenceBlamesTheTarget(t *testing.T) {
-	x := newBench(t, targets(8, 2))
-	x.serve(200, quick)
-	x.serve(200, onBad(Result{Latency: 10 * usual, Outcome: Silent}))
-	if s := x.state(bad).State; s != Resting {
+func TestSecondSilenceEjectsTheTarget(t *testing.T) {
+	x := newFixture(t, targets(8, 2))
+	x.serve(200, usualResult)
+	x.serve(200, resultOnBad(Result{Latency: 10 * usual, Outcome: Silent}))
+	if s := x.state(bad).State; s != Ejected {
 		t.Errorf("a target that is silent over new connections is %v", s)
 	}
 }
 
-func TestManyOverdueDoubtAllConnections(t *testing.T) {
-	x := newBench(t, targets(20, 1))
-	x.serve(400, quick)
+func TestManyOverdueExchangesDistrustAllConnections(t *testing.T) {
+	x := newFixture(t, targets(20, 1))
+	x.serve(400, usualResult)
 	var lost []*Choice
 	for range 10 {
 		c, _ := x.pick(Query{})
@@ -315,17 +315,17 @@
 	}
 	x.now = x.now.Add(lost[0].OverdueAfter())
 	for _, c := range lost {
-		c.Overdue(x.now)
+		c.ReportOverdue(x.now)
 	}
 	c, _ := x.pick(Query{})
 	if !c.TrustSince().After(start) {
-		t.Error("connections to other targets are trusted as before")
+		t.Error("connections to other targets are still trusted")
 	}
 }
 
 func TestNonIdempotentPrefersProvenTargets(t *testing.T) {
-	x := newBench(t, targets(2, 2))
-	x.serve(50, quick)
+	x := newFixture(t, targets(2, 2))
+	x.serve(50, usualResult)
 	x.now = x.now.Add(time.Minute)
 	c, _ := x.pick(Query{})
 	proven := c.Address()
@@ -333,7 +333,7 @@
 	for range 20 {
 		c, _ := x.pick(Query{NonIdempotent: true})
 		if c.Address() != proven {
-			t.Fatalf("%s was picked; only %s answered lately", c.Address(), proven)
+			t.Fatalf("%s was picked; only %s responded recently", c.Address(), proven)
 		}
 		c.Done(x.now, Result{Outcome: Canceled})
 	}
@@ -342,13 +342,13 @@
 func TestAvoidAndNearFirst(t *testing.T) {
 	list := targets(3, 1)
 	list[0].Zone, list[1].Zone = "far", "far"
-	x := newBench(t, list)
-	if n := x.serve(20, quick)[list[2].Address]; n != 20 {
+	x := newFixture(t, list)
+	if n := x.serve(20, usualResult)[list[2].Address]; n != 20 {
 		t.Errorf("%d of 20 requests went to the near target", n)
 	}
 	c, ok := x.pick(Query{Avoid: []string{list[2].Address, list[1].Address}})
 	if !ok || c.Address() != list[0].Address {
-		t.Error("the one target that is not avoided was not picked")
+		t.Error("the only target that is not avoided was not picked")
 	}
 }
 
@@ -356,8 +356,8 @@
 	parameters := gopter.DefaultTestParametersWithSeed(20261202)
 	parameters.MinSuccessfulTests = 100
 	properties := gopter.NewProperties(parameters)
-	properties.Property("in flight stays within slots, and all slots come back", prop.ForAll(func(seed uint64) string {
-		x := newBench(t, targets(6, 3))
+	properties.Property("requests in flight stay within slots, and all slots are released", prop.ForAll(func(seed uint64) string {
+		x := newFixture(t, targets(6, 3))
 		x.rnd = rand.New(rand.NewPCG(seed, 7))
 		var held []*Choice
 		for range 2000 {
@@ -379,7 +379,7 @@
 		for _, c := range held {
 			c.Done(x.now, Result{Outcome: Canceled})
 		}
-		x.b.Update(x.now.Add(maxLimbo), targets(6, 3))
+		x.b.Update(x.now.Add(maxHold), targets(6, 3))
 		for _, s := range x.b.Snapshot() {
 			if s.InFlight+s.Held != 0 {
 				return fmt.Sprintf("in the end %+v", s)
@@ -400,7 +400,7 @@
 			for i := range 500 {
 				now := start.Add(time.Duration(i) * time.Millisecond)
 				if c, ok := b.Pick(now, rnd.Uint64(), Query{}); ok {
-					c.Overdue(now)
+					c.ReportOverdue(now)
 					c.Done(now.Add(usual), Result{Latency: usual, Outcome: Outcome(rnd.IntN(5))})
 				}
 				if i%100 == g {
@@ -431,8 +431,8 @@
 }
 
 func TestPickDoesNotAllocate(t *testing.T) {
-	x := newBench(t, manyTargets(200))
-	x.serve(5000, quick)
+	x := newFixture(t, manyTargets(200))
+	x.serve(5000, usualResult)
 	allocations := testing.AllocsPerRun(1000, func() {
 		c, _ := x.pick(Query{NonIdempotent: true})
 		c.Done(x.now, Result{Latency: usual})
@@ -442,12 +442,13 @@
 	}
 }
 
-// BenchmarkDecision is one Pick and its Done, with a third of the slots in use.
+// BenchmarkDecision measures one Pick and its Done, with a third of the slots
+// in use.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{50, 26000} {
 		b.Run(fmt.Sprint(n, "targets"), func(b *testing.B) {
-			x := newBench(b, manyTargets(n))
-			x.serve(20*n, quick)
+			x := newFixture(b, manyTargets(n))
+			x.serve(20*n, usualResult)
 			held := make([]*Choice, n*8/3)
 			for i := range held {
 				held[i], _ = x.pick(Query{Ahead: 1000})
--- a/core/workersession/script_test.go
+++ b/core/workersession/script_test.go
@@ -14,8 +14,8 @@
 	"github.com/guavarill/guavarill/standin/worker"
 )
 
-// script plays one agent and its owners step by step and writes down what
-// passes between them.
+// script runs one agent and its owners step by step and records the messages
+// between them.
 type script struct {
 	now   time.Time
 	agent *worker.Agent
@@ -60,16 +60,16 @@
 	fmt.Fprintf(&s.text, "%7.1fs  %s\n", s.now.Sub(epochTime).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// note writes a line of explanation.
+// note adds an explanation to the record.
 func (s *script) note(text string) { s.line("-- %s", text) }
 
-// pass lets d pass for everybody.
+// pass advances the time by d for the agent and all owners.
 func (s *script) pass(d time.Duration) {
 	s.now = s.now.Add(d)
 	s.agent.Advance()
 }
 
-// event gives an event to the session and writes down its commands.
+// event gives an event to the session and records its commands.
 func (p *peer) event(ev workersession.Event) {
 	for _, c := range p.session.Step(p.now, ev) {
 		p.line("%s: %s", p.name, commandText(c))
@@ -79,7 +79,7 @@
 	}
 }
 
-func (p *peer) full()                               { p.event(workersession.MayAct{Full: true}) }
+func (p *peer) full()                               { p.event(workersession.Permission{Full: true}) }
 func (p *peer) want(t ...workersession.DesiredTask) { p.event(workersession.Desired{Tasks: t}) }
 func (p *peer) tick()                               { p.event(workersession.Tick{}) }
 func (p *peer) last() workersession.Send            { return p.sent[len(p.sent)-1] }
@@ -87,21 +87,21 @@
 func (p *peer) failed(id uint64) {
 	p.event(workersession.Answered{ID: id, Err: context.DeadlineExceeded})
 }
-func (p *peer) answer()                                   { p.take(p.last().ID, p.arrive(p.last())) }
+func (p *peer) answer()                                   { p.take(p.last().ID, p.execute(p.last())) }
 func (p *peer) take(id uint64, r *workerv1.ApplyResponse) { p.event(p.answered(id, r)) }
 
 func (p *peer) answered(id uint64, r *workerv1.ApplyResponse) workersession.Answered {
 	return workersession.Answered{ID: id, Resp: r, ReceivedAt: p.now}
 }
 
-// arrive carries a message out at the agent.
-func (p *peer) arrive(send workersession.Send) *workerv1.ApplyResponse {
+// execute executes a message at the agent.
+func (p *peer) execute(send workersession.Send) *workerv1.ApplyResponse {
 	resp := p.agent.Apply(proto.CloneOf(send.Req))
 	p.line("agent: answers %s #%d: %s", p.name, send.ID, responseText(resp))
 	return resp
 }
 
-// idle lets time pass in seconds, with an answer to each message.
+// idle advances the time by d in steps of a second, answering each message.
 func (p *peer) idle(d time.Duration) {
 	for end := p.now.Add(d); p.now.Before(end); {
 		p.pass(time.Second)
