--- a/port/errors.go
+++ b/port/errors.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Outcome says what is known of a change whose call returned.
+// Outcome is what the caller knows about a change after its call has returned.
 type Outcome int
 
-// The outcomes. OutcomeUnknown is what a lost answer leaves: the change may
-// have been made and may still be made.
+// The outcomes. OutcomeUnknown follows a lost response: the change may have
+// been made, or may still be made later.
 const (
 	OutcomeDone Outcome = iota
 	OutcomeNotDone
@@ -18,7 +18,7 @@
 
 var outcomeNames = [...]string{"done", "not done", "unknown"}
 
-// String returns the outcome's name.
+// String returns the outcome's name, or "invalid" for an undeclared value.
 func (o Outcome) String() string {
 	if o < 0 || int(o) >= len(outcomeNames) {
 		return "invalid"
@@ -26,10 +26,11 @@
 	return outcomeNames[o]
 }
 
-// StoreErrorKind sorts the store's failures by what the caller can do.
+// StoreErrorKind classifies store failures by how the caller can react.
 type StoreErrorKind string
 
-// The kinds of store failure.
+// The kinds of store failure. StoreThrottled and StoreCallCanceled arise in the
+// daemon itself and say nothing about the state of the store.
 const (
 	StoreUnavailable  StoreErrorKind = "unavailable"
 	StoreTimeout      StoreErrorKind = "timeout"
@@ -42,12 +43,12 @@
 	StoreCallCanceled StoreErrorKind = "canceled by the caller"
 )
 
-// StoreError is every failure that Store returns.
+// StoreError is the type of every error that a Store returns.
 type StoreError struct {
-	// Call is the method's name.
+	// Call is the name of the method that failed.
 	Call string
 	Kind StoreErrorKind
-	// Outcome is OutcomeNotDone only when the change was certainly not made.
+	// Outcome is OutcomeNotDone only if the change was certainly not made.
 	Outcome Outcome
 	Cause   error
 }
@@ -63,11 +64,12 @@
 // Unwrap returns the cause.
 func (e *StoreError) Unwrap() error { return e.Cause }
 
-// TransferError is an answer that broke off after a part of it had come.
+// TransferError reports a response that broke off after a part of it had been
+// received.
 type TransferError struct {
-	// Bytes is how many had come.
+	// Bytes is the number of bytes received.
 	Bytes int
-	// Took is the time since the answer began.
+	// Took is the time from the start of the response to the failure.
 	Took  time.Duration
 	Cause error
 }
@@ -80,8 +82,8 @@
 // Unwrap returns the cause.
 func (e *TransferError) Unwrap() error { return e.Cause }
 
-// WorkerError is a failed exchange with a worker's agent. The commands may
-// have been carried out unless Outcome is OutcomeNotDone.
+// WorkerError is a failed call to a worker's agent. Unless Outcome is
+// OutcomeNotDone, the agent may have executed the commands.
 type WorkerError struct {
 	Worker  string
 	Outcome Outcome
@@ -96,7 +98,7 @@
 // Unwrap returns the cause.
 func (e *WorkerError) Unwrap() error { return e.Cause }
 
-// PeerErrorKind sorts the failures of an exchange between daemons.
+// PeerErrorKind classifies the failures of calls between daemons.
 type PeerErrorKind string
 
 // The kinds of peer failure.
@@ -107,7 +109,7 @@
 	PeerRefused       PeerErrorKind = "refused"
 )
 
-// PeerError is a failed exchange with another daemon.
+// PeerError is a failed call to another daemon.
 type PeerError struct {
 	Peer  string
 	Kind  PeerErrorKind
@@ -125,7 +127,7 @@
 // Unwrap returns the cause.
 func (e *PeerError) Unwrap() error { return e.Cause }
 
-// VMListError is a failed read of the platform's list of VMs.
+// VMListError is a failure to read the platform's list of VMs.
 type VMListError struct {
 	Cause error
 }
--- a/port/jobs.go
+++ b/port/jobs.go
@@ -8,17 +8,19 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// TaskWorkers carries orders to the workers that run the tasks of jobs. Every
-// call returns: a failure is a verdict, and a lost answer VerdictUnknown.
+// TaskWorkers sends orders to the workers that run the tasks of jobs. The calls
+// return no errors: a failure is reported as a verdict, and a lost response as
+// VerdictUnknown.
 type TaskWorkers interface {
 	Renew(ctx context.Context, r jobsched.Renew) (jobsched.Verdict, jobsched.Report)
-	// Start also returns the worker's clock in milliseconds, 0 if not given.
+	// Start also returns the worker's clock in milliseconds, or 0 if the worker did
+	// not report it.
 	Start(ctx context.Context, s jobsched.Start) (jobsched.Verdict, int64)
 	Stop(ctx context.Context, s jobsched.Stop) jobsched.Verdict
 	Throttle(ctx context.Context, t jobsched.Throttle) jobsched.Verdict
 }
 
-// WorkerList reads the platform's list of workers. An error is a
+// WorkerList reads the platform's list of workers. Its errors are
 // *WorkerListError.
 type WorkerList interface {
 	List(ctx context.Context) (jobsched.WorkersListed, error)
@@ -29,16 +31,16 @@
 	Advise(ctx context.Context, a jobsched.Advise) jobsched.Advised
 }
 
-// ConfigFeed brings the operator's configuration.
+// ConfigFeed provides the operator's configuration.
 type ConfigFeed interface {
-	// Current returns the newest version that has been read, or nil.
+	// Current returns the newest version that has been read, or nil if none has.
 	Current() *job.Config
-	// Changed returns a channel that is closed when a newer version than the
+	// Changed returns a channel that is closed when a version newer than the
 	// current one has been read.
 	Changed() <-chan struct{}
 }
 
-// WorkerListError is a failed read of the platform's list of workers.
+// WorkerListError is a failure to read the platform's list of workers.
 type WorkerListError struct{ Cause error }
 
 // Error implements error.
--- a/port/store.go
+++ b/port/store.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// MaxValueBytes is the largest value the platform's store accepts.
+// MaxValueBytes is the size of the largest value that the platform's store
+// accepts.
 const MaxValueBytes = 1 << 20
 
 // KeyValue is a stored value with the store revisions that created and last
@@ -18,28 +19,28 @@
 	Lease          LeaseID
 }
 
-// LeaseID names a lease of the store; 0 is no lease.
+// LeaseID identifies a lease of the store; 0 means no lease.
 type LeaseID int64
 
-// CompareKind says which property of a key a condition looks at.
+// CompareKind selects the revision of a key that a condition compares.
 type CompareKind int
 
-// The kinds of condition. A key that does not exist has both revisions 0.
+// The kinds of condition. Both revisions of a key that does not exist are 0.
 const (
 	CompareCreateRevision CompareKind = iota
 	CompareModRevision
 )
 
-// Condition must hold for a transaction to take effect: the named revision of
-// Key equals Revision.
+// Condition is a precondition of a transaction: the revision of Key that Kind
+// selects must equal Revision.
 type Condition struct {
 	Key      string
 	Kind     CompareKind
 	Revision int64
 }
 
-// Op is one change of a transaction: a put, or a delete when Delete is set.
-// With Delete and RangeEnd set, all keys in [Key, RangeEnd) are deleted.
+// Op is one change of a transaction: a put, or a delete if Delete is set. If
+// RangeEnd is set as well, the delete covers all keys in [Key, RangeEnd).
 type Op struct {
 	Key      string
 	Value    []byte
@@ -48,16 +49,16 @@
 	RangeEnd string
 }
 
-// TxnResult is the answer to a transaction that the store decided.
+// TxnResult is the store's decision on a transaction.
 type TxnResult struct {
-	// Succeeded is whether all conditions held and the changes were made.
+	// Succeeded reports whether all conditions held and the changes were made.
 	Succeeded bool
-	// Revision is the store's revision after the transaction.
+	// Revision is the revision of the store after the transaction.
 	Revision int64
 }
 
-// WatchEvent is one change seen by a watch, or the end of the watch when Err
-// is set: no event follows it.
+// WatchEvent is one change reported by a watch. If Err is set, it is the end of
+// the watch instead, and no event follows.
 type WatchEvent struct {
 	KeyValue KeyValue
 	Deleted  bool
@@ -65,49 +66,49 @@
 	Err      error
 }
 
-// Store is the platform's key-value service. Each method is one counted call,
-// never retried by the adapter. An error is a *StoreError whose Outcome says
-// whether a change may have been made.
+// Store is the platform's key-value service. Each method makes one call, which
+// counts against the daemon's call budget and is never retried by the adapter.
+// Errors are *StoreError; their Outcome tells whether a change may have been made.
 //
-// The adapter gives a call up when the store is silent. How long a transfer takes
-// depends on its size and on the link: a context with a deadline is for those who
-// cannot wait longer, and breaks large transfers off.
+// The adapter aborts a call when the store stops sending. The duration of a
+// transfer depends on its size and on the link, so a context with a deadline
+// aborts large transfers; set one only where the caller cannot wait longer.
 type Store interface {
-	// Get reads one key. A key that does not exist has ModRevision 0.
+	// Get reads one key. The ModRevision of a key that does not exist is 0.
 	Get(ctx context.Context, key string) (KeyValue, error)
-	// List reads all keys that begin with prefix, in key order. The revision
-	// is the store's at the time of reading.
+	// List reads all keys that begin with prefix, in key order. It also returns
+	// the revision of the store at the time of the read.
 	List(ctx context.Context, prefix string) ([]KeyValue, int64, error)
-	// Txn makes all changes if all conditions hold, else none.
+	// Txn makes all changes if all conditions hold, and none otherwise.
 	Txn(ctx context.Context, conditions []Condition, changes []Op) (TxnResult, error)
-	// GrantLease makes a lease that lapses after ttl without a renewal.
+	// GrantLease creates a lease that expires after ttl without a renewal.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease for its full time and returns that time.
+	// KeepAlive renews a lease for its full duration and returns that duration.
 	KeepAlive(ctx context.Context, id LeaseID) (time.Duration, error)
 	// RevokeLease ends a lease and deletes its keys.
 	RevokeLease(ctx context.Context, id LeaseID) error
-	// Watch reports changes to keys that begin with prefix after the given
-	// revision, until ctx ends or the watch breaks.
+	// Watch reports the changes made after the given revision to keys that begin
+	// with prefix, until ctx ends or the watch breaks.
 	Watch(ctx context.Context, prefix string, after int64) (<-chan WatchEvent, error)
 }
 
-// KeyReader reads one key and follows it. Errors are those of a Store; one of the kind
-// StoreTooLarge says that more changes have come than an answer may hold.
+// KeyReader reads one key and watches it for changes. It returns the errors of a
+// Store; StoreTooLarge means that there were more changes than a response may hold.
 type KeyReader interface {
 	Get(ctx context.Context, key string) (KeyValue, error)
-	// Await returns when the key has changed after a revision, or after a while in
-	// which it has not.
+	// Await waits until the key changes after the given revision. It also returns,
+	// without a change, when the store ends the wait.
 	Await(ctx context.Context, key string, after int64) (Awaited, error)
 }
 
-// Awaited is what is known after a wait for a change of a key.
+// Awaited is the result of a wait for a change of a key.
 type Awaited struct {
 	// KeyValue is the key after its last change, if Changed is set.
 	KeyValue KeyValue
 	Changed  bool
-	// Revision is the store's up to which the key is known.
+	// Revision is the store revision up to which the state of the key is known.
 	Revision int64
-	// Unchanged is for how long after the call was sent the key certainly stayed as it
-	// was known before.
+	// Unchanged is the time after the call was sent during which the key certainly
+	// kept its previous value.
 	Unchanged time.Duration
 }
