--- a/adapter/etcdstore/answer_test.go
+++ b/adapter/etcdstore/answer_test.go
@@ -44,9 +44,9 @@
 	s := newStore(t, etcdstore.Options{Endpoint: inner.Addr().String(), CallTimeout: patience})
 	ctx := context.Background()
 	_, err = s.Txn(ctx, nil, put("k", "v"))
-	wantFailure(t, err, port.StoreBadAnswer, port.OutcomeUnknown)
+	wantFailure(t, err, port.StoreMalformedResponse, port.OutcomeUnknown)
 	_, _, err = s.List(ctx, "k")
-	wantFailure(t, err, port.StoreBadAnswer, port.OutcomeNotDone)
+	wantFailure(t, err, port.StoreMalformedResponse, port.OutcomeNotDone)
 	_, err = s.GrantLease(ctx, time.Second)
 	wantFailure(t, err, etcdwire.KindRefused, port.OutcomeNotDone)
 }
--- a/adapter/etcdstore/budgeted_test.go
+++ b/adapter/etcdstore/budgeted_test.go
@@ -86,7 +86,7 @@
 	_, _, s := newBudgeted(storebudget.Options{Daemons: 7})
 	for range 4 {
 		_, err := s.KeepAlive(context.Background(), 99)
-		wantFailure(t, err, port.StoreLeaseGone, port.OutcomeNotDone)
+		wantFailure(t, err, port.StoreLeaseNotFound, port.OutcomeNotDone)
 	}
 }
 
--- a/adapter/etcdstore/classify.go
+++ b/adapter/etcdstore/classify.go
@@ -61,7 +61,7 @@
 // it did is not known.
 func badAnswer(c *call, reason string) *port.StoreError {
 	return &port.StoreError{
-		Call: c.name, Kind: port.StoreBadAnswer, Outcome: c.lostOutcome(),
+		Call: c.name, Kind: port.StoreMalformedResponse, Outcome: c.lostOutcome(),
 		Cause: &AnswerError{Reason: reason},
 	}
 }
--- a/adapter/etcdstore/etcdwire/etcdwire_test.go
+++ b/adapter/etcdstore/etcdwire/etcdwire_test.go
@@ -19,7 +19,7 @@
 		{codes.InvalidArgument, TextDuplicateKey, KindRefused, true},
 		{codes.InvalidArgument, TextTooLarge, port.StoreTooLarge, true},
 		{codes.InvalidArgument, TextTooManyOps, port.StoreTooLarge, true},
-		{codes.NotFound, TextLeaseNotFound, port.StoreLeaseGone, true},
+		{codes.NotFound, TextLeaseNotFound, port.StoreLeaseNotFound, true},
 		{codes.ResourceExhausted, TextTooManyRequests, KindOverloaded, true},
 		{codes.ResourceExhausted, TextNoSpace, KindOverloaded, false},
 		{codes.Unavailable, "etcdserver: request timed out", port.StoreUnavailable, false},
--- a/adapter/etcdstore/etcdwire/refusal.go
+++ b/adapter/etcdstore/etcdwire/refusal.go
@@ -51,7 +51,7 @@
 	case codes.InvalidArgument:
 		return invalidArgumentKind(r.Text), true
 	case codes.NotFound:
-		return port.StoreLeaseGone, true
+		return port.StoreLeaseNotFound, true
 	case codes.OutOfRange:
 		return port.StoreCompacted, true
 	case codes.PermissionDenied, codes.Unauthenticated, codes.Unimplemented:
--- a/adapter/etcdstore/store.go
+++ b/adapter/etcdstore/store.go
@@ -137,7 +137,7 @@
 		return 0, badAnswer(callRenew, "the answer is about another lease")
 	}
 	if resp.GetTTL() <= 0 {
-		return 0, &port.StoreError{Call: callRenew.name, Kind: port.StoreLeaseGone, Outcome: port.OutcomeNotDone}
+		return 0, &port.StoreError{Call: callRenew.name, Kind: port.StoreLeaseNotFound, Outcome: port.OutcomeNotDone}
 	}
 	return time.Duration(resp.GetTTL()) * time.Second, nil
 }
--- a/adapter/etcdstore/store_test.go
+++ b/adapter/etcdstore/store_test.go
@@ -115,7 +115,7 @@
 		{"value too large", ctx, large, port.StoreTooLarge, 0},
 		{"transaction too large", ctx, bulky, port.StoreTooLarge, 0},
 		{"canceled before sending", canceled, put("k", "v"), port.StoreCallCanceled, 0},
-		{"lease not found", ctx, []port.Op{{Key: "k", Lease: 7}}, port.StoreLeaseGone, 1},
+		{"lease not found", ctx, []port.Op{{Key: "k", Lease: 7}}, port.StoreLeaseNotFound, 1},
 		{"key changed twice", ctx, twice, etcdwire.KindRefused, 1},
 	}
 	for _, c := range cases {
@@ -186,8 +186,8 @@
 	}
 	server.LapseLease(int64(id))
 	_, err = s.KeepAlive(ctx, id)
-	wantFailure(t, err, port.StoreLeaseGone, port.OutcomeNotDone)
-	wantFailure(t, s.RevokeLease(ctx, id), port.StoreLeaseGone, port.OutcomeNotDone)
+	wantFailure(t, err, port.StoreLeaseNotFound, port.OutcomeNotDone)
+	wantFailure(t, s.RevokeLease(ctx, id), port.StoreLeaseNotFound, port.OutcomeNotDone)
 }
 
 func TestLostRenewalIsUnknown(t *testing.T) {
--- a/adapter/grpcrelay/carrier.go
+++ b/adapter/grpcrelay/carrier.go
@@ -33,23 +33,23 @@
 	return grpc.NewServer(grpc.InitialWindowSize(windowBytes), grpc.InitialConnWindowSize(windowBytes))
 }
 
-// Carrier carries the orders of a leader. Its workers bound the time of an order,
+// RelayServer carries the orders of a leader. Its workers bound the time of an order,
 // so that the leader hears of each in any case.
-type Carrier struct {
+type RelayServer struct {
 	relayv1.UnimplementedRelayServer
 	workers port.TaskWorkers
 	lost    chan struct{}
 }
 
-// NewCarrier makes a Carrier and registers it with a server.
-func NewCarrier(s *grpc.Server, workers port.TaskWorkers) *Carrier {
-	c := &Carrier{workers: workers, lost: make(chan struct{}, 1)}
+// NewRelayServer makes a Carrier and registers it with a server.
+func NewRelayServer(s *grpc.Server, workers port.TaskWorkers) *RelayServer {
+	c := &RelayServer{workers: workers, lost: make(chan struct{}, 1)}
 	relayv1.RegisterRelayServer(s, c)
 	return c
 }
 
 // Carry implements relayv1.RelayServer.
-func (c *Carrier) Carry(stream relayv1.Relay_CarryServer) error {
+func (c *RelayServer) Carry(stream relayv1.Relay_CarryServer) error {
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
 	out := newOutbox()
@@ -72,7 +72,7 @@
 }
 
 // carry carries one order out.
-func (c *Carrier) carry(ctx context.Context, o *relayv1.Order) *relayv1.Outcome {
+func (c *RelayServer) carry(ctx context.Context, o *relayv1.Order) *relayv1.Outcome {
 	outcome := &relayv1.Outcome{Id: o.Id}
 	verdict := jobsched.VerdictInvalid
 	switch kind := o.Kind.(type) {
--- a/adapter/grpcrelay/relay_test.go
+++ b/adapter/grpcrelay/relay_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	server := NewServer()
-	NewCarrier(server, workers)
+	NewRelayServer(server, workers)
 	go func() {
 		if err := server.Serve(l); err != nil {
 			t.Error(err)
--- a/adapter/grpcrelay/vigil.go
+++ b/adapter/grpcrelay/vigil.go
@@ -22,7 +22,7 @@
 )
 
 // noteLost notes that a leader's stream has ended.
-func (c *Carrier) noteLost() {
+func (c *RelayServer) noteLost() {
 	select {
 	case c.lost <- struct{}{}:
 	default:
@@ -30,11 +30,11 @@
 }
 
 // ConnectionLost implements jobservice.Vigil.
-func (c *Carrier) ConnectionLost() <-chan struct{} { return c.lost }
+func (c *RelayServer) ConnectionLost() <-chan struct{} { return c.lost }
 
 // IsGone implements jobservice.Vigil. A daemon listens for its peers before it
 // leads and for as long, so that nobody listening there means that it is not.
-func (c *Carrier) IsGone(ctx context.Context, address string) bool {
+func (c *RelayServer) IsGone(ctx context.Context, address string) bool {
 	for range goneTries {
 		if refuses(ctx, address) {
 			return true
--- a/adapter/grpcworker/client.go
+++ b/adapter/grpcworker/client.go
@@ -22,7 +22,7 @@
 const (
 	DefaultKeepaliveAfter   = 20 * time.Second
 	DefaultKeepaliveTimeout = 5 * time.Second
-	DefaultMaxAnswerBytes   = 1 << 20
+	DefaultMaxResponseBytes = 1 << 20
 	DefaultIdleAfter        = 5 * time.Minute
 )
 
@@ -34,8 +34,8 @@
 	// while a call waits on it, KeepaliveTimeout how long the probe may take.
 	KeepaliveAfter   time.Duration
 	KeepaliveTimeout time.Duration
-	// MaxAnswerBytes bounds one answer.
-	MaxAnswerBytes int
+	// MaxResponseBytes bounds one answer.
+	MaxResponseBytes int
 	// IdleAfter is the time without a call after which a connection is closed.
 	IdleAfter time.Duration
 }
@@ -46,7 +46,7 @@
 	}
 	o.KeepaliveAfter = cmp.Or(o.KeepaliveAfter, DefaultKeepaliveAfter)
 	o.KeepaliveTimeout = cmp.Or(o.KeepaliveTimeout, DefaultKeepaliveTimeout)
-	o.MaxAnswerBytes = cmp.Or(o.MaxAnswerBytes, DefaultMaxAnswerBytes)
+	o.MaxResponseBytes = cmp.Or(o.MaxResponseBytes, DefaultMaxResponseBytes)
 	o.IdleAfter = cmp.Or(o.IdleAfter, DefaultIdleAfter)
 	return o
 }
@@ -81,7 +81,7 @@
 				Time:    o.KeepaliveAfter,
 				Timeout: o.KeepaliveTimeout,
 			}),
-			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(o.MaxAnswerBytes)),
+			grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(o.MaxResponseBytes)),
 			grpc.WithDisableServiceConfig(),
 			grpc.WithDisableRetry(),
 		},
--- a/core/ledger/interleaving_test.go
+++ b/core/ledger/interleaving_test.go
@@ -189,7 +189,7 @@
 	case ownership.KeepAlive:
 		ev := ownership.KeptAlive{ID: c.ID, TTL: leaseTTL, SentAt: r.sentAt}
 		if !w.store.keepAlive(w.now, c.ID, leaseTTL) {
-			ev.Err = &port.StoreError{Kind: port.StoreLeaseGone, Outcome: port.OutcomeNotDone}
+			ev.Err = &port.StoreError{Kind: port.StoreLeaseNotFound, Outcome: port.OutcomeNotDone}
 		}
 		return w.toOwner(ev)
 	case ownership.RevokeLease:
@@ -201,7 +201,7 @@
 		if _, ok := w.store.leases[c.Ops[0].Lease]; ok {
 			ev.Result = w.store.txn(c.Conditions, c.Ops)
 		} else {
-			ev.Err = &port.StoreError{Kind: port.StoreLeaseGone, Outcome: port.OutcomeNotDone}
+			ev.Err = &port.StoreError{Kind: port.StoreLeaseNotFound, Outcome: port.OutcomeNotDone}
 		}
 		return w.toOwner(ev)
 	case ownership.Release:
--- a/core/ownership/acquire.go
+++ b/core/ownership/acquire.go
@@ -83,7 +83,7 @@
 		return nil
 	}
 	switch {
-	case ev.Err != nil && kindOf(ev.Err) == port.StoreLeaseGone:
+	case ev.Err != nil && kindOf(ev.Err) == port.StoreLeaseNotFound:
 		return m.leaseGone(now)
 	case ev.Err != nil:
 		if !isNotDone(ev.Err) {
--- a/core/ownership/lease.go
+++ b/core/ownership/lease.go
@@ -159,7 +159,7 @@
 	case ev.Err == nil && ev.TTL > 0:
 		m.leaseExtended(ev.SentAt, ev.TTL)
 		return nil
-	case ev.Err == nil || kindOf(ev.Err) == port.StoreLeaseGone:
+	case ev.Err == nil || kindOf(ev.Err) == port.StoreLeaseNotFound:
 		return m.leaseGone(now)
 	}
 	m.lease.nextCall = m.lease.retry.next(now)
--- a/core/ownership/session_test.go
+++ b/core/ownership/session_test.go
@@ -22,7 +22,7 @@
 
 var (
 	errTimeout = &port.StoreError{Call: "KeepAlive", Kind: port.StoreTimeout, Outcome: port.OutcomeUnknown}
-	errGone    = &port.StoreError{Call: "KeepAlive", Kind: port.StoreLeaseGone, Outcome: port.OutcomeNotDone}
+	errGone    = &port.StoreError{Call: "KeepAlive", Kind: port.StoreLeaseNotFound, Outcome: port.OutcomeNotDone}
 )
 
 // session drives one Machine and records its events and commands.
--- a/daemon/store.go
+++ b/daemon/store.go
@@ -93,7 +93,7 @@
 		return false
 	}
 	switch failed.Kind {
-	case port.StoreLeaseGone, port.StoreCompacted:
+	case port.StoreLeaseNotFound, port.StoreCompacted:
 		return true
 	}
 	return false
--- a/jobservice/configfeed.go
+++ b/jobservice/configfeed.go
@@ -131,7 +131,7 @@
 	f.confirm(sentAt)
 	for revision := kv.ModRevision; ; {
 		sentAt = f.o.Clock.Now()
-		news, err := f.o.Source.Await(ctx, f.o.Key, revision)
+		news, err := f.o.Source.AwaitChange(ctx, f.o.Key, revision)
 		switch {
 		case isKind(err, port.StoreTooLarge):
 			// Several large versions have arrived at once: only the newest is read.
--- a/jobservice/configfeed_test.go
+++ b/jobservice/configfeed_test.go
@@ -41,19 +41,19 @@
 // ends.
 type scriptedReader struct {
 	mu     sync.Mutex
-	script []func() (port.Awaited, error)
+	script []func() (port.KeyChange, error)
 	// calls names the calls that were made, in order.
 	calls []string
 	done  chan struct{}
 }
 
-func (s *scriptedReader) answer(ctx context.Context, call string) (port.Awaited, error) {
+func (s *scriptedReader) answer(ctx context.Context, call string) (port.KeyChange, error) {
 	s.mu.Lock()
 	if len(s.script) == 0 {
 		s.mu.Unlock()
 		close(s.done)
 		<-ctx.Done()
-		return port.Awaited{}, ctx.Err()
+		return port.KeyChange{}, ctx.Err()
 	}
 	next := s.script[0]
 	s.script = s.script[1:]
@@ -67,21 +67,21 @@
 	return a.KeyValue, err
 }
 
-func (s *scriptedReader) Await(ctx context.Context, _ string, _ int64) (port.Awaited, error) {
+func (s *scriptedReader) AwaitChange(ctx context.Context, _ string, _ int64) (port.KeyChange, error) {
 	return s.answer(ctx, "await")
 }
 
 // version responds with a version of the configuration.
-func version(n int) func() (port.Awaited, error) {
-	return func() (port.Awaited, error) {
+func version(n int) func() (port.KeyChange, error) {
+	return func() (port.KeyChange, error) {
 		kv := port.KeyValue{Key: "config", Value: []byte(strconv.Itoa(n)), ModRevision: int64(n)}
-		return port.Awaited{KeyValue: kv, Changed: true, Revision: int64(n)}, nil
+		return port.KeyChange{KeyValue: kv, Changed: true, Revision: int64(n)}, nil
 	}
 }
 
 // failing responds with an error of the store.
-func failing(kind port.StoreErrorKind) func() (port.Awaited, error) {
-	return func() (port.Awaited, error) { return port.Awaited{}, &port.StoreError{Call: "Get", Kind: kind} }
+func failing(kind port.StoreErrorKind) func() (port.KeyChange, error) {
+	return func() (port.KeyChange, error) { return port.KeyChange{}, &port.StoreError{Call: "Get", Kind: kind} }
 }
 
 // decodeNumber decodes a configuration that consists of its version, with a queue
@@ -127,7 +127,7 @@
 // accepted.
 func TestAgeOfTheConfiguration(t *testing.T) {
 	clock := &manualClock{now: time.Unix(1000, 0)}
-	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3)}}
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.KeyChange, error){version(3)}}
 	f := newFeed(clock, source, nil)
 	if err := f.CheckAge(); err == nil {
 		t.Error("CheckAge accepts a missing configuration")
@@ -158,24 +158,24 @@
 // newer one cannot be decoded.
 func TestConfirmedConfigurationStaysFresh(t *testing.T) {
 	clock := &manualClock{now: time.Unix(1000, 0)}
-	wait := func(a port.Awaited) func() (port.Awaited, error) {
-		return func() (port.Awaited, error) {
+	wait := func(a port.KeyChange) func() (port.KeyChange, error) {
+		return func() (port.KeyChange, error) {
 			clock.advance(1100 * time.Millisecond)
 			return a, nil
 		}
 	}
-	damaged := port.Awaited{KeyValue: port.KeyValue{Key: "config", Value: []byte("x"), ModRevision: 4}, Changed: true}
+	damaged := port.KeyChange{KeyValue: port.KeyValue{Key: "config", Value: []byte("x"), ModRevision: 4}, Changed: true}
 	for _, c := range []struct {
 		name string
-		last port.Awaited
+		last port.KeyChange
 		age  time.Duration
 	}{
-		{"unchanged", port.Awaited{Unchanged: time.Second}, 100 * time.Millisecond},
-		{"cut short", port.Awaited{}, 1100 * time.Millisecond},
+		{"unchanged", port.KeyChange{Unchanged: time.Second}, 100 * time.Millisecond},
+		{"cut short", port.KeyChange{}, 1100 * time.Millisecond},
 		{"unreadable", damaged, 1100 * time.Millisecond},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){version(3), wait(port.Awaited{}), wait(c.last)}}
+			source := &scriptedReader{done: make(chan struct{}), script: []func() (port.KeyChange, error){version(3), wait(port.KeyChange{}), wait(c.last)}}
 			f := newFeed(clock, source, nil)
 			play(t, f, source)
 			if age := f.Age(); age != c.age || f.Current().Version != 3 {
@@ -188,7 +188,7 @@
 // Guards against transferring several large versions one after the other when only
 // the newest matters.
 func TestSeveralLargeVersionsAtOnce(t *testing.T) {
-	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.KeyChange, error){
 		version(3), failing(port.StoreTooLarge), version(9),
 	}}
 	f := newFeed(BootClock{}, source, nil)
@@ -204,7 +204,7 @@
 // Guards against reads of a configuration that is too large, one after the other
 // without a delay and without being counted as failures.
 func TestConfigurationTooLargeToBeRead(t *testing.T) {
-	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.KeyChange, error){
 		failing(port.StoreTooLarge), failing(port.StoreTooLarge),
 	}}
 	f := newFeed(BootClock{}, source, nil)
@@ -237,7 +237,7 @@
 // waits for the response of another daemon, which has exited without closing its
 // connection.
 func TestPeerReadsDoNotDelayDirectReads(t *testing.T) {
-	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.Awaited, error){failing(port.StoreTimeout), version(4)}}
+	source := &scriptedReader{done: make(chan struct{}), script: []func() (port.KeyChange, error){failing(port.StoreTimeout), version(4)}}
 	f := newFeed(BootClock{}, source, func(ctx context.Context, _ string) (port.KeyValue, error) {
 		<-ctx.Done()
 		return port.KeyValue{}, ctx.Err()
--- a/jobservice/leader.go
+++ b/jobservice/leader.go
@@ -196,7 +196,7 @@
 	switch {
 	case err == nil && ctx.Err() == nil:
 		l.extendDeadline(sentAt)
-	case isKind(err, port.StoreLeaseGone):
+	case isKind(err, port.StoreLeaseNotFound):
 		l.log.WithField("lease", lease).Warn("the store has ended the lease")
 		lost()
 	}
--- a/jobservice/members.go
+++ b/jobservice/members.go
@@ -93,7 +93,7 @@
 		call, cancel := context.WithTimeout(ctx, storeTimeout)
 		_, err := m.store.KeepAlive(call, lease)
 		cancel()
-		if isKind(err, port.StoreLeaseGone) {
+		if isKind(err, port.StoreLeaseNotFound) {
 			m.log.Info("the entry has expired; registering again")
 			return
 		}
--- a/jobservice/memstore_test.go
+++ b/jobservice/memstore_test.go
@@ -134,7 +134,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.leases[id] {
-		return 0, &port.StoreError{Call: "KeepAlive", Kind: port.StoreLeaseGone, Outcome: port.OutcomeNotDone}
+		return 0, &port.StoreError{Call: "KeepAlive", Kind: port.StoreLeaseNotFound, Outcome: port.OutcomeNotDone}
 	}
 	return time.Second, nil
 }
--- a/port/errors.go
+++ b/port/errors.go
@@ -32,15 +32,15 @@
 // The kinds of store failure. StoreThrottled and StoreCallCanceled arise in the
 // daemon itself and say nothing about the state of the store.
 const (
-	StoreUnavailable  StoreErrorKind = "unavailable"
-	StoreTimeout      StoreErrorKind = "timeout"
-	StoreTooLarge     StoreErrorKind = "value too large"
-	StoreLeaseGone    StoreErrorKind = "lease not found"
-	StoreThrottled    StoreErrorKind = "over the daemon's own call budget"
-	StoreCompacted    StoreErrorKind = "watch revision compacted"
-	StoreWatchBroken  StoreErrorKind = "watch broken"
-	StoreBadAnswer    StoreErrorKind = "answer not understood"
-	StoreCallCanceled StoreErrorKind = "canceled by the caller"
+	StoreUnavailable       StoreErrorKind = "unavailable"
+	StoreTimeout           StoreErrorKind = "timeout"
+	StoreTooLarge          StoreErrorKind = "value too large"
+	StoreLeaseNotFound     StoreErrorKind = "lease not found"
+	StoreThrottled         StoreErrorKind = "over the daemon's own call budget"
+	StoreCompacted         StoreErrorKind = "watch revision compacted"
+	StoreWatchBroken       StoreErrorKind = "watch broken"
+	StoreMalformedResponse StoreErrorKind = "answer not understood"
+	StoreCallCanceled      StoreErrorKind = "canceled by the caller"
 )
 
 // StoreError is the type of every error that a Store returns.
--- a/port/store.go
+++ b/port/store.go
@@ -96,13 +96,13 @@
 // Store; StoreTooLarge means that there were more changes than a response may hold.
 type KeyReader interface {
 	Get(ctx context.Context, key string) (KeyValue, error)
-	// Await waits until the key changes after the given revision. It also returns,
+	// AwaitChange waits until the key changes after the given revision. It also returns,
 	// without a change, when the store ends the wait.
-	Await(ctx context.Context, key string, after int64) (Awaited, error)
+	AwaitChange(ctx context.Context, key string, after int64) (KeyChange, error)
 }
 
-// Awaited is the result of a wait for a change of a key.
-type Awaited struct {
+// KeyChange is the result of a wait for a change of a key.
+type KeyChange struct {
 	// KeyValue is the key after its last change, if Changed is set.
 	KeyValue KeyValue
 	Changed  bool
--- a/standin/store/store_test.go
+++ b/standin/store/store_test.go
@@ -89,7 +89,7 @@
 		"put in a deleted range":  {[]port.Op{{Key: "a/1"}, {Key: "a/", RangeEnd: "a0", Delete: true}}, etcdwire.KindRefused},
 		"too many changes":        {[]port.Op{{Key: "a"}, {Key: "b"}, {Key: "c"}}, port.StoreTooLarge},
 		"value too large":         {[]port.Op{{Key: "a", Value: make([]byte, port.MaxValueBytes+1)}}, port.StoreTooLarge},
-		"lease that is not there": {[]port.Op{{Key: "a", Lease: 5}}, port.StoreLeaseGone},
+		"lease that is not there": {[]port.Op{{Key: "a", Lease: 5}}, port.StoreLeaseNotFound},
 		"no key":                  {[]port.Op{{}}, etcdwire.KindRefused},
 	}
 	for name, c := range cases {
@@ -126,7 +126,7 @@
 		t.Fatalf("told %+v, want the end of held/1", got)
 	}
 	_, err := l.KeepAlive(ctx, lease)
-	wantFailure(t, err, port.StoreLeaseGone, port.OutcomeNotDone)
+	wantFailure(t, err, port.StoreLeaseNotFound, port.OutcomeNotDone)
 }
 
 func TestLeasesAndOutages(t *testing.T) {
