--- a/adapter/grpcworker/client.go
+++ b/adapter/grpcworker/client.go
@@ -30,11 +30,11 @@
 type Options struct {
 	// Credentials secure the connections; nil means plain text.
 	Credentials credentials.TransportCredentials
-	// KeepaliveAfter is the quiet time after which a connection is probed
-	// while a call waits on it, KeepaliveTimeout how long the probe may take.
+	// KeepaliveAfter is the time without traffic after which a connection with a
+	// call in flight is probed; KeepaliveTimeout bounds the probe.
 	KeepaliveAfter   time.Duration
 	KeepaliveTimeout time.Duration
-	// MaxResponseBytes bounds one answer.
+	// MaxResponseBytes bounds the size of one response.
 	MaxResponseBytes int
 	// IdleAfter is the time without a call after which a connection is closed.
 	IdleAfter time.Duration
@@ -51,8 +51,8 @@
 	return o
 }
 
-// Client calls agents over one connection per address. It is safe for
-// concurrent use.
+// Client calls the agents on workers over one connection per address. It is safe
+// for concurrent use.
 type Client struct {
 	dial  []grpc.DialOption
 	idle  time.Duration
@@ -71,7 +71,7 @@
 	used time.Time
 }
 
-// New returns a Client. No connection is made before the first call.
+// New returns a Client. It connects to an address at the first call to it.
 func New(o Options) *Client {
 	o = o.withDefaults()
 	return &Client{
@@ -91,9 +91,9 @@
 	}
 }
 
-// Apply sends one batch to the agent at address. An error is a
-// *port.WorkerError; its outcome is port.OutcomeNotDone when no connection
-// could be had, and unknown otherwise.
+// Apply sends one batch of commands to the agent at address. Its errors are
+// *port.WorkerError: their outcome is port.OutcomeNotDone if no connection could
+// be made, and port.OutcomeUnknown otherwise.
 func (c *Client) Apply(
 	ctx context.Context,
 	address string,
@@ -104,8 +104,8 @@
 		return nil, &port.WorkerError{Worker: address, Outcome: port.OutcomeNotDone, Cause: err}
 	}
 	if err := waitReady(ctx, cc); err != nil {
-		// A connection that failed backs off ever longer; a new one is tried
-		// as often as the caller calls.
+		// grpc-go increases the reconnection backoff of a failed connection; a new
+		// connection is attempted at every call.
 		c.drop(address, cc)
 		return nil, &port.WorkerError{Worker: address, Outcome: port.OutcomeNotDone, Cause: err}
 	}
@@ -123,10 +123,10 @@
 	}
 }
 
-// silent reports whether a call failed for want of an answer. Something
-// between the two ends can forget a connection without telling either, and
-// every later call on it would wait in vain while a new one would work. So the
-// next call gets a new connection.
+// silent reports whether a call got no response: it timed out, or its connection
+// broke. A middlebox can lose a connection's state without closing it: every later
+// call on that connection would time out while a new connection works. Apply
+// therefore drops the connection, and the next call opens a new one.
 func silent(err error) bool {
 	code := status.Code(err)
 	return code == codes.DeadlineExceeded || code == codes.Unavailable
@@ -142,14 +142,14 @@
 	}
 }
 
-// Connections returns how many connections are kept.
+// Connections returns the number of open connections.
 func (c *Client) Connections() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.conns)
 }
 
-// Close closes all connections; later calls fail with a *ClosedError as cause.
+// Close closes all connections. Later calls fail with a *ClosedError as the cause.
 func (c *Client) Close() {
 	c.mu.Lock()
 	conns := c.conns
@@ -161,8 +161,8 @@
 	}
 }
 
-// get returns the connection to address, made if need be, and closes those
-// that were not used for long: workers come and go.
+// get returns the connection to address. If there is none, it creates one and
+// closes idle connections, such as those to workers that have gone.
 func (c *Client) get(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -184,7 +184,7 @@
 	return have.cc, nil
 }
 
-// closeIdle closes the connections that were not used for long.
+// closeIdle closes the connections that have been unused for the idle time.
 func (c *Client) closeIdle(now time.Time) {
 	for address, have := range c.conns {
 		if now.Sub(have.used) >= c.idle {
@@ -208,5 +208,5 @@
 	}
 }
 
-// closeConn closes cc. Its only error is that it was closed before.
+// closeConn closes cc. The only possible error is that cc is already closed.
 func closeConn(cc *grpc.ClientConn) { _ = cc.Close() }
--- a/adapter/grpcworker/client_test.go
+++ b/adapter/grpcworker/client_test.go
@@ -71,10 +71,10 @@
 	}
 }
 
-// Symptom: an attempt is started again elsewhere although it runs.
-// Events: the agent carries out a request and its answer is lost.
-// Cause: the failure was reported as not done. And the connection that went
-// silent was kept, so that the next call failed too.
+// Guards against starting a second attempt of a task whose first attempt runs. The
+// agent executes a request and its response is lost: the failure was reported as
+// not done. The client also kept the silent connection, so that the next call
+// failed too.
 func TestLostAnswerIsUnknown(t *testing.T) {
 	server, c := serve(t), newClient(t)
 	server.Agent().SetFaults(worker.Faults{LoseAnswers: 1})
@@ -83,7 +83,7 @@
 		t.Fatal(got)
 	}
 	if c.Connections() != 0 {
-		t.Fatal("the silent connection is kept")
+		t.Fatal("the silent connection was kept")
 	}
 	if server.Agent().Stats().Requests != 1 {
 		t.Fatal("the request was sent more than once")
@@ -94,10 +94,10 @@
 	}
 }
 
-// Symptom: a start to a VM that is gone stays in doubt until its lease bound.
-// Events: nothing listens at the address; then something does.
-// Cause: a connection that was never made was not told from a lost answer, or
-// its growing backoff outlasted the VM's absence.
+// Guards against a start on a VM that is gone staying unknown until its lease
+// bound. Nothing listens at the address at first, then an agent does. A failed
+// connection was treated as a lost response, or its increasing backoff lasted
+// longer than the VM was absent.
 func TestNoConnectionIsNotDone(t *testing.T) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -134,8 +134,8 @@
 	}
 }
 
-// BenchmarkWireBytes measures what one idle exchange costs on the socket in
-// both directions, framing included.
+// BenchmarkWireBytes measures the bytes of one call without commands on the
+// socket, in both directions and including the framing.
 func BenchmarkWireBytes(b *testing.B) {
 	server, c := serve(b), newClient(b)
 	var bytes atomic.Int64
@@ -159,7 +159,7 @@
 	b.ReportMetric(float64(bytes.Load())/float64(calls), "B/exchange")
 }
 
-// countingConn counts the bytes that pass.
+// countingConn counts the bytes read and written.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
--- a/adapter/grpcworker/doc.go
+++ b/adapter/grpcworker/doc.go
@@ -1,3 +1,3 @@
-// Package grpcworker implements port.Workers by gRPC calls to the agents on
+// Package grpcworker implements port.Workers with gRPC calls to the agents on
 // workers (api/worker/v1).
 package grpcworker
--- a/adapter/grpcworker/errors.go
+++ b/adapter/grpcworker/errors.go
@@ -6,14 +6,13 @@
 	"google.golang.org/grpc/connectivity"
 )
 
-// ClosedError says that the Client was closed.
+// ClosedError reports a call on a closed Client.
 type ClosedError struct{}
 
 // Error implements error.
 func (*ClosedError) Error() string { return "client is closed" }
 
-// NotConnectedError says that no connection could be had in time, so that
-// nothing was sent.
+// NotConnectedError reports that no connection was made in time. Nothing was sent.
 type NotConnectedError struct {
 	State connectivity.State
 	Cause error
--- a/adapter/grpcworker/ready.go
+++ b/adapter/grpcworker/ready.go
@@ -7,8 +7,8 @@
 	"google.golang.org/grpc/connectivity"
 )
 
-// waitReady waits until cc is connected. It is done apart from the call so
-// that a failure to connect can be told from a lost answer: nothing was sent.
+// waitReady waits until cc is connected. It is separate from the call to
+// distinguish a failed connection, on which nothing was sent, from a lost response.
 func waitReady(ctx context.Context, cc *grpc.ClientConn) error {
 	for {
 		state := cc.GetState()
