--- a/adapter/grpcpeer/client.go
+++ b/adapter/grpcpeer/client.go
@@ -16,7 +16,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Defaults of ClientOptions and ServerOptions.
+// The defaults of ClientOptions and ServerOptions.
 const (
 	DefaultCallTimeout      = time.Second
 	DefaultMaxMessageBytes  = 4 << 20
@@ -24,23 +24,23 @@
 	DefaultKeepaliveTimeout = 5 * time.Second
 )
 
-// ClientOptions configures a Client. A field left zero takes its default.
+// ClientOptions configures a Client. Zero fields take their defaults.
 type ClientOptions struct {
-	// Cluster is the name of the cluster that calls belong to.
+	// Cluster is the name of the caller's cluster, which is sent with every call.
 	Cluster string
-	// Credentials are those of package tlsfiles; none when nil.
+	// Credentials secure the connections, see package tlsfiles; nil means plain text.
 	Credentials credentials.TransportCredentials
 	// CallTimeout bounds a call whose context has no earlier deadline.
 	CallTimeout time.Duration
-	// MaxMessageBytes bounds a message in either direction.
+	// MaxMessageBytes bounds the size of a message in either direction.
 	MaxMessageBytes int
-	// KeepaliveTime is the silence after which a connection is probed, and
-	// KeepaliveTimeout how long the probe may take.
+	// KeepaliveTime is the time without traffic after which a connection is probed;
+	// KeepaliveTimeout bounds the probe.
 	KeepaliveTime    time.Duration
 	KeepaliveTimeout time.Duration
-	// Dial opens connections; TCP when nil.
+	// Dial opens connections; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// protocol is Protocol, but for tests.
+	// protocol overrides Protocol in tests.
 	protocol uint32
 }
 
@@ -69,18 +69,18 @@
 
 var _ port.Peers = (*Client)(nil)
 
-// ClientStats counts what a Client did.
+// ClientStats holds the counters of a Client.
 type ClientStats struct {
-	// Calls counts calls started, Failures those that ended in an error.
+	// Calls counts the calls started, Failures those that returned an error.
 	Calls    uint64
 	Failures uint64
-	// Dials counts connections opened, Dropped those closed because a call on
-	// them ended in silence.
+	// Dials counts the connections opened, Dropped those taken out of use because
+	// a call on them got no response.
 	Dials   uint64
 	Dropped uint64
 }
 
-// NewClient returns a client without connections.
+// NewClient returns a Client. It connects to a peer at the first call to it.
 func NewClient(o ClientOptions) *Client {
 	o = o.withDefaults()
 	return &Client{
@@ -104,6 +104,8 @@
 	})
 }
 
+// call makes one call to the peer at address, with the caller's identity and a
+// deadline. Its errors are *port.PeerError.
 func call[R any](ctx context.Context, c *Client, address string, do func(context.Context, peerv1.PeerClient) (R, error)) (R, error) {
 	var none R
 	conn, err := c.acquire(address)
@@ -120,8 +122,9 @@
 	return resp, nil
 }
 
-// Retain closes the connections to all other addresses, such as those of
-// members that are gone. Calls in progress on them end first.
+// Retain closes the connections to all addresses that are not listed, such as those
+// of members that have gone. A connection with calls in flight is closed after the
+// last of them.
 func (c *Client) Retain(addresses []string) {
 	keep := make(map[string]bool, len(addresses))
 	for _, a := range addresses {
@@ -136,8 +139,8 @@
 	}
 }
 
-// Close refuses further calls and ends all connections once the calls on them
-// have ended, which their deadlines bound.
+// Close refuses further calls and closes each connection after the last call in
+// flight on it, which ends by its deadline. Close does not wait for these calls.
 func (c *Client) Close() error {
 	c.mu.Lock()
 	c.closed = true
--- a/adapter/grpcpeer/connection.go
+++ b/adapter/grpcpeer/connection.go
@@ -8,15 +8,16 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// connection is one connection to a peer and the calls on it.
+// connection is a connection to a peer with the number of calls in flight on it.
+// A dropped connection gets no new calls.
 type connection struct {
 	grpc    *grpc.ClientConn
 	calls   int
 	dropped bool
 }
 
-// acquire returns the peer's connection for one call, opening one when there
-// is none.
+// acquire returns the connection to a peer for one call. It opens one if there is
+// none.
 func (c *Client) acquire(address string) (*connection, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,12 +41,12 @@
 	return conn, nil
 }
 
-// release ends a call. A connection on which a call met silence or a break is
-// used no more: one whose flow a middlebox forgot would fail every call until
-// the kernel gives up on it, many minutes later, while the peer is well, and a
-// broken one would make calls wait out grpc's reconnection backoff. Other
-// calls on it may still be answered, by a peer that is merely slow, and keep
-// their connection.
+// release ends a call. It drops the connection if the call timed out or the
+// connection broke. After a middlebox has lost the state of a connection, every
+// call on it would fail until the kernel closes it, many minutes later, although
+// the peer is healthy. On a broken connection, calls would wait for grpc-go's
+// reconnection backoff. Other calls in flight keep the dropped connection, because
+// a peer that is only slow may still answer them.
 func (c *Client) release(address string, conn *connection, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -61,12 +62,14 @@
 	conn.closeIfIdle()
 }
 
+// silent reports whether a call got no response: it timed out, or its connection
+// broke.
 func silent(err error) bool {
 	code := status.Code(err)
 	return code == codes.DeadlineExceeded || code == codes.Unavailable
 }
 
-// drop takes a connection out of use.
+// drop takes a connection out of use for new calls.
 func (c *Client) drop(address string, conn *connection) {
 	conn.dropped = true
 	if c.conns[address] == conn {
@@ -75,7 +78,7 @@
 	conn.closeIfIdle()
 }
 
-// closeIfIdle closes a connection that is out of use and has no calls left.
+// closeIfIdle closes a dropped connection that has no calls in flight.
 func (c *connection) closeIfIdle() {
 	if c.dropped && c.calls == 0 {
 		_ = c.grpc.Close()
--- a/adapter/grpcpeer/errors.go
+++ b/adapter/grpcpeer/errors.go
@@ -1,6 +1,6 @@
 package grpcpeer
 
-// clientError is a failure of the client itself.
+// clientError is an error that arises in the client itself.
 type clientError string
 
 func (e clientError) Error() string { return string(e) }
--- a/adapter/grpcpeer/peer_test.go
+++ b/adapter/grpcpeer/peer_test.go
@@ -15,10 +15,11 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// handler answers with fixed messages or an error.
+// handler returns fixed responses or an error.
 type handler struct {
 	err error
-	// entered tells of each exchange that begins, hold keeps it from ending.
+	// If hold is set, each exchange sends to entered when it begins and then blocks
+	// on hold.
 	entered chan struct{}
 	hold    chan struct{}
 }
@@ -104,9 +105,9 @@
 	}
 }
 
-// Symptom: two clusters' members and configurations mix.
-// Sequence: a daemon is started with another cluster's addresses, or with a
-// newer program. Cause: nothing in a call says what it belongs to.
+// Guards against mixing the members and configurations of two clusters. A daemon is
+// started with the addresses of another cluster, or with a newer program, and its
+// calls do not identify the cluster and the protocol version.
 func TestRefusals(t *testing.T) {
 	s, address := serve(t, ServerOptions{Cluster: "agency"}, &handler{})
 	other := client(t, ClientOptions{Cluster: "pindan"})
@@ -135,8 +136,8 @@
 	}
 }
 
-// Symptom: one huge message takes a small VM's memory.
-// Sequence: a peer sends more than the bound. Cause: no bound.
+// Guards against a message that exhausts the memory of a small VM because its size
+// is not bounded.
 func TestMessageBound(t *testing.T) {
 	_, address := serve(t, ServerOptions{Cluster: "agency", MaxMessageBytes: 1024}, &handler{})
 	_, err := client(t, ClientOptions{Cluster: "agency"}).Claim(context.Background(), address,
@@ -144,8 +145,8 @@
 	wantKind(t, err, port.PeerRefused)
 }
 
-// quiet is a connection that something between the ends can lose track of:
-// then nothing arrives and nothing breaks.
+// quiet simulates a connection whose state a middlebox can lose: from then on no
+// data arrives, and the connection does not break.
 type quiet struct {
 	net.Conn
 	lost *atomic.Bool
@@ -178,7 +179,8 @@
 	return q.Conn.Close()
 }
 
-// network dials connections that can be lost one generation at a time.
+// network dials connections. Those opened between two calls of lose form a
+// generation and fall silent together.
 type network struct {
 	mu         sync.Mutex
 	generation *atomic.Bool
@@ -203,9 +205,9 @@
 	n.generation = new(atomic.Bool)
 }
 
-// Symptom: a peer that runs is taken for dead.
-// Sequence: the connection to it goes silent while new ones would work; calls
-// end by their deadline, one after the other. Cause: the connection is kept.
+// Guards against a running peer that counts as dead. The connection to it falls
+// silent while new ones would work; if the client keeps it, one call after the other
+// exceeds its deadline.
 func TestSilentConnectionIsReplaced(t *testing.T) {
 	_, address := serve(t, ServerOptions{Cluster: "agency"}, &handler{})
 	n := &network{generation: new(atomic.Bool)}
@@ -217,16 +219,16 @@
 	_, err := exchange(c, address)
 	wantKind(t, err, port.PeerUnreachable)
 	if _, err := exchange(c, address); err != nil {
-		t.Errorf("the call after the silence: %v", err)
+		t.Errorf("call after the connection fell silent: %v", err)
 	}
 	if got := c.Stats(); got.Dials != 2 || got.Dropped != 1 {
 		t.Errorf("client %+v", got)
 	}
 }
 
-// Symptom: a claim fails though the peer would have answered it.
-// Sequence: another call on the same connection reaches its deadline first.
-// Cause: the connection is closed under the calls that remain.
+// Guards against a claim that fails although the peer would have answered it.
+// Another call on the same connection reaches its deadline first, and the client
+// closes the connection while calls are in flight on it.
 func TestSlowCallKeepsItsConnection(t *testing.T) {
 	h := &handler{entered: make(chan struct{}, 2), hold: make(chan struct{})}
 	_, address := serve(t, ServerOptions{Cluster: "agency"}, h)
@@ -243,7 +245,7 @@
 	wantKind(t, err, port.PeerUnreachable)
 	close(h.hold)
 	if err := <-slow; err != nil {
-		t.Errorf("the slow call: %v", err)
+		t.Errorf("slow call: %v", err)
 	}
 }
 
@@ -254,7 +256,7 @@
 	wantKind(t, err, port.PeerUnreachable)
 }
 
-// TestBytesOnTheWire measures what HTTP/2 adds to an exchange.
+// TestBytesOnTheWire measures the bytes that HTTP/2 adds to an exchange.
 func TestBytesOnTheWire(t *testing.T) {
 	_, address := serve(t, ServerOptions{Cluster: "agency"}, &handler{})
 	n := &network{generation: new(atomic.Bool)}
@@ -274,6 +276,6 @@
 	t.Logf("first call %d B sent %d B read; then a call of %d B payload: %d B sent, %d B read",
 		first[0], first[1], payload, sent, read)
 	if sent > payload+200 || read > payload+200 {
-		t.Errorf("more than 200 B of framing a message: sent %d, read %d", sent, read)
+		t.Errorf("more than 200 B of framing per message: sent %d B, read %d B", sent, read)
 	}
 }
--- a/adapter/grpcpeer/protocol.go
+++ b/adapter/grpcpeer/protocol.go
@@ -12,9 +12,9 @@
 )
 
 // Protocol is the version of the protocol between daemons that this program
-// speaks. A server takes calls of this version and older ones, so daemons are
-// upgraded one by one; a newer caller is refused and asks again with nothing
-// lost, because every exchange is repeatable.
+// implements. A server accepts calls of this version and older ones, so that
+// daemons can be upgraded one at a time. A newer caller is refused and retries;
+// nothing is lost, because every exchange can be repeated.
 const Protocol uint32 = 1
 
 const (
@@ -22,7 +22,8 @@
 	protocolHeader = "guavarill-protocol"
 )
 
-// identity is what a caller says of itself in the metadata.
+// identity is the cluster and protocol version that a caller sends in the metadata
+// of a call.
 type identity struct {
 	cluster  string
 	protocol uint32
@@ -34,8 +35,9 @@
 		protocolHeader, strconv.FormatUint(uint64(id.protocol), 10))
 }
 
-// incomingIdentity reads the caller's identity; one that is missing or does not
-// parse stays zero and is refused as another cluster's.
+// incomingIdentity reads the caller's identity from the metadata. Fields that are
+// missing or malformed stay zero; a call without a cluster is then refused as a
+// call from another cluster.
 func incomingIdentity(ctx context.Context) identity {
 	md, _ := metadata.FromIncomingContext(ctx)
 	var id identity
@@ -51,14 +53,14 @@
 	return id
 }
 
-// The statuses of refusals. No other code is used for them, here or in a
-// handler, so that a client can tell them apart.
+// The status codes of refusals. Neither this package nor a handler uses them for
+// anything else, so that a client can distinguish the refusals.
 const (
 	codeOtherCluster  = codes.FailedPrecondition
 	codeOtherProtocol = codes.Unimplemented
 )
 
-// peerError turns a call's failure into a *port.PeerError.
+// peerError converts the error of a call into a *port.PeerError.
 func peerError(address string, err error) *port.PeerError {
 	return &port.PeerError{Peer: address, Kind: kindOf(status.Code(err)), Cause: err}
 }
--- a/adapter/grpcpeer/server.go
+++ b/adapter/grpcpeer/server.go
@@ -19,25 +19,25 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Handler answers the requests of other daemons. It is called from many
-// goroutines at once. An error should be a *port.PeerError; its kind decides
-// what the caller sees, any other error is a refusal.
+// Handler handles the requests of other daemons. It is called from many goroutines
+// at once. Its errors should be *port.PeerError: their kind determines the kind
+// that the caller receives, and any other error is received as port.PeerRefused.
 type Handler interface {
 	Exchange(ctx context.Context, req *peerv1.ExchangeRequest) (*peerv1.ExchangeResponse, error)
 	Claim(ctx context.Context, req *peerv1.ClaimRequest) (*peerv1.ClaimResponse, error)
 }
 
-// ServerOptions configures a Server. A field left zero takes its default.
+// ServerOptions configures a Server. Zero fields take their defaults.
 type ServerOptions struct {
-	// Cluster is the only cluster whose calls are taken.
+	// Cluster is the only cluster whose calls are accepted.
 	Cluster string
-	// Credentials are those of package tlsfiles; none when nil.
+	// Credentials secure the connections, see package tlsfiles; nil means plain text.
 	Credentials     credentials.TransportCredentials
 	MaxMessageBytes int
 	// KeepaliveTime and KeepaliveTimeout are as in ClientOptions.
 	KeepaliveTime    time.Duration
 	KeepaliveTimeout time.Duration
-	// MaxStreams bounds the calls in progress on one connection; 256.
+	// MaxStreams bounds the calls in flight on one connection. The default is 256.
 	MaxStreams uint32
 }
 
@@ -52,7 +52,7 @@
 	return o
 }
 
-// Server offers the peer protocol.
+// Server serves the protocol between daemons.
 type Server struct {
 	peerv1.UnimplementedPeerServer
 	o       ServerOptions
@@ -65,7 +65,8 @@
 	handlerErrors atomic.Uint64
 }
 
-// ServerStats counts what a Server did.
+// ServerStats holds the counters of a Server: calls received, calls refused because
+// of another cluster or a newer protocol, and errors returned by the Handler.
 type ServerStats struct {
 	Calls         uint64
 	OtherCluster  uint64
@@ -73,7 +74,7 @@
 	HandlerErrors uint64
 }
 
-// NewServer returns a server that is not yet listening.
+// NewServer returns a Server that does not listen yet.
 func NewServer(o ServerOptions, h Handler) *Server {
 	s := &Server{o: o.withDefaults(), handler: h}
 	s.grpc = grpc.NewServer(s.serverOptions()...)
@@ -81,13 +82,13 @@
 	return s
 }
 
-// Serve takes calls from l until Stop or GracefulStop.
+// Serve accepts connections from l until Stop or GracefulStop is called.
 func (s *Server) Serve(l net.Listener) error { return s.grpc.Serve(l) }
 
-// GracefulStop takes no more calls and waits for those in progress.
+// GracefulStop accepts no more calls and waits for those in flight.
 func (s *Server) GracefulStop() { s.grpc.GracefulStop() }
 
-// Stop ends all connections at once.
+// Stop closes all connections immediately.
 func (s *Server) Stop() { s.grpc.Stop() }
 
 // Stats returns the counters.
@@ -115,7 +116,8 @@
 	return resp, s.statusOf(err)
 }
 
-// check refuses calls that are not to be admitted by their metadata.
+// check is the interceptor that admits or refuses a call by the identity in its
+// metadata.
 func (s *Server) check(ctx context.Context, req any, _ *grpc.UnaryServerInfo, next grpc.UnaryHandler) (any, error) {
 	s.calls.Add(1)
 	id := incomingIdentity(ctx)
@@ -125,9 +127,9 @@
 	return next(ctx, req)
 }
 
-// admit refuses other clusters and newer protocols. A daemon with a wrong
-// cluster setting would otherwise mix two clusters' members and take one's
-// configuration for the other's.
+// admit refuses other clusters and newer protocols. Otherwise a daemon with a wrong
+// cluster setting would mix the members of two clusters and apply the configuration
+// of one cluster to the other.
 func (s *Server) admit(cluster string, protocol uint32) error {
 	if cluster != s.o.Cluster {
 		return s.refuseCluster()
@@ -148,7 +150,7 @@
 	return status.Error(codeOtherProtocol, string(port.PeerOtherProtocol))
 }
 
-// statusOf turns a handler's error into a status.
+// statusOf converts an error of the Handler into a gRPC status.
 func (s *Server) statusOf(err error) error {
 	if err == nil {
 		return nil
