--- a/adapter/logsink/field.go
+++ b/adapter/logsink/field.go
@@ -2,8 +2,8 @@
 
 import "github.com/sirupsen/logrus"
 
-// DaemonField is a logrus hook that puts a daemon's name on every line, so that
-// the lines of many daemons can be told apart where they are gathered.
+// DaemonField is a logrus hook that adds a daemon's name to every line, so that a
+// collector can distinguish the lines of many daemons.
 type DaemonField string
 
 // Levels implements logrus.Hook.
--- a/adapter/logsink/logger.go
+++ b/adapter/logsink/logger.go
@@ -7,7 +7,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// NewLogger returns a logger that writes lines as core/joblog reads them.
+// NewLogger returns a logger that writes lines in the format that core/joblog
+// reads: JSON with times in RFC 3339 and nanoseconds.
 func NewLogger(out io.Writer) *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(out)
--- a/adapter/logsink/recent.go
+++ b/adapter/logsink/recent.go
@@ -5,9 +5,9 @@
 	"sync"
 )
 
-// Recent keeps the latest lines in memory, for operators who ask the daemon
-// itself. It is not safe to keep them all: a busy leader writes some hundred
-// kilobytes a second.
+// Recent keeps the latest log lines in memory, for operators who query the daemon
+// itself. Its size is limited because a busy leader writes some hundred kilobytes
+// per second.
 type Recent struct {
 	limit int
 
@@ -18,7 +18,8 @@
 // NewRecent returns a Recent that keeps at most limit bytes.
 func NewRecent(limit int) *Recent { return &Recent{limit: limit} }
 
-// Write takes a line in. It never fails.
+// Write appends a line and drops the oldest lines if the limit is exceeded. It
+// never fails.
 func (r *Recent) Write(line []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,8 +30,9 @@
 	return len(line), nil
 }
 
-// drop drops the oldest lines, a quarter of the limit at a time: each drop
-// moves what is kept.
+// drop removes the oldest lines: excess bytes and another quarter of the limit, up
+// to the end of a line. Removing more than the excess makes drops rare, as each one
+// copies the remaining lines.
 func (r *Recent) drop(excess int) {
 	kept := r.lines.Bytes()
 	kept = kept[min(len(kept), excess+r.limit/4):]
@@ -42,7 +44,7 @@
 	r.lines.Write(kept)
 }
 
-// Lines returns the lines that are kept, the oldest first.
+// Lines returns a copy of the kept lines, the oldest first.
 func (r *Recent) Lines() []byte {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/adapter/logsink/recent_test.go
+++ b/adapter/logsink/recent_test.go
@@ -13,9 +13,9 @@
 	}
 	kept := r.Lines()
 	if len(kept) > 1000 || len(kept) < 500 {
-		t.Errorf("%d bytes are kept, want 500 to 1000", len(kept))
+		t.Errorf("kept %d bytes, want 500 to 1000", len(kept))
 	}
 	if !bytes.HasSuffix(kept, []byte("line 499 of the log\n")) || !bytes.HasPrefix(kept, []byte("line ")) {
-		t.Errorf("not whole lines up to the last: %q", kept)
+		t.Errorf("kept lines are not whole or do not end with the last line: %q", kept)
 	}
 }
--- a/adapter/logsink/sink.go
+++ b/adapter/logsink/sink.go
@@ -1,4 +1,4 @@
-// Package logsink writes log lines without ever holding up who logs them.
+// Package logsink writes log lines without blocking the code that logs them.
 package logsink
 
 import (
@@ -10,21 +10,22 @@
 )
 
 const (
-	// bufferBytes bounds what may wait to be written: some seconds of the lines
-	// of a busy leader.
+	// bufferBytes bounds the lines that wait to be written. It holds some seconds
+	// of the lines of a busy leader.
 	bufferBytes = 512 << 10
-	// flushInterval is how long lines gather: a write costs more than the lines.
+	// flushInterval is the time for which lines are collected before they are
+	// written, because a write costs more than the lines in it.
 	flushInterval = 100 * time.Millisecond
-	// pieceBytes bounds one write: what POSIX promises to write to a pipe in
-	// one piece (PIPE_BUF on Linux). A collector that takes what one read brings
-	// for whole lines tears those that a larger write spreads over two reads,
-	// and what it then stores is not JSON.
+	// pieceBytes bounds one write: the size up to which a write to a pipe is
+	// atomic (PIPE_BUF on Linux). A collector that expects whole lines in each read
+	// would split a line that a larger write spreads over two reads, and would
+	// store fragments that are not JSON.
 	pieceBytes = 4096
 )
 
-// Sink gathers lines and writes them in the background. A reader that stalls,
-// or a pipe that is full, costs lines and not requests; a line says how
-// many were dropped.
+// Sink buffers lines and writes them in the background. While the reader stalls or
+// the pipe is full, lines are dropped, but the writers of lines are not blocked. A
+// line in the output reports how many were dropped.
 type Sink struct {
 	out io.Writer
 
@@ -37,15 +38,15 @@
 	closed  bool
 }
 
-// New makes a Sink that writes to out. Close writes what is left.
+// New returns a Sink that writes to out. Call Close to write the remaining lines.
 func New(out io.Writer) *Sink {
 	s := &Sink{out: out, wake: make(chan struct{}, 1), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes a line. It never blocks and never fails: a line for which there
-// is no room is counted and dropped.
+// Write buffers a line. It never blocks and never fails: a line that exceeds the
+// buffer, or arrives after Close, is dropped and counted.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,14 +63,15 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped since the start.
+// Dropped returns the number of lines dropped since the start.
 func (s *Sink) Dropped() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.total
 }
 
-// Close writes what is left, for at most the time given.
+// Close writes the remaining lines. It returns when they are written or limit has
+// passed.
 func (s *Sink) Close(limit time.Duration) {
 	s.mu.Lock()
 	s.closed = true
@@ -98,8 +100,8 @@
 	}
 }
 
-// writePieces writes a batch in pieces of whole lines. It returns false when
-// nothing can be written any more; there is nowhere left to tell it.
+// writePieces writes a batch in several writes of whole lines. It returns false if
+// a write fails; the error is discarded because there is no other place to log it.
 func (s *Sink) writePieces(batch []byte) bool {
 	for len(batch) > 0 {
 		n := pieceOf(batch)
@@ -111,8 +113,8 @@
 	return true
 }
 
-// pieceOf returns the length of the first piece of a batch: as many whole lines
-// as fit, or one that is longer.
+// pieceOf returns the length of the next write of a batch: as many whole lines as
+// fit into pieceBytes, or a single line that is longer.
 func pieceOf(batch []byte) int {
 	if len(batch) <= pieceBytes {
 		return len(batch)
@@ -126,7 +128,8 @@
 	return len(batch)
 }
 
-// take returns what waits, and whether the sink is closed.
+// take removes and returns the buffered lines, and reports whether the sink is
+// closed.
 func (s *Sink) take() ([]byte, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/adapter/logsink/sink_test.go
+++ b/adapter/logsink/sink_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// gatedWriter stands for a standard output that can stall.
+// gatedWriter simulates a standard output that can stall.
 type gatedWriter struct {
 	gate chan struct{}
 	mu   sync.Mutex
@@ -29,10 +29,8 @@
 	return w.text.String()
 }
 
-// TestStalledOutputCostsLinesOnly
-//
-// Symptom if broken: the daemon stands still while nobody reads its output.
-// Events: the reader stalls, lines keep coming, the reader goes on.
+// Guards against a daemon that blocks while its output is not read: the reader
+// stalls, more lines are logged, and the reader continues.
 func TestStalledOutputCostsLinesOnly(t *testing.T) {
 	w := &gatedWriter{gate: make(chan struct{})}
 	s := New(w)
@@ -48,7 +46,7 @@
 	close(w.gate)
 	s.Close(10 * time.Second)
 	if text := w.String(); !strings.Contains(text, "log lines dropped") {
-		t.Error("the dropped lines are not told")
+		t.Error("the output does not report the dropped lines")
 	}
 }
 
@@ -67,7 +65,7 @@
 	}
 }
 
-// pieces keeps what each write brings.
+// pieces records the bytes of each write.
 type pieces struct {
 	mu      sync.Mutex
 	written [][]byte
@@ -80,11 +78,9 @@
 	return len(b), nil
 }
 
-// TestWritesHoldWholeLines
-//
-// Symptom: lines in the collected log that are no JSON. Events: a busy leader's
-// batch is larger than what the collector reads at a time. Cause: the batch went
-// out in one write, and the line at the edge of a read was torn.
+// Guards against lines in the collected log that are not JSON. The batch of a busy
+// leader is larger than one read of the collector: the batch was written at once,
+// and the line at the boundary of two reads was split.
 func TestWritesHoldWholeLines(t *testing.T) {
 	out := new(pieces)
 	s := New(out)
