--- a/adapter/metricspage/brief.go
+++ b/adapter/metricspage/brief.go
@@ -1,4 +1,4 @@
-// Package metricspage prepares metrics for collectors that keep only a few
+// Package metricspage shortens metrics for collectors that keep only the first few
 // kilobytes of a page.
 package metricspage
 
@@ -9,12 +9,12 @@
 	dto "github.com/prometheus/client_model/go"
 )
 
-// Brief gathers the same metrics without help texts and histogram buckets, those
-// with few series first.
+// Brief returns a Gatherer of the same metrics without help texts and histogram
+// buckets. Families with few series come first.
 //
-// Families come by name otherwise, and histograms of callers' requests are a
-// large part of the page: a collector that cuts it after 4 kB has them, and
-// neither which daemon leads nor how long its steps take.
+// A full page is sorted by name, and the histograms of callers' requests are a
+// large part of it: a collector that truncates the page after 4 kB keeps them, but
+// loses which daemon leads and how long its steps take.
 func Brief(g prometheus.Gatherer) prometheus.Gatherer {
 	return prometheus.GathererFunc(func() ([]*dto.MetricFamily, error) {
 		families, err := g.Gather()
@@ -27,8 +27,8 @@
 	})
 }
 
-// shorten returns the family without its help text, and a histogram as a summary
-// that has count and sum alone.
+// shorten returns the family without its help text. It converts a histogram into a
+// summary with only the count and the sum.
 func shorten(f *dto.MetricFamily) *dto.MetricFamily {
 	if f.GetType() != dto.MetricType_HISTOGRAM {
 		return &dto.MetricFamily{Name: f.Name, Type: f.Type, Metric: f.Metric}
--- a/adapter/metricspage/brief_test.go
+++ b/adapter/metricspage/brief_test.go
@@ -9,10 +9,10 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// TestBriefKeepsWhatTellsMost: on a page of a busy leader the requests'
-// histograms came first, and a collector that keeps 4 kB lost the gauge that
-// says who leads. The brief page has each series, buckets left out, and single
-// series first.
+// Guards against losing the gauge that shows the leader: on the page of a busy
+// leader the histograms of requests came first, and a collector that keeps 4 kB
+// lost the gauge. The brief page contains each series without buckets, and families
+// with a single series first.
 func TestBriefKeepsWhatTellsMost(t *testing.T) {
 	r := prometheus.NewRegistry()
 	times := prometheus.NewHistogramVec(prometheus.HistogramOpts{Name: "a_seconds", Help: "Times.", Buckets: []float64{1, 2}}, []string{"kind"})
