--- a/adapter/grpcrelay/link.go
+++ b/adapter/grpcrelay/link.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	// silenceLooks is how many looks in a row, lookInterval apart, find nothing
+	// silenceChecks is how many looks in a row, lookInterval apart, find nothing
 	// new from a carrier before its orders are given to others: after three beats
 	// and some delay. A carrier that is suspended or cut off would hold up the
 	// leases of all workers that it carries for.
-	silenceLooks = 4
-	lookInterval = 150 * time.Millisecond
+	silenceChecks        = 4
+	silenceCheckInterval = 150 * time.Millisecond
 	// outcomeTimeout ends the wait for an outcome that a carrier which is there
 	// owes: several times what an order takes there and a busy leader needs to
 	// take its outcome in. Without it an error of a carrier would keep the leader
@@ -30,8 +30,8 @@
 	dialTimeout = time.Second
 )
 
-// waiting is an order whose outcome is awaited.
-type waiting struct {
+// pendingOrder is an order whose outcome is awaited.
+type pendingOrder struct {
 	outcome chan *relayv1.Outcome
 	sent    bool
 }
@@ -45,13 +45,13 @@
 	// heard counts the batches of outcomes that have come.
 	heard   uint64
 	nextID  uint64
-	waiting map[uint64]*waiting
+	pending map[uint64]*pendingOrder
 	batch   []*relayv1.Order
 	wake    chan struct{}
 }
 
 func newLink(address string) *link {
-	return &link{address: address, waiting: make(map[uint64]*waiting), wake: make(chan struct{}, 1)}
+	return &link{address: address, pending: make(map[uint64]*pendingOrder), wake: make(chan struct{}, 1)}
 }
 
 // run keeps the link open until ctx ends.
@@ -71,7 +71,7 @@
 	defer conn.Close()
 	for ctx.Err() == nil {
 		l.open(ctx, relayv1.NewRelayClient(conn))
-		l.fail()
+		l.failPending()
 		select {
 		case <-ctx.Done():
 		case <-time.After(linkRetry):
@@ -94,50 +94,50 @@
 		if err != nil {
 			return
 		}
-		l.settle(batch)
+		l.deliver(batch)
 	}
 }
 
 // watch ends the stream when the carrier is silent.
 func (l *link) watch(ctx context.Context, cancel context.CancelFunc) {
-	ticker := time.NewTicker(lookInterval)
+	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
-	var s silence
+	var s silenceDetector
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if s.look(l.batches()) {
+		if s.check(l.receivedBatches()) {
 			cancel()
 			return
 		}
 	}
 }
 
-// silence tells a carrier that is silent from a leader that had no processor to
+// silenceDetector tells a carrier that is silent from a leader that had no processor to
 // read what it sent. Looks are counted for that, and not the time: a process
 // that gets no processor looks no more often than it reads, whereas by its clock
 // every carrier has been silent for long when it goes on.
-type silence struct {
-	heard uint64
-	looks int
+type silenceDetector struct {
+	heard  uint64
+	checks int
 }
 
-// look takes in how many batches have come in all, and reports whether the
+// check takes in how many batches have come in all, and reports whether the
 // carrier is silent.
-func (s *silence) look(batches uint64) bool {
+func (s *silenceDetector) check(batches uint64) bool {
 	if batches != s.heard {
-		s.heard, s.looks = batches, 0
+		s.heard, s.checks = batches, 0
 		return false
 	}
-	s.looks++
-	return s.looks >= silenceLooks
+	s.checks++
+	return s.checks >= silenceChecks
 }
 
-// batches returns how many batches of outcomes have come.
-func (l *link) batches() uint64 {
+// receivedBatches returns how many receivedBatches of outcomes have come.
+func (l *link) receivedBatches() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.heard
@@ -150,13 +150,13 @@
 		case <-ctx.Done():
 			return
 		case <-l.wake:
-			time.Sleep(orderGather)
+			time.Sleep(orderBatchDelay)
 		}
 		batch := l.take()
 		if len(batch) == 0 {
 			continue
 		}
-		err := inPieces(batch, func(piece []*relayv1.Order) error {
+		err := sendInChunks(batch, func(piece []*relayv1.Order) error {
 			return stream.Send(&relayv1.OrderBatch{Orders: piece})
 		})
 		if err != nil {
@@ -171,35 +171,35 @@
 	batch := l.batch
 	l.batch = nil
 	for _, o := range batch {
-		if w := l.waiting[o.Id]; w != nil {
+		if w := l.pending[o.Id]; w != nil {
 			w.sent = true
 		}
 	}
 	return batch
 }
 
-// settle hands outcomes to those who wait for them.
-func (l *link) settle(batch *relayv1.OutcomeBatch) {
+// deliver hands outcomes to those who wait for them.
+func (l *link) deliver(batch *relayv1.OutcomeBatch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up = true
 	l.heard++
 	for _, outcome := range batch.Outcomes {
-		if w := l.waiting[outcome.Id]; w != nil {
-			delete(l.waiting, outcome.Id)
+		if w := l.pending[outcome.Id]; w != nil {
+			delete(l.pending, outcome.Id)
 			w.outcome <- outcome
 		}
 	}
 }
 
-// fail tells all who wait that the link has failed.
-func (l *link) fail() {
+// failPending tells all who wait that the link has failed.
+func (l *link) failPending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up = false
 	l.batch = nil
-	for id, w := range l.waiting {
-		delete(l.waiting, id)
+	for id, w := range l.pending {
+		delete(l.pending, id)
 		close(w.outcome)
 	}
 }
@@ -208,7 +208,7 @@
 func (l *link) busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.up && len(l.waiting) > 0
+	return l.up && len(l.pending) > 0
 }
 
 func (l *link) healthy() bool {
@@ -217,9 +217,9 @@
 	return l.up
 }
 
-// do has an order carried. sent is whether it may have reached the worker; the
+// relay has an order carried. sent is whether it may have reached the worker; the
 // outcome is nil when it is not known.
-func (l *link) do(ctx context.Context, o *relayv1.Order) (outcome *relayv1.Outcome, sent bool) {
+func (l *link) relay(ctx context.Context, o *relayv1.Order) (outcome *relayv1.Outcome, sent bool) {
 	w := l.enqueue(o)
 	if w == nil {
 		return nil, false
@@ -234,7 +234,7 @@
 	}
 }
 
-func (l *link) enqueue(o *relayv1.Order) *waiting {
+func (l *link) enqueue(o *relayv1.Order) *pendingOrder {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.up {
@@ -242,8 +242,8 @@
 	}
 	l.nextID++
 	o.Id = l.nextID
-	w := &waiting{outcome: make(chan *relayv1.Outcome, 1)}
-	l.waiting[o.Id] = w
+	w := &pendingOrder{outcome: make(chan *relayv1.Outcome, 1)}
+	l.pending[o.Id] = w
 	l.batch = append(l.batch, o)
 	select {
 	case l.wake <- struct{}{}:
@@ -252,9 +252,9 @@
 	return w
 }
 
-func (l *link) abandon(id uint64, w *waiting) (sent bool) {
+func (l *link) abandon(id uint64, w *pendingOrder) (sent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.waiting, id)
+	delete(l.pending, id)
 	return w.sent
 }
--- a/adapter/grpcrelay/link_test.go
+++ b/adapter/grpcrelay/link_test.go
@@ -6,26 +6,26 @@
 // had sent all the time, as by its clock they had been silent for too long. Only
 // looks that find nothing new count, several of them in a row.
 func TestSilenceCountsLooksThatFindNothing(t *testing.T) {
-	var s silence
+	var s silenceDetector
 	batches := uint64(0)
-	for range 3 * silenceLooks {
+	for range 3 * silenceChecks {
 		batches++
-		if s.look(batches) {
+		if s.check(batches) {
 			t.Fatal("a carrier that sends counts as silent")
 		}
 	}
-	for range silenceLooks - 1 {
-		if s.look(batches) {
+	for range silenceChecks - 1 {
+		if s.check(batches) {
 			t.Fatal("silent too early")
 		}
 	}
 	batches++
-	for range silenceLooks {
-		if s.look(batches) {
+	for range silenceChecks {
+		if s.check(batches) {
 			t.Fatal("looks before the last batch count")
 		}
 	}
-	if !s.look(batches) {
-		t.Errorf("not silent after %d looks that found nothing", silenceLooks)
+	if !s.check(batches) {
+		t.Errorf("not silent after %d looks that found nothing", silenceChecks)
 	}
 }
--- a/adapter/grpcrelay/relay_test.go
+++ b/adapter/grpcrelay/relay_test.go
@@ -73,7 +73,7 @@
 func awaitHealthy(t *testing.T, r *Router, want bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if (r.carrier("w") != nil) == want {
+		if (r.pickLink("w") != nil) == want {
 			return
 		}
 	}
@@ -138,7 +138,7 @@
 	if verdict := r.Stop(context.Background(), jobsched.Stop{}); verdict != jobsched.VerdictNotSent || own.orders.Load() != 0 {
 		t.Errorf("as the carrier is lost: %s, %d orders of its own, want not sent", verdict, own.orders.Load())
 	}
-	time.Sleep(ownAfter)
+	time.Sleep(directAfter)
 	if verdict := r.Stop(context.Background(), jobsched.Stop{}); verdict != jobsched.VerdictDone || own.orders.Load() != 1 {
 		t.Errorf("without carriers for long: %s, %d orders of its own", verdict, own.orders.Load())
 	}
@@ -150,7 +150,7 @@
 	heavy := 0
 	for i := range 1000 {
 		worker := model.WorkerID([]byte{byte('a' + i%26), byte('a' + i/26%26), byte('a' + i/676)})
-		if rendezvous("x:1", worker, 4) > rendezvous("y:1", worker, 1) {
+		if rendezvousScore("x:1", worker, 4) > rendezvousScore("y:1", worker, 1) {
 			heavy++
 		}
 	}
--- a/adapter/grpcrelay/relayserver.go
+++ b/adapter/grpcrelay/relayserver.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// orderGather and outcomeGather are how long orders and outcomes gather
+	// orderBatchDelay and outcomeGather are how long orders and outcomes gather
 	// before they are sent: a message costs far more than what it holds. The
 	// leader makes its orders in batches already.
-	orderGather   = 4 * time.Millisecond
-	outcomeGather = 20 * time.Millisecond
-	// beatInterval is how often a carrier sends something, if only to show that
+	orderBatchDelay   = 4 * time.Millisecond
+	outcomeBatchDelay = 20 * time.Millisecond
+	// heartbeatInterval is how often a carrier sends something, if only to show that
 	// it is there.
-	beatInterval = 150 * time.Millisecond
+	heartbeatInterval = 150 * time.Millisecond
 )
 
 // windowBytes is the window of flow control of streams and connections: a hundred
@@ -54,7 +54,7 @@
 	defer cancel()
 	out := newOutbox()
 	go out.run(ctx, func(batch []*relayv1.Outcome) error {
-		return inPieces(batch, func(piece []*relayv1.Outcome) error {
+		return sendInChunks(batch, func(piece []*relayv1.Outcome) error {
 			return stream.Send(&relayv1.OutcomeBatch{Outcomes: piece})
 		})
 	})
@@ -66,13 +66,13 @@
 			return err
 		}
 		for _, o := range batch.Orders {
-			go func() { out.add(c.carry(ctx, o)) }()
+			go func() { out.add(c.execute(ctx, o)) }()
 		}
 	}
 }
 
-// carry carries one order out.
-func (c *RelayServer) carry(ctx context.Context, o *relayv1.Order) *relayv1.Outcome {
+// execute carries one order out.
+func (c *RelayServer) execute(ctx context.Context, o *relayv1.Order) *relayv1.Outcome {
 	outcome := &relayv1.Outcome{Id: o.Id}
 	verdict := jobsched.VerdictInvalid
 	switch kind := o.Kind.(type) {
@@ -127,7 +127,7 @@
 
 // run sends until ctx ends or sending fails.
 func (b *outbox) run(ctx context.Context, send func([]*relayv1.Outcome) error) {
-	beat := time.NewTicker(beatInterval)
+	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
 	for {
 		select {
@@ -135,7 +135,7 @@
 			return
 		case <-beat.C:
 		case <-b.wake:
-			time.Sleep(outcomeGather)
+			time.Sleep(outcomeBatchDelay)
 		}
 		if send(b.take()) != nil {
 			return
--- a/adapter/grpcrelay/router.go
+++ b/adapter/grpcrelay/router.go
@@ -18,7 +18,7 @@
 // Router is the leader's way to the workers: by the carriers that are there, or
 // its own when there is none. It is a port.TaskWorkers.
 type Router struct {
-	own port.TaskWorkers
+	direct port.TaskWorkers
 
 	mu    sync.Mutex
 	links map[string]*openLink
@@ -36,7 +36,7 @@
 
 // NewRouter makes a Router without carriers.
 func NewRouter(own port.TaskWorkers) *Router {
-	return &Router{own: own, links: make(map[string]*openLink)}
+	return &Router{direct: own, links: make(map[string]*openLink)}
 }
 
 // drainTimeout bounds how long a link is kept for the outcomes of what was sent
@@ -76,32 +76,32 @@
 func (l *openLink) drain() {
 	defer l.close()
 	for end := time.Now().Add(drainTimeout); time.Now().Before(end) && l.busy(); {
-		time.Sleep(outcomeGather)
+		time.Sleep(outcomeBatchDelay)
 	}
 }
 
-// ownAfter is how long no link has been healthy before the leader calls the
+// directAfter is how long no link has been healthy before the leader calls the
 // workers itself. At the beginning of a term links take some 0.1 s to open, and a
 // leader that had no processor for a while loses all of them: connections of its
 // own to hundreds of workers would keep it busy for seconds more, on which it
 // lost the lead for good.
-const ownAfter = 1500 * time.Millisecond
+const directAfter = 1500 * time.Millisecond
 
-// way returns the link by which an order to a worker goes. own is set when the
+// route returns the link by which an order to a worker goes. own is set when the
 // leader is to call the worker itself; without either the order is not sent.
-func (r *Router) way(worker model.WorkerID) (l *openLink, own bool) {
-	if l := r.carrier(worker); l != nil {
+func (r *Router) route(worker model.WorkerID) (l *openLink, own bool) {
+	if l := r.pickLink(worker); l != nil {
 		return l, false
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return nil, len(r.links) == 0 || time.Since(r.healthyAt) >= ownAfter
+	return nil, len(r.links) == 0 || time.Since(r.healthyAt) >= directAfter
 }
 
-// carrier returns the link that carries for a worker: the same one as long as
+// pickLink returns the link that carries for a worker: the same one as long as
 // it is healthy, so that connections to workers are kept, and another one when
 // it is not. It returns nil when none is healthy.
-func (r *Router) carrier(worker model.WorkerID) *openLink {
+func (r *Router) pickLink(worker model.WorkerID) *openLink {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var best *openLink
@@ -110,7 +110,7 @@
 		if !l.healthy() {
 			continue
 		}
-		if score := rendezvous(address, worker, l.weight); best == nil || score > bestScore {
+		if score := rendezvousScore(address, worker, l.weight); best == nil || score > bestScore {
 			best, bestScore = l, score
 		}
 	}
@@ -120,9 +120,9 @@
 	return best
 }
 
-// rendezvous scores a carrier for a worker: the highest one carries, each as
+// rendezvousScore scores a carrier for a worker: the highest one carries, each as
 // often as its weight says, and a carrier that goes moves only its own workers.
-func rendezvous(address string, worker model.WorkerID, weight float64) float64 {
+func rendezvousScore(address string, worker model.WorkerID, weight float64) float64 {
 	hash := xxhash.Sum64String(address + "/" + string(worker))
 	unit := (float64(hash>>11) + 0.5) / (1 << 53)
 	return -weight / math.Log(unit)
@@ -130,11 +130,11 @@
 
 // Renew implements port.TaskWorkers.
 func (r *Router) Renew(ctx context.Context, e jobsched.Renew) (jobsched.Verdict, jobsched.Report) {
-	l, own := r.way(e.Worker.ID)
+	l, own := r.route(e.Worker.ID)
 	if own {
-		return r.own.Renew(ctx, e)
+		return r.direct.Renew(ctx, e)
 	}
-	outcome, verdict := carried(ctx, l, encodeRenew(e))
+	outcome, verdict := relayOrder(ctx, l, encodeRenew(e))
 	if outcome == nil {
 		return verdict, jobsched.Report{}
 	}
@@ -147,41 +147,41 @@
 
 // Start implements port.TaskWorkers.
 func (r *Router) Start(ctx context.Context, e jobsched.Start) (jobsched.Verdict, int64) {
-	l, own := r.way(e.Worker.ID)
+	l, own := r.route(e.Worker.ID)
 	if own {
-		return r.own.Start(ctx, e)
+		return r.direct.Start(ctx, e)
 	}
-	outcome, verdict := carried(ctx, l, encodeStart(e))
+	outcome, verdict := relayOrder(ctx, l, encodeStart(e))
 	return verdict, outcome.GetClockMs()
 }
 
 // Stop implements port.TaskWorkers.
 func (r *Router) Stop(ctx context.Context, e jobsched.Stop) jobsched.Verdict {
-	l, own := r.way(e.Worker.ID)
+	l, own := r.route(e.Worker.ID)
 	if own {
-		return r.own.Stop(ctx, e)
+		return r.direct.Stop(ctx, e)
 	}
-	_, verdict := carried(ctx, l, encodeStop(e))
+	_, verdict := relayOrder(ctx, l, encodeStop(e))
 	return verdict
 }
 
 // Throttle implements port.TaskWorkers.
 func (r *Router) Throttle(ctx context.Context, e jobsched.Throttle) jobsched.Verdict {
-	l, own := r.way(e.Worker.ID)
+	l, own := r.route(e.Worker.ID)
 	if own {
-		return r.own.Throttle(ctx, e)
+		return r.direct.Throttle(ctx, e)
 	}
-	_, verdict := carried(ctx, l, encodeThrottle(e))
+	_, verdict := relayOrder(ctx, l, encodeThrottle(e))
 	return verdict
 }
 
-// carried has an order carried, unless there is no link, and returns its outcome,
+// relayOrder has an order relayOrder, unless there is no link, and returns its outcome,
 // nil when it is not known, and what is known of the order.
-func carried(ctx context.Context, l *openLink, o *relayv1.Order) (*relayv1.Outcome, jobsched.Verdict) {
+func relayOrder(ctx context.Context, l *openLink, o *relayv1.Order) (*relayv1.Outcome, jobsched.Verdict) {
 	if l == nil {
 		return nil, jobsched.VerdictNotSent
 	}
-	outcome, sent := l.do(ctx, o)
+	outcome, sent := l.relay(ctx, o)
 	switch {
 	case outcome != nil:
 		return outcome, jobsched.Verdict(outcome.Verdict)
