--- a/adapter/grpcrelay/large_test.go
+++ b/adapter/grpcrelay/large_test.go
@@ -35,7 +35,7 @@
 // Guards against a carrier that counts as silent while a long message of it is on its
 // way: all that its workers had told was lost, and was told again, with the same end.
 func TestFullReportsOverASlowLink(t *testing.T) {
-	address, _ := startCarrier(t, &fullWorkers{})
+	address, _ := startRelay(t, &fullWorkers{})
 	link, err := standin.NewLink(address, slowLink, 0)
 	if err != nil {
 		t.Fatal(err)
--- a/adapter/grpcrelay/link_test.go
+++ b/adapter/grpcrelay/link_test.go
@@ -5,7 +5,7 @@
 // A leader that got no processor for 0.85 s closed its streams to carriers that
 // had sent all the time, as by its clock they had been silent for too long. Only
 // looks that find nothing new count, several of them in a row.
-func TestSilenceCountsLooksThatFindNothing(t *testing.T) {
+func TestSilenceCountsChecksWithoutNewBatches(t *testing.T) {
 	var s silenceDetector
 	batches := uint64(0)
 	for range 3 * silenceChecks {
--- a/adapter/grpcrelay/relay_test.go
+++ b/adapter/grpcrelay/relay_test.go
@@ -52,8 +52,8 @@
 	return jobsched.VerdictFenced
 }
 
-// startCarrier serves a carrier and returns its address and its end.
-func startCarrier(t *testing.T, workers port.TaskWorkers) (string, func()) {
+// startRelay serves a carrier and returns its address and its end.
+func startRelay(t *testing.T, workers port.TaskWorkers) (string, func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -80,9 +80,9 @@
 	t.Fatalf("carrier healthy: want %v", want)
 }
 
-func TestOrdersAreCarried(t *testing.T) {
+func TestOrdersAreRelayed(t *testing.T) {
 	own, far := &fakeWorkers{}, &fakeWorkers{}
-	address, _ := startCarrier(t, far)
+	address, _ := startRelay(t, far)
 	r := NewRouter(own)
 	r.SetRelays([]jobservice.Relay{{Address: address, Weight: 1}})
 	defer r.SetRelays(nil)
@@ -115,7 +115,7 @@
 // for not sent.
 func TestOrderAtALostCarrierIsUncertain(t *testing.T) {
 	far := &fakeWorkers{held: make(chan struct{})}
-	address, stop := startCarrier(t, far)
+	address, stop := startRelay(t, far)
 	own := &fakeWorkers{}
 	r := NewRouter(own)
 	r.SetRelays([]jobservice.Relay{{Address: address, Weight: 1}})
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestCarriersAreUsedByTheirWeight: a carrier with four times the processors
+// TestRelaysAreUsedByWeight: a carrier with four times the processors
 // carries for about four times the workers, and one that goes moves only its own.
-func TestCarriersAreUsedByTheirWeight(t *testing.T) {
+func TestRelaysAreUsedByWeight(t *testing.T) {
 	heavy := 0
 	for i := range 1000 {
 		worker := model.WorkerID([]byte{byte('a' + i%26), byte('a' + i/26%26), byte('a' + i/676)})
@@ -168,7 +168,7 @@
 // were given up with the stream.
 func TestACarrierThatLeavesAnswersWhatItHas(t *testing.T) {
 	workers := &fakeWorkers{held: make(chan struct{})}
-	address, _ := startCarrier(t, workers)
+	address, _ := startRelay(t, workers)
 	own := &fakeWorkers{}
 	r := NewRouter(own)
 	defer r.SetRelays(nil)
@@ -198,7 +198,7 @@
 
 // Guards against acknowledgements by a carrier of the version before, which would send
 // them to whichever incarnation of the worker is there.
-func TestAcknowledgementsForCarriersOfAnEarlierVersion(t *testing.T) {
+func TestAcknowledgementsForRelaysOfAnEarlierVersion(t *testing.T) {
 	for startedMs, want := range map[int64]int64{0: 57, 5: 0} {
 		o := encodeRenew(jobsched.Renew{Order: jobsched.Order{Worker: model.Incarnation{ID: "w", StartedMs: startedMs}}, AckedEnds: 57})
 		if got := o.GetRenew().AckedEnds; got != want {
