--- a/adapter/grpcrelay/chunks.go
+++ b/adapter/grpcrelay/chunks.go
@@ -2,13 +2,14 @@
 
 import "google.golang.org/protobuf/proto"
 
-// maxChunkBytes is how much a message holds at most, unless a single part is larger. The
-// other side sees by the messages that this one is there: 10 Mbit/s carry one in 50
-// ms, a third of what it waits between two looks. No message comes near the 4 MB that
-// gRPC takes.
+// maxChunkBytes bounds the size of a message, unless a single element is larger. The
+// receiver detects a silent sender by missing messages: at 10 Mbit/s a message of this
+// size takes 50 ms, a third of the interval between two checks. It is also far below
+// the 4 MB that gRPC accepts.
 const maxChunkBytes = 64 << 10
 
-// sendInChunks sends a batch in messages of bounded size, or as an empty one.
+// sendInChunks sends a batch in one or more messages of bounded size. An empty batch
+// is sent as one empty message.
 func sendInChunks[T proto.Message](batch []T, send func([]T) error) error {
 	begin, size := 0, 0
 	for i, part := range batch {
--- a/adapter/grpcrelay/failuredetector.go
+++ b/adapter/grpcrelay/failuredetector.go
@@ -10,18 +10,19 @@
 	"github.com/guavarill/guavarill/jobservice"
 )
 
-// probeTimeout bounds the try to reach a leader. A process that has gone is
-// known at once, by a connection that is refused; silence says nothing.
+// probeTimeout bounds an attempt to connect to a leader. If its process has gone,
+// the connection is refused immediately; a timeout proves nothing.
 const probeTimeout = 200 * time.Millisecond
 
-// A process that is killed loses its connections one after the other, and its
-// listener may be among the last: so it is tried again a few times.
+// The number of probes and the interval between them. The connections of a killed
+// process are closed one after the other and its listener may be among the last, so
+// that a single probe could still succeed.
 const (
 	probeAttempts = 4
 	probeInterval = 25 * time.Millisecond
 )
 
-// noteLost notes that a leader's stream has ended.
+// noteLost signals that a leader's stream has ended.
 func (c *RelayServer) noteLost() {
 	select {
 	case c.lost <- struct{}{}:
@@ -29,11 +30,12 @@
 	}
 }
 
-// ConnectionLost implements jobservice.Vigil.
+// ConnectionLost implements jobservice.FailureDetector.
 func (c *RelayServer) ConnectionLost() <-chan struct{} { return c.lost }
 
-// IsGone implements jobservice.Vigil. A daemon listens for its peers before it
-// leads and for as long, so that nobody listening there means that it is not.
+// IsGone implements jobservice.FailureDetector. A daemon listens for its peers
+// before it becomes the leader and for as long as it leads, so a refused connection
+// means that it does not lead.
 func (c *RelayServer) IsGone(ctx context.Context, address string) bool {
 	for range probeAttempts {
 		if refusesConnections(ctx, address) {
@@ -46,14 +48,14 @@
 	return false
 }
 
-// refusesConnections reports whether connections to an address are refused.
+// refusesConnections reports whether a connection to an address is refused.
 func refusesConnections(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: probeTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
 		return errors.Is(err, syscall.ECONNREFUSED)
 	}
-	// An end is of no consequence: nothing was sent.
+	// The error does not matter, as nothing was sent.
 	_ = conn.Close()
 	return false
 }
--- a/adapter/grpcrelay/large_test.go
+++ b/adapter/grpcrelay/large_test.go
@@ -14,10 +14,10 @@
 	standin "github.com/guavarill/guavarill/standin/platform"
 )
 
-// slowLink is the slowest link of a VM: 10 Mbit/s, in bytes a second.
+// slowLink is the bandwidth of the slowest link of a VM, 10 Mbit/s, in bytes per second.
 const slowLink = 10_000_000 / 8
 
-// fullWorkers report as many ends as a worker tells at a time.
+// fullWorkers reports as many ends as a worker sends in one report.
 type fullWorkers struct{ fakeWorkers }
 
 func (*fullWorkers) Renew(context.Context, jobsched.Renew) (jobsched.Verdict, jobsched.Report) {
@@ -32,8 +32,9 @@
 	return jobsched.VerdictDone, report
 }
 
-// Guards against a carrier that counts as silent while a long message of it is on its
-// way: all that its workers had told was lost, and was told again, with the same end.
+// Guards against a relay that counts as silent while the leader still receives a long
+// message from it. The reports of its workers were lost, sent again, and lost again for
+// the same reason.
 func TestFullReportsOverASlowLink(t *testing.T) {
 	address, _ := startRelay(t, &fullWorkers{})
 	link, err := standin.NewLink(address, slowLink, 0)
--- a/adapter/grpcrelay/link.go
+++ b/adapter/grpcrelay/link.go
@@ -13,41 +13,44 @@
 )
 
 const (
-	// silenceChecks is how many looks in a row, lookInterval apart, find nothing
-	// new from a carrier before its orders are given to others: after three beats
-	// and some delay. A carrier that is suspended or cut off would hold up the
-	// leases of all workers that it carries for.
+	// silenceChecks is the number of consecutive checks, silenceCheckInterval apart,
+	// that find no new message from a relay before other relays get its workers. It
+	// allows for three heartbeats and some delay. It is short because a relay that is
+	// suspended or cut off delays the lease renewals of all its workers.
 	silenceChecks        = 4
 	silenceCheckInterval = 150 * time.Millisecond
-	// outcomeTimeout ends the wait for an outcome that a carrier which is there
-	// owes: several times what an order takes there and a busy leader needs to
-	// take its outcome in. Without it an error of a carrier would keep the leader
-	// from ever asking a worker again.
+	// outcomeTimeout bounds the wait for an outcome from a relay that is alive: several
+	// times the time that an order takes on the relay and that a busy leader needs to
+	// process the outcome. Without it, a fault of a relay could keep the leader from
+	// ever calling a worker again.
 	outcomeTimeout = 8 * time.Second
-	// linkRetry is the time before a link that failed is opened again.
+	// linkRetry is the time before a failed link is reopened.
 	linkRetry = 500 * time.Millisecond
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds an attempt to connect.
 	dialTimeout = time.Second
 )
 
-// pendingOrder is an order whose outcome is awaited.
+// pendingOrder is an order without an outcome. Its channel receives the outcome, or is
+// closed if the link fails. sent is set when the order is taken from the queue to be
+// written to the stream.
 type pendingOrder struct {
 	outcome chan *relayv1.Outcome
 	sent    bool
 }
 
-// link is the stream to one carrier. It is opened again when it fails.
+// link is the stream to one relay. It is reopened when it fails.
 type link struct {
 	address string
 
 	mu sync.Mutex
+	// up is set from the first message of the relay until the stream fails.
 	up bool
-	// heard counts the batches of outcomes that have come.
-	heard   uint64
-	nextID  uint64
-	pending map[uint64]*pendingOrder
-	batch   []*relayv1.Order
-	wake    chan struct{}
+	// received counts the batches of outcomes received.
+	received uint64
+	nextID   uint64
+	pending  map[uint64]*pendingOrder
+	batch    []*relayv1.Order
+	wake     chan struct{}
 }
 
 func newLink(address string) *link {
@@ -65,7 +68,7 @@
 			MinConnectTimeout: dialTimeout,
 		}))
 	if err != nil {
-		// Only an address that cannot be parsed; the others carry.
+		// The address cannot be parsed. The other relays are used.
 		return
 	}
 	defer conn.Close()
@@ -79,7 +82,8 @@
 	}
 }
 
-// open opens the stream and serves it until it fails or falls silent.
+// open opens the stream and receives outcomes until the stream fails or the relay
+// falls silent.
 func (l *link) open(ctx context.Context, client relayv1.RelayClient) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -98,7 +102,7 @@
 	}
 }
 
-// watch ends the stream when the carrier is silent.
+// watch cancels the stream when the relay is silent.
 func (l *link) watch(ctx context.Context, cancel context.CancelFunc) {
 	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
@@ -116,34 +120,34 @@
 	}
 }
 
-// silenceDetector tells a carrier that is silent from a leader that had no processor to
-// read what it sent. Looks are counted for that, and not the time: a process
-// that gets no processor looks no more often than it reads, whereas by its clock
-// every carrier has been silent for long when it goes on.
+// silenceDetector distinguishes a silent relay from a leader that got no processor time
+// to read the relay's messages. It therefore counts checks instead of measuring time: a
+// process without processor time neither checks nor reads, but when it continues, every
+// relay has been silent for a long time by its clock.
 type silenceDetector struct {
-	heard  uint64
-	checks int
+	batches uint64
+	checks  int
 }
 
-// check takes in how many batches have come in all, and reports whether the
-// carrier is silent.
+// check reports whether the relay is silent, given the total number of batches received
+// from it.
 func (s *silenceDetector) check(batches uint64) bool {
-	if batches != s.heard {
-		s.heard, s.checks = batches, 0
+	if batches != s.batches {
+		s.batches, s.checks = batches, 0
 		return false
 	}
 	s.checks++
 	return s.checks >= silenceChecks
 }
 
-// receivedBatches returns how many receivedBatches of outcomes have come.
+// receivedBatches returns the number of batches of outcomes received.
 func (l *link) receivedBatches() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heard
+	return l.received
 }
 
-// send sends orders in batches.
+// send sends the queued orders in batches until ctx ends or a send fails.
 func (l *link) send(ctx context.Context, stream relayv1.Relay_CarryClient) {
 	for {
 		select {
@@ -165,6 +169,7 @@
 	}
 }
 
+// take removes and returns the queued orders and marks them as sent.
 func (l *link) take() []*relayv1.Order {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,12 +183,12 @@
 	return batch
 }
 
-// deliver hands outcomes to those who wait for them.
+// deliver passes outcomes to the callers that wait for them, and marks the link as up.
 func (l *link) deliver(batch *relayv1.OutcomeBatch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up = true
-	l.heard++
+	l.received++
 	for _, outcome := range batch.Outcomes {
 		if w := l.pending[outcome.Id]; w != nil {
 			delete(l.pending, outcome.Id)
@@ -192,7 +197,8 @@
 	}
 }
 
-// failPending tells all who wait that the link has failed.
+// failPending marks the link as down and ends the wait of all pending orders without an
+// outcome.
 func (l *link) failPending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -204,21 +210,22 @@
 	}
 }
 
-// busy reports whether an outcome is awaited.
+// busy reports whether the link is up and has pending orders.
 func (l *link) busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.up && len(l.pending) > 0
 }
 
+// healthy reports whether the link is up.
 func (l *link) healthy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.up
 }
 
-// relay has an order carried. sent is whether it may have reached the worker; the
-// outcome is nil when it is not known.
+// relay sends an order through the link and waits for its outcome, which is nil if it is
+// not known. sent reports whether the order may have reached the worker.
 func (l *link) relay(ctx context.Context, o *relayv1.Order) (outcome *relayv1.Outcome, sent bool) {
 	w := l.enqueue(o)
 	if w == nil {
@@ -234,6 +241,7 @@
 	}
 }
 
+// enqueue assigns an ID to an order and queues it. It returns nil if the link is down.
 func (l *link) enqueue(o *relayv1.Order) *pendingOrder {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -252,6 +260,7 @@
 	return w
 }
 
+// abandon ends the wait for an outcome and reports whether the order was sent.
 func (l *link) abandon(id uint64, w *pendingOrder) (sent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/adapter/grpcrelay/records.go
+++ b/adapter/grpcrelay/records.go
@@ -14,22 +14,23 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// RecordsServer lets other daemons reach the store through this one.
+// RecordsServer gives other daemons access to the store through this daemon.
 type RecordsServer struct {
 	relayv1.UnimplementedRecordsServer
 	store jobservice.RecordStore
-	// available says whether this daemon reaches the store itself.
+	// available reports whether this daemon has direct access to the store.
 	available func() bool
 }
 
-// NewRecordsServer makes a RecordsServer and registers it with a server.
+// NewRecordsServer returns a RecordsServer that uses store while available returns
+// true, and registers it with s.
 func NewRecordsServer(s *grpc.Server, store jobservice.RecordStore, available func() bool) *RecordsServer {
 	r := &RecordsServer{store: store, available: available}
 	relayv1.RegisterRecordsServer(s, r)
 	return r
 }
 
-// Get implements relayv1.RecordsServer.
+// Get implements relayv1.RecordsServer. It reads one record.
 func (r *RecordsServer) Get(ctx context.Context, req *relayv1.GetRequest) (*relayv1.GetResponse, error) {
 	if !r.available() {
 		return nil, status.Error(codes.FailedPrecondition, "no access to the store")
@@ -41,7 +42,8 @@
 	return &relayv1.GetResponse{Value: kv.Value, Revision: kv.ModRevision}, nil
 }
 
-// Txn implements relayv1.RecordsServer.
+// Txn implements relayv1.RecordsServer. All conditions compare modification revisions,
+// and all changes are puts.
 func (r *RecordsServer) Txn(ctx context.Context, req *relayv1.TxnRequest) (*relayv1.TxnResponse, error) {
 	if !r.available() {
 		return nil, status.Error(codes.FailedPrecondition, "no access to the store")
@@ -61,8 +63,8 @@
 	return &relayv1.TxnResponse{Succeeded: result.Succeeded, Revision: result.Revision}, nil
 }
 
-// encodeError tells the caller with the status FailedPrecondition that nothing was
-// done, and with any other that it is not known.
+// encodeError converts an error of the store into a gRPC status: FailedPrecondition
+// if no change was made, and Unknown if a change may have been made.
 func encodeError(err error) error {
 	if jobservice.IsNotDone(err) {
 		return status.Error(codes.FailedPrecondition, err.Error())
@@ -70,8 +72,8 @@
 	return status.Error(codes.Unknown, err.Error())
 }
 
-// RecordsClient reaches the store through other daemons. It is a
-// jobservice.PeerRecords.
+// RecordsClient accesses the store through other daemons. It is a
+// jobservice.PeerStores.
 type RecordsClient struct {
 	mu    sync.Mutex
 	conns map[string]*grpc.ClientConn
@@ -79,17 +81,17 @@
 
 var _ jobservice.PeerStores = (*RecordsClient)(nil)
 
-// NewRecordsClient makes a RecordsClient without connections.
+// NewRecordsClient returns a RecordsClient without connections.
 func NewRecordsClient() *RecordsClient {
 	return &RecordsClient{conns: make(map[string]*grpc.ClientConn)}
 }
 
-// At returns the way through the daemon at the address.
+// At returns the access to the store through the daemon at the address.
 func (c *RecordsClient) At(address string) jobservice.RecordStore {
 	return &peerRecords{client: c, address: address}
 }
 
-// conn returns the connection to a daemon, made at the first call.
+// conn returns the connection to a daemon and creates it at the first call.
 func (c *RecordsClient) conn(address string) (*grpc.ClientConn, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,13 +105,13 @@
 	return conn, err
 }
 
-// peerRecords is the way through one daemon.
+// peerRecords is the access to the store through one daemon.
 type peerRecords struct {
 	client  *RecordsClient
 	address string
 }
 
-// Get implements jobservice.Records.
+// Get implements jobservice.RecordStore.
 func (p *peerRecords) Get(ctx context.Context, key string) (port.KeyValue, error) {
 	conn, err := p.client.conn(p.address)
 	if err != nil {
@@ -122,7 +124,7 @@
 	return port.KeyValue{Key: key, Value: resp.Value, ModRevision: resp.Revision}, nil
 }
 
-// Txn implements jobservice.Records.
+// Txn implements jobservice.RecordStore.
 func (p *peerRecords) Txn(ctx context.Context, conditions []port.Condition, changes []port.Op) (port.TxnResult, error) {
 	conn, err := p.client.conn(p.address)
 	if err != nil {
@@ -142,9 +144,10 @@
 	return port.TxnResult{Succeeded: resp.Succeeded, Revision: resp.Revision}, nil
 }
 
-// decodeError tells what is known of a call that failed: nothing was done where
-// the peer has said so. The library's own status Unavailable also comes of
-// connections that break halfway.
+// decodeError converts the error of a call into a *port.StoreError. The outcome is
+// OutcomeNotDone only if the peer reported that no change was made. The status
+// Unavailable, which grpc-go itself returns, does not prove that: it also follows a
+// connection that breaks during the call.
 func decodeError(call string, err error) error {
 	failure := &port.StoreError{Call: call, Kind: port.StoreUnavailable, Outcome: port.OutcomeUnknown, Cause: err}
 	if status.Code(err) == codes.FailedPrecondition {
--- a/adapter/grpcrelay/relay_test.go
+++ b/adapter/grpcrelay/relay_test.go
@@ -14,7 +14,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// fakeWorkers answers every order; while held is set, none returns.
+// fakeWorkers returns a fixed verdict for every order. If held is set, orders block
+// until it is closed.
 type fakeWorkers struct {
 	orders atomic.Int64
 	held   chan struct{}
@@ -52,7 +53,7 @@
 	return jobsched.VerdictFenced
 }
 
-// startRelay serves a carrier and returns its address and its end.
+// startRelay starts a relay and returns its address and a function that stops it.
 func startRelay(t *testing.T, workers port.TaskWorkers) (string, func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -77,7 +78,7 @@
 			return
 		}
 	}
-	t.Fatalf("carrier healthy: want %v", want)
+	t.Fatalf("relay did not become healthy=%v", want)
 }
 
 func TestOrdersAreRelayed(t *testing.T) {
@@ -104,15 +105,12 @@
 		t.Errorf("throttle: %s", verdict)
 	}
 	if own.orders.Load() != 0 {
-		t.Error("the leader sent orders itself")
+		t.Error("the leader sent orders directly")
 	}
 }
 
-// TestOrderAtALostCarrierIsUncertain
-//
-// Symptom if broken: a task runs twice. Events: a carrier takes a start and is
-// lost before it tells the outcome. Cause it guards against: the start is taken
-// for not sent.
+// Guards against a task that runs twice: a relay receives a start and is lost before it
+// sends the outcome, and the leader treats the start as not sent.
 func TestOrderAtALostCarrierIsUncertain(t *testing.T) {
 	far := &fakeWorkers{held: make(chan struct{})}
 	address, stop := startRelay(t, far)
@@ -136,16 +134,16 @@
 	close(far.held)
 	awaitHealthy(t, r, false)
 	if verdict := r.Stop(context.Background(), jobsched.Stop{}); verdict != jobsched.VerdictNotSent || own.orders.Load() != 0 {
-		t.Errorf("as the carrier is lost: %s, %d orders of its own, want not sent", verdict, own.orders.Load())
+		t.Errorf("just after the relay was lost: verdict %s, %d direct orders, want not sent", verdict, own.orders.Load())
 	}
 	time.Sleep(directAfter)
 	if verdict := r.Stop(context.Background(), jobsched.Stop{}); verdict != jobsched.VerdictDone || own.orders.Load() != 1 {
-		t.Errorf("without carriers for long: %s, %d orders of its own", verdict, own.orders.Load())
+		t.Errorf("%s without relays: verdict %s, %d direct orders, want done and 1", directAfter, verdict, own.orders.Load())
 	}
 }
 
-// TestRelaysAreUsedByWeight: a carrier with four times the processors
-// carries for about four times the workers, and one that goes moves only its own.
+// Guards against relays that are used without regard to their weight: a relay with four
+// times the processors gets about four times the workers.
 func TestRelaysAreUsedByWeight(t *testing.T) {
 	heavy := 0
 	for i := range 1000 {
@@ -159,13 +157,10 @@
 	}
 }
 
-// TestACarrierThatLeavesAnswersWhatItHas
-//
-// Symptom: with each planned stop of a daemon, the workers that it carried for
-// were noted as silent, and tasks whose start was on its way were barred and
-// started elsewhere. Events: the daemon leaves the members and goes on serving;
-// the leader closes its stream. Cause: all orders that waited for an outcome
-// were given up with the stream.
+// Guards against lost outcomes at the planned stop of a daemon. The daemon leaves the
+// members and continues to serve, but the leader closed its stream and gave up all
+// orders pending on it. The workers of that relay then counted as silent, and tasks
+// with a start in flight were barred and started elsewhere.
 func TestACarrierThatLeavesAnswersWhatItHas(t *testing.T) {
 	workers := &fakeWorkers{held: make(chan struct{})}
 	address, _ := startRelay(t, workers)
@@ -185,27 +180,27 @@
 	}
 	r.SetRelays(nil)
 	if v := r.Stop(context.Background(), jobsched.Stop{Order: jobsched.Order{Worker: model.Incarnation{ID: "w"}}}); v != jobsched.VerdictDone {
-		t.Errorf("an order after it left: %s", v)
+		t.Errorf("order after the relay left: %s", v)
 	}
 	if own.orders.Load() != 1 {
-		t.Error("an order was given to a carrier that had left")
+		t.Error("an order was sent to a relay that had left")
 	}
 	close(workers.held)
 	if v := <-verdict; v != jobsched.VerdictNoRoom {
-		t.Errorf("an order that it had: %s, want its outcome", v)
+		t.Errorf("pending order of the relay that left: %s, want its outcome", v)
 	}
 }
 
-// Guards against acknowledgements by a carrier of the version before, which would send
-// them to whichever incarnation of the worker is there.
+// Guards against acknowledgements through a relay of the previous version, which would
+// send them to any incarnation of the worker.
 func TestAcknowledgementsForRelaysOfAnEarlierVersion(t *testing.T) {
 	for startedMs, want := range map[int64]int64{0: 57, 5: 0} {
 		o := encodeRenew(jobsched.Renew{Order: jobsched.Order{Worker: model.Incarnation{ID: "w", StartedMs: startedMs}}, AckedEnds: 57})
 		if got := o.GetRenew().AckedEnds; got != want {
-			t.Errorf("started at %d: %d in the field that it knows, want %d", startedMs, got, want)
+			t.Errorf("started at %d: AckedEnds %d, which the previous version reads, want %d", startedMs, got, want)
 		}
 		if r := decodeRenew(o, o.GetRenew()); r.AckedEnds != 57 || r.Worker.StartedMs != startedMs {
-			t.Errorf("started at %d: read as %+v", startedMs, r)
+			t.Errorf("started at %d: decoded as %+v", startedMs, r)
 		}
 	}
 }
--- a/adapter/grpcrelay/relayserver.go
+++ b/adapter/grpcrelay/relayserver.go
@@ -13,42 +13,47 @@
 )
 
 const (
-	// orderBatchDelay and outcomeGather are how long orders and outcomes gather
-	// before they are sent: a message costs far more than what it holds. The
-	// leader makes its orders in batches already.
+	// orderBatchDelay and outcomeBatchDelay are the times for which orders and
+	// outcomes are collected before they are sent, because a message costs far more
+	// than its elements. The delay of orders is shorter because the leader already
+	// issues them in batches.
 	orderBatchDelay   = 4 * time.Millisecond
 	outcomeBatchDelay = 20 * time.Millisecond
-	// heartbeatInterval is how often a carrier sends something, if only to show that
-	// it is there.
+	// heartbeatInterval is the longest interval between two messages of a relay. If
+	// it has no outcomes, it sends an empty batch to show that it is alive.
 	heartbeatInterval = 150 * time.Millisecond
 )
 
-// windowBytes is the window of flow control of streams and connections: a hundred
-// reports of busy workers. It is fixed, because a window that adapts itself sends
-// a ping with most batches to measure the delay.
+// windowBytes is the flow control window of streams and connections, enough for a
+// hundred reports of busy workers. It is fixed, because with a dynamic window
+// grpc-go sends a ping with most batches to measure the delay.
 const windowBytes = 1 << 20
 
-// NewServer makes a server for the other daemons.
+// NewServer returns a gRPC server for the services of this package. It has no
+// service registered yet.
 func NewServer() *grpc.Server {
 	return grpc.NewServer(grpc.InitialWindowSize(windowBytes), grpc.InitialConnWindowSize(windowBytes))
 }
 
-// RelayServer carries the orders of a leader. Its workers bound the time of an order,
-// so that the leader hears of each in any case.
+// RelayServer executes the orders that a leader sends through this daemon. Its
+// workers bound the duration of each order, so that the leader receives an outcome of
+// every order while its stream is open.
 type RelayServer struct {
 	relayv1.UnimplementedRelayServer
 	workers port.TaskWorkers
 	lost    chan struct{}
 }
 
-// NewRelayServer makes a Carrier and registers it with a server.
+// NewRelayServer returns a RelayServer that passes orders to workers, and registers
+// it with s.
 func NewRelayServer(s *grpc.Server, workers port.TaskWorkers) *RelayServer {
 	c := &RelayServer{workers: workers, lost: make(chan struct{}, 1)}
 	relayv1.RegisterRelayServer(s, c)
 	return c
 }
 
-// Carry implements relayv1.RelayServer.
+// Carry implements relayv1.RelayServer. It executes the orders of a stream
+// concurrently and sends their outcomes in batches, in order of completion.
 func (c *RelayServer) Carry(stream relayv1.Relay_CarryServer) error {
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
@@ -61,7 +66,7 @@
 	for {
 		batch, err := stream.Recv()
 		if err != nil {
-			// The leader has gone, or leads no longer.
+			// The leader has gone or has lost the leadership.
 			c.noteLost()
 			return err
 		}
@@ -71,7 +76,8 @@
 	}
 }
 
-// execute carries one order out.
+// execute sends one order to its worker and returns the outcome. An order that
+// cannot be decoded gets VerdictInvalid.
 func (c *RelayServer) execute(ctx context.Context, o *relayv1.Order) *relayv1.Outcome {
 	outcome := &relayv1.Outcome{Id: o.Id}
 	verdict := jobsched.VerdictInvalid
@@ -98,7 +104,7 @@
 	return outcome
 }
 
-// outbox gathers outcomes and sends them in batches.
+// outbox collects outcomes and sends them in batches.
 type outbox struct {
 	mu    sync.Mutex
 	batch []*relayv1.Outcome
@@ -125,7 +131,7 @@
 	return batch
 }
 
-// run sends until ctx ends or sending fails.
+// run sends batches until ctx ends or a send fails.
 func (b *outbox) run(ctx context.Context, send func([]*relayv1.Outcome) error) {
 	beat := time.NewTicker(heartbeatInterval)
 	defer beat.Stop()
--- a/adapter/grpcrelay/router.go
+++ b/adapter/grpcrelay/router.go
@@ -15,17 +15,20 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Router is the leader's way to the workers: by the carriers that are there, or
-// its own when there is none. It is a port.TaskWorkers.
+// Router sends the leader's orders to the workers, through the relays or, if there is
+// none, directly. It is a port.TaskWorkers.
 type Router struct {
 	direct port.TaskWorkers
 
 	mu    sync.Mutex
 	links map[string]*openLink
-	// healthyAt is when a link was healthy last, or the first one was opened.
+	// healthyAt is the time at which an order last found a healthy link, or at which
+	// the first link was opened.
 	healthyAt time.Time
 }
 
+// openLink is a link that is in use, with its relay's weight and the function that
+// closes it.
 type openLink struct {
 	*link
 	weight float64
@@ -34,18 +37,18 @@
 
 var _ port.TaskWorkers = (*Router)(nil)
 
-// NewRouter makes a Router without carriers.
+// NewRouter returns a Router without relays. own sends orders directly.
 func NewRouter(own port.TaskWorkers) *Router {
 	return &Router{direct: own, links: make(map[string]*openLink)}
 }
 
-// drainTimeout bounds how long a link is kept for the outcomes of what was sent
-// before its carrier left: the longest that an order or a held renewal takes. A
-// daemon that is stopped goes on carrying for longer than that.
+// drainTimeout bounds how long a link is kept for the outcomes of pending orders after
+// its relay has left. It covers the longest duration of an order or a held renewal. A
+// daemon that is being stopped continues to relay for longer than that.
 const drainTimeout = jobservice.OrderTimeout + 200*time.Millisecond
 
-// SetRelays opens links to the carriers, gives nothing more to others and
-// closes their links when what they have is answered.
+// SetRelays opens links to the given relays. Other relays get no more orders, and
+// their links are closed when their pending orders have outcomes.
 func (r *Router) SetRelays(carriers []jobservice.Relay) {
 	wanted := make(map[string]bool, len(carriers))
 	for _, c := range carriers {
@@ -72,7 +75,7 @@
 	}
 }
 
-// drain closes the link when nothing waits on it any more, or after a while.
+// drain closes the link when it has no pending orders, or after drainTimeout.
 func (l *openLink) drain() {
 	defer l.close()
 	for end := time.Now().Add(drainTimeout); time.Now().Before(end) && l.busy(); {
@@ -80,15 +83,15 @@
 	}
 }
 
-// directAfter is how long no link has been healthy before the leader calls the
-// workers itself. At the beginning of a term links take some 0.1 s to open, and a
-// leader that had no processor for a while loses all of them: connections of its
-// own to hundreds of workers would keep it busy for seconds more, on which it
-// lost the lead for good.
+// directAfter is the time without a healthy link after which the leader calls the
+// workers directly. At the beginning of a term, links take some 0.1 s to open, and a
+// leader that got no processor time for a while loses all of them. If it then opened
+// its own connections to hundreds of workers, it would be busy for seconds more; a
+// leader lost its leadership for good that way.
 const directAfter = 1500 * time.Millisecond
 
-// route returns the link by which an order to a worker goes. own is set when the
-// leader is to call the worker itself; without either the order is not sent.
+// route returns the link for an order to a worker. own is set if the leader should
+// call the worker directly. With neither, the order is not sent.
 func (r *Router) route(worker model.WorkerID) (l *openLink, own bool) {
 	if l := r.pickLink(worker); l != nil {
 		return l, false
@@ -98,9 +101,9 @@
 	return nil, len(r.links) == 0 || time.Since(r.healthyAt) >= directAfter
 }
 
-// pickLink returns the link that carries for a worker: the same one as long as
-// it is healthy, so that connections to workers are kept, and another one when
-// it is not. It returns nil when none is healthy.
+// pickLink returns the healthy link with the highest score for a worker, or nil if no
+// link is healthy. A worker keeps its link while that link is healthy and the relays
+// stay the same, so that the relay's connection to the worker is reused.
 func (r *Router) pickLink(worker model.WorkerID) *openLink {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,8 +123,9 @@
 	return best
 }
 
-// rendezvousScore scores a carrier for a worker: the highest one carries, each as
-// often as its weight says, and a carrier that goes moves only its own workers.
+// rendezvousScore returns the score of a relay for a worker by weighted rendezvous
+// hashing. The relay with the highest score is used: relays get workers in proportion
+// to their weights, and if a relay leaves, only its own workers move.
 func rendezvousScore(address string, worker model.WorkerID, weight float64) float64 {
 	hash := xxhash.Sum64String(address + "/" + string(worker))
 	unit := (float64(hash>>11) + 0.5) / (1 << 53)
@@ -175,8 +179,9 @@
 	return verdict
 }
 
-// relayOrder has an order relayOrder, unless there is no link, and returns its outcome,
-// nil when it is not known, and what is known of the order.
+// relayOrder sends an order through a link and returns its outcome and verdict. The
+// outcome is nil if it is unknown or the order was not sent; the verdict is then
+// VerdictUnknown or VerdictNotSent. Without a link the order is not sent.
 func relayOrder(ctx context.Context, l *openLink, o *relayv1.Order) (*relayv1.Outcome, jobsched.Verdict) {
 	if l == nil {
 		return nil, jobsched.VerdictNotSent
--- a/adapter/grpcrelay/translate.go
+++ b/adapter/grpcrelay/translate.go
@@ -13,6 +13,9 @@
 	return &relayv1.Order{Worker: string(o.Worker.ID), StartedMs: o.Worker.StartedMs, Address: o.Address, Epoch: int64(o.Epoch)}
 }
 
+// encodeRenew encodes a renewal. The acknowledged ends of a worker whose incarnation is
+// known go into a field of their own, which earlier versions ignore: they would send
+// the acknowledgement to any incarnation of the worker.
 func encodeRenew(r jobsched.Renew) *relayv1.Order {
 	o := encodeOrder(r.Order)
 	renew := &relayv1.Renew{UntilMs: r.UntilMs, WaitMs: r.Wait.Milliseconds()}
@@ -95,8 +98,8 @@
 	}
 }
 
-// decodeReport returns a report; the second result is false when a task's name
-// cannot be read.
+// decodeReport decodes a report. The second result is false if the key of a task
+// cannot be parsed.
 func decodeReport(out *relayv1.Outcome) (jobsched.Report, bool) {
 	r := jobsched.Report{
 		ClockMs: out.ClockMs, StartedMs: out.StartedMs, Running: make([]jobsched.RunningAttempt, len(out.Running)),
