--- a/adapter/grpcpeer/connection.go
+++ b/adapter/grpcpeer/connection.go
@@ -54,7 +54,7 @@
 	if err != nil {
 		c.stats.Failures++
 	}
-	if silent(err) && !conn.dropped {
+	if hasNoResponse(err) && !conn.dropped {
 		c.stats.Dropped++
 		c.drop(address, conn)
 		return
@@ -62,9 +62,9 @@
 	conn.closeIfIdle()
 }
 
-// silent reports whether a call got no response: it timed out, or its connection
+// hasNoResponse reports whether a call got no response: it timed out, or its connection
 // broke.
-func silent(err error) bool {
+func hasNoResponse(err error) bool {
 	code := status.Code(err)
 	return code == codes.DeadlineExceeded || code == codes.Unavailable
 }
--- a/adapter/grpcpeer/peer_test.go
+++ b/adapter/grpcpeer/peer_test.go
@@ -145,9 +145,9 @@
 	wantKind(t, err, port.PeerRefused)
 }
 
-// quiet simulates a connection whose state a middlebox can lose: from then on no
+// losableConn simulates a connection whose state a middlebox can lose: from then on no
 // data arrives, and the connection does not break.
-type quiet struct {
+type losableConn struct {
 	net.Conn
 	lost *atomic.Bool
 	end  chan struct{}
@@ -156,7 +156,7 @@
 	sent *atomic.Int64
 }
 
-func (q *quiet) Read(b []byte) (int, error) {
+func (q *losableConn) Read(b []byte) (int, error) {
 	n, err := q.Conn.Read(b)
 	if q.lost.Load() {
 		<-q.end
@@ -166,7 +166,7 @@
 	return n, err
 }
 
-func (q *quiet) Write(b []byte) (int, error) {
+func (q *losableConn) Write(b []byte) (int, error) {
 	q.sent.Add(int64(len(b)))
 	if q.lost.Load() {
 		return len(b), nil
@@ -174,7 +174,7 @@
 	return q.Conn.Write(b)
 }
 
-func (q *quiet) Close() error {
+func (q *losableConn) Close() error {
 	q.once.Do(func() { close(q.end) })
 	return q.Conn.Close()
 }
@@ -194,7 +194,7 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return &quiet{Conn: conn, lost: n.generation, end: make(chan struct{}), read: &n.read, sent: &n.sent}, nil
+	return &losableConn{Conn: conn, lost: n.generation, end: make(chan struct{}), read: &n.read, sent: &n.sent}, nil
 }
 
 // lose makes all connections opened so far silent; later ones work.
--- a/adapter/grpcworker/client.go
+++ b/adapter/grpcworker/client.go
@@ -113,7 +113,7 @@
 	if err == nil {
 		return resp, nil
 	}
-	if silent(err) {
+	if hasNoResponse(err) {
 		c.drop(address, cc)
 	}
 	return nil, &port.WorkerError{
@@ -123,11 +123,11 @@
 	}
 }
 
-// silent reports whether a call got no response: it timed out, or its connection
+// hasNoResponse reports whether a call got no response: it timed out, or its connection
 // broke. A middlebox can lose a connection's state without closing it: every later
 // call on that connection would time out while a new connection works. Apply
 // therefore drops the connection, and the next call opens a new one.
-func silent(err error) bool {
+func hasNoResponse(err error) bool {
 	code := status.Code(err)
 	return code == codes.DeadlineExceeded || code == codes.Unavailable
 }
--- a/adapter/logsink/sink.go
+++ b/adapter/logsink/sink.go
@@ -16,11 +16,11 @@
 	// flushInterval is the time for which lines are collected before they are
 	// written, because a write costs more than the lines in it.
 	flushInterval = 100 * time.Millisecond
-	// pieceBytes bounds one write: the size up to which a write to a pipe is
+	// maxWriteBytes bounds one write: the size up to which a write to a pipe is
 	// atomic (PIPE_BUF on Linux). A collector that expects whole lines in each read
 	// would split a line that a larger write spreads over two reads, and would
 	// store fragments that are not JSON.
-	pieceBytes = 4096
+	maxWriteBytes = 4096
 )
 
 // Sink buffers lines and writes them in the background. While the reader stalls or
@@ -90,7 +90,7 @@
 	defer close(s.done)
 	for range s.wake {
 		batch, closed := s.take()
-		if !s.writePieces(batch) {
+		if !s.writeBatch(batch) {
 			return
 		}
 		if closed {
@@ -100,11 +100,11 @@
 	}
 }
 
-// writePieces writes a batch in several writes of whole lines. It returns false if
+// writeBatch writes a batch in several writes of whole lines. It returns false if
 // a write fails; the error is discarded because there is no other place to log it.
-func (s *Sink) writePieces(batch []byte) bool {
+func (s *Sink) writeBatch(batch []byte) bool {
 	for len(batch) > 0 {
-		n := pieceOf(batch)
+		n := nextWriteLen(batch)
 		if _, err := s.out.Write(batch[:n]); err != nil {
 			return false
 		}
@@ -113,13 +113,13 @@
 	return true
 }
 
-// pieceOf returns the length of the next write of a batch: as many whole lines as
+// nextWriteLen returns the length of the next write of a batch: as many whole lines as
 // fit into pieceBytes, or a single line that is longer.
-func pieceOf(batch []byte) int {
-	if len(batch) <= pieceBytes {
+func nextWriteLen(batch []byte) int {
+	if len(batch) <= maxWriteBytes {
 		return len(batch)
 	}
-	if end := bytes.LastIndexByte(batch[:pieceBytes], '\n'); end >= 0 {
+	if end := bytes.LastIndexByte(batch[:maxWriteBytes], '\n'); end >= 0 {
 		return end + 1
 	}
 	if end := bytes.IndexByte(batch, '\n'); end >= 0 {
--- a/adapter/logsink/sink_test.go
+++ b/adapter/logsink/sink_test.go
@@ -65,13 +65,13 @@
 	}
 }
 
-// pieces records the bytes of each write.
-type pieces struct {
+// writeRecorder records the bytes of each write.
+type writeRecorder struct {
 	mu      sync.Mutex
 	written [][]byte
 }
 
-func (p *pieces) Write(b []byte) (int, error) {
+func (p *writeRecorder) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.written = append(p.written, bytes.Clone(b))
@@ -82,9 +82,9 @@
 // leader is larger than one read of the collector: the batch was written at once,
 // and the line at the boundary of two reads was split.
 func TestWritesHoldWholeLines(t *testing.T) {
-	out := new(pieces)
+	out := new(writeRecorder)
 	s := New(out)
-	long := strings.Repeat("x", 2*pieceBytes) + "\n"
+	long := strings.Repeat("x", 2*maxWriteBytes) + "\n"
 	for i := range 200 {
 		fmt.Fprintf(s, "line %03d %s\n", i, strings.Repeat("y", 100))
 	}
@@ -98,7 +98,7 @@
 		if !bytes.HasSuffix(p, []byte("\n")) {
 			t.Errorf("a write ends within a line: %q", p[max(0, len(p)-20):])
 		}
-		if len(p) > pieceBytes && string(p) != long {
+		if len(p) > maxWriteBytes && string(p) != long {
 			t.Errorf("a write of %d bytes", len(p))
 		}
 	}
