--- a/adapter/grpcrelay/router.go
+++ b/adapter/grpcrelay/router.go
@@ -38,8 +38,8 @@
 var _ port.TaskWorkers = (*Router)(nil)
 
 // NewRouter returns a Router without relays. own sends orders directly.
-func NewRouter(own port.TaskWorkers) *Router {
-	return &Router{direct: own, links: make(map[string]*openLink)}
+func NewRouter(direct port.TaskWorkers) *Router {
+	return &Router{direct: direct, links: make(map[string]*openLink)}
 }
 
 // drainTimeout bounds how long a link is kept for the outcomes of pending orders after
@@ -49,9 +49,9 @@
 
 // SetRelays opens links to the given relays. Other relays get no more orders, and
 // their links are closed when their pending orders have outcomes.
-func (r *Router) SetRelays(carriers []jobservice.Relay) {
-	wanted := make(map[string]bool, len(carriers))
-	for _, c := range carriers {
+func (r *Router) SetRelays(relays []jobservice.Relay) {
+	wanted := make(map[string]bool, len(relays))
+	for _, c := range relays {
 		wanted[c.Address] = true
 	}
 	r.mu.Lock()
@@ -65,7 +65,7 @@
 	if len(r.links) == 0 {
 		r.healthyAt = time.Now()
 	}
-	for _, c := range carriers {
+	for _, c := range relays {
 		if r.links[c.Address] == nil {
 			ctx, cancel := context.WithCancel(context.Background())
 			l := &openLink{link: newLink(c.Address), weight: c.Weight, close: cancel}
@@ -92,7 +92,7 @@
 
 // route returns the link for an order to a worker. own is set if the leader should
 // call the worker directly. With neither, the order is not sent.
-func (r *Router) route(worker model.WorkerID) (l *openLink, own bool) {
+func (r *Router) route(worker model.WorkerID) (l *openLink, direct bool) {
 	if l := r.pickLink(worker); l != nil {
 		return l, false
 	}
