--- a/adapter/grpcrelay/router.go
+++ b/adapter/grpcrelay/router.go
@@ -37,7 +37,8 @@
 
 var _ port.TaskWorkers = (*Router)(nil)
 
-// NewRouter returns a Router without relays. own sends orders directly.
+// NewRouter returns a Router without relays that sends orders by direct when it has
+// none.
 func NewRouter(direct port.TaskWorkers) *Router {
 	return &Router{direct: direct, links: make(map[string]*openLink)}
 }
@@ -90,7 +91,7 @@
 // leader lost its leadership for good that way.
 const directAfter = 1500 * time.Millisecond
 
-// route returns the link for an order to a worker. own is set if the leader should
+// route returns the link for an order to a worker. direct is set if the leader should
 // call the worker directly. With neither, the order is not sent.
 func (r *Router) route(worker model.WorkerID) (l *openLink, direct bool) {
 	if l := r.pickLink(worker); l != nil {
@@ -134,8 +135,8 @@
 
 // Renew implements port.TaskWorkers.
 func (r *Router) Renew(ctx context.Context, e jobsched.Renew) (jobsched.Verdict, jobsched.Report) {
-	l, own := r.route(e.Worker.ID)
-	if own {
+	l, direct := r.route(e.Worker.ID)
+	if direct {
 		return r.direct.Renew(ctx, e)
 	}
 	outcome, verdict := relayOrder(ctx, l, encodeRenew(e))
@@ -151,8 +152,8 @@
 
 // Start implements port.TaskWorkers.
 func (r *Router) Start(ctx context.Context, e jobsched.Start) (jobsched.Verdict, int64) {
-	l, own := r.route(e.Worker.ID)
-	if own {
+	l, direct := r.route(e.Worker.ID)
+	if direct {
 		return r.direct.Start(ctx, e)
 	}
 	outcome, verdict := relayOrder(ctx, l, encodeStart(e))
@@ -161,8 +162,8 @@
 
 // Stop implements port.TaskWorkers.
 func (r *Router) Stop(ctx context.Context, e jobsched.Stop) jobsched.Verdict {
-	l, own := r.route(e.Worker.ID)
-	if own {
+	l, direct := r.route(e.Worker.ID)
+	if direct {
 		return r.direct.Stop(ctx, e)
 	}
 	_, verdict := relayOrder(ctx, l, encodeStop(e))
@@ -171,8 +172,8 @@
 
 // Throttle implements port.TaskWorkers.
 func (r *Router) Throttle(ctx context.Context, e jobsched.Throttle) jobsched.Verdict {
-	l, own := r.route(e.Worker.ID)
-	if own {
+	l, direct := r.route(e.Worker.ID)
+	if direct {
 		return r.direct.Throttle(ctx, e)
 	}
 	_, verdict := relayOrder(ctx, l, encodeThrottle(e))
