--- a/core/dedup/property_test.go
+++ b/core/dedup/property_test.go
@@ -15,37 +15,37 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// The world of the property: entries that come, die and restart, callers that
-// repeat, and messages that are late or lost, all within the bounds that the
+// cluster simulates entries that join, fail and restart, callers that repeat
+// requests, and messages that are late or lost, all within the bounds that the
 // package comment states.
-type world struct {
+type cluster struct {
 	rnd     *rand.Rand
 	o       dedup.Options
 	now     time.Time
 	names   int
-	entries []*entry // every entry that ever was, in the order of first boot
+	entries []*entry // all entries ever booted, in the order of first boot
 	uses    []*use
 	claims  []*pendingClaim
-	sent    int // claims that went on
+	sent    int // claims that proceeded
 }
 
 type entry struct {
 	id     model.DaemonID
 	up     bool
 	booted time.Time
-	died   time.Time
+	failed time.Time
 	gone   time.Time
 	homes  *dedup.ClaimStore
-	// seenAfter is how long after this boot each other entry sees it.
+	// seenAfter is the delay after this boot until each other entry sees it.
 	seenAfter map[model.DaemonID]time.Duration
-	// before is when an earlier boot under this name ended; zero without one.
+	// before is when an earlier run under this name ended; zero without one.
 	before time.Time
 }
 
-// use is one request id with its true history.
+// use is one request ID with its actual history.
 type use struct {
 	id     string
-	issued time.Time // as the id tells it
+	issued time.Time // as the ID states it
 	first  time.Time // of the first claim
 	runs   int
 }
@@ -67,8 +67,8 @@
 	opaqueEvery  = 3
 )
 
-func newWorld(seed uint64) *world {
-	w := &world{
+func newCluster(seed uint64) *cluster {
+	w := &cluster{
 		rnd: rand.New(rand.NewPCG(seed, seed)),
 		o:   dedup.Options{Retention: time.Minute, MembershipDelay: 5 * time.Second, MaxClockSkew: 2 * time.Second, MaxRecords: 50},
 		now: start,
@@ -80,38 +80,38 @@
 	return w
 }
 
-func (w *world) duration(most time.Duration) time.Duration {
+func (w *cluster) duration(most time.Duration) time.Duration {
 	return time.Duration(w.rnd.Int64N(int64(most) + 1))
 }
 
-func (w *world) bootNew() {
+func (w *cluster) bootNew() {
 	w.names++
 	e := &entry{id: model.DaemonID(fmt.Sprintf("e%d", w.names))}
 	w.entries = append(w.entries, e)
 	w.boot(e)
 }
 
-// boot starts an entry with nothing in memory.
-func (w *world) boot(e *entry) {
-	e.before = e.died
+// boot starts an entry with empty memory.
+func (w *cluster) boot(e *entry) {
+	e.before = e.failed
 	e.up = true
 	e.booted = w.now
-	e.died = time.Time{}
+	e.failed = time.Time{}
 	e.gone = time.Time{}
 	e.homes = dedup.NewClaimStore(w.now, w.o)
 	e.seenAfter = make(map[model.DaemonID]time.Duration)
 }
 
-func (w *world) die(e *entry) {
+func (w *cluster) fail(e *entry) {
 	e.up = false
-	e.died = w.now
+	e.failed = w.now
 	if w.rnd.IntN(2) == 0 {
 		e.gone = w.now
 	}
 }
 
-// members is what viewer knows of the entries now.
-func (w *world) members(viewer *entry) []dedup.Member {
+// members is viewer's view of the entries now.
+func (w *cluster) members(viewer *entry) []dedup.Member {
 	var known []dedup.Member
 	for _, e := range w.entries {
 		if !w.sees(viewer, e) {
@@ -119,7 +119,7 @@
 		}
 		m := dedup.Member{ID: e.id}
 		if !e.up {
-			m.LastSeen = e.died
+			m.LastSeen = e.failed
 			m.RemovedAt = e.gone
 		}
 		known = append(known, m)
@@ -127,7 +127,7 @@
 	return known
 }
 
-func (w *world) sees(viewer, e *entry) bool {
+func (w *cluster) sees(viewer, e *entry) bool {
 	if viewer == e {
 		return true
 	}
@@ -142,9 +142,9 @@
 	return !w.now.Before(e.booted.Add(after))
 }
 
-// newUse makes an id, by the clock of a caller that is off by up to half of
-// the skew.
-func (w *world) newUse() *use {
+// newUse creates an ID, by the clock of a caller that is off by up to half of
+// MaxClockSkew.
+func (w *cluster) newUse() *use {
 	u := &use{id: fmt.Sprintf("r%d", len(w.uses))}
 	if w.rnd.IntN(opaqueEvery) > 0 {
 		u.issued = w.now.Add(w.duration(w.o.MaxClockSkew) - w.o.MaxClockSkew/2).Truncate(time.Millisecond)
@@ -153,9 +153,9 @@
 	return u
 }
 
-// anyUse is a new request or the repeat of an old one, as far as repeats are
-// promised anything.
-func (w *world) anyUse() *use {
+// anyUse returns a new request or the repeat of an old one that the guarantee
+// covers.
+func (w *cluster) newOrRepeatedUse() *use {
 	if len(w.uses) == 0 || w.rnd.IntN(4) == 0 {
 		return w.newUse()
 	}
@@ -167,12 +167,12 @@
 	return u
 }
 
-func (w *world) begin() {
+func (w *cluster) begin() {
 	e := w.entries[w.rnd.IntN(len(w.entries))]
 	if !e.up || w.now.Sub(e.booted) < w.o.MembershipDelay {
 		return
 	}
-	u := w.anyUse()
+	u := w.newOrRepeatedUse()
 	if u.first.IsZero() {
 		u.first = w.now
 	}
@@ -189,9 +189,9 @@
 	w.claims = append(w.claims, c)
 }
 
-// deliver carries one message of a claim to its home and the verdict back,
-// unless either is lost.
-func (w *world) deliver() {
+// deliver sends one message of a claim to its home and returns the verdict,
+// unless either message is lost.
+func (w *cluster) deliver() {
 	if len(w.claims) == 0 {
 		return
 	}
@@ -208,7 +208,7 @@
 	if home.up && w.rnd.IntN(10) > 0 {
 		v = home.homes.Claim(w.now, c.request)
 		if w.rnd.IntN(10) == 0 {
-			v = dedup.Unsure // the answer is lost
+			v = dedup.Unsure // the response is lost
 		}
 	}
 	c.claim.Add(home.id, v)
@@ -216,7 +216,7 @@
 }
 
 // conclude sends the request once its claim allows it.
-func (w *world) conclude(c *pendingClaim) {
+func (w *cluster) conclude(c *pendingClaim) {
 	outcome := c.claim.Outcome()
 	if c.over || outcome == dedup.Undecided {
 		return
@@ -231,8 +231,8 @@
 		c.use.runs++
 		return
 	}
-	// The target did not start it: the claim is released, as far as the
-	// messages arrive.
+	// The target did not start the request: the claim is released, as far as
+	// the messages arrive.
 	for _, id := range c.claim.Granted() {
 		if home := w.entry(id); home.up && w.rnd.IntN(4) > 0 {
 			home.homes.Release(w.now, c.request)
@@ -240,7 +240,7 @@
 	}
 }
 
-func (w *world) entry(id model.DaemonID) *entry {
+func (w *cluster) entry(id model.DaemonID) *entry {
 	for _, e := range w.entries {
 		if e.id == id {
 			return e
@@ -249,7 +249,7 @@
 	return nil
 }
 
-func (w *world) step() {
+func (w *cluster) step() {
 	switch n := w.rnd.IntN(100); {
 	case n < 30:
 		w.begin()
@@ -259,7 +259,7 @@
 		w.now = w.now.Add(w.duration(w.o.Retention / 6))
 	case n < 96:
 		if e := w.entries[w.rnd.IntN(len(w.entries))]; e.up {
-			w.die(e)
+			w.fail(e)
 		}
 	case n < 98:
 		if e := w.entries[w.rnd.IntN(len(w.entries))]; !e.up && e.gone.IsZero() {
@@ -270,7 +270,7 @@
 	}
 }
 
-func (w *world) doubled() (string, bool) {
+func (w *cluster) ranTwice() (string, bool) {
 	for _, u := range w.uses {
 		if u.runs > 1 {
 			return u.id, true
@@ -279,34 +279,33 @@
 	return "", false
 }
 
-// Symptom: a request that must not run twice does. Events: any order of
-// deaths, restarts, joins, lost and late messages, and repeats through any
-// entry, within the bounds of the package comment. Cause: whatever rule of the
-// protocol is broken.
+// A non-idempotent ID must run at most once under any sequence of failures,
+// restarts, joins, lost and late messages, and repeats through any entry,
+// within the bounds of the package comment.
 func TestNoIdRunsTwice(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(1)
 	parameters.MinSuccessfulTests = 3000
 	properties := gopter.NewProperties(parameters)
 	sent, uses := 0, 0
 	properties.Property("at most once", prop.ForAll(func(seed uint64) (bool, error) {
-		w := newWorld(seed)
+		w := newCluster(seed)
 		for range steps {
 			w.step()
 		}
 		sent += w.sent
 		uses += len(w.uses)
-		if id, doubled := w.doubled(); doubled {
-			return false, &doubledError{id: id}
+		if id, doubled := w.ranTwice(); doubled {
+			return false, &ranTwiceError{id: id}
 		}
 		return true, nil
 	}, gen.UInt64()))
 	properties.TestingRun(t)
 	if sent < uses/4 {
-		t.Errorf("only %d of %d ids were ever sent: the property says nothing", sent, uses)
+		t.Errorf("only %d of %d ids were sent: too few for the property to be meaningful", sent, uses)
 	}
 	t.Logf("%d ids, %d sent", uses, sent)
 }
 
-type doubledError struct{ id string }
+type ranTwiceError struct{ id string }
 
-func (e *doubledError) Error() string { return e.id + " ran twice" }
+func (e *ranTwiceError) Error() string { return e.id + " ran twice" }
