--- a/core/config/accept.go
+++ b/core/config/accept.go
@@ -16,13 +16,14 @@
 
 const maxWriterBytes = 128
 
-// Diff lists, sorted by name, what an acceptance changed.
+// Diff lists the names that an acceptance or cancellation changed, each list
+// sorted.
 type Diff struct {
 	Added     []string `json:"added,omitempty"`
 	Changed   []string `json:"changed,omitempty"`
 	Removed   []string `json:"removed,omitempty"`
 	Cancelled []string `json:"cancelled,omitempty"`
-	// Teams are those added, changed or removed.
+	// Teams lists the teams that were added, changed or removed.
 	Teams []string `json:"teams,omitempty"`
 }
 
@@ -37,8 +38,8 @@
 	}
 }
 
-// CheckBase returns a *ConflictError unless current is the configuration that
-// base numbers; base 0 is none.
+// CheckBase returns a *ConflictError unless base is the revision of current. A
+// nil current has revision 0.
 func CheckBase(current *Accepted, base model.Revision) error {
 	if have := revisionOf(current); have != base {
 		return &ConflictError{Base: base, Current: have}
@@ -54,14 +55,14 @@
 }
 
 // Accept returns the configuration in which m replaces the manifest of current,
-// which is nil for the first one. A manifest that says the same as the current
-// one returns current and an empty Diff. Workloads that are new or changed are
-// dealt over the given number of shards. The writer is an id that no other
-// acceptance has; it must not hold white space.
+// which is nil for the first one. If m declares the same as the current
+// manifest, Accept returns current and an empty Diff. The tasks of new and
+// changed workloads are distributed over the given number of shards. The writer
+// is an id that is unique to this acceptance and holds no white space.
 //
-// An error is a *manifest.InvalidError (which includes a manifest of another
-// cluster and one that the store could not hold), a *NoShardsError or a
-// *WriterError.
+// The error is a *manifest.InvalidError (also for a manifest of another cluster
+// and for one that is too large for the store), a *NoShardsError, a *WriterError
+// or, if the value cannot be encoded, a *DecodeError.
 func Accept(current *Accepted, m *manifest.Manifest, shards uint32, writer string) (*Accepted, Diff, error) {
 	if err := checkAcceptance(current, m, shards, writer); err != nil {
 		return nil, Diff{}, err
@@ -94,9 +95,9 @@
 	return checkWriter(writer)
 }
 
-// checkWriter refuses an id that would not survive being kept in a list
-// separated by spaces: its writer would not find it there after a lost answer
-// and report a conflict about a change that was made.
+// checkWriter rejects an id that cannot be stored in a list separated by
+// spaces. After a lost response, the operation looks for its id in that list; if
+// the id were not found, it would report a conflict for a change that was made.
 func checkWriter(writer string) error {
 	if writer == "" || len(writer) > maxWriterBytes || !utf8.ValidString(writer) || strings.ContainsFunc(writer, unicode.IsSpace) {
 		return &WriterError{Writer: writer}
@@ -108,7 +109,8 @@
 	return &manifest.InvalidError{Problems: []manifest.Problem{{Path: path, Reason: reason, Detail: detail}}}
 }
 
-// declare makes the draft's workloads and teams those of m.
+// declare replaces the workloads and teams of the draft by those of m and
+// returns the changes.
 func (d *draft) declare(m *manifest.Manifest, shards uint32) Diff {
 	var diff Diff
 	d.declareTeams(m, &diff)
@@ -165,11 +167,12 @@
 	d.forgetOldest()
 }
 
-// Cancel returns the configuration in which the named workloads' present
-// generations are ended. Workloads that are cancelled already are no change;
-// when all are, it returns current and an empty Diff. An error is a
-// *manifest.InvalidError that lists names which no workload has, or a
-// *WriterError.
+// Cancel returns the configuration in which the current generations of the
+// named workloads are cancelled. Workloads that are already cancelled do not
+// count as changed; if all are, Cancel returns current and an empty Diff. The
+// error is a *manifest.InvalidError that lists the names of unknown workloads or
+// reports a value that is too large for the store, a *WriterError or, if the
+// value cannot be encoded, a *DecodeError.
 func Cancel(current *Accepted, names []string, writer string) (*Accepted, Diff, error) {
 	if err := checkWriter(writer); err != nil {
 		return nil, Diff{}, err
@@ -228,8 +231,8 @@
 	return diff
 }
 
-// finish seals the draft as made by writer and refuses what the store could
-// not hold or daemons could not send each other.
+// finish adds writer to the draft and builds the configuration. It rejects one
+// that is too large to be stored, or to be sent between daemons.
 func (d *draft) finish(writer string) (*Accepted, error) {
 	writers := append([]string{writer}, d.writers...)
 	d.writers = writers[:min(len(writers), MaxWriters)]
@@ -239,7 +242,7 @@
 		return nil, tooLarge(size, "when encoded", manifest.MaxEncodedBytes)
 	}
 	if size <= manifest.MaxStoredBytes {
-		return next, nil // compressed it is no larger, but for a few bytes
+		return next, nil // compression adds at most a few bytes
 	}
 	value, err := next.Marshal()
 	if err != nil {
--- a/core/config/accept_test.go
+++ b/core/config/accept_test.go
@@ -51,10 +51,10 @@
 	}
 }
 
-// Symptom: a task that never ran is counted as done.
-// Sequence: a workload runs to its end, is removed, and its name is declared
-// again, directly or after so many other removals that the name is forgotten.
-// Cause: its tasks carry the keys of the ended ones.
+// A task that never ran must not count as done. A workload completes, is
+// removed, and its name is declared again, either directly or after so many other
+// removals that the name is no longer listed. With a reused generation its tasks
+// would have the keys of the completed ones.
 func TestRetiredNameGetsANewGeneration(t *testing.T) {
 	a, _ := mustAccept(t, nil, declaring(map[string]int{"x": 1}))
 	a, _ = mustAccept(t, a, declaring(map[string]int{"x": 2}))
@@ -156,12 +156,11 @@
 	}
 }
 
-// Symptom: a manifest that was found valid can't be stored, or not be sent from
-// daemon to daemon.
-// Sequence: new names on top of a full list of retired names and of writers;
-// many small workloads, which compress well, many with the longest names, which
-// do not, or few with large arguments, which do not either.
-// Cause: the room kept for what surrounds the document being too small.
+// A manifest that passes the checks must fit into the store and into a message
+// between daemons. It fails to if the space reserved for the fields beside the
+// document is too small. The manifests come on top of full lists of retired names
+// and of writers: many small workloads, which compress well, and many with the
+// longest names or few with large arguments, both of which compress badly.
 func TestLargestManifestFitsTheStore(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
@@ -194,10 +193,9 @@
 	}
 }
 
-// Symptom: an accepted manifest can't be written, for good.
-// Sequence: declarations that do not compress, smaller than a configuration may
-// be and larger than a value of the store may be.
-// Cause: taking it for granted that text compresses.
+// An accepted manifest must fit into a value of the store, or it could never be
+// written. Declarations that do not compress can be within the limit of the
+// encoded configuration and still exceed that of a stored value.
 func TestIncompressibleManifestIsRefused(t *testing.T) {
 	m := largest(incompressible)
 	n := len(m.Workloads)
@@ -215,11 +213,10 @@
 	}
 }
 
-// Symptom: a daemon that was started under an older version's configuration
-// knows none, or a damaged value ends the daemon or is taken for a configuration.
-// Sequence: the value was written before values were compressed; or bytes of it
-// changed, are missing or were added; or it decompresses without end.
-// Cause: trusting what the store holds.
+// Unmarshal must read an uncompressed value, as earlier versions stored it, or a
+// daemon started after an upgrade has no configuration. A value with changed,
+// missing or added bytes, or one that decompresses to more than the limit, must
+// return an error: it must neither crash the daemon nor be accepted.
 func TestStoredValues(t *testing.T) {
 	a, _ := mustAccept(t, nil, declaring(map[string]int{"a": 1, "b": 1}))
 	value, err := a.Marshal()
@@ -299,13 +296,14 @@
 	}
 }
 
-// longName returns a name of n bytes, which hardly compresses.
+// longName returns a name of n bytes that hardly compresses.
 func longName(prefix string, i, n int) string {
 	name := fmt.Sprintf("%s%05d", prefix, i)
 	return name + noise(uint64(i), n-len(name), "abcdefghijklmnopqrstuvwxyz0123456789")
 }
 
-// noise returns n random characters of alphabet, always the same for one seed.
+// noise returns n random characters of alphabet, which are the same for equal
+// seeds.
 func noise(seed uint64, n int, alphabet string) string {
 	random := rand.New(rand.NewPCG(seed, 0))
 	text := make([]byte, n)
@@ -315,7 +313,8 @@
 	return string(text)
 }
 
-// printable is every character that JSON writes as one byte.
+// printable returns every printable ASCII character that JSON encodes as one
+// byte.
 func printable() string {
 	var chars []byte
 	for c := byte(' '); c <= '~'; c++ {
@@ -326,13 +325,13 @@
 	return string(chars)
 }
 
-// shape is how the workloads of a manifest are made.
+// shape describes the workloads of a generated manifest.
 type shape struct{ workloads, nameBytes, argBytes int }
 
 var incompressible = shape{workloads: 400, nameBytes: manifest.MaxNameBytes, argBytes: 8 << 10}
 
-// largest returns the most workloads of a shape that are found valid; more of
-// them follow within the capacity of the slice.
+// largest returns a manifest with as many workloads of a shape as are valid. The
+// capacity of the slice of workloads holds the remaining ones.
 func largest(s shape) *manifest.Manifest {
 	tasks := make(map[string]int)
 	for i := range s.workloads {
@@ -353,8 +352,9 @@
 	return m
 }
 
-// fullEnvelope returns a configuration whose workloads, once removed, fill the
-// list of retired names.
+// fullEnvelope returns a configuration with the longest list of writers, whose
+// workloads fill the list of retired names once they are removed. Its numbers have
+// long encodings.
 func fullEnvelope(t *testing.T) *Accepted {
 	tasks := make(map[string]int)
 	for i := range MaxRetired {
--- a/core/config/accepted.go
+++ b/core/config/accepted.go
@@ -9,56 +9,61 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// MaxRetired bounds how many names no longer in use are remembered one by one.
+// MaxRetired is the maximum number of retired names that a configuration lists.
 const MaxRetired = 512
 
-// MaxWriters bounds how many of the latest acceptances name their writer.
+// MaxWriters is the number of latest revisions whose writers are kept.
 const MaxWriters = 16
 
-// Accepted is a configuration in force. It is immutable, and made by Decode,
-// Accept, Cancel and State only.
+// Accepted is one revision of the configuration. It is immutable and is created
+// only by Decode, Accept, Cancel and State.
 type Accepted struct {
 	Revision model.Revision
 	// Manifest is normalised.
 	Manifest *manifest.Manifest
 	// Workloads holds every workload of Manifest by name.
 	Workloads map[string]AcceptedWorkload
-	// Retired holds names that were removed lately and not declared since.
+	// Retired holds, by name, the most recently removed workloads that have not
+	// been declared again, at most MaxRetired.
 	Retired map[string]Retired
 	// GenerationFloor is at least the last generation of every name that is
 	// neither in Workloads nor in Retired.
 	GenerationFloor uint64
-	// Writers identify who made the latest revisions: Writers[i] made Revision
-	// less i. It is known only of what was decoded from the store or made by
-	// Accept and Cancel, and is no part of the hash.
+	// Writers holds the writer ids of the latest revisions, newest first:
+	// Writers[i] wrote revision Revision-i. It is empty in a configuration that
+	// was built from a delta of changes, and is not part of the hash.
 	Writers []string
 
 	teams map[string]teamRecord
 	hash  uint64
 }
 
-// AcceptedWorkload is what acceptance decided about a workload.
+// AcceptedWorkload is the state of an accepted workload: its declaration and the
+// values that Accept and Cancel assigned to it.
 type AcceptedWorkload struct {
-	// Generation grows whenever the declaration changes.
+	// Generation increases whenever the declaration changes.
 	Generation uint64
-	// Shards is over how many shards this generation's tasks are dealt.
+	// Shards is the number of shards over which the tasks of this generation
+	// are distributed.
 	Shards uint32
-	// Changed is the revision that made this generation.
+	// Changed is the revision that introduced this generation.
 	Changed model.Revision
-	// Cancelled is set when operators ended this generation. Sending the same
-	// declaration again does not bring it back; a changed one does.
+	// Cancelled is set if an operator cancelled this generation. Applying the
+	// same declaration again does not resume it; a changed declaration starts a
+	// new generation.
 	Cancelled bool
-	// Spec points into the Manifest.
+	// Spec points into the Manifest of the same Accepted.
 	Spec *manifest.Workload
 
 	digest uint64
 }
 
-// Retired is what is remembered of a name that was removed.
+// Retired is the record kept of a removed workload, so that its name does not
+// reuse a generation.
 type Retired struct {
-	// Generation is the last one that the name had.
+	// Generation is the last generation of the workload.
 	Generation uint64
-	// Changed is the revision that removed it.
+	// Changed is the revision that removed the workload.
 	Changed model.Revision
 }
 
@@ -67,16 +72,15 @@
 	digest uint64
 }
 
-// Hash returns a hash of everything but Writers. Configurations of the same
-// hash are taken to be the same.
+// Hash returns a hash of everything except Writers. Configurations with equal
+// hashes are considered equal.
 func (a *Accepted) Hash() uint64 { return a.hash }
 
-// Names returns the names of all workloads, sorted.
+// Names returns the sorted names of all workloads.
 func (a *Accepted) Names() []string { return slices.Sorted(maps.Keys(a.Workloads)) }
 
-// draft is a configuration being put together. Records may still point at
-// declarations of an older configuration; seal moves them into one new
-// manifest.
+// draft is a configuration under construction. Its records may still point to
+// declarations of an older configuration; seal copies these into a new manifest.
 type draft struct {
 	revision  model.Revision
 	cluster   string
@@ -87,7 +91,7 @@
 	writers   []string
 }
 
-// draftFrom copies a, or begins an empty configuration when a is nil.
+// draftFrom returns a draft with the contents of a, or an empty one if a is nil.
 func draftFrom(a *Accepted) *draft {
 	if a == nil {
 		return &draft{
@@ -107,9 +111,10 @@
 	}
 }
 
-// seal makes the draft immutable. Every record is pointed at the new manifest:
-// a pointer into an old one would keep all of it in memory for as long as one
-// workload stays unchanged.
+// seal returns the draft as an Accepted; the draft must not be used afterwards.
+// Every record is made to point into the new manifest, because a pointer into an
+// old manifest would keep all of it in memory for as long as one workload stays
+// unchanged.
 func (d *draft) seal() *Accepted {
 	a := &Accepted{
 		Revision:        d.revision,
@@ -149,12 +154,13 @@
 	return m
 }
 
-// putTeam declares a team.
+// putTeam adds or replaces a team.
 func (d *draft) putTeam(spec *manifest.Team) {
 	d.teams[spec.Name] = teamRecord{spec: spec, digest: digestOf(spec.Canonical())}
 }
 
-// putWorkload declares a workload under what was decided about it.
+// putWorkload adds or replaces a workload with the declaration spec and the
+// accepted values w, and removes its name from the retired ones.
 func (d *draft) putWorkload(spec *manifest.Workload, w AcceptedWorkload) {
 	w.Spec = spec
 	w.digest = digestOf(spec.Canonical())
@@ -162,14 +168,14 @@
 	delete(d.retired, spec.Name)
 }
 
-// retire removes a workload and remembers its generation.
+// retire removes a workload at revision at and records its last generation.
 func (d *draft) retire(name string, at model.Revision) {
 	d.retired[name] = Retired{Generation: d.workloads[name].Generation, Changed: at}
 	delete(d.workloads, name)
 }
 
-// nextGeneration returns the generation for a declaration under name that is
-// new or differs from the current one.
+// nextGeneration returns the generation for a new or changed declaration of the
+// workload called name.
 func (d *draft) nextGeneration(name string) uint64 {
 	if w, ok := d.workloads[name]; ok {
 		return w.Generation + 1
@@ -180,10 +186,11 @@
 	return d.floor + 1
 }
 
-// forgetOldest keeps at most MaxRetired retired names. Build pipelines that
-// name each release's jobs anew would otherwise fill the store's value with names
-// that never return, until nothing more can be accepted. A forgotten name's
-// generation goes into the floor, above which any unknown name begins.
+// forgetOldest removes the oldest retired names beyond MaxRetired. Without a
+// bound, build pipelines that give the jobs of each release new names would fill
+// the stored value with names that are never used again, until no manifest could
+// be accepted. The generation of a removed name raises the floor; the first
+// generation of any unknown name is above the floor.
 func (d *draft) forgetOldest() {
 	excess := len(d.retired) - MaxRetired
 	if excess <= 0 {
@@ -196,7 +203,8 @@
 	}
 }
 
-// byRetirement orders retired names by when they were removed, then by name.
+// byRetirement compares retired names by the revision that removed them, then
+// by name.
 func (d *draft) byRetirement(a, b string) int {
 	return cmp.Or(
 		cmp.Compare(d.retired[a].Changed, d.retired[b].Changed),
--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -8,16 +8,21 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// ApplyOp carries one operator's change through the store. It is driven by
-// Step, does one thing at a time and ends with one ApplyFinished.
+// ApplyOp is a state machine that applies one operator's change to the store.
+// The caller drives it with Step and executes the commands, at most one at a
+// time. It ends with one ApplyFinished.
 //
-// A compare-and-swap whose answer was lost may have taken effect, may take
-// effect later, or may never. The operation reads back and looks for its own
-// writer id at the revision it wrote, which later acceptances keep for a while.
-// Found: accepted. Another writer's there: it lost, for good, since the key's
-// mod revision has moved on. Key unchanged: the write may still be on its way,
-// so the same compare-and-swap is sent again; at most one of the two can take
-// effect, as both name the same mod revision.
+// A compare-and-swap whose response was lost may have taken effect, may take
+// effect later, or may never take effect. The operation then reads the key back
+// and looks up the writer of the revision that it wrote; the writers of the
+// latest MaxWriters revisions are stored:
+//   - Its own writer id: the change was accepted.
+//   - Another writer id: the write has failed for good, since the mod revision
+//     of the key has changed.
+//   - Key unchanged: the write may still be in flight. The same
+//     compare-and-swap is sent again; at most one of the two can take effect,
+//     since both are conditional on the same mod revision.
+//   - Writer no longer listed: the outcome is unknown if a response was lost.
 type ApplyOp struct {
 	decider decider
 	options ApplyOptions
@@ -26,7 +31,7 @@
 	pending *proposal
 	delay   time.Duration
 	wakeAt  time.Time
-	// cause is the latest failure of a call.
+	// cause is the error of the latest failed call.
 	cause error
 }
 
@@ -40,23 +45,25 @@
 	applyDone
 )
 
-// proposal is a configuration that was, or is to be, sent to the store.
+// proposal is a configuration that was sent, or is about to be sent, to the
+// store.
 type proposal struct {
 	next  *Accepted
 	diff  Diff
 	value []byte
 	head  []byte
-	// baseMod is the key's mod revision that the proposal replaces.
+	// baseMod is the mod revision of the key that the proposal replaces.
 	baseMod int64
-	// inFlight is set while a transaction with it awaits its answer.
+	// inFlight is set while a transaction with the proposal awaits its response.
 	inFlight bool
-	// inDoubt is set once such an answer was lost.
+	// inDoubt is set once the response to such a transaction was lost.
 	inDoubt bool
-	// lost is set when the store answered that the key had moved on.
+	// lost is set when the store reported that the mod revision of the key no
+	// longer matched.
 	lost bool
 }
 
-// NewApplyOp returns an operation that awaits ApplyBegin.
+// NewApplyOp returns an operation that starts with the event ApplyBegin.
 func NewApplyOp(request ApplyRequest, options ApplyOptions) *ApplyOp {
 	return &ApplyOp{
 		decider: decider{request: request},
@@ -65,8 +72,8 @@
 	}
 }
 
-// Step tells the operation of an event and returns what it wants done, at most
-// one command. Answers that it does not await are ignored.
+// Step processes an event and returns the commands to execute, at most one.
+// Responses that the operation does not wait for are ignored.
 func (op *ApplyOp) Step(now time.Time, ev ApplyEvent) []ApplyCommand {
 	switch ev := ev.(type) {
 	case ApplyBegin:
@@ -128,7 +135,8 @@
 	return op.propose(now, ev.KV.ModRevision, current)
 }
 
-// propose decides what to make of current and sends it.
+// propose derives the next configuration from current and sends it, or finishes
+// if there is nothing to send.
 func (op *ApplyOp) propose(now time.Time, mod int64, current *Accepted) []ApplyCommand {
 	next, diff, result := op.decider.decide(current)
 	if result != nil {
@@ -146,9 +154,9 @@
 	return op.commit(now)
 }
 
-// commit sends the pending proposal. The condition is on the configuration
-// alone: a head that was lost or changed by someone else must not keep changes
-// from being made, and is right again with the next one.
+// commit sends the pending proposal. The transaction is conditional on the
+// configuration key only: a head key that was deleted or overwritten must not
+// block changes, and the next change corrects it.
 func (op *ApplyOp) commit(now time.Time) []ApplyCommand {
 	if op.late(now) {
 		return op.giveUp()
@@ -175,8 +183,8 @@
 	return op.read(now)
 }
 
-// onCommitFailed counts every failure as in doubt that the store's adapter does
-// not call certain.
+// onCommitFailed marks the proposal as in doubt unless the store adapter reports
+// that the transaction was certainly not executed.
 func (op *ApplyOp) onCommitFailed(now time.Time, err error) []ApplyCommand {
 	var failed *port.StoreError
 	known := errors.As(err, &failed)
@@ -190,7 +198,8 @@
 	return op.retry(now, err)
 }
 
-// settle finds out from a read what became of the pending proposal.
+// settle determines the outcome of the pending proposal from a read that
+// returned current at mod revision mod.
 func (op *ApplyOp) settle(now time.Time, mod int64, current *Accepted) []ApplyCommand {
 	p := op.pending
 	if mod == p.baseMod {
@@ -229,7 +238,7 @@
 	return ApplyAccepted{Revision: op.pending.next.Revision, Diff: op.pending.diff, Config: op.pending.next}
 }
 
-// giveUp ends the operation with what is certain by now.
+// giveUp ends the operation with the result that is certain at this point.
 func (op *ApplyOp) giveUp() []ApplyCommand {
 	cause := op.cause
 	if cause == nil {
--- a/core/config/apply_test.go
+++ b/core/config/apply_test.go
@@ -26,11 +26,11 @@
 
 var testStart = time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 
-// memoryStore is two keys of the platform's store.
+// memoryStore is an in-memory store with the configuration key and the head key.
 type memoryStore struct {
 	kv, head port.KeyValue
 	revision int64
-	// history is what was stored, oldest first.
+	// history holds every stored configuration, oldest first.
 	history []*Accepted
 }
 
@@ -66,17 +66,17 @@
 	return port.TxnResult{Succeeded: true, Revision: s.revision}
 }
 
-// exchange is how a call to the store goes.
+// exchange is the outcome of a call to the store.
 type exchange int
 
 const (
-	// answered: carried out, and the answer arrives.
+	// answered: the call is executed and its response arrives.
 	answered exchange = iota
-	// answerLost: carried out, but the answer is lost.
+	// answerLost: the call is executed, but its response is lost.
 	answerLost
-	// delayed: the answer is lost, and a write is carried out only later.
+	// delayed: the response is lost, and a write is executed only later.
 	delayed
-	// notSent: it fails before it is sent.
+	// notSent: the call fails before it is sent.
 	notSent
 )
 
@@ -85,7 +85,8 @@
 	errNotSent = &port.StoreError{Call: "Txn", Kind: port.StoreUnavailable, Outcome: port.OutcomeNotDone}
 )
 
-// session runs operators against one store and records what happens.
+// session runs operators against one store and records their commands and the
+// responses.
 type session struct {
 	t     testing.TB
 	now   time.Time
@@ -94,7 +95,7 @@
 	rings []*timeline.Ring
 }
 
-// operator is one ApplyOp with the command that it waits for.
+// operator is one ApplyOp with its outstanding command.
 type operator struct {
 	*session
 	name    string
@@ -174,7 +175,7 @@
 	return fmt.Sprintf("%+v", r)
 }
 
-// run lets the outstanding command happen.
+// run executes the outstanding command with the given outcome.
 func (o *operator) run(how exchange) {
 	command := o.command
 	o.command = nil
@@ -214,7 +215,7 @@
 	}
 }
 
-// land carries out the delayed writes.
+// land executes the delayed writes.
 func (s *session) land() {
 	for _, c := range s.late {
 		s.store.txn(s.t, c)
@@ -243,11 +244,11 @@
 	return declaring(map[string]int{"orders": orders, "nightly": nightly})
 }
 
-// Symptom: an operator whose change is in force is told of a conflict.
-// Sequence: both mean to replace revision 1. A's write takes effect and its
-// answer is lost; B's write loses the race, B looks again and replaces A's
-// revision before A has read back.
-// Cause: judging by who wrote the configuration in force, which is B by now.
+// An operator must not get a conflict for a change that took effect. Both
+// operators replace revision 1. A's write takes effect but its response is lost;
+// B's write loses the race, and B replaces A's revision before A reads back. The
+// writer of the current revision is then B, so A's operation has to look up the
+// writer of the revision that it wrote.
 func TestRaceWithLostAnswer(t *testing.T) {
 	s := newSession(t)
 	a := s.operator("operator-a", ApplyRequest{Manifest: tasks(2, 1), Base: base(1)})
@@ -265,11 +266,10 @@
 	s.golden("race-lost-answer")
 }
 
-// Symptom: an operator is told of success, but another's change is in force and
-// theirs never was.
-// Sequence: A's write is delayed and its answer lost; B's write takes effect; A
-// reads back; then A's write arrives.
-// Cause: taking a lost answer for success, or a revision number for an author.
+// An operator must not get a success for a change that never took effect. A's
+// write is delayed and its response lost; B's write takes effect, A reads back,
+// and only then A's write arrives. The result is wrong if a lost response counts
+// as success, or if only the revision number is compared and not the writer.
 func TestRaceWithDelayedWrite(t *testing.T) {
 	s := newSession(t)
 	a := s.operator("operator-a", ApplyRequest{Manifest: tasks(2, 1)})
@@ -284,9 +284,9 @@
 	s.golden("race-delayed-write")
 }
 
-// Symptom: a change is made twice, or reported as not made and then appears.
-// Sequence: A's write is delayed; reading back shows the old configuration.
-// Cause: taking "not there yet" for "will never be there".
+// A change must not be made twice, nor be reported as not made and take effect
+// later. A's write is delayed, so A reads back the old configuration although the
+// write is still in flight.
 func TestDelayedWriteIsSentAgain(t *testing.T) {
 	s := newSession(t)
 	a := s.operator("operator-a", ApplyRequest{Manifest: tasks(2, 1)})
@@ -300,10 +300,10 @@
 	s.golden("delayed-write")
 }
 
-// Symptom: a cancellation ends work that was declared after it was sent.
-// Sequence: a cancellation loses the race to a manifest, once to one that
-// declares another workload anew and once to one that declares its own.
-// Cause: deciding again by name and not by generation.
+// A cancellation must not cancel a declaration that was made after it was sent.
+// One cancellation loses the race to a manifest that changes another workload,
+// and one to a manifest that changes its own workload. The second would cancel
+// the new declaration if it were retried by name instead of by generation.
 func TestCancelRacesManifests(t *testing.T) {
 	s := newSession(t)
 	other := s.operator("cancel-orders", ApplyRequest{Cancel: []string{"orders"}})
@@ -339,10 +339,10 @@
 	s.golden("outage")
 }
 
-// Symptom: an operator is told of a conflict although the change was in force.
-// Sequence: the answer is lost, and so many changes follow before the read back
-// that the stored configuration no longer names who made this one.
-// Cause: taking a writer that is not listed for one that never wrote.
+// An operator must not get a conflict for a change that was in force. The
+// response is lost, and more changes than MaxWriters covers follow before the
+// read back, so the stored configuration no longer lists the writer of this
+// change. A writer that is not listed may still have written.
 func TestWriterNoLongerListedIsUnknown(t *testing.T) {
 	s := newSession(t)
 	a := s.operator("a", ApplyRequest{Manifest: tasks(2, 1)})
@@ -374,8 +374,8 @@
 	a.step(ApplyCommitted{Result: port.TxnResult{Succeeded: true}})
 }
 
-// TestResultsAreTrue races operators through every kind of failed exchange and
-// compares what each was told with what the store ever held.
+// TestResultsAreTrue races operators with every outcome of their calls and
+// compares the result of each operator with everything that the store has held.
 func TestResultsAreTrue(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260302)
 	parameters.MinSuccessfulTests = 1500
@@ -416,7 +416,8 @@
 	return ""
 }
 
-// falseReport compares one operator's result with the store's history.
+// falseReport compares the result of one operator with the history of the store.
+// It returns a description of the difference, or an empty string.
 func (s *session) falseReport(o *operator) string {
 	var stored []model.Revision
 	for i, a := range s.store.history {
--- a/core/config/apply_types.go
+++ b/core/config/apply_types.go
@@ -10,54 +10,58 @@
 
 // ApplyRequest is one operator's change.
 type ApplyRequest struct {
-	// Manifest is to be accepted. When it is nil, the workloads named by Cancel
-	// are to be cancelled.
+	// Manifest is the manifest to accept. If it is nil, the request cancels the
+	// workloads named in Cancel.
 	Manifest *manifest.Manifest
 	Cancel   []string
-	// Base is the revision that the operator means to replace, 0 for none.
-	// When Base is nil it is whatever revision is read first.
+	// Base is the revision that the operator expects to replace; 0 means that
+	// no configuration exists. If Base is nil, the first revision that is read
+	// is the base.
 	Base *model.Revision
-	// Shards is how many shards the cluster has.
+	// Shards is the number of shards of the cluster.
 	Shards uint32
-	// Writer is an id that no other request has, without white space.
+	// Writer is an id that is unique to this request and holds no white space.
 	Writer string
-	// Known is the highest revision that this daemon has held.
+	// Known is the highest revision that this daemon has held. A lower stored
+	// revision ends the operation, with a RevisionLowerError as the cause.
 	Known model.Revision
 }
 
-// ApplyOptions says how an ApplyOp reaches the store.
+// ApplyOptions holds the store keys and the time limits of an ApplyOp.
 type ApplyOptions struct {
-	// Key is where the store keeps the configuration.
+	// Key is the store key of the configuration.
 	Key string
-	// HeadKey is where the store keeps the configuration's revision alone,
-	// written with each change, so that who polls needs not read it whole.
+	// HeadKey is the store key that holds only the revision. It is written with
+	// each change, so that pollers need not read the whole configuration.
 	HeadKey string
-	// Deadline ends the operation, with ApplyUnknown when it is not settled.
+	// Deadline ends the operation. The result is ApplyUnknown if a write was
+	// sent and its outcome is not known by then.
 	Deadline time.Time
-	// RetryDelay is waited after a failed call; it doubles up to MaxRetryDelay.
+	// RetryDelay is the delay after the first failed call. It doubles with each
+	// failure up to MaxRetryDelay.
 	RetryDelay    time.Duration
 	MaxRetryDelay time.Duration
 }
 
-// ApplyEvent is something that an ApplyOp is told.
+// ApplyEvent is an input of ApplyOp.Step.
 type ApplyEvent interface{ applyEvent() }
 
 // ApplyBegin starts the operation.
 type ApplyBegin struct{}
 
-// ApplyRead answers a ReadConfig.
+// ApplyRead is the response to a ReadConfig.
 type ApplyRead struct {
 	KV  port.KeyValue
 	Err error
 }
 
-// ApplyCommitted answers a CommitConfig.
+// ApplyCommitted is the response to a CommitConfig.
 type ApplyCommitted struct {
 	Result port.TxnResult
 	Err    error
 }
 
-// ApplyTick tells that time has passed.
+// ApplyTick reports that time has passed.
 type ApplyTick struct{}
 
 func (ApplyBegin) applyEvent()     {}
@@ -65,27 +69,27 @@
 func (ApplyCommitted) applyEvent() {}
 func (ApplyTick) applyEvent()      {}
 
-// ApplyCommand is something that an ApplyOp wants done. It wants one thing at a
-// time.
+// ApplyCommand is an action that the caller of ApplyOp.Step executes. At most
+// one command is outstanding at a time.
 type ApplyCommand interface{ applyCommand() }
 
-// ReadConfig asks for the value of Key; answer with ApplyRead.
+// ReadConfig requests the value of Key. The response is an ApplyRead.
 type ReadConfig struct {
 	Key string
 }
 
-// CommitConfig asks for one transaction; answer with ApplyCommitted.
+// CommitConfig requests one transaction. The response is an ApplyCommitted.
 type CommitConfig struct {
 	Conditions []port.Condition
 	Ops        []port.Op
 }
 
-// WaitUntil asks for an ApplyTick at or after Time.
+// WaitUntil requests an ApplyTick at or after Time.
 type WaitUntil struct {
 	Time time.Time
 }
 
-// ApplyFinished is the operation's end; nothing follows.
+// ApplyFinished ends the operation; no command follows it.
 type ApplyFinished struct {
 	Result ApplyResult
 }
@@ -95,47 +99,48 @@
 func (WaitUntil) applyCommand()     {}
 func (ApplyFinished) applyCommand() {}
 
-// ApplyResult is how an operation ended.
+// ApplyResult is the outcome of an ApplyOp.
 type ApplyResult interface{ applyResult() }
 
-// ApplyAccepted: the change is in the store as Revision.
+// ApplyAccepted reports that the change is stored as Revision.
 type ApplyAccepted struct {
 	Revision model.Revision
 	Diff     Diff
-	// Config is what was stored.
+	// Config is the stored configuration.
 	Config *Accepted
 }
 
-// ApplyNoChange: the store holds at Revision what the operator wants.
+// ApplyNoChange reports that the configuration stored at Revision already
+// matches the request.
 type ApplyNoChange struct {
 	Revision model.Revision
 }
 
-// ApplyConflict: the change was not made, and will not be, because another one
-// came before it.
+// ApplyConflict reports that the change was not made, and will not be, because
+// another change was made first.
 type ApplyConflict struct {
 	Base model.Revision
-	// Current is the revision in force, 0 when it could not be read, and
-	// Writer who made it, when that is known.
+	// Current is the stored revision, 0 if it could not be read or no
+	// configuration exists. Writer is the id of its writer, if known.
 	Current model.Revision
 	Writer  string
 }
 
-// ApplyRefused: the change was not made because it is not valid.
+// ApplyRefused reports that the change was not made because it is not valid.
 type ApplyRefused struct {
-	// Problems are listed when Cause is a *manifest.InvalidError.
+	// Problems is set if Cause is a *manifest.InvalidError.
 	Problems []manifest.Problem
 	Cause    error
 }
 
-// ApplyNotMade: the change was certainly not made, for a reason outside it. The
-// operator may send it again.
+// ApplyNotMade reports that the change was certainly not made, because of a
+// failure that is not in the change itself. The operator may send it again.
 type ApplyNotMade struct {
 	Cause error
 }
 
-// ApplyUnknown: the change may have been made or may still be made. It was if
-// the configuration numbered Revision is Writer's.
+// ApplyUnknown reports that the change may have been made or may still be made.
+// It was made if the configuration with revision Revision was written by Writer.
 type ApplyUnknown struct {
 	Revision model.Revision
 	Writer   string
@@ -149,7 +154,8 @@
 func (ApplyNotMade) applyResult()  {}
 func (ApplyUnknown) applyResult()  {}
 
-// DeadlineError ends an operation that was not settled in time.
+// DeadlineError reports that the deadline of an operation passed before its
+// outcome was known and without a failed call.
 type DeadlineError struct{}
 
 // Error implements error.
--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// benchWorkloads is the size of manifest that the benchmarks change.
+// benchWorkloads is the number of workloads in the manifest of the benchmarks.
 const benchWorkloads = 2000
 
 func benchManifest() *manifest.Manifest {
@@ -32,7 +32,8 @@
 	return m.Normalised()
 }
 
-// changedTasks returns m with other task counts for the first n workloads.
+// changedTasks returns a copy of m in which the first n workloads have the given
+// number of tasks.
 func changedTasks(m *manifest.Manifest, n, tasks int) *manifest.Manifest {
 	c := m.Normalised()
 	for i := range n {
@@ -82,7 +83,8 @@
 	}
 }
 
-// benchDelta returns a configuration and a delta from it with n changes.
+// benchDelta returns a configuration, a delta from it with n changes, and the
+// State that made the delta.
 func benchDelta(b *testing.B, n int) (*Accepted, *State, *peerv1.ConfigDelta) {
 	m := benchManifest()
 	before, _ := mustAccept(b, nil, m)
--- a/core/config/config_capacity_test.go
+++ b/core/config/config_capacity_test.go
@@ -14,9 +14,9 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// variedManifest is benchManifest with declarations that differ as those of
-// services and jobs do, each with the digest of a release, which does not
-// compress.
+// variedManifest returns benchManifest with declarations that vary like those of
+// real services and jobs. Each has the digest of a release among its arguments,
+// which does not compress.
 func variedManifest() *manifest.Manifest {
 	m := benchManifest()
 	random := rand.New(rand.NewPCG(1, 2))
@@ -34,8 +34,8 @@
 	return m.Normalised()
 }
 
-// BenchmarkCapacityStored is the bytes of a workload in the stored value, before
-// and after compression, for workloads that are alike and for varied ones.
+// BenchmarkCapacityStored reports the bytes per workload in the stored value,
+// before and after compression, for similar and for varied workloads.
 func BenchmarkCapacityStored(b *testing.B) {
 	for name, m := range map[string]*manifest.Manifest{"alike": benchManifest(), "varied": variedManifest()} {
 		b.Run(name, func(b *testing.B) {
@@ -53,9 +53,8 @@
 	}
 }
 
-// BenchmarkCapacityWorkloadHeap is the memory of a workload in the
-// configuration that a daemon decoded from the store. The team records are
-// included.
+// BenchmarkCapacityWorkloadHeap reports the heap bytes per workload of a
+// configuration decoded from the store, including the team records.
 func BenchmarkCapacityWorkloadHeap(b *testing.B) {
 	accepted, _ := mustAccept(b, nil, variedManifest())
 	stored, err := accepted.Marshal()
@@ -72,9 +71,9 @@
 	b.ReportMetric(perWorkload, "heap-B/workload")
 }
 
-// BenchmarkCapacityChange is the processor time and the bytes of one change:
-// for the daemon that accepts it, for one that reads the whole value, and for
-// one that takes the delta.
+// BenchmarkCapacityChange reports the processor time of one change for the daemon
+// that accepts it, for one that decodes the whole stored value, and for one that
+// applies the delta, and the bytes of the delta.
 func BenchmarkCapacityChange(b *testing.B) {
 	m := variedManifest()
 	current, _ := mustAccept(b, nil, m)
--- a/core/config/decision.go
+++ b/core/config/decision.go
@@ -7,21 +7,22 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// decider works out what an operator's change makes of the configuration that
-// was read. It may be asked again about a later one, and then answers for what
-// the operator saw first.
+// decider derives the next configuration from an operator's request and the
+// configuration that was read. It can decide again after a lost race; conflicts
+// are then still judged against the configuration that was read first.
 type decider struct {
 	request ApplyRequest
 	decided bool
-	// base is the revision that the change is for.
+	// base is the revision that the change replaces.
 	base model.Revision
-	// generations are those that a cancellation is for.
+	// generations holds, by workload, the generations that a cancellation ends.
 	generations map[string]uint64
 }
 
-// decide returns the next configuration, or how the operation ends. When
-// nothing would change it ends so whatever its base is: an operator who sends
-// again after a lost answer must not be told of a conflict with themself.
+// decide returns the next configuration, or the result with which the operation
+// ends. If nothing would change, the result is ApplyNoChange whatever the base
+// is: an operator who repeats a request after a lost response must not get a
+// conflict with their own change.
 func (d *decider) decide(current *Accepted) (*Accepted, Diff, ApplyResult) {
 	d.pin(current)
 	next, diff, err := d.derive(current)
@@ -44,7 +45,8 @@
 	return Accept(current, d.request.Manifest, d.request.Shards, d.request.Writer)
 }
 
-// pin keeps what the first configuration read was.
+// pin records, on the first call, the base revision and the generations of the
+// workloads to cancel.
 func (d *decider) pin(current *Accepted) {
 	if d.decided {
 		return
@@ -67,9 +69,10 @@
 	return generations
 }
 
-// conflicts reports whether another change came between. A cancellation whose
-// base was left open bears any change but one to the workloads it names: it
-// would otherwise end a declaration that the operator has not seen.
+// conflicts reports whether another change was made since the base. A
+// cancellation without a requested base conflicts only with changes of the
+// workloads that it names, since it would otherwise cancel a declaration that
+// the operator has not seen.
 func (d *decider) conflicts(current *Accepted) bool {
 	if d.request.Manifest != nil || d.request.Base != nil {
 		return CheckBase(current, d.base) != nil
@@ -100,8 +103,8 @@
 	return result
 }
 
-// WriterOf returns who made the given revision, and whether that is still
-// known.
+// WriterOf returns the writer id of the given revision, and whether it is
+// known. Only the writers of the latest MaxWriters revisions are kept.
 func (a *Accepted) WriterOf(revision model.Revision) (string, bool) {
 	if revision > a.Revision || a.Revision-revision >= model.Revision(len(a.Writers)) {
 		return "", false
--- a/core/config/delta.go
+++ b/core/config/delta.go
@@ -7,7 +7,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// wholeDelta carries all of a.
+// wholeDelta returns a delta that holds the whole of a.
 func wholeDelta(a *Accepted) *peerv1.ConfigDelta {
 	return &peerv1.ConfigDelta{
 		Revision: uint64(a.Revision),
@@ -16,8 +16,8 @@
 	}
 }
 
-// deltaOf carries the subjects of a as they are, for receivers at base or any
-// later revision.
+// deltaOf returns a delta with the state in a of the given subjects. It applies
+// to receivers at base or any later revision.
 func deltaOf(a *Accepted, base model.Revision, subjects []string) *peerv1.ConfigDelta {
 	d := &peerv1.ConfigDelta{
 		BaseRevision: uint64(base),
@@ -56,8 +56,9 @@
 	return &peerv1.WorkloadChange{Name: subject, Declaration: t.spec.Canonical()}
 }
 
-// workloadChange leaves the declaration out when it is no newer than base: the
-// receiver has it. A burst of cancellations costs a few bytes each.
+// workloadChange omits the declaration if it is not newer than base, since the
+// receiver already has it. Each change in a burst of cancellations is therefore
+// only a few bytes.
 func workloadChange(w AcceptedWorkload, base model.Revision, name string) *peerv1.WorkloadChange {
 	change := &peerv1.WorkloadChange{Name: name, Accepted: w.encode("")}
 	if w.Changed > base {
@@ -66,7 +67,7 @@
 	return change
 }
 
-// apply makes one change. An error is a *DecodeError.
+// apply applies one change to the draft. The error is a *DecodeError.
 func (d *draft) apply(change *peerv1.WorkloadChange) error {
 	name := change.GetName()
 	if name == floorName {
@@ -124,8 +125,8 @@
 	return nil
 }
 
-// applyDecision changes what was decided about a workload whose declaration
-// the receiver has.
+// applyDecision replaces the accepted values of a workload and keeps the
+// declaration that the receiver already has.
 func (d *draft) applyDecision(name string, decided AcceptedWorkload) error {
 	have, ok := d.workloads[name]
 	if !ok {
--- a/core/config/doc.go
+++ b/core/config/doc.go
@@ -1,26 +1,27 @@
-// Package config decides what acceptance of a manifest means, and carries the
-// accepted configuration between daemons as changes per workload.
+// Package config turns accepted manifests into revisions of the configuration
+// and replicates them between daemons as deltas.
 //
-// An Accepted is one configuration under a revision that grows by one with each
-// acceptance. Accept and Cancel derive the next one from the current one.
-// Every workload in it has a generation, which grows whenever its declaration
-// changes, and the number of shards over which that generation is dealt. A name
-// that was removed and returns gets a higher generation than it ever had: its
-// tasks would otherwise share keys with those of the old one, and a task that
-// had ended would be taken for done.
+// An Accepted is one revision of the configuration. Accept and Cancel derive
+// the next revision, which is one higher, from the current one. Every workload
+// has a generation, which increases whenever its declaration changes, and the
+// number of shards over which the tasks of that generation are distributed. If
+// a removed name is declared again, its generation is higher than any it had
+// before. Otherwise the new tasks would share keys with the old ones, and a task
+// that never ran would be considered done because its predecessor had ended.
 //
-// ApplyOp carries one acceptance or cancellation through the store: it reads
-// the stored configuration, decides, and replaces it by one compare-and-swap.
-// The value is compressed; a head key beside it holds the revision alone, for
-// those who only ask whether there is something new.
-// Operators race each other and answers get lost, so its Result says which of
-// accepted, no change, conflict, refused, not applied or unknown is the case,
-// and never guesses.
+// ApplyOp applies one acceptance or cancellation to the store: it reads the
+// stored configuration, derives the next revision, and writes it with one
+// compare-and-swap. The stored value is compressed. A separate head key holds
+// only the revision, so that pollers need not read the whole value. Operators
+// race each other and responses get lost, so the ApplyResult distinguishes
+// accepted, no change, conflict, refused, not made and unknown. It reports
+// unknown whenever the outcome is not certain.
 //
-// State is what one daemon holds. It only moves to higher revisions. It answers
-// a peer that is behind with the subjects (workloads, teams, retired names)
-// that changed since the peer's revision, and checks each delta that it applies
-// against the sender's hash of the whole.
+// State is the configuration that one daemon holds. Its revision never
+// decreases. For a peer with an older revision it returns a delta of the
+// subjects (workloads, teams, retired names) that changed since then. It
+// verifies each delta that it applies against the sender's hash of the whole
+// configuration.
 //
 // The package does no I/O. Values of type Accepted are immutable.
 package config
--- a/core/config/encode.go
+++ b/core/config/encode.go
@@ -10,14 +10,16 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// floorName is under what the generation floor stands among retired names. No
-// workload's name is empty.
+// floorName is the name under which the generation floor is encoded among the
+// retired names. No workload has an empty name.
 const floorName = ""
 
-// writerSeparator stands between writer ids, newest first.
+// writerSeparator separates the encoded writer ids, which are ordered from
+// newest to oldest.
 const writerSeparator = " "
 
-// Encode returns the configuration as the store keeps it.
+// Encode returns the configuration as the message that is stored and sent to
+// peers.
 func (a *Accepted) Encode() *ledgerv1.Manifest {
 	m := &ledgerv1.Manifest{
 		Revision:  uint64(a.Revision),
@@ -55,7 +57,7 @@
 	}
 }
 
-// Decode reads what Encode wrote. An error is a *DecodeError.
+// Decode decodes a message returned by Encode. The error is a *DecodeError.
 func Decode(m *ledgerv1.Manifest) (*Accepted, error) {
 	if m.GetRevision() == 0 {
 		return nil, &DecodeError{Kind: DecodeRevision}
--- a/core/config/errors.go
+++ b/core/config/errors.go
@@ -6,12 +6,11 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// ConflictError refuses a change that was meant to replace another revision
-// than the current one.
+// ConflictError rejects a change whose base is not the current revision.
 type ConflictError struct {
-	// Base is the revision that the operator meant to replace; 0 is none.
+	// Base is the revision that the operator expected to replace; 0 means none.
 	Base model.Revision
-	// Current is the revision in force; 0 is none.
+	// Current is the revision in force; 0 means none.
 	Current model.Revision
 }
 
@@ -20,15 +19,16 @@
 	return fmt.Sprintf("config conflict: change is for revision %d, current is %d", e.Base, e.Current)
 }
 
-// NoShardsError refuses a manifest while the cluster has no shard to which its
-// tasks could be dealt, because no worker has been seen yet.
+// NoShardsError rejects a manifest while the cluster has no shards to which its
+// tasks could be assigned, because no worker has been discovered yet.
 type NoShardsError struct{}
 
 // Error implements error.
 func (*NoShardsError) Error() string { return "config: the cluster has no shards yet" }
 
-// WriterError refuses a writer id that could not be told from others when it
-// is read back.
+// WriterError rejects a writer id that could not be recognised in the stored
+// list of writers: one that is empty, longer than 128 bytes, not valid UTF-8 or
+// contains white space.
 type WriterError struct {
 	Writer string
 }
@@ -38,29 +38,28 @@
 	return fmt.Sprintf("config: writer id %q is empty, too long, not text or holds white space", e.Writer)
 }
 
-// DecodeErrorKind sorts what can be wrong with a stored or received
-// configuration.
+// DecodeErrorKind classifies the faults of a stored or received configuration.
 type DecodeErrorKind string
 
 // The kinds of DecodeError.
 const (
-	// DecodeDocument: the manifest's document or a declaration is unreadable.
+	// DecodeDocument: the manifest document or a declaration cannot be decoded.
 	DecodeDocument DecodeErrorKind = "document unreadable"
-	// DecodeEnvelope: the stored value is not the expected message.
+	// DecodeEnvelope: the stored value is not a message of the expected type.
 	DecodeEnvelope DecodeErrorKind = "envelope unreadable"
-	// DecodeCompression: the stored value does not decompress, or to more than
-	// a configuration may have.
+	// DecodeCompression: the stored value cannot be decompressed, or decompresses
+	// to more than manifest.MaxEncodedBytes.
 	DecodeCompression DecodeErrorKind = "value does not decompress"
-	// DecodeRecords: the records do not fit the document.
+	// DecodeRecords: the records do not match the document.
 	DecodeRecords DecodeErrorKind = "records and document differ"
-	// DecodeRevision: the revision is 0 or does not fit its base.
+	// DecodeRevision: the revision is 0 or differs from the delta's.
 	DecodeRevision DecodeErrorKind = "impossible revision"
 )
 
-// DecodeError is a configuration that cannot be used.
+// DecodeError reports a stored or received configuration that cannot be decoded.
 type DecodeError struct {
 	Kind DecodeErrorKind
-	// Subject is the workload, team or key concerned.
+	// Subject is the affected workload, team or store key.
 	Subject string
 	Cause   error
 }
@@ -80,7 +79,8 @@
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// HashError is a delta whose result is not what the sender holds.
+// HashError reports a delta whose result differs from the sender's configuration.
+// Want is the sender's hash and Have the hash of the result.
 type HashError struct {
 	Base     model.Revision
 	Revision model.Revision
@@ -93,10 +93,10 @@
 	return fmt.Sprintf("config: delta from %d to %d gives hash %016x, sender has %016x", e.Base, e.Revision, e.Have, e.Want)
 }
 
-// RevisionLowerError is a store that holds a lower revision than this daemon
-// has seen, as after it was restored from a backup. Daemons never move to a
-// lower revision, so what would be accepted on top of it would not come into
-// force.
+// RevisionLowerError reports that the store holds a lower revision than this
+// daemon has held, for example after the store was restored from a backup.
+// Daemons never move to a lower revision, so a change accepted on top of the
+// stored one would not come into force.
 type RevisionLowerError struct {
 	Stored model.Revision
 	Known  model.Revision
--- a/core/config/hash.go
+++ b/core/config/hash.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Domains keep equal fields of different kinds of record from hashing alike.
+// The domain is the first byte of each hashed record, so that records of
+// different kinds with equal fields have different hashes.
 const (
 	domainHeader byte = iota + 1
 	domainTeam
@@ -16,9 +17,10 @@
 
 func digestOf(declaration []byte) uint64 { return xxhash.Sum64(declaration) }
 
-// hashAccepted sums the hashes of all records, so that it needs no order and
-// costs a few machine words a workload: declarations enter by the digest that
-// was taken when they were read.
+// hashAccepted returns the sum of the hashes of all records. A sum does not
+// depend on the order of the records. Declarations are hashed by the digest that
+// was computed when they were read, so only a few machine words are hashed per
+// workload.
 func hashAccepted(a *Accepted) uint64 {
 	sum := hashRecord(domainHeader, a.Manifest.Cluster, uint64(a.Revision), a.GenerationFloor)
 	for name, t := range a.teams {
--- a/core/config/helpers_test.go
+++ b/core/config/helpers_test.go
@@ -14,8 +14,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// declaring returns a manifest with a batch job of the given number of tasks
-// for each name.
+// declaring returns a manifest with one batch job for each name in tasks, which
+// gives its number of tasks.
 func declaring(tasks map[string]int) *manifest.Manifest {
 	m := &manifest.Manifest{Cluster: "c", Teams: []manifest.Team{{Name: "t"}}}
 	for _, name := range slices.Sorted(maps.Keys(tasks)) {
@@ -45,7 +45,8 @@
 	return next, diff
 }
 
-// differ compares all but the writers, which deltas do not carry.
+// differ returns the difference between two configurations, or an empty string.
+// It ignores the writers, which deltas do not include.
 func differ(a, b *Accepted) string {
 	ea, eb := a.Encode(), b.Encode()
 	ea.Writer, eb.Writer = "", ""
--- a/core/config/history.go
+++ b/core/config/history.go
@@ -6,32 +6,34 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// MaxHistory bounds how many changes of subjects a State remembers. A peer
-// that is further behind is sent the whole configuration.
+// MaxHistory is the maximum number of changes of subjects that a State keeps. A
+// peer whose revision is older than these changes gets the whole configuration.
 const MaxHistory = 4096
 
-// history remembers at which revision each subject last changed, for the
-// revisions above since.
+// history records the revision at which each subject last changed, for revisions
+// above since.
 type history struct {
 	since   model.Revision
 	entries []historyEntry
 	latest  map[string]model.Revision
 }
 
-// historyEntry is void when its subject changed again later.
+// historyEntry is one change of a subject. It is obsolete if the subject changed
+// again later.
 type historyEntry struct {
 	revision model.Revision
 	subject  string
 }
 
-// restart forgets everything: what changed before revision is not known.
+// restart clears the history; changes up to revision are not known afterwards.
 func (h *history) restart(revision model.Revision) {
 	h.since = revision
 	h.entries = nil
 	h.latest = make(map[string]model.Revision)
 }
 
-// add records that the subjects changed at revision, which is the highest yet.
+// add records that the subjects changed at revision, which must be higher than
+// any added before.
 func (h *history) add(revision model.Revision, subjects []string) {
 	for _, subject := range subjects {
 		h.entries = append(h.entries, historyEntry{revision: revision, subject: subject})
@@ -54,8 +56,8 @@
 	h.entries = slices.Delete(h.entries, 0, excess)
 }
 
-// after returns, sorted, the subjects that changed after base. The second
-// result is false when that is no longer known.
+// after returns the sorted subjects that changed after base. The second result
+// is false if the history does not reach back to base.
 func (h *history) after(base model.Revision) ([]string, bool) {
 	if base < h.since {
 		return nil, false
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -5,43 +5,47 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// DeltaResult says what became of a delta.
+// DeltaResult is the outcome of State.ApplyDelta.
 type DeltaResult string
 
 // The results of State.ApplyDelta.
 const (
 	// DeltaInstalled: the delta's revision is now current.
 	DeltaInstalled DeltaResult = "installed"
-	// DeltaAlready: the current revision is the delta's or higher.
+	// DeltaAlready: the current revision is at least the delta's.
 	DeltaAlready DeltaResult = "already installed"
-	// DeltaGap: the delta begins above the current revision. A delta from the
-	// current revision is needed; DeltaSince of it gives that or the whole.
+	// DeltaGap: the delta's base is above the current revision. A peer's
+	// DeltaSince, called with the current revision, returns a usable delta or
+	// the whole configuration.
 	DeltaGap DeltaResult = "begins above the current revision"
-	// DeltaNeedWhole: nothing is held, or the delta is damaged or does not
-	// lead to what its sender holds. The whole is needed.
+	// DeltaNeedWhole: no configuration is held yet, or the delta is damaged, or
+	// its result differs from the sender's configuration. The whole
+	// configuration is needed.
 	DeltaNeedWhole DeltaResult = "whole needed"
 )
 
-// State is the configuration that one daemon holds, with what is needed to
-// bring peers up to date. It never moves to a lower revision. It is not safe
-// for concurrent use; what Current returns is.
+// State is the configuration that one daemon holds, with the history of recent
+// changes from which deltas for peers are made. Its revision never decreases.
+// It is not safe for concurrent use; the value returned by Current is.
 type State struct {
 	current *Accepted
 	history history
 }
 
-// NewState returns a state that holds no configuration.
+// NewState returns a State that holds no configuration.
 func NewState() *State { return &State{} }
 
-// Current returns the configuration in force here, nil until one is known.
+// Current returns the configuration in force on this daemon, or nil if none has
+// been installed.
 func (s *State) Current() *Accepted { return s.current }
 
-// Revision returns the current revision, 0 until one is known.
+// Revision returns the current revision, or 0 if no configuration has been
+// installed.
 func (s *State) Revision() model.Revision { return revisionOf(s.current) }
 
-// InstallStored takes a configuration that was read from the store. It returns
-// false, and changes nothing, unless a is newer than the current one: a read
-// that was delayed, or a store restored from a backup, must not bring an old
+// InstallStored installs a configuration that was read from the store. It
+// returns false, and changes nothing, unless a is newer than the current one: a
+// delayed read, or a store restored from a backup, must not bring an old
 // configuration back into force.
 func (s *State) InstallStored(a *Accepted) bool {
 	if a == nil || a.Revision <= s.Revision() {
@@ -60,10 +64,12 @@
 	s.current = a
 }
 
-// DeltaSince returns what brings a peer at base, or at any revision from base
-// to the current one, to the current one. It is whole when base is 0 or too old
-// and nil when there is nothing newer than base. Pass 0 for a peer that asked
-// for the whole.
+// DeltaSince returns a delta that moves a peer to the current revision from
+// base or from any revision between the two. The delta holds the whole
+// configuration if base is 0, if base is older than the history, or if the
+// changes are at least as many as the subjects of the whole. DeltaSince returns
+// nil if there is nothing newer than base. Pass 0 for a peer that requested the
+// whole configuration.
 func (s *State) DeltaSince(base model.Revision) *peerv1.ConfigDelta {
 	if base >= s.Revision() {
 		return nil
@@ -75,22 +81,23 @@
 	return deltaOf(s.current, base, subjects)
 }
 
-// size is how many subjects a whole carries.
+// size returns the number of workloads and teams in the current configuration.
 func (s *State) size() int {
 	return len(s.current.Workloads) + len(s.current.teams)
 }
 
-// ApplyDelta moves to the delta's revision. Unless the result is
-// DeltaInstalled, the state is as before.
+// ApplyDelta moves the state to the delta's revision. The state is unchanged
+// unless the result is DeltaInstalled.
 //
-// Every delta is checked by hash. Without that, a damaged one, or one that was
-// made against a configuration which only shares its number with the one held
-// here, would leave a daemon running a mixture that no operator ever wrote,
-// under the newest revision, so that nothing would ever repair it.
+// Every delta is verified by hash. Otherwise a damaged delta, or one made
+// against a different configuration with the same revision number, would leave
+// a daemon with a mixture that no operator ever declared. As that mixture would
+// have the newest revision, no later exchange would repair it.
 //
 // The error says why a delta was not usable: a *DecodeError or a *HashError. A
-// *HashError beside DeltaAlready means that the sender holds something else
-// under the same revision; only the store can tell who is right.
+// *HashError together with DeltaAlready means that the sender holds a different
+// configuration under the same revision; only the store can tell which of the
+// two is right.
 func (s *State) ApplyDelta(d *peerv1.ConfigDelta) (DeltaResult, error) {
 	revision := model.Revision(d.GetRevision())
 	if revision <= s.Revision() {
--- a/core/config/state_test.go
+++ b/core/config/state_test.go
@@ -16,14 +16,14 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// chain is a succession of configurations with, for each, a state that went
-// through all of them in turn.
+// chain is a sequence of configurations. For each of them it has a State that
+// installed all configurations up to it.
 type chain struct {
 	accepted []*Accepted
 	states   []*State
 }
 
-// newChain makes one configuration of each edit that changes anything.
+// newChain makes one configuration for each edit that has an effect.
 func newChain(t testing.TB, edits []uint16) *chain {
 	m := declaring(map[string]int{"w-0": 1, "w-1": 1, "w-2": 1})
 	a, _ := mustAccept(t, nil, m)
@@ -82,14 +82,14 @@
 
 func (c *chain) pick(code uint16) int { return int(code) % len(c.accepted) }
 
-// delta returns what a daemon at one revision sends to a peer at another.
+// delta returns the delta that a daemon at revision to sends to a peer at base.
 func (c *chain) delta(to, base uint16) *peerv1.ConfigDelta {
 	return c.states[c.pick(to)].DeltaSince(c.accepted[c.pick(base)].Revision)
 }
 
 func (c *chain) whole(to uint16) *peerv1.ConfigDelta { return c.states[c.pick(to)].DeltaSince(0) }
 
-// damaged returns a delta that does not lead to its hash.
+// damaged returns a copy of d whose result does not match its hash.
 func damaged(d *peerv1.ConfigDelta, how uint16) *peerv1.ConfigDelta {
 	d = proto.CloneOf(d)
 	if len(d.GetChanges()) == 0 {
@@ -109,8 +109,8 @@
 	return d
 }
 
-// deliver returns the message that the code asks for; nil stands for a read of
-// the store.
+// deliver returns the message that code selects, and its condition. A nil message
+// stands for a read of the store.
 func (c *chain) deliver(fork *chain, code []uint16) (*peerv1.ConfigDelta, condition) {
 	to, base := code[1], code[2]
 	switch code[0] % 6 {
@@ -131,18 +131,18 @@
 	return nil, sound
 }
 
-// condition is what is known of a message.
+// condition classifies a message by the result to expect from it.
 type condition int
 
 const (
 	sound condition = iota
 	unusable
-	// doubtful: its changes come from another history but may happen to fit.
+	// doubtful: the changes come from another history but may happen to apply.
 	doubtful
 )
 
-// judge hands the message to the receiver and compares the result with the
-// message's condition.
+// judge applies the message to the receiver and compares the result with the
+// condition. It returns a description of the fault, or an empty string.
 func (c condition) judge(s *State, d *peerv1.ConfigDelta, before *Accepted) string {
 	result, err := s.ApplyDelta(d)
 	switch {
@@ -156,8 +156,8 @@
 	return ""
 }
 
-// TestAnyDeliveryEndsAtTheNewest hands a daemon deltas, wholes, duplicates, old
-// and damaged messages and reads of the store in any order.
+// TestAnyDeliveryEndsAtTheNewest applies deltas, whole configurations,
+// duplicates, old and damaged messages and reads of the store in random order.
 func TestAnyDeliveryEndsAtTheNewest(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260301)
 	parameters.MinSuccessfulTests = 400
@@ -208,8 +208,9 @@
 	return ""
 }
 
-// finish lets the receiver catch up from its revision, and from the whole when
-// it asks for that.
+// finish sends the receiver a delta from its revision, and the whole
+// configuration if the delta is not usable, and checks that it reached the newest
+// revision.
 func (c *chain) finish(s *State) string {
 	newest := uint16(len(c.accepted) - 1)
 	if d := c.states[newest].DeltaSince(s.Revision()); d != nil {
@@ -223,9 +224,9 @@
 	return c.check(s)
 }
 
-// Symptom: a daemon runs a mixture of two configurations and never notices.
-// Sequence: a delta loses a change on its way; its revision is the newest.
-// Cause: trusting the revision without comparing the outcome.
+// A daemon must not run a mixture of two configurations. A delta to the newest
+// revision loses one change in transit; only the hash of the result shows it, as
+// the revision is right.
 func TestDamagedDeltaAsksForTheWhole(t *testing.T) {
 	c := newChain(t, []uint16{5, 14, 23, 6})
 	sender, s := c.states[len(c.states)-1], NewState()
--- a/core/config/stored.go
+++ b/core/config/stored.go
@@ -9,16 +9,16 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// deterministic gives equal configurations equal values.
+// deterministic encodes equal configurations as equal bytes.
 var deterministic = proto.MarshalOptions{Deterministic: true}
 
-// Marshal returns the value to put into the store: the encoded message,
-// compressed. An error is a *DecodeError.
+// Marshal returns the value to store: the encoded message, compressed. The error
+// is a *DecodeError.
 //
-// The document and all else are members of their own. So the value's size is
-// the sum of theirs, and a manifest can be found too large for the store before
-// it is known what surrounds it there; the joined encodings of a message's parts
-// are the encoding of the message.
+// The document and the remaining fields are compressed as two gzip members. The
+// size of the value is the sum of theirs, so a manifest that is too large for
+// the store is detected before the remaining fields are known. The concatenated
+// encodings of two parts of a protobuf message decode as the message.
 func (a *Accepted) Marshal() ([]byte, error) {
 	rest := a.Encode()
 	document := &ledgerv1.Manifest{Document: rest.GetDocument()}
@@ -34,8 +34,9 @@
 	return value, nil
 }
 
-// Unmarshal reads a value of the store, compressed or as it was before values
-// were. A key that does not exist gives nil. An error is a *DecodeError.
+// Unmarshal decodes a stored value. It also accepts an uncompressed value, as
+// earlier versions stored it. For a key that does not exist it returns nil. The
+// error is a *DecodeError.
 func Unmarshal(kv port.KeyValue) (*Accepted, error) {
 	if kv.ModRevision == 0 {
 		return nil, nil
@@ -54,8 +55,8 @@
 	return Decode(m)
 }
 
-// MarshalHead returns the value of the head key: the revision alone, as a
-// message of the same type without anything else. An error is a *DecodeError.
+// MarshalHead returns the value of the head key: a message of the same type in
+// which only the revision is set. The error is a *DecodeError.
 func MarshalHead(revision model.Revision) ([]byte, error) {
 	value, err := deterministic.Marshal(&ledgerv1.Manifest{Revision: uint64(revision)})
 	if err != nil {
@@ -64,8 +65,8 @@
 	return value, nil
 }
 
-// UnmarshalHead reads what MarshalHead wrote. A key that does not exist gives
-// 0. An error is a *DecodeError.
+// UnmarshalHead decodes a value returned by MarshalHead. For a key that does not
+// exist it returns 0. The error is a *DecodeError.
 func UnmarshalHead(kv port.KeyValue) (model.Revision, error) {
 	if kv.ModRevision == 0 {
 		return 0, nil
--- a/core/config/subject.go
+++ b/core/config/subject.go
@@ -6,16 +6,17 @@
 	"strings"
 )
 
-// A subject is the name under which a delta carries one part of the
-// configuration: a workload's own name, a team's after teamPrefix, or
-// floorName for the generation floor. The names of workloads hold no slash.
+// teamPrefix precedes the name of a team in its subject. A subject is the name
+// of one part of the configuration in a delta: the name of a workload, teamPrefix
+// and the name of a team, or floorName for the generation floor. Subjects of
+// teams and workloads differ, because names of workloads contain no slash.
 const teamPrefix = "team/"
 
 func teamSubject(team string) string { return teamPrefix + team }
 
 func teamOf(subject string) (string, bool) { return strings.CutPrefix(subject, teamPrefix) }
 
-// changedSubjects returns, sorted, the subjects that differ between two
+// changedSubjects returns the sorted subjects that differ between two
 // configurations.
 func changedSubjects(from, to *Accepted) []string {
 	changed := make(map[string]bool)
@@ -39,8 +40,8 @@
 
 func sameRetired(a, b Retired) bool { return a == b }
 
-// compareMaps marks the subjects of keys that are in one map only, or whose
-// values are not the same.
+// compareMaps adds to changed the subjects of the keys that are in only one of
+// the maps or whose values differ.
 func compareMaps[V any](changed map[string]bool, from, to map[string]V, subject func(string) string, same func(a, b V) bool) {
 	for name, now := range to {
 		if before, ok := from[name]; !ok || !same(before, now) {
