--- a/core/config/accept_test.go
+++ b/core/config/accept_test.go
@@ -29,10 +29,10 @@
 		t.Error(d)
 	}
 	if a := second.Workloads["a"]; a.Generation != 1 || a.Changed != 1 {
-		t.Errorf("unchanged workload became %+v", a)
+		t.Errorf("unchanged workload is now %+v", a)
 	}
 	if b := second.Workloads["b"]; b.Generation != 2 || b.Changed != 2 || b.Shards != 4 || b.Spec.Tasks != 2 {
-		t.Errorf("changed workload became %+v", b)
+		t.Errorf("changed workload is now %+v", b)
 	}
 	same, diff := mustAccept(t, second, declaring(map[string]int{"d": 1, "b": 2, "a": 1}))
 	if same != second || !diff.Empty() {
@@ -40,11 +40,11 @@
 	}
 	for i := range second.Manifest.Workloads {
 		if spec := &second.Manifest.Workloads[i]; second.Workloads[spec.Name].Spec != spec {
-			t.Errorf("%s: an older manifest is kept in memory", spec.Name)
+			t.Errorf("%s: the declaration belongs to an older manifest", spec.Name)
 		}
 	}
 	if d := differ(second, reread(t, second)); d != "" || reread(t, second).Hash() != second.Hash() {
-		t.Error("changed by the store: " + d)
+		t.Error("changed by encoding and decoding: " + d)
 	}
 	if d := cmp.Diff([]string{"writer-2", "writer-1"}, reread(t, second).Writers); d != "" {
 		t.Error(d)
@@ -76,7 +76,7 @@
 	a = reread(t, a)
 	back, _ := mustAccept(t, a, declaring(map[string]int{"x": 1}))
 	if g := back.Workloads["x"].Generation; g <= 2 {
-		t.Errorf("generation %d after being forgotten, had 2 before", g)
+		t.Errorf("generation %d after removal from the retired names, had 2 before", g)
 	}
 }
 
@@ -91,14 +91,14 @@
 		t.Error("a second cancellation changed something")
 	}
 	if resent, _ := mustAccept(t, cancelled, m); resent != cancelled {
-		t.Error("sending the same manifest brought cancelled work back")
+		t.Error("accepting the same manifest resumed cancelled workloads")
 	}
 	changed, _ := mustAccept(t, cancelled, declaring(map[string]int{"a": 2, "b": 1}))
 	if a, b := changed.Workloads["a"], changed.Workloads["b"]; a.Cancelled || a.Generation != 2 || !b.Cancelled {
 		t.Errorf("a %+v, b %+v", a, b)
 	}
 	if first.Workloads["a"].Cancelled {
-		t.Error("an accepted configuration was changed in place")
+		t.Error("an accepted configuration was modified")
 	}
 }
 
@@ -140,11 +140,11 @@
 func TestDecodeRefusesWhatDoesNotFit(t *testing.T) {
 	a, _ := mustAccept(t, nil, declaring(map[string]int{"a": 1, "b": 1}))
 	for name, damage := range map[string]func(*ledgerv1.Manifest){
-		"revision":  func(m *ledgerv1.Manifest) { m.Revision = 0 },
-		"document":  func(m *ledgerv1.Manifest) { m.Document = m.Document[1:] },
-		"missing":   func(m *ledgerv1.Manifest) { m.Workloads = m.Workloads[1:] },
-		"twice":     func(m *ledgerv1.Manifest) { m.Workloads[1] = m.Workloads[0] },
-		"two fates": func(m *ledgerv1.Manifest) { m.Retired = slices.Clone(m.Workloads[:1]) },
+		"revision":                  func(m *ledgerv1.Manifest) { m.Revision = 0 },
+		"document":                  func(m *ledgerv1.Manifest) { m.Document = m.Document[1:] },
+		"missing record":            func(m *ledgerv1.Manifest) { m.Workloads = m.Workloads[1:] },
+		"duplicate record":          func(m *ledgerv1.Manifest) { m.Workloads[1] = m.Workloads[0] },
+		"both accepted and retired": func(m *ledgerv1.Manifest) { m.Retired = slices.Clone(m.Workloads[:1]) },
 	} {
 		m := proto.CloneOf(a.Encode())
 		damage(m)
@@ -225,7 +225,7 @@
 	}
 	again, err := reread(t, a).Marshal()
 	if err != nil || !bytes.Equal(value, again) {
-		t.Errorf("another value for the same configuration: %v", err)
+		t.Errorf("different value for the same configuration: %v", err)
 	}
 	plain, err := proto.Marshal(a.Encode())
 	if err != nil {
@@ -246,12 +246,12 @@
 		kind  DecodeErrorKind
 	}{
 		{"flipped", flipped, DecodeCompression},
-		{"cut short", value[:len(value)-1], DecodeCompression},
+		{"truncated", value[:len(value)-1], DecodeCompression},
 		{"header only", value[:2], DecodeCompression},
-		{"more after it", append(slices.Clone(value), 1), DecodeCompression},
+		{"trailing byte", append(slices.Clone(value), 1), DecodeCompression},
 		{"first member only", document, DecodeRevision},
-		{"endless", manifest.Compress(make([]byte, manifest.MaxEncodedBytes+1)), DecodeCompression},
-		{"neither", []byte("manifest"), DecodeEnvelope},
+		{"decompresses beyond the limit", manifest.Compress(make([]byte, manifest.MaxEncodedBytes+1)), DecodeCompression},
+		{"not a message", []byte("manifest"), DecodeEnvelope},
 	} {
 		_, err := Unmarshal(port.KeyValue{Value: c.value, ModRevision: 1})
 		var failed *DecodeError
--- a/core/config/apply_test.go
+++ b/core/config/apply_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	if head, err := UnmarshalHead(s.head); err != nil || head != a.Revision || s.head.ModRevision != s.revision {
-		t.Fatalf("head names revision %d beside %d: %v", head, a.Revision, err)
+		t.Fatalf("head key holds revision %d, configuration %d: %v", head, a.Revision, err)
 	}
 	s.history = append(s.history, a)
 	return port.TxnResult{Succeeded: true, Revision: s.revision}
@@ -331,7 +331,7 @@
 	wrong.run(answered)
 	for i := 0; never.result == nil || unsure.result == nil; i++ {
 		if i == 100 {
-			t.Fatal("an operation goes on past its deadline")
+			t.Fatal("an operation continues after its deadline")
 		}
 		never.run(answerLost)
 		unsure.run(answerLost)
@@ -380,7 +380,7 @@
 	parameters := gopter.DefaultTestParametersWithSeed(20260302)
 	parameters.MinSuccessfulTests = 1500
 	properties := gopter.NewProperties(parameters)
-	properties.Property("no operator is told anything false", prop.ForAll(
+	properties.Property("every result agrees with the store", prop.ForAll(
 		func(codes []uint16) string { return runRace(t, codes) },
 		gen.SliceOfN(60, gen.UInt16()),
 	))
@@ -428,21 +428,21 @@
 			stored = append(stored, a.Revision)
 		}
 	}
-	told := fmt.Sprintf("%s was told %T %s, stored as %v", o.name, o.result, describeResult(o.result), stored)
+	report := fmt.Sprintf("%s got %T %s, but stored %v", o.name, o.result, describeResult(o.result), stored)
 	switch r := o.result.(type) {
 	case ApplyAccepted:
 		if len(stored) != 1 || stored[0] != r.Revision {
-			return told
+			return report
 		}
 	case ApplyUnknown:
 		if len(stored) > 1 || len(stored) == 1 && stored[0] != r.Revision {
-			return told
+			return report
 		}
 	case nil:
-		return o.name + " was told nothing"
+		return o.name + " has no result"
 	default:
 		if len(stored) != 0 {
-			return told
+			return report
 		}
 	}
 	return ""
--- a/core/config/state_test.go
+++ b/core/config/state_test.go
@@ -149,9 +149,9 @@
 	case result == DeltaInstalled && c == unusable:
 		return "a damaged delta was installed"
 	case result == DeltaNeedWhole && c == sound && before != nil:
-		return fmt.Sprintf("a sound delta was not usable: %v", err)
+		return fmt.Sprintf("an intact delta was not usable: %v", err)
 	case result != DeltaInstalled && s.Current() != before:
-		return "state changed by a delta that was not installed"
+		return "a delta that was not installed changed the state"
 	}
 	return ""
 }
@@ -162,7 +162,7 @@
 	parameters := gopter.DefaultTestParametersWithSeed(20260301)
 	parameters.MinSuccessfulTests = 400
 	properties := gopter.NewProperties(parameters)
-	properties.Property("never lower, never mixed, ends at the newest", prop.ForAll(
+	properties.Property("the revision never falls, configurations never mix, and the newest is reached", prop.ForAll(
 		func(edits, forkEdits, codes []uint16) string {
 			return runDelivery(t, newChain(t, edits), newChain(t, forkEdits), codes)
 		},
@@ -203,7 +203,7 @@
 		return "mixed configuration: " + d
 	}
 	if want.Hash() != s.Current().Hash() {
-		return "same configuration, other hash"
+		return "same configuration, but different hash"
 	}
 	return ""
 }
@@ -252,7 +252,7 @@
 	other := proto.CloneOf(sender.DeltaSince(0))
 	other.Hash++
 	if result, err = s.ApplyDelta(other); result != DeltaAlready || !errors.As(err, &mismatch) {
-		t.Errorf("other content under the same revision: %s, %v", result, err)
+		t.Errorf("different content under the same revision: %s, %v", result, err)
 	}
 }
 
@@ -277,7 +277,7 @@
 		t.Errorf("%d entries", n)
 	}
 	if d := s.DeltaSince(5); d.GetBaseRevision() != 0 {
-		t.Error("a delta was made from a revision whose changes are forgotten")
+		t.Error("a delta was made from a revision older than the history")
 	}
 	base := a.Revision - MaxHistory/2
 	if d := s.DeltaSince(base); d.GetBaseRevision() != uint64(base) || len(d.GetChanges()) != 1 {
@@ -301,7 +301,7 @@
 	s.InstallStored(a)
 	d := s.DeltaSince(1)
 	if size := proto.Size(d) / len(names); size > 20 {
-		t.Errorf("%d bytes a cancellation", size)
+		t.Errorf("%d bytes per cancellation", size)
 	}
 	if strings.Contains(d.String(), "milliCPU") {
 		t.Error("a declaration was sent")
