--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -80,11 +80,11 @@
 		if op.phase == applyIdle {
 			return op.read(now)
 		}
-	case ApplyRead:
+	case ApplyReadDone:
 		if op.phase == applyReading {
 			return op.onRead(now, ev)
 		}
-	case ApplyCommitted:
+	case ApplyCommitDone:
 		if op.phase == applyCommitting {
 			return op.onCommitted(now, ev)
 		}
@@ -116,7 +116,7 @@
 	return []ApplyCommand{ReadConfig{Key: op.options.Key}}
 }
 
-func (op *ApplyOp) onRead(now time.Time, ev ApplyRead) []ApplyCommand {
+func (op *ApplyOp) onRead(now time.Time, ev ApplyReadDone) []ApplyCommand {
 	if ev.Err != nil {
 		return op.retry(now, ev.Err)
 	}
@@ -126,7 +126,7 @@
 		return op.giveUp()
 	}
 	if known := op.decider.request.Known; revisionOf(current) < known {
-		op.cause = &RevisionLowerError{Stored: revisionOf(current), Known: known}
+		op.cause = &RevisionRegressedError{Stored: revisionOf(current), Known: known}
 		return op.giveUp()
 	}
 	if op.pending != nil {
@@ -171,7 +171,7 @@
 	}}
 }
 
-func (op *ApplyOp) onCommitted(now time.Time, ev ApplyCommitted) []ApplyCommand {
+func (op *ApplyOp) onCommitted(now time.Time, ev ApplyCommitDone) []ApplyCommand {
 	op.pending.inFlight = false
 	if ev.Err != nil {
 		return op.onCommitFailed(now, ev.Err)
--- a/core/config/apply_test.go
+++ b/core/config/apply_test.go
@@ -183,10 +183,10 @@
 	case ReadConfig:
 		if how != answered {
 			o.record("read fails", "")
-			o.step(ApplyRead{Err: errLost})
+			o.step(ApplyReadDone{Err: errLost})
 			return
 		}
-		o.step(ApplyRead{KV: o.store.kv})
+		o.step(ApplyReadDone{KV: o.store.kv})
 	case CommitConfig:
 		o.commit(c, how)
 	case WaitUntil:
@@ -200,18 +200,18 @@
 	case answered:
 		result := o.store.txn(o.t, c)
 		o.record("commit answered", fmt.Sprintf("succeeded %v", result.Succeeded))
-		o.step(ApplyCommitted{Result: result})
+		o.step(ApplyCommitDone{Result: result})
 	case answerLost:
 		result := o.store.txn(o.t, c)
 		o.record("commit answer lost", fmt.Sprintf("succeeded %v", result.Succeeded))
-		o.step(ApplyCommitted{Err: errLost})
+		o.step(ApplyCommitDone{Err: errLost})
 	case delayed:
 		o.late = append(o.late, c)
 		o.record("commit delayed", "")
-		o.step(ApplyCommitted{Err: errLost})
+		o.step(ApplyCommitDone{Err: errLost})
 	case notSent:
 		o.record("commit not sent", "")
-		o.step(ApplyCommitted{Err: errNotSent})
+		o.step(ApplyCommitDone{Err: errNotSent})
 	}
 }
 
@@ -371,7 +371,7 @@
 	if !ok || unknown.Revision != 2 || unknown.Writer != "a" || !errors.As(unknown.Cause, &late) {
 		t.Errorf("%+v", a.result)
 	}
-	a.step(ApplyCommitted{Result: port.TxnResult{Succeeded: true}})
+	a.step(ApplyCommitDone{Result: port.TxnResult{Succeeded: true}})
 }
 
 // TestResultsAreTrue races operators with every outcome of their calls and
--- a/core/config/apply_types.go
+++ b/core/config/apply_types.go
@@ -49,14 +49,14 @@
 // ApplyBegin starts the operation.
 type ApplyBegin struct{}
 
-// ApplyRead is the response to a ReadConfig.
-type ApplyRead struct {
+// ApplyReadDone is the response to a ReadConfig.
+type ApplyReadDone struct {
 	KV  port.KeyValue
 	Err error
 }
 
-// ApplyCommitted is the response to a CommitConfig.
-type ApplyCommitted struct {
+// ApplyCommitDone is the response to a CommitConfig.
+type ApplyCommitDone struct {
 	Result port.TxnResult
 	Err    error
 }
@@ -64,10 +64,10 @@
 // ApplyTick reports that time has passed.
 type ApplyTick struct{}
 
-func (ApplyBegin) applyEvent()     {}
-func (ApplyRead) applyEvent()      {}
-func (ApplyCommitted) applyEvent() {}
-func (ApplyTick) applyEvent()      {}
+func (ApplyBegin) applyEvent()      {}
+func (ApplyReadDone) applyEvent()   {}
+func (ApplyCommitDone) applyEvent() {}
+func (ApplyTick) applyEvent()       {}
 
 // ApplyCommand is an action that the caller of ApplyOp.Step executes. At most
 // one command is outstanding at a time.
--- a/core/config/errors.go
+++ b/core/config/errors.go
@@ -93,16 +93,16 @@
 	return fmt.Sprintf("config: delta from %d to %d gives hash %016x, sender has %016x", e.Base, e.Revision, e.Have, e.Want)
 }
 
-// RevisionLowerError reports that the store holds a lower revision than this
+// RevisionRegressedError reports that the store holds a lower revision than this
 // daemon has held, for example after the store was restored from a backup.
 // Daemons never move to a lower revision, so a change accepted on top of the
 // stored one would not come into force.
-type RevisionLowerError struct {
+type RevisionRegressedError struct {
 	Stored model.Revision
 	Known  model.Revision
 }
 
 // Error implements error.
-func (e *RevisionLowerError) Error() string {
+func (e *RevisionRegressedError) Error() string {
 	return fmt.Sprintf("config: store holds revision %d, but %d has been in force", e.Stored, e.Known)
 }
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -12,16 +12,16 @@
 const (
 	// DeltaInstalled: the delta's revision is now current.
 	DeltaInstalled DeltaResult = "installed"
-	// DeltaAlready: the current revision is at least the delta's.
-	DeltaAlready DeltaResult = "already installed"
+	// DeltaAlreadyInstalled: the current revision is at least the delta's.
+	DeltaAlreadyInstalled DeltaResult = "already installed"
 	// DeltaGap: the delta's base is above the current revision. A peer's
 	// DeltaSince, called with the current revision, returns a usable delta or
 	// the whole configuration.
 	DeltaGap DeltaResult = "begins above the current revision"
-	// DeltaNeedWhole: no configuration is held yet, or the delta is damaged, or
+	// DeltaWholeNeeded: no configuration is held yet, or the delta is damaged, or
 	// its result differs from the sender's configuration. The whole
 	// configuration is needed.
-	DeltaNeedWhole DeltaResult = "whole needed"
+	DeltaWholeNeeded DeltaResult = "whole needed"
 )
 
 // State is the configuration that one daemon holds, with the history of recent
@@ -101,13 +101,13 @@
 func (s *State) ApplyDelta(d *peerv1.ConfigDelta) (DeltaResult, error) {
 	revision := model.Revision(d.GetRevision())
 	if revision <= s.Revision() {
-		return DeltaAlready, s.checkSameRevision(d)
+		return DeltaAlreadyInstalled, s.checkSameRevision(d)
 	}
 	if d.GetBaseRevision() == 0 {
 		return s.applyWhole(d)
 	}
 	if s.current == nil {
-		return DeltaNeedWhole, nil
+		return DeltaWholeNeeded, nil
 	}
 	if model.Revision(d.GetBaseRevision()) > s.current.Revision {
 		return DeltaGap, nil
@@ -125,7 +125,7 @@
 func (s *State) applyWhole(d *peerv1.ConfigDelta) (DeltaResult, error) {
 	next, err := Decode(d.GetWhole())
 	if err != nil {
-		return DeltaNeedWhole, err
+		return DeltaWholeNeeded, err
 	}
 	return s.installChecked(next, d)
 }
@@ -136,7 +136,7 @@
 	next.writers = nil
 	for _, change := range d.GetChanges() {
 		if err := next.apply(change); err != nil {
-			return DeltaNeedWhole, err
+			return DeltaWholeNeeded, err
 		}
 	}
 	return s.installChecked(next.seal(), d)
@@ -144,10 +144,10 @@
 
 func (s *State) installChecked(next *Accepted, d *peerv1.ConfigDelta) (DeltaResult, error) {
 	if uint64(next.Revision) != d.GetRevision() {
-		return DeltaNeedWhole, &DecodeError{Kind: DecodeRevision}
+		return DeltaWholeNeeded, &DecodeError{Kind: DecodeRevision}
 	}
 	if err := checkHash(next, d); err != nil {
-		return DeltaNeedWhole, err
+		return DeltaWholeNeeded, err
 	}
 	s.install(next)
 	return DeltaInstalled, nil
--- a/core/config/state_test.go
+++ b/core/config/state_test.go
@@ -148,7 +148,7 @@
 	switch {
 	case result == DeltaInstalled && c == unusable:
 		return "a damaged delta was installed"
-	case result == DeltaNeedWhole && c == sound && before != nil:
+	case result == DeltaWholeNeeded && c == sound && before != nil:
 		return fmt.Sprintf("an intact delta was not usable: %v", err)
 	case result != DeltaInstalled && s.Current() != before:
 		return "a delta that was not installed changed the state"
@@ -214,7 +214,7 @@
 func (c *chain) finish(s *State) string {
 	newest := uint16(len(c.accepted) - 1)
 	if d := c.states[newest].DeltaSince(s.Revision()); d != nil {
-		if result, _ := s.ApplyDelta(d); result == DeltaNeedWhole {
+		if result, _ := s.ApplyDelta(d); result == DeltaWholeNeeded {
 			_, _ = s.ApplyDelta(c.whole(newest))
 		}
 	}
@@ -230,7 +230,7 @@
 func TestDamagedDeltaAsksForTheWhole(t *testing.T) {
 	c := newChain(t, []uint16{5, 14, 23, 6})
 	sender, s := c.states[len(c.states)-1], NewState()
-	if result, _ := s.ApplyDelta(sender.DeltaSince(1)); result != DeltaNeedWhole {
+	if result, _ := s.ApplyDelta(sender.DeltaSince(1)); result != DeltaWholeNeeded {
 		t.Errorf("empty state: %s", result)
 	}
 	s.InstallStored(c.accepted[0])
@@ -238,12 +238,12 @@
 	d.Changes = d.Changes[1:]
 	result, err := s.ApplyDelta(d)
 	var mismatch *HashError
-	if result != DeltaNeedWhole || !errors.As(err, &mismatch) || s.Current() != c.accepted[0] {
+	if result != DeltaWholeNeeded || !errors.As(err, &mismatch) || s.Current() != c.accepted[0] {
 		t.Errorf("%s, %v", result, err)
 	}
 	whole := proto.CloneOf(sender.DeltaSince(0))
 	whole.Whole.Workloads[0].Generation++
-	if result, err = s.ApplyDelta(whole); result != DeltaNeedWhole || !errors.As(err, &mismatch) {
+	if result, err = s.ApplyDelta(whole); result != DeltaWholeNeeded || !errors.As(err, &mismatch) {
 		t.Errorf("damaged whole: %s, %v", result, err)
 	}
 	if result, err = s.ApplyDelta(sender.DeltaSince(0)); result != DeltaInstalled || err != nil {
@@ -251,7 +251,7 @@
 	}
 	other := proto.CloneOf(sender.DeltaSince(0))
 	other.Hash++
-	if result, err = s.ApplyDelta(other); result != DeltaAlready || !errors.As(err, &mismatch) {
+	if result, err = s.ApplyDelta(other); result != DeltaAlreadyInstalled || !errors.As(err, &mismatch) {
 		t.Errorf("different content under the same revision: %s, %v", result, err)
 	}
 }
--- a/daemon/operate.go
+++ b/daemon/operate.go
@@ -72,11 +72,11 @@
 		switch cmd := cmd.(type) {
 		case config.ReadConfig:
 			c.get(storebudget.ClassRead, cmd.Key, func(kv port.KeyValue, err error) event {
-				return applyEvent{a.id, config.ApplyRead{KV: kv, Err: err}}
+				return applyEvent{a.id, config.ApplyReadDone{KV: kv, Err: err}}
 			})
 		case config.CommitConfig:
 			c.txn(storebudget.ClassCommit, cmd.Conditions, cmd.Ops, func(r port.TxnResult, err error) event {
-				return applyEvent{a.id, config.ApplyCommitted{Result: r, Err: err}}
+				return applyEvent{a.id, config.ApplyCommitDone{Result: r, Err: err}}
 			})
 		case config.ApplyFinished:
 			c.applyFinished(a, cmd.Result)
