--- a/core/config/accept.go
+++ b/core/config/accept.go
@@ -164,7 +164,7 @@
 			diff.Removed = append(diff.Removed, name)
 		}
 	}
-	d.forgetOldest()
+	d.pruneRetired()
 }
 
 // Cancel returns the configuration in which the current generations of the
@@ -236,7 +236,7 @@
 func (d *draft) finish(writer string) (*Accepted, error) {
 	writers := append([]string{writer}, d.writers...)
 	d.writers = writers[:min(len(writers), MaxWriters)]
-	next := d.seal()
+	next := d.build()
 	size := proto.Size(next.Encode())
 	if size > manifest.MaxEncodedBytes {
 		return nil, tooLarge(size, "when encoded", manifest.MaxEncodedBytes)
--- a/core/config/accepted.go
+++ b/core/config/accepted.go
@@ -111,11 +111,11 @@
 	}
 }
 
-// seal returns the draft as an Accepted; the draft must not be used afterwards.
+// build returns the draft as an Accepted; the draft must not be used afterwards.
 // Every record is made to point into the new manifest, because a pointer into an
 // old manifest would keep all of it in memory for as long as one workload stays
 // unchanged.
-func (d *draft) seal() *Accepted {
+func (d *draft) build() *Accepted {
 	a := &Accepted{
 		Revision:        d.revision,
 		Manifest:        d.buildManifest(),
@@ -186,12 +186,12 @@
 	return d.floor + 1
 }
 
-// forgetOldest removes the oldest retired names beyond MaxRetired. Without a
+// pruneRetired removes the oldest retired names beyond MaxRetired. Without a
 // bound, build pipelines that give the jobs of each release new names would fill
 // the stored value with names that are never used again, until no manifest could
 // be accepted. The generation of a removed name raises the floor; the first
 // generation of any unknown name is above the floor.
-func (d *draft) forgetOldest() {
+func (d *draft) pruneRetired() {
 	excess := len(d.retired) - MaxRetired
 	if excess <= 0 {
 		return
--- a/core/config/apply.go
+++ b/core/config/apply.go
@@ -58,9 +58,9 @@
 	inFlight bool
 	// inDoubt is set once the response to such a transaction was lost.
 	inDoubt bool
-	// lost is set when the store reported that the mod revision of the key no
+	// superseded is set when the store reported that the mod revision of the key no
 	// longer matched.
-	lost bool
+	superseded bool
 }
 
 // NewApplyOp returns an operation that starts with the event ApplyBegin.
@@ -98,7 +98,7 @@
 	switch {
 	case op.phase == applyIdle || op.phase == applyDone:
 		return nil
-	case op.late(now):
+	case op.deadlinePassed(now):
 		return op.giveUp()
 	case op.phase == applyWaiting && !now.Before(op.wakeAt):
 		return op.read(now)
@@ -106,10 +106,10 @@
 	return nil
 }
 
-func (op *ApplyOp) late(now time.Time) bool { return !now.Before(op.options.Deadline) }
+func (op *ApplyOp) deadlinePassed(now time.Time) bool { return !now.Before(op.options.Deadline) }
 
 func (op *ApplyOp) read(now time.Time) []ApplyCommand {
-	if op.late(now) {
+	if op.deadlinePassed(now) {
 		return op.giveUp()
 	}
 	op.phase = applyReading
@@ -130,7 +130,7 @@
 		return op.giveUp()
 	}
 	if op.pending != nil {
-		return op.settle(now, ev.KV.ModRevision, current)
+		return op.resolvePending(now, ev.KV.ModRevision, current)
 	}
 	return op.propose(now, ev.KV.ModRevision, current)
 }
@@ -158,7 +158,7 @@
 // configuration key only: a head key that was deleted or overwritten must not
 // block changes, and the next change corrects it.
 func (op *ApplyOp) commit(now time.Time) []ApplyCommand {
-	if op.late(now) {
+	if op.deadlinePassed(now) {
 		return op.giveUp()
 	}
 	op.phase = applyCommitting
@@ -179,7 +179,7 @@
 	if ev.Result.Succeeded {
 		return op.finish(op.accepted())
 	}
-	op.pending.lost = true
+	op.pending.superseded = true
 	return op.read(now)
 }
 
@@ -198,9 +198,9 @@
 	return op.retry(now, err)
 }
 
-// settle determines the outcome of the pending proposal from a read that
+// resolvePending determines the outcome of the pending proposal from a read that
 // returned current at mod revision mod.
-func (op *ApplyOp) settle(now time.Time, mod int64, current *Accepted) []ApplyCommand {
+func (op *ApplyOp) resolvePending(now time.Time, mod int64, current *Accepted) []ApplyCommand {
 	p := op.pending
 	if mod == p.baseMod {
 		return op.commit(now)
@@ -226,7 +226,7 @@
 func (op *ApplyOp) retry(now time.Time, cause error) []ApplyCommand {
 	op.cause = cause
 	op.wakeAt = now.Add(op.delay)
-	if op.late(op.wakeAt) {
+	if op.deadlinePassed(op.wakeAt) {
 		return op.giveUp()
 	}
 	op.delay = min(2*op.delay, max(op.options.MaxRetryDelay, op.options.RetryDelay))
@@ -250,7 +250,7 @@
 		return op.finish(ApplyNotMade{Cause: cause})
 	case p.inDoubt, p.inFlight:
 		return op.finish(ApplyUnknown{Revision: p.next.Revision, Writer: op.decider.request.Writer, Cause: cause})
-	case p.lost:
+	case p.superseded:
 		return op.finish(ApplyConflict{Base: op.decider.base})
 	}
 	return op.finish(ApplyNotMade{Cause: cause})
--- a/core/config/bench_test.go
+++ b/core/config/bench_test.go
@@ -106,7 +106,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				s := &State{current: before}
-				s.history.restart(before.Revision)
+				s.history.reset(before.Revision)
 				if result, err := s.ApplyDelta(d); result != DeltaInstalled {
 					b.Fatal(result, err)
 				}
--- a/core/config/config_capacity_test.go
+++ b/core/config/config_capacity_test.go
@@ -100,7 +100,7 @@
 		before, _, d := benchDelta(b, 1)
 		perOp(b, func() {
 			s := &State{current: before}
-			s.history.restart(before.Revision)
+			s.history.reset(before.Revision)
 			if result, err := s.ApplyDelta(d); result != DeltaInstalled {
 				b.Fatal(fmt.Sprint(result), err)
 			}
--- a/core/config/decision.go
+++ b/core/config/decision.go
@@ -12,7 +12,7 @@
 // are then still judged against the configuration that was read first.
 type decider struct {
 	request ApplyRequest
-	decided bool
+	pinned  bool
 	// base is the revision that the change replaces.
 	base model.Revision
 	// generations holds, by workload, the generations that a cancellation ends.
@@ -48,10 +48,10 @@
 // pin records, on the first call, the base revision and the generations of the
 // workloads to cancel.
 func (d *decider) pin(current *Accepted) {
-	if d.decided {
+	if d.pinned {
 		return
 	}
-	d.decided = true
+	d.pinned = true
 	d.base = revisionOf(current)
 	if d.request.Base != nil {
 		d.base = *d.request.Base
--- a/core/config/encode.go
+++ b/core/config/encode.go
@@ -79,7 +79,7 @@
 	if err := d.decodeRetired(m.GetRetired()); err != nil {
 		return nil, err
 	}
-	return d.seal(), nil
+	return d.build(), nil
 }
 
 func (d *draft) decodeWorkloads(document *manifest.Manifest, records []*ledgerv1.AcceptedWorkload) error {
--- a/core/config/hash.go
+++ b/core/config/hash.go
@@ -27,7 +27,7 @@
 		sum += hashRecord(domainTeam, name, t.digest)
 	}
 	for name, w := range a.Workloads {
-		sum += hashRecord(domainWorkload, name, w.Generation, uint64(w.Shards), uint64(w.Changed), flag(w.Cancelled), w.digest)
+		sum += hashRecord(domainWorkload, name, w.Generation, uint64(w.Shards), uint64(w.Changed), boolToUint64(w.Cancelled), w.digest)
 	}
 	for name, r := range a.Retired {
 		sum += hashRecord(domainRetired, name, r.Generation, uint64(r.Changed))
@@ -46,7 +46,7 @@
 	return xxhash.Sum64(buf)
 }
 
-func flag(b bool) uint64 {
+func boolToUint64(b bool) uint64 {
 	if b {
 		return 1
 	}
--- a/core/config/history.go
+++ b/core/config/history.go
@@ -25,8 +25,8 @@
 	subject  string
 }
 
-// restart clears the history; changes up to revision are not known afterwards.
-func (h *history) restart(revision model.Revision) {
+// reset clears the history; changes up to revision are not known afterwards.
+func (h *history) reset(revision model.Revision) {
 	h.since = revision
 	h.entries = nil
 	h.latest = make(map[string]model.Revision)
@@ -56,9 +56,9 @@
 	h.entries = slices.Delete(h.entries, 0, excess)
 }
 
-// after returns the sorted subjects that changed after base. The second result
+// changedAfter returns the sorted subjects that changed changedAfter base. The second result
 // is false if the history does not reach back to base.
-func (h *history) after(base model.Revision) ([]string, bool) {
+func (h *history) changedAfter(base model.Revision) ([]string, bool) {
 	if base < h.since {
 		return nil, false
 	}
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -57,7 +57,7 @@
 
 func (s *State) install(a *Accepted) {
 	if s.current == nil {
-		s.history.restart(a.Revision)
+		s.history.reset(a.Revision)
 	} else {
 		s.history.add(a.Revision, changedSubjects(s.current, a))
 	}
@@ -74,7 +74,7 @@
 	if base >= s.Revision() {
 		return nil
 	}
-	subjects, known := s.history.after(base)
+	subjects, known := s.history.changedAfter(base)
 	if base == 0 || !known || len(subjects) >= s.size() {
 		return wholeDelta(s.current)
 	}
@@ -139,7 +139,7 @@
 			return DeltaWholeNeeded, err
 		}
 	}
-	return s.installChecked(next.seal(), d)
+	return s.installChecked(next.build(), d)
 }
 
 func (s *State) installChecked(next *Accepted, d *peerv1.ConfigDelta) (DeltaResult, error) {
