--- a/core/config/accept_test.go
+++ b/core/config/accept_test.go
@@ -20,11 +20,11 @@
 )
 
 func TestAcceptDiffsByWorkload(t *testing.T) {
-	first, diff := mustAccept(t, nil, declaring(map[string]int{"a": 1, "b": 1, "c": 1}))
+	first, diff := mustAccept(t, nil, manifestWith(map[string]int{"a": 1, "b": 1, "c": 1}))
 	if d := cmp.Diff(Diff{Added: []string{"a", "b", "c"}, Teams: []string{"t"}}, diff); d != "" {
 		t.Error(d)
 	}
-	second, diff := mustAccept(t, first, declaring(map[string]int{"a": 1, "b": 2, "d": 1}))
+	second, diff := mustAccept(t, first, manifestWith(map[string]int{"a": 1, "b": 2, "d": 1}))
 	if d := cmp.Diff(Diff{Added: []string{"d"}, Changed: []string{"b"}, Removed: []string{"c"}}, diff); d != "" {
 		t.Error(d)
 	}
@@ -34,7 +34,7 @@
 	if b := second.Workloads["b"]; b.Generation != 2 || b.Changed != 2 || b.Shards != 4 || b.Spec.Tasks != 2 {
 		t.Errorf("changed workload is now %+v", b)
 	}
-	same, diff := mustAccept(t, second, declaring(map[string]int{"d": 1, "b": 2, "a": 1}))
+	same, diff := mustAccept(t, second, manifestWith(map[string]int{"d": 1, "b": 2, "a": 1}))
 	if same != second || !diff.Empty() {
 		t.Errorf("the same manifest made revision %d, %+v", same.Revision, diff)
 	}
@@ -43,10 +43,10 @@
 			t.Errorf("%s: the declaration belongs to an older manifest", spec.Name)
 		}
 	}
-	if d := differ(second, reread(t, second)); d != "" || reread(t, second).Hash() != second.Hash() {
+	if d := diffConfigs(second, roundTrip(t, second)); d != "" || roundTrip(t, second).Hash() != second.Hash() {
 		t.Error("changed by encoding and decoding: " + d)
 	}
-	if d := cmp.Diff([]string{"writer-2", "writer-1"}, reread(t, second).Writers); d != "" {
+	if d := cmp.Diff([]string{"writer-2", "writer-1"}, roundTrip(t, second).Writers); d != "" {
 		t.Error(d)
 	}
 }
@@ -56,10 +56,10 @@
 // removals that the name is no longer listed. With a reused generation its tasks
 // would have the keys of the completed ones.
 func TestRetiredNameGetsANewGeneration(t *testing.T) {
-	a, _ := mustAccept(t, nil, declaring(map[string]int{"x": 1}))
-	a, _ = mustAccept(t, a, declaring(map[string]int{"x": 2}))
-	a, _ = mustAccept(t, a, declaring(nil))
-	direct, _ := mustAccept(t, a, declaring(map[string]int{"x": 1}))
+	a, _ := mustAccept(t, nil, manifestWith(map[string]int{"x": 1}))
+	a, _ = mustAccept(t, a, manifestWith(map[string]int{"x": 2}))
+	a, _ = mustAccept(t, a, manifestWith(nil))
+	direct, _ := mustAccept(t, a, manifestWith(map[string]int{"x": 1}))
 	if g := direct.Workloads["x"].Generation; g != 3 {
 		t.Errorf("generation %d directly after removal, want 3", g)
 	}
@@ -68,20 +68,20 @@
 	for i := range MaxRetired {
 		others[fmt.Sprintf("other-%d", i)] = 1
 	}
-	a, _ = mustAccept(t, a, declaring(others))
-	a, _ = mustAccept(t, a, declaring(nil))
+	a, _ = mustAccept(t, a, manifestWith(others))
+	a, _ = mustAccept(t, a, manifestWith(nil))
 	if _, kept := a.Retired["x"]; kept || len(a.Retired) != MaxRetired {
 		t.Fatalf("%d retired names, x kept: %v", len(a.Retired), kept)
 	}
-	a = reread(t, a)
-	back, _ := mustAccept(t, a, declaring(map[string]int{"x": 1}))
+	a = roundTrip(t, a)
+	back, _ := mustAccept(t, a, manifestWith(map[string]int{"x": 1}))
 	if g := back.Workloads["x"].Generation; g <= 2 {
 		t.Errorf("generation %d after removal from the retired names, had 2 before", g)
 	}
 }
 
 func TestCancelEndsAGenerationOnce(t *testing.T) {
-	m := declaring(map[string]int{"a": 1, "b": 1})
+	m := manifestWith(map[string]int{"a": 1, "b": 1})
 	first, _ := mustAccept(t, nil, m)
 	cancelled, diff := mustCancel(t, first, "b", "a", "b")
 	if d := cmp.Diff(Diff{Cancelled: []string{"a", "b"}}, diff); d != "" || cancelled.Revision != 2 {
@@ -93,7 +93,7 @@
 	if resent, _ := mustAccept(t, cancelled, m); resent != cancelled {
 		t.Error("accepting the same manifest resumed cancelled workloads")
 	}
-	changed, _ := mustAccept(t, cancelled, declaring(map[string]int{"a": 2, "b": 1}))
+	changed, _ := mustAccept(t, cancelled, manifestWith(map[string]int{"a": 2, "b": 1}))
 	if a, b := changed.Workloads["a"], changed.Workloads["b"]; a.Cancelled || a.Generation != 2 || !b.Cancelled {
 		t.Errorf("a %+v, b %+v", a, b)
 	}
@@ -102,9 +102,9 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
-	current, _ := mustAccept(t, nil, declaring(map[string]int{"a": 1}))
-	elsewhere := declaring(map[string]int{"a": 1})
+func TestAcceptAndCancelErrors(t *testing.T) {
+	current, _ := mustAccept(t, nil, manifestWith(map[string]int{"a": 1}))
+	elsewhere := manifestWith(map[string]int{"a": 1})
 	elsewhere.Cluster = "d"
 	var invalid *manifest.InvalidError
 	var noShards *NoShardsError
@@ -115,16 +115,16 @@
 	if !errors.As(err, &invalid) || invalid.Problems[0].Reason != manifest.ReasonOtherCluster {
 		t.Error(err)
 	}
-	_, _, err = Accept(current, declaring(map[string]int{"a": 0}), 1, "w")
+	_, _, err = Accept(current, manifestWith(map[string]int{"a": 0}), 1, "w")
 	if !errors.As(err, &invalid) || invalid.Problems[0].Path != "workloads[0].tasks" {
 		t.Error(err)
 	}
-	_, _, err = Accept(current, declaring(nil), 0, "w")
+	_, _, err = Accept(current, manifestWith(nil), 0, "w")
 	if !errors.As(err, &noShards) {
 		t.Error(err)
 	}
 	for _, writer := range []string{"", "a b", "a\xff"} {
-		if _, _, err = Accept(current, declaring(nil), 1, writer); !errors.As(err, &badWriter) {
+		if _, _, err = Accept(current, manifestWith(nil), 1, writer); !errors.As(err, &badWriter) {
 			t.Error(writer, err)
 		}
 	}
@@ -137,8 +137,8 @@
 	}
 }
 
-func TestDecodeRefusesWhatDoesNotFit(t *testing.T) {
-	a, _ := mustAccept(t, nil, declaring(map[string]int{"a": 1, "b": 1}))
+func TestDecodeRejectsInconsistentRecords(t *testing.T) {
+	a, _ := mustAccept(t, nil, manifestWith(map[string]int{"a": 1, "b": 1}))
 	for name, damage := range map[string]func(*ledgerv1.Manifest){
 		"revision":                  func(m *ledgerv1.Manifest) { m.Revision = 0 },
 		"document":                  func(m *ledgerv1.Manifest) { m.Document = m.Document[1:] },
@@ -164,11 +164,11 @@
 func TestLargestManifestFitsTheStore(t *testing.T) {
 	for _, c := range []struct {
 		name                    string
-		shape                   shape
+		shape                   workloadShape
 		leastEncoded, leastKept int
 	}{
-		{"many small", shape{workloads: 24_000, nameBytes: 8}, manifest.MaxEncodedBytes * 9 / 10, 0},
-		{"longest names", shape{workloads: 12_000, nameBytes: manifest.MaxNameBytes}, manifest.MaxEncodedBytes / 2, 0},
+		{"many small", workloadShape{workloads: 24_000, nameBytes: 8}, manifest.MaxEncodedBytes * 9 / 10, 0},
+		{"longest names", workloadShape{workloads: 12_000, nameBytes: manifest.MaxNameBytes}, manifest.MaxEncodedBytes / 2, 0},
 		{"large arguments", incompressible, 0, port.MaxValueBytes * 9 / 10},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -218,12 +218,12 @@
 // missing or added bytes, or one that decompresses to more than the limit, must
 // return an error: it must neither crash the daemon nor be accepted.
 func TestStoredValues(t *testing.T) {
-	a, _ := mustAccept(t, nil, declaring(map[string]int{"a": 1, "b": 1}))
+	a, _ := mustAccept(t, nil, manifestWith(map[string]int{"a": 1, "b": 1}))
 	value, err := a.Marshal()
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := reread(t, a).Marshal()
+	again, err := roundTrip(t, a).Marshal()
 	if err != nil || !bytes.Equal(value, again) {
 		t.Errorf("different value for the same configuration: %v", err)
 	}
@@ -233,7 +233,7 @@
 	}
 	for name, stored := range map[string][]byte{"compressed": value, "plain": plain} {
 		back, err := Unmarshal(port.KeyValue{Value: stored, ModRevision: 1})
-		if err != nil || differ(a, back) != "" || !slices.Equal(back.Writers, a.Writers) {
+		if err != nil || diffConfigs(a, back) != "" || !slices.Equal(back.Writers, a.Writers) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -299,12 +299,12 @@
 // longName returns a name of n bytes that hardly compresses.
 func longName(prefix string, i, n int) string {
 	name := fmt.Sprintf("%s%05d", prefix, i)
-	return name + noise(uint64(i), n-len(name), "abcdefghijklmnopqrstuvwxyz0123456789")
+	return name + randomText(uint64(i), n-len(name), "abcdefghijklmnopqrstuvwxyz0123456789")
 }
 
-// noise returns n random characters of alphabet, which are the same for equal
+// randomText returns n random characters of alphabet, which are the same for equal
 // seeds.
-func noise(seed uint64, n int, alphabet string) string {
+func randomText(seed uint64, n int, alphabet string) string {
 	random := rand.New(rand.NewPCG(seed, 0))
 	text := make([]byte, n)
 	for i := range text {
@@ -325,22 +325,22 @@
 	return string(chars)
 }
 
-// shape describes the workloads of a generated manifest.
-type shape struct{ workloads, nameBytes, argBytes int }
+// workloadShape describes the workloads of a generated manifest.
+type workloadShape struct{ workloads, nameBytes, argBytes int }
 
-var incompressible = shape{workloads: 400, nameBytes: manifest.MaxNameBytes, argBytes: 8 << 10}
+var incompressible = workloadShape{workloads: 400, nameBytes: manifest.MaxNameBytes, argBytes: 8 << 10}
 
 // largest returns a manifest with as many workloads of a shape as are valid. The
 // capacity of the slice of workloads holds the remaining ones.
-func largest(s shape) *manifest.Manifest {
+func largest(s workloadShape) *manifest.Manifest {
 	tasks := make(map[string]int)
 	for i := range s.workloads {
 		tasks[longName("n", i, s.nameBytes)] = 1
 	}
-	m := declaring(tasks)
+	m := manifestWith(tasks)
 	if s.argBytes > 0 {
 		for i := range m.Workloads {
-			m.Workloads[i].Args = []string{noise(uint64(i), s.argBytes, printable())}
+			m.Workloads[i].Args = []string{randomText(uint64(i), s.argBytes, printable())}
 		}
 	}
 	all := m.Workloads
@@ -360,14 +360,14 @@
 	for i := range MaxRetired {
 		tasks[longName("o", i, manifest.MaxNameBytes)] = 1
 	}
-	a, _ := mustAccept(t, nil, declaring(tasks))
+	a, _ := mustAccept(t, nil, manifestWith(tasks))
 	a.Revision, a.GenerationFloor = 1<<62, 1<<62
 	for name, w := range a.Workloads {
 		w.Generation = 1 << 62
 		a.Workloads[name] = w
 	}
 	for i := range MaxWriters {
-		a.Writers = append(a.Writers, noise(uint64(i), maxWriterBytes, "0123456789abcdef"))
+		a.Writers = append(a.Writers, randomText(uint64(i), maxWriterBytes, "0123456789abcdef"))
 	}
 	return a
 }
@@ -375,7 +375,7 @@
 func TestWriterOf(t *testing.T) {
 	var a *Accepted
 	for i := range MaxWriters + 2 {
-		a, _ = mustAccept(t, a, declaring(map[string]int{"a": i + 1}))
+		a, _ = mustAccept(t, a, manifestWith(map[string]int{"a": i + 1}))
 	}
 	for revision, want := range map[model.Revision]string{18: "writer-18", 3: "writer-3", 2: "", 19: ""} {
 		if got, known := a.WriterOf(revision); got != want || known != (want != "") {
--- a/core/config/apply_test.go
+++ b/core/config/apply_test.go
@@ -66,12 +66,12 @@
 	return port.TxnResult{Succeeded: true, Revision: s.revision}
 }
 
-// exchange is the outcome of a call to the store.
-type exchange int
+// callOutcome is the outcome of a call to the store.
+type callOutcome int
 
 const (
 	// answered: the call is executed and its response arrives.
-	answered exchange = iota
+	answered callOutcome = iota
 	// answerLost: the call is executed, but its response is lost.
 	answerLost
 	// delayed: the response is lost, and a write is executed only later.
@@ -106,7 +106,7 @@
 }
 
 func newSession(t testing.TB) *session {
-	first, _ := mustAccept(t, nil, declaring(map[string]int{"orders": 1, "nightly": 1}))
+	first, _ := mustAccept(t, nil, manifestWith(map[string]int{"orders": 1, "nightly": 1}))
 	s := &session{t: t, now: testStart, store: &memoryStore{}}
 	value, err := first.Marshal()
 	if err != nil {
@@ -176,7 +176,7 @@
 }
 
 // run executes the outstanding command with the given outcome.
-func (o *operator) run(how exchange) {
+func (o *operator) run(how callOutcome) {
 	command := o.command
 	o.command = nil
 	switch c := command.(type) {
@@ -195,7 +195,7 @@
 	}
 }
 
-func (o *operator) commit(c CommitConfig, how exchange) {
+func (o *operator) commit(c CommitConfig, how callOutcome) {
 	switch how {
 	case answered:
 		result := o.store.txn(o.t, c)
@@ -215,8 +215,8 @@
 	}
 }
 
-// land executes the delayed writes.
-func (s *session) land() {
+// applyDelayedWrites executes the delayed writes.
+func (s *session) applyDelayedWrites() {
 	for _, c := range s.late {
 		s.store.txn(s.t, c)
 	}
@@ -241,7 +241,7 @@
 func base(r model.Revision) *model.Revision { return &r }
 
 func tasks(orders, nightly int) *manifest.Manifest {
-	return declaring(map[string]int{"orders": orders, "nightly": nightly})
+	return manifestWith(map[string]int{"orders": orders, "nightly": nightly})
 }
 
 // An operator must not get a conflict for a change that took effect. Both
@@ -280,7 +280,7 @@
 	b.run(answered)
 	a.run(answered)
 	a.run(answered)
-	s.land()
+	s.applyDelayedWrites()
 	s.golden("race-delayed-write")
 }
 
@@ -294,7 +294,7 @@
 	a.run(delayed)
 	a.run(answered)
 	a.run(answered)
-	s.land()
+	s.applyDelayedWrites()
 	a.run(answered)
 	a.run(answered)
 	s.golden("delayed-write")
@@ -315,7 +315,7 @@
 	s.golden("cancel-races")
 }
 
-func TestOutageEndsTyped(t *testing.T) {
+func TestResultsDuringStoreOutage(t *testing.T) {
 	s := newSession(t)
 	never := s.operator("never-read", ApplyRequest{Manifest: tasks(2, 1)})
 	unsure := s.operator("unsure", ApplyRequest{Manifest: tasks(2, 1)})
@@ -374,9 +374,9 @@
 	a.step(ApplyCommitDone{Result: port.TxnResult{Succeeded: true}})
 }
 
-// TestResultsAreTrue races operators with every outcome of their calls and
+// TestResultsMatchTheStore races operators with every outcome of their calls and
 // compares the result of each operator with everything that the store has held.
-func TestResultsAreTrue(t *testing.T) {
+func TestResultsMatchTheStore(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260302)
 	parameters.MinSuccessfulTests = 1500
 	properties := gopter.NewProperties(parameters)
@@ -399,26 +399,26 @@
 	}
 	for _, code := range codes {
 		if code%16 == 15 {
-			s.land()
+			s.applyDelayedWrites()
 		}
-		operators[code%4].run(exchange(code / 4 % 4))
+		operators[code%4].run(callOutcome(code / 4 % 4))
 	}
 	s.now = s.now.Add(time.Minute)
 	for _, o := range operators {
 		o.step(ApplyTick{})
 	}
-	s.land()
+	s.applyDelayedWrites()
 	for _, o := range operators {
-		if fault := s.falseReport(o); fault != "" {
+		if fault := s.checkResult(o); fault != "" {
 			return fault
 		}
 	}
 	return ""
 }
 
-// falseReport compares the result of one operator with the history of the store.
+// checkResult compares the result of one operator with the history of the store.
 // It returns a description of the difference, or an empty string.
-func (s *session) falseReport(o *operator) string {
+func (s *session) checkResult(o *operator) string {
 	var stored []model.Revision
 	for i, a := range s.store.history {
 		if a.Revision != model.Revision(i+1) {
--- a/core/config/config_capacity_test.go
+++ b/core/config/config_capacity_test.go
@@ -22,13 +22,13 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	for i := range m.Workloads {
 		w := &m.Workloads[i]
-		w.Name = fmt.Sprintf("%s-%s-%04d", noise(uint64(i), 8, "aeioulnrst"), noise(uint64(i%97), 5, "aeioulnrst"), i)
+		w.Name = fmt.Sprintf("%s-%s-%04d", randomText(uint64(i), 8, "aeioulnrst"), randomText(uint64(i%97), 5, "aeioulnrst"), i)
 		w.Class = w.Name
 		w.Size = model.Resources{MilliCPU: 100 * (1 + random.Int64N(160)), MemoryMB: 256 * (1 + random.Int64N(240))}
 		w.Tasks = 1 + random.IntN(40)
 		w.Args = []string{
 			"serve", fmt.Sprintf("--listen=:%d", 8000+random.IntN(1000)),
-			"--release=sha256:" + noise(uint64(i), 64, "0123456789abcdef"),
+			"--release=sha256:" + randomText(uint64(i), 64, "0123456789abcdef"),
 		}
 	}
 	return m.Normalised()
--- a/core/config/helpers_test.go
+++ b/core/config/helpers_test.go
@@ -14,9 +14,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// declaring returns a manifest with one batch job for each name in tasks, which
+// manifestWith returns a manifest with one batch job for each name in tasks, which
 // gives its number of tasks.
-func declaring(tasks map[string]int) *manifest.Manifest {
+func manifestWith(tasks map[string]int) *manifest.Manifest {
 	m := &manifest.Manifest{Cluster: "c", Teams: []manifest.Team{{Name: "t"}}}
 	for _, name := range slices.Sorted(maps.Keys(tasks)) {
 		m.Workloads = append(m.Workloads, manifest.Workload{
@@ -45,9 +45,9 @@
 	return next, diff
 }
 
-// differ returns the difference between two configurations, or an empty string.
+// diffConfigs returns the difference between two configurations, or an empty string.
 // It ignores the writers, which deltas do not include.
-func differ(a, b *Accepted) string {
+func diffConfigs(a, b *Accepted) string {
 	ea, eb := a.Encode(), b.Encode()
 	ea.Writer, eb.Writer = "", ""
 	if proto.Equal(ea, eb) {
@@ -56,7 +56,7 @@
 	return cmp.Diff(ea, eb, protocmp.Transform())
 }
 
-func reread(t testing.TB, a *Accepted) *Accepted {
+func roundTrip(t testing.TB, a *Accepted) *Accepted {
 	t.Helper()
 	m := proto.CloneOf(a.Encode())
 	back, err := Decode(m)
--- a/core/config/state_test.go
+++ b/core/config/state_test.go
@@ -25,11 +25,11 @@
 
 // newChain makes one configuration for each edit that has an effect.
 func newChain(t testing.TB, edits []uint16) *chain {
-	m := declaring(map[string]int{"w-0": 1, "w-1": 1, "w-2": 1})
+	m := manifestWith(map[string]int{"w-0": 1, "w-1": 1, "w-2": 1})
 	a, _ := mustAccept(t, nil, m)
 	c := &chain{accepted: []*Accepted{a}}
 	for _, edit := range edits {
-		next := edited(t, a, m, edit)
+		next := applyEdit(t, a, m, edit)
 		if next != a {
 			c.accepted = append(c.accepted, next)
 		}
@@ -45,7 +45,7 @@
 	return c
 }
 
-func edited(t testing.TB, a *Accepted, m *manifest.Manifest, edit uint16) *Accepted {
+func applyEdit(t testing.TB, a *Accepted, m *manifest.Manifest, edit uint16) *Accepted {
 	name := fmt.Sprintf("w-%d", edit/8%8)
 	switch edit % 8 {
 	case 0:
@@ -63,7 +63,7 @@
 	case 3, 4:
 		m.Workloads = without(m.Workloads, name)
 	default:
-		added := declaring(map[string]int{name: int(edit%5) + 1}).Workloads
+		added := manifestWith(map[string]int{name: int(edit%5) + 1}).Workloads
 		m.Workloads = append(without(m.Workloads, name), added...)
 	}
 	next, _ := mustAccept(t, a, m)
@@ -109,46 +109,46 @@
 	return d
 }
 
-// deliver returns the message that code selects, and its condition. A nil message
+// message returns the message that code selects, and its condition. A nil message
 // stands for a read of the store.
-func (c *chain) deliver(fork *chain, code []uint16) (*peerv1.ConfigDelta, condition) {
+func (c *chain) message(fork *chain, code []uint16) (*peerv1.ConfigDelta, deltaCondition) {
 	to, base := code[1], code[2]
 	switch code[0] % 6 {
 	case 0, 1:
-		return c.delta(to, base), sound
+		return c.delta(to, base), intactDelta
 	case 2:
-		return c.whole(to), sound
+		return c.whole(to), intactDelta
 	case 3:
 		if d := c.delta(to, base); d != nil {
-			return damaged(d, code[3]), unusable
+			return damaged(d, code[3]), damagedDelta
 		}
 	case 4:
 		if d := proto.CloneOf(c.delta(to, base)); d != nil {
 			d.Changes = fork.delta(to, base).GetChanges()
-			return d, doubtful
+			return d, foreignDelta
 		}
 	}
-	return nil, sound
+	return nil, intactDelta
 }
 
-// condition classifies a message by the result to expect from it.
-type condition int
+// deltaCondition classifies a message by the result to expect from it.
+type deltaCondition int
 
 const (
-	sound condition = iota
-	unusable
-	// doubtful: the changes come from another history but may happen to apply.
-	doubtful
+	intactDelta deltaCondition = iota
+	damagedDelta
+	// foreignDelta: the changes come from another history but may happen to apply.
+	foreignDelta
 )
 
-// judge applies the message to the receiver and compares the result with the
+// applyAndCheck applies the message to the receiver and compares the result with the
 // condition. It returns a description of the fault, or an empty string.
-func (c condition) judge(s *State, d *peerv1.ConfigDelta, before *Accepted) string {
+func (c deltaCondition) applyAndCheck(s *State, d *peerv1.ConfigDelta, before *Accepted) string {
 	result, err := s.ApplyDelta(d)
 	switch {
-	case result == DeltaInstalled && c == unusable:
+	case result == DeltaInstalled && c == damagedDelta:
 		return "a damaged delta was installed"
-	case result == DeltaWholeNeeded && c == sound && before != nil:
+	case result == DeltaWholeNeeded && c == intactDelta && before != nil:
 		return fmt.Sprintf("an intact delta was not usable: %v", err)
 	case result != DeltaInstalled && s.Current() != before:
 		return "a delta that was not installed changed the state"
@@ -177,10 +177,10 @@
 	s := NewState()
 	for ; len(codes) >= 4; codes = codes[4:] {
 		before := s.Current()
-		delta, cond := c.deliver(fork, codes)
+		delta, cond := c.message(fork, codes)
 		if delta == nil {
-			s.InstallStored(reread(t, c.accepted[c.pick(codes[1])]))
-		} else if fault := cond.judge(s, delta, before); fault != "" {
+			s.InstallStored(roundTrip(t, c.accepted[c.pick(codes[1])]))
+		} else if fault := cond.applyAndCheck(s, delta, before); fault != "" {
 			return fault
 		}
 		if s.Revision() < revisionOf(before) {
@@ -199,7 +199,7 @@
 		return ""
 	}
 	want := c.accepted[s.Revision()-1]
-	if d := differ(want, s.Current()); d != "" {
+	if d := diffConfigs(want, s.Current()); d != "" {
 		return "mixed configuration: " + d
 	}
 	if want.Hash() != s.Current().Hash() {
@@ -267,10 +267,10 @@
 
 func TestHistoryIsBounded(t *testing.T) {
 	s := NewState()
-	a, _ := mustAccept(t, nil, declaring(map[string]int{"a": 1, "b": 1, "c": 1, "d": 1}))
+	a, _ := mustAccept(t, nil, manifestWith(map[string]int{"a": 1, "b": 1, "c": 1, "d": 1}))
 	s.InstallStored(a)
 	for i := range MaxHistory + 10 {
-		a, _ = mustAccept(t, a, declaring(map[string]int{"a": i%2 + 2, "b": 1, "c": 1, "d": 1}))
+		a, _ = mustAccept(t, a, manifestWith(map[string]int{"a": i%2 + 2, "b": 1, "c": 1, "d": 1}))
 		s.InstallStored(a)
 	}
 	if n := len(s.history.entries); n > MaxHistory {
@@ -285,7 +285,7 @@
 	}
 }
 
-func TestCancellationsTravelWithoutDeclarations(t *testing.T) {
+func TestCancellationDeltasOmitDeclarations(t *testing.T) {
 	tasks := make(map[string]int)
 	var names []string
 	for i := range 100 {
@@ -293,7 +293,7 @@
 		tasks[names[i]] = 1
 	}
 	tasks["kept"] = 1
-	a, _ := mustAccept(t, nil, declaring(tasks))
+	a, _ := mustAccept(t, nil, manifestWith(tasks))
 	s, peer := NewState(), NewState()
 	s.InstallStored(a)
 	peer.InstallStored(a)
@@ -306,7 +306,7 @@
 	if strings.Contains(d.String(), "milliCPU") {
 		t.Error("a declaration was sent")
 	}
-	if result, err := peer.ApplyDelta(d); result != DeltaInstalled || differ(a, peer.Current()) != "" {
+	if result, err := peer.ApplyDelta(d); result != DeltaInstalled || diffConfigs(a, peer.Current()) != "" {
 		t.Error(result, err)
 	}
 }
