--- a/core/config/accepted.go
+++ b/core/config/accepted.go
@@ -80,7 +80,7 @@
 func (a *Accepted) Names() []string { return slices.Sorted(maps.Keys(a.Workloads)) }
 
 // draft is a configuration under construction. Its records may still point to
-// declarations of an older configuration; seal copies these into a new manifest.
+// declarations of an older configuration; build copies these into a new manifest.
 type draft struct {
 	revision  model.Revision
 	cluster   string
--- a/core/config/apply_types.go
+++ b/core/config/apply_types.go
@@ -23,7 +23,7 @@
 	// Writer is an id that is unique to this request and holds no white space.
 	Writer string
 	// Known is the highest revision that this daemon has held. A lower stored
-	// revision ends the operation, with a RevisionLowerError as the cause.
+	// revision ends the operation, with a RevisionRegressedError as the cause.
 	Known model.Revision
 }
 
@@ -73,12 +73,12 @@
 // one command is outstanding at a time.
 type ApplyCommand interface{ applyCommand() }
 
-// ReadConfig requests the value of Key. The response is an ApplyRead.
+// ReadConfig requests the value of Key. The response is an ApplyReadDone.
 type ReadConfig struct {
 	Key string
 }
 
-// CommitConfig requests one transaction. The response is an ApplyCommitted.
+// CommitConfig requests one transaction. The response is an ApplyCommitDone.
 type CommitConfig struct {
 	Conditions []port.Condition
 	Ops        []port.Op
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -95,7 +95,7 @@
 // have the newest revision, no later exchange would repair it.
 //
 // The error says why a delta was not usable: a *DecodeError or a *HashError. A
-// *HashError together with DeltaAlready means that the sender holds a different
+// *HashError together with DeltaAlreadyInstalled means that the sender holds a different
 // configuration under the same revision; only the store can tell which of the
 // two is right.
 func (s *State) ApplyDelta(d *peerv1.ConfigDelta) (DeltaResult, error) {
