--- a/core/config/apply_test.go
+++ b/core/config/apply_test.go
@@ -26,11 +26,11 @@
 
 var testStart = time.Date(2026, 3, 1, 6, 0, 0, 0, time.UTC)
 
-// memoryStore is two keys of the platform's store.
+// memoryStore is an in-memory store with the configuration key and the head key.
 type memoryStore struct {
 	kv, head port.KeyValue
 	revision int64
-	// history is what was stored, oldest first.
+	// history holds every stored configuration, oldest first.
 	history []*Accepted
 }
 
@@ -60,23 +60,23 @@
 		t.Fatal(err)
 	}
 	if head, err := UnmarshalHead(s.head); err != nil || head != a.Revision || s.head.ModRevision != s.revision {
-		t.Fatalf("head names revision %d beside %d: %v", head, a.Revision, err)
+		t.Fatalf("head key holds revision %d, configuration %d: %v", head, a.Revision, err)
 	}
 	s.history = append(s.history, a)
 	return port.TxnResult{Succeeded: true, Revision: s.revision}
 }
 
-// exchange is how a call to the store goes.
-type exchange int
+// callOutcome is the outcome of a call to the store.
+type callOutcome int
 
 const (
-	// answered: carried out, and the answer arrives.
-	answered exchange = iota
-	// answerLost: carried out, but the answer is lost.
+	// answered: the call is executed and its response arrives.
+	answered callOutcome = iota
+	// answerLost: the call is executed, but its response is lost.
 	answerLost
-	// delayed: the answer is lost, and a write is carried out only later.
+	// delayed: the response is lost, and a write is executed only later.
 	delayed
-	// notSent: it fails before it is sent.
+	// notSent: the call fails before it is sent.
 	notSent
 )
 
@@ -85,7 +85,8 @@
 	errNotSent = &port.StoreError{Call: "Txn", Kind: port.StoreUnavailable, Outcome: port.OutcomeNotDone}
 )
 
-// session runs operators against one store and records what happens.
+// session runs operators against one store and records their commands and the
+// responses.
 type session struct {
 	t     testing.TB
 	now   time.Time
@@ -94,7 +95,7 @@
 	rings []*timeline.Ring
 }
 
-// operator is one ApplyOp with the command that it waits for.
+// operator is one ApplyOp with its outstanding command.
 type operator struct {
 	*session
 	name    string
@@ -105,7 +106,7 @@
 }
 
 func newSession(t testing.TB) *session {
-	first, _ := mustAccept(t, nil, declaring(map[string]int{"orders": 1, "nightly": 1}))
+	first, _ := mustAccept(t, nil, manifestWith(map[string]int{"orders": 1, "nightly": 1}))
 	s := &session{t: t, now: testStart, store: &memoryStore{}}
 	value, err := first.Marshal()
 	if err != nil {
@@ -174,18 +175,18 @@
 	return fmt.Sprintf("%+v", r)
 }
 
-// run lets the outstanding command happen.
-func (o *operator) run(how exchange) {
+// run executes the outstanding command with the given outcome.
+func (o *operator) run(how callOutcome) {
 	command := o.command
 	o.command = nil
 	switch c := command.(type) {
 	case ReadConfig:
 		if how != answered {
 			o.record("read fails", "")
-			o.step(ApplyRead{Err: errLost})
+			o.step(ApplyReadDone{Err: errLost})
 			return
 		}
-		o.step(ApplyRead{KV: o.store.kv})
+		o.step(ApplyReadDone{KV: o.store.kv})
 	case CommitConfig:
 		o.commit(c, how)
 	case WaitUntil:
@@ -194,28 +195,28 @@
 	}
 }
 
-func (o *operator) commit(c CommitConfig, how exchange) {
+func (o *operator) commit(c CommitConfig, how callOutcome) {
 	switch how {
 	case answered:
 		result := o.store.txn(o.t, c)
 		o.record("commit answered", fmt.Sprintf("succeeded %v", result.Succeeded))
-		o.step(ApplyCommitted{Result: result})
+		o.step(ApplyCommitDone{Result: result})
 	case answerLost:
 		result := o.store.txn(o.t, c)
 		o.record("commit answer lost", fmt.Sprintf("succeeded %v", result.Succeeded))
-		o.step(ApplyCommitted{Err: errLost})
+		o.step(ApplyCommitDone{Err: errLost})
 	case delayed:
 		o.late = append(o.late, c)
 		o.record("commit delayed", "")
-		o.step(ApplyCommitted{Err: errLost})
+		o.step(ApplyCommitDone{Err: errLost})
 	case notSent:
 		o.record("commit not sent", "")
-		o.step(ApplyCommitted{Err: errNotSent})
+		o.step(ApplyCommitDone{Err: errNotSent})
 	}
 }
 
-// land carries out the delayed writes.
-func (s *session) land() {
+// applyDelayedWrites executes the delayed writes.
+func (s *session) applyDelayedWrites() {
 	for _, c := range s.late {
 		s.store.txn(s.t, c)
 	}
@@ -240,14 +241,14 @@
 func base(r model.Revision) *model.Revision { return &r }
 
 func tasks(orders, nightly int) *manifest.Manifest {
-	return declaring(map[string]int{"orders": orders, "nightly": nightly})
+	return manifestWith(map[string]int{"orders": orders, "nightly": nightly})
 }
 
-// Symptom: an operator whose change is in force is told of a conflict.
-// Sequence: both mean to replace revision 1. A's write takes effect and its
-// answer is lost; B's write loses the race, B looks again and replaces A's
-// revision before A has read back.
-// Cause: judging by who wrote the configuration in force, which is B by now.
+// An operator must not get a conflict for a change that took effect. Both
+// operators replace revision 1. A's write takes effect but its response is lost;
+// B's write loses the race, and B replaces A's revision before A reads back. The
+// writer of the current revision is then B, so A's operation has to look up the
+// writer of the revision that it wrote.
 func TestRaceWithLostAnswer(t *testing.T) {
 	s := newSession(t)
 	a := s.operator("operator-a", ApplyRequest{Manifest: tasks(2, 1), Base: base(1)})
@@ -265,11 +266,10 @@
 	s.golden("race-lost-answer")
 }
 
-// Symptom: an operator is told of success, but another's change is in force and
-// theirs never was.
-// Sequence: A's write is delayed and its answer lost; B's write takes effect; A
-// reads back; then A's write arrives.
-// Cause: taking a lost answer for success, or a revision number for an author.
+// An operator must not get a success for a change that never took effect. A's
+// write is delayed and its response lost; B's write takes effect, A reads back,
+// and only then A's write arrives. The result is wrong if a lost response counts
+// as success, or if only the revision number is compared and not the writer.
 func TestRaceWithDelayedWrite(t *testing.T) {
 	s := newSession(t)
 	a := s.operator("operator-a", ApplyRequest{Manifest: tasks(2, 1)})
@@ -280,13 +280,13 @@
 	b.run(answered)
 	a.run(answered)
 	a.run(answered)
-	s.land()
+	s.applyDelayedWrites()
 	s.golden("race-delayed-write")
 }
 
-// Symptom: a change is made twice, or reported as not made and then appears.
-// Sequence: A's write is delayed; reading back shows the old configuration.
-// Cause: taking "not there yet" for "will never be there".
+// A change must not be made twice, nor be reported as not made and take effect
+// later. A's write is delayed, so A reads back the old configuration although the
+// write is still in flight.
 func TestDelayedWriteIsSentAgain(t *testing.T) {
 	s := newSession(t)
 	a := s.operator("operator-a", ApplyRequest{Manifest: tasks(2, 1)})
@@ -294,16 +294,16 @@
 	a.run(delayed)
 	a.run(answered)
 	a.run(answered)
-	s.land()
+	s.applyDelayedWrites()
 	a.run(answered)
 	a.run(answered)
 	s.golden("delayed-write")
 }
 
-// Symptom: a cancellation ends work that was declared after it was sent.
-// Sequence: a cancellation loses the race to a manifest, once to one that
-// declares another workload anew and once to one that declares its own.
-// Cause: deciding again by name and not by generation.
+// A cancellation must not cancel a declaration that was made after it was sent.
+// One cancellation loses the race to a manifest that changes another workload,
+// and one to a manifest that changes its own workload. The second would cancel
+// the new declaration if it were retried by name instead of by generation.
 func TestCancelRacesManifests(t *testing.T) {
 	s := newSession(t)
 	other := s.operator("cancel-orders", ApplyRequest{Cancel: []string{"orders"}})
@@ -315,7 +315,7 @@
 	s.golden("cancel-races")
 }
 
-func TestOutageEndsTyped(t *testing.T) {
+func TestResultsDuringStoreOutage(t *testing.T) {
 	s := newSession(t)
 	never := s.operator("never-read", ApplyRequest{Manifest: tasks(2, 1)})
 	unsure := s.operator("unsure", ApplyRequest{Manifest: tasks(2, 1)})
@@ -331,7 +331,7 @@
 	wrong.run(answered)
 	for i := 0; never.result == nil || unsure.result == nil; i++ {
 		if i == 100 {
-			t.Fatal("an operation goes on past its deadline")
+			t.Fatal("an operation continues after its deadline")
 		}
 		never.run(answerLost)
 		unsure.run(answerLost)
@@ -339,10 +339,10 @@
 	s.golden("outage")
 }
 
-// Symptom: an operator is told of a conflict although the change was in force.
-// Sequence: the answer is lost, and so many changes follow before the read back
-// that the stored configuration no longer names who made this one.
-// Cause: taking a writer that is not listed for one that never wrote.
+// An operator must not get a conflict for a change that was in force. The
+// response is lost, and more changes than MaxWriters covers follow before the
+// read back, so the stored configuration no longer lists the writer of this
+// change. A writer that is not listed may still have written.
 func TestWriterNoLongerListedIsUnknown(t *testing.T) {
 	s := newSession(t)
 	a := s.operator("a", ApplyRequest{Manifest: tasks(2, 1)})
@@ -371,16 +371,16 @@
 	if !ok || unknown.Revision != 2 || unknown.Writer != "a" || !errors.As(unknown.Cause, &late) {
 		t.Errorf("%+v", a.result)
 	}
-	a.step(ApplyCommitted{Result: port.TxnResult{Succeeded: true}})
+	a.step(ApplyCommitDone{Result: port.TxnResult{Succeeded: true}})
 }
 
-// TestResultsAreTrue races operators through every kind of failed exchange and
-// compares what each was told with what the store ever held.
-func TestResultsAreTrue(t *testing.T) {
+// TestResultsMatchTheStore races operators with every outcome of their calls and
+// compares the result of each operator with everything that the store has held.
+func TestResultsMatchTheStore(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260302)
 	parameters.MinSuccessfulTests = 1500
 	properties := gopter.NewProperties(parameters)
-	properties.Property("no operator is told anything false", prop.ForAll(
+	properties.Property("every result agrees with the store", prop.ForAll(
 		func(codes []uint16) string { return runRace(t, codes) },
 		gen.SliceOfN(60, gen.UInt16()),
 	))
@@ -399,25 +399,26 @@
 	}
 	for _, code := range codes {
 		if code%16 == 15 {
-			s.land()
+			s.applyDelayedWrites()
 		}
-		operators[code%4].run(exchange(code / 4 % 4))
+		operators[code%4].run(callOutcome(code / 4 % 4))
 	}
 	s.now = s.now.Add(time.Minute)
 	for _, o := range operators {
 		o.step(ApplyTick{})
 	}
-	s.land()
+	s.applyDelayedWrites()
 	for _, o := range operators {
-		if fault := s.falseReport(o); fault != "" {
+		if fault := s.checkResult(o); fault != "" {
 			return fault
 		}
 	}
 	return ""
 }
 
-// falseReport compares one operator's result with the store's history.
-func (s *session) falseReport(o *operator) string {
+// checkResult compares the result of one operator with the history of the store.
+// It returns a description of the difference, or an empty string.
+func (s *session) checkResult(o *operator) string {
 	var stored []model.Revision
 	for i, a := range s.store.history {
 		if a.Revision != model.Revision(i+1) {
@@ -427,21 +428,21 @@
 			stored = append(stored, a.Revision)
 		}
 	}
-	told := fmt.Sprintf("%s was told %T %s, stored as %v", o.name, o.result, describeResult(o.result), stored)
+	report := fmt.Sprintf("%s got %T %s, but stored %v", o.name, o.result, describeResult(o.result), stored)
 	switch r := o.result.(type) {
 	case ApplyAccepted:
 		if len(stored) != 1 || stored[0] != r.Revision {
-			return told
+			return report
 		}
 	case ApplyUnknown:
 		if len(stored) > 1 || len(stored) == 1 && stored[0] != r.Revision {
-			return told
+			return report
 		}
 	case nil:
-		return o.name + " was told nothing"
+		return o.name + " has no result"
 	default:
 		if len(stored) != 0 {
-			return told
+			return report
 		}
 	}
 	return ""
