--- a/core/jobsched/advice_test.go
+++ b/core/jobsched/advice_test.go
@@ -23,7 +23,7 @@
 			tickets[worker] = "ticket-" + string(id)
 		}
 	}
-	c.tell(c.machine, adviceTime, func() Event {
+	c.sendEvent(c.machine, adviceTime, func() Event {
 		return Advised{Step: e.Step, Asked: e.Workers, Verdict: VerdictDone, Tickets: tickets, Validity: ticketTime}
 	})
 }
--- a/core/jobsched/aside_test.go
+++ b/core/jobsched/aside_test.go
@@ -20,21 +20,21 @@
 // roster; the leader is lost and another takes over. Cause: it took what it could
 // not read for what is not there.
 func TestDamagedRecordsAtATakeOver(t *testing.T) {
-	t.Run("what runs of a job goes on, and nothing of it is started", asideRunsOn)
-	t.Run("a job whose records are repaired goes on", asideIsRepaired)
-	t.Run("ends wait for the job's records", asideEndsWait)
-	t.Run("ends wait over another take-over", asideEndsOutliveALeader)
-	t.Run("other jobs' ends are acknowledged", asideEndsAreBounded)
-	t.Run("a repaired job that was canceled stops", asideIsCanceled)
-	t.Run("a job that cannot be read when it comes", asideFromTheStart)
-	t.Run("a job whose records are removed stops", asideIsGone)
+	t.Run("what runs of a job goes on, and nothing of it is started", unreadableJobKeepsRunning)
+	t.Run("a job whose records are repaired goes on", unreadableJobIsRepaired)
+	t.Run("ends wait for the job's records", unreadableJobDefersEnds)
+	t.Run("ends wait over another take-over", deferredEndsSurviveATakeover)
+	t.Run("other jobs' ends are acknowledged", deferredEndsAreBounded)
+	t.Run("a repaired job that was canceled stops", unreadableJobIsCanceled)
+	t.Run("a job that cannot be read when it comes", unreadableJobAtAcceptance)
+	t.Run("a job whose records are removed stops", unreadableJobIsRemoved)
 	t.Run("a lost roster holds recovered jobs back", lostRoster)
 	t.Run("a lost roster stays lost for the next leader", lostRosterTwice)
 }
 
-// newAsideCluster has a job with four running tasks and four that wait, whose
+// newUnreadableJobCluster has a job with four running tasks and four that wait, whose
 // records a new leader cannot read.
-func newAsideCluster(t *testing.T, took time.Duration) (*cluster, job.ID) {
+func newUnreadableJobCluster(t *testing.T, took time.Duration) (*cluster, job.ID) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "batch", makeStep(4, 6000, took), makeStep(4, 6000, took, 0))
@@ -43,12 +43,12 @@
 		t.Fatalf("%d tasks run, want 4", n)
 	}
 	c.damaged[id] = true
-	c.lead()
+	c.replaceLeader()
 	return c, id
 }
 
-// completes checks that a job completes with as many starts as it has tasks.
-func (c *cluster) completes(id job.ID, starts int) {
+// runToCompletion checks that a job runToCompletion with as many starts as it has tasks.
+func (c *cluster) runToCompletion(id job.ID, starts int) {
 	c.t.Helper()
 	c.run(10 * time.Second)
 	if state := c.state(id); state != job.Completed || c.starts != starts {
@@ -56,8 +56,8 @@
 	}
 }
 
-func asideRunsOn(t *testing.T) {
-	c, id := newAsideCluster(t, 30*time.Second)
+func unreadableJobKeepsRunning(t *testing.T) {
+	c, id := newUnreadableJobCluster(t, 30*time.Second)
 	c.run(10 * time.Second)
 	if n := c.runningOf(id); n != 4 || c.starts != 4 {
 		t.Errorf("%d tasks run after %d starts, want 4 after 4", n, c.starts)
@@ -66,41 +66,41 @@
 	// its own.
 	c.addWorker(9)
 	other := c.submit(2, "urgent", makeStep(1, 1000, 200*time.Millisecond))
-	c.completes(other, 5)
+	c.runToCompletion(other, 5)
 }
 
-func asideIsRepaired(t *testing.T) {
-	c, id := newAsideCluster(t, 3*time.Second)
+func unreadableJobIsRepaired(t *testing.T) {
+	c, id := newUnreadableJobCluster(t, 3*time.Second)
 	c.run(time.Second)
 	c.repair(id)
-	c.completes(id, 8)
+	c.runToCompletion(id, 8)
 }
 
-func asideEndsWait(t *testing.T) {
-	c, id := newAsideCluster(t, 2*time.Second)
+func unreadableJobDefersEnds(t *testing.T) {
+	c, id := newUnreadableJobCluster(t, 2*time.Second)
 	c.run(5 * time.Second)
 	if n := c.runningOf(id); n != 0 || c.starts != 4 {
 		t.Errorf("%d tasks run after %d starts, want none after 4", n, c.starts)
 	}
 	c.repair(id)
-	c.completes(id, 8)
+	c.runToCompletion(id, 8)
 }
 
 // The ends of a job that is set aside are known to its workers alone. Were they
 // acknowledged, the next leader would start again what is done.
-func asideEndsOutliveALeader(t *testing.T) {
-	c, id := newAsideCluster(t, 2*time.Second)
+func deferredEndsSurviveATakeover(t *testing.T) {
+	c, id := newUnreadableJobCluster(t, 2*time.Second)
 	c.run(5 * time.Second)
-	c.lead()
+	c.replaceLeader()
 	c.run(time.Second)
 	c.repair(id)
-	c.completes(id, 8)
+	c.runToCompletion(id, 8)
 }
 
 // A worker tells 500 ends at a time, in their order: were all held back behind
 // one of a job that is set aside, those of other jobs would not be heard of.
-func asideEndsAreBounded(t *testing.T) {
-	c, _ := newAsideCluster(t, 2*time.Second)
+func deferredEndsAreBounded(t *testing.T) {
+	c, _ := newUnreadableJobCluster(t, 2*time.Second)
 	c.run(5 * time.Second)
 	const jobs = 600
 	last := c.submit(100, "urgent", makeStep(jobs, 100, 20*time.Millisecond))
@@ -115,8 +115,8 @@
 	}
 }
 
-func asideIsCanceled(t *testing.T) {
-	c, id := newAsideCluster(t, 30*time.Second)
+func unreadableJobIsCanceled(t *testing.T) {
+	c, id := newUnreadableJobCluster(t, 30*time.Second)
 	c.run(time.Second)
 	canceled := *c.accepted[id]
 	canceled.Canceled = true
@@ -128,7 +128,7 @@
 	}
 }
 
-func asideFromTheStart(t *testing.T) {
+func unreadableJobAtAcceptance(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	const id = job.ID("00000000000000aa")
@@ -139,11 +139,11 @@
 		Queue: *c.config.Queues["urgent"], ConfigVersion: 1, AcceptedAtMs: c.wall.UnixMilli(),
 	}
 	c.repair(id)
-	c.completes(id, 2)
+	c.runToCompletion(id, 2)
 }
 
-func asideIsGone(t *testing.T) {
-	c, id := newAsideCluster(t, 30*time.Second)
+func unreadableJobIsRemoved(t *testing.T) {
+	c, id := newUnreadableJobCluster(t, 30*time.Second)
 	c.run(time.Second)
 	delete(c.accepted, id)
 	delete(c.progress, id)
@@ -164,7 +164,7 @@
 	if c.starts != 8 {
 		t.Errorf("%d starts, want 8", c.starts)
 	}
-	c.checkRosterToldAsLost(c.machine.earlierLeasesEnd())
+	c.checkRosterIncomplete(c.machine.earlierLeasesEnd())
 	c.relist()
 	c.run(12 * time.Second)
 	if n := c.runningOf(id); n != 8 {
@@ -185,8 +185,8 @@
 	c, id := newLostRoster(t)
 	bound := c.machine.earlierLeasesEnd()
 	c.run(2 * time.Second)
-	c.checkRosterToldAsLost(bound)
-	c.lead()
+	c.checkRosterIncomplete(bound)
+	c.replaceLeader()
 	for c.now.Before(bound) {
 		c.run(100 * time.Millisecond)
 		if c.starts != 8 {
@@ -200,11 +200,11 @@
 	}
 }
 
-// checkRosterToldAsLost checks that a leader which reads what is stored now starts
+// checkRosterIncomplete checks that a leader which reads what is stored now starts
 // nothing before the time given.
-func (c *cluster) checkRosterToldAsLost(until time.Time) {
-	if left := until.Sub(c.now); !c.rosterDamaged && c.lostLeft < left {
-		c.t.Errorf("the stored roster is told to lack workers for %s, want %s at least", c.lostLeft, left)
+func (c *cluster) checkRosterIncomplete(until time.Time) {
+	if left := until.Sub(c.now); !c.rosterDamaged && c.rosterLostLeft < left {
+		c.t.Errorf("the stored roster is told to lack workers for %s, want %s at least", c.rosterLostLeft, left)
 	}
 }
 
@@ -218,7 +218,7 @@
 	}
 	c.workers["w003"].listed = true
 	c.rosterDamaged = true
-	c.lead()
+	c.replaceLeader()
 	return c, id
 }
 
--- a/core/jobsched/busy_test.go
+++ b/core/jobsched/busy_test.go
@@ -10,17 +10,17 @@
 // slowLeader gives the leader of a cluster a processor: a step takes the longer
 // the more workers are looked at in it, and events wait until it is over.
 type slowLeader struct {
-	// looks counts how often a worker was looked at for a task in this step, most
+	// checks counts how often a worker was looked at for a task in this step, maxChecks
 	// is the highest count of any.
-	looks, most int
-	busyUntil   time.Time
-	waiting     []Event
+	checks, maxChecks int
+	busyUntil         time.Time
+	waiting           []Event
 }
 
 const (
-	// lookCost is the time of a look at a worker for a task: 0.32 us of a core,
+	// checkCost is the time of a look at a worker for a task: 0.32 us of a core,
 	// measured over rounds of 600 waiting gangs, by a leader with a fifth of one.
-	lookCost = 1600 * time.Nanosecond
+	checkCost = 1600 * time.Nanosecond
 	// leaderBatch is how many events the daemon takes in before it acts.
 	leaderBatch = 1024
 )
@@ -29,7 +29,7 @@
 func newSlowLeader(t testing.TB) *slowLeader {
 	l := new(slowLeader)
 	count := func(*Machine, *task, *worker) bool {
-		l.looks++
+		l.checks++
 		return true
 	}
 	fit, room, names := fitFilters, roomFilters, filterNames
@@ -51,13 +51,13 @@
 		c.machine.Handle(c.now, ev)
 	}
 	l.waiting = l.waiting[n:]
-	l.looks = 0
+	l.checks = 0
 	return true
 }
 
 func (l *slowLeader) end(c *cluster) {
-	l.most = max(l.most, l.looks)
-	l.busyUntil = c.now.Add(time.Duration(l.looks) * lookCost)
+	l.maxChecks = max(l.maxChecks, l.checks)
+	l.busyUntil = c.now.Add(time.Duration(l.checks) * checkCost)
 }
 
 // fullCluster returns 350 workers that long-running tasks fill but for a little,
@@ -129,7 +129,7 @@
 // Steps with a bound on their tasks on one worker are not remembered as fitting
 // nowhere while any worker has room, and there is no end to such cases: nothing
 // but the bound on the looks of a round keeps a step of the leader short then.
-func TestRoundIsBoundedWithoutMemory(t *testing.T) {
+func TestRoundIsBoundedWithoutUnplaceableCache(t *testing.T) {
 	c := newCluster(t, 1, 350)
 	c.run(200 * time.Millisecond)
 	for i := range 300 {
@@ -145,8 +145,8 @@
 		c.submit(1000+i, "urgent", s)
 	}
 	c.run(5 * time.Second)
-	if c.slow.most > looksBound {
-		t.Errorf("a step looked at workers %d times, want at most %d", c.slow.most, looksBound)
+	if c.slow.maxChecks > checkBound {
+		t.Errorf("a step looked at workers %d times, want at most %d", c.slow.maxChecks, checkBound)
 	}
 }
 
@@ -176,8 +176,8 @@
 	c.run(2 * time.Second)
 	c.slow = newSlowLeader(t)
 	c.run(3 * time.Second)
-	if c.slow.most > looksBound {
-		t.Errorf("a step looked at workers %d times, want at most %d", c.slow.most, looksBound)
+	if c.slow.maxChecks > checkBound {
+		t.Errorf("a step looked at workers %d times, want at most %d", c.slow.maxChecks, checkBound)
 	}
 }
 
@@ -198,8 +198,8 @@
 	if took := c.now.Sub(canceledAt); took > cancelBound {
 		t.Errorf("the tasks of a canceled job ran on for %s, want at most %s", took, cancelBound)
 	}
-	if c.slow.most > looksBound {
-		t.Errorf("a step looked at workers %d times, want at most %d", c.slow.most, looksBound)
+	if c.slow.maxChecks > checkBound {
+		t.Errorf("a step looked at workers %d times, want at most %d", c.slow.maxChecks, checkBound)
 	}
 }
 
@@ -207,6 +207,6 @@
 	// cancelBound is a fourth of what the platform allows from a cancel to the
 	// end of the tasks: a take-over may lie between too.
 	cancelBound = 1100 * time.Millisecond
-	// looksBound is 160 ms of such a leader.
-	looksBound = 100_000
+	// checkBound is 160 ms of such a leader.
+	checkBound = 100_000
 )
--- a/core/jobsched/candidates_test.go
+++ b/core/jobsched/candidates_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestCandidatesChooseAsAFullSearchDoes: the candidates of a step are scored once
+// TestCandidatesMatchAFullSearch: the candidates of a step are scored once
 // and not for each of its tasks. Each worker that they give must be the one that a
 // look at all workers gives at that moment.
-func TestCandidatesChooseAsAFullSearchDoes(t *testing.T) {
+func TestCandidatesMatchAFullSearch(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { checkCandidates(t, seed) })
 	}
--- a/core/jobsched/capacity_test.go
+++ b/core/jobsched/capacity_test.go
@@ -17,15 +17,15 @@
 // resize changes the capacity that the worker shows.
 func (w *fakeWorker) resize(capacity model.Resources) {
 	if capacity != w.entry.Capacity {
-		w.before, w.resizedAt = w.entry.Capacity, w.c.now
+		w.oldCapacity, w.resizedAt = w.entry.Capacity, w.c.now
 		w.entry.Capacity = capacity
 	}
 }
 
-// holds reports whether a start may bring the worker to so much.
-func (w *fakeWorker) holds(used model.Resources) bool {
+// hasCapacityFor reports whether a start may bring the worker to so much.
+func (w *fakeWorker) hasCapacityFor(used model.Resources) bool {
 	noticed := w.c.now.Sub(w.resizedAt) >= shrinkNotice
-	return used.Fits(w.entry.Capacity) || !noticed && used.Fits(w.before)
+	return used.Fits(w.entry.Capacity) || !noticed && used.Fits(w.oldCapacity)
 }
 
 // TestStartsFollowCapacitiesThatChange plays workers that shrink to a part of their
@@ -36,7 +36,7 @@
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			c := newCluster(t, seed, 8)
-			c.keepStates()
+			c.keepFinalJobs()
 			c.run(200 * time.Millisecond)
 			rnd := rand.New(rand.NewPCG(seed, 8))
 			full := c.workers["w000"].entry.Capacity
@@ -53,7 +53,7 @@
 				case 3:
 					c.handOver()
 				case 4:
-					c.lead()
+					c.replaceLeader()
 				}
 			}
 			for _, w := range c.workers {
@@ -80,11 +80,11 @@
 		w.resize(model.Resources{MilliCPU: 1000, MemoryMB: 4000})
 	}
 	c.run(time.Second)
-	c.lead()
+	c.replaceLeader()
 	c.run(time.Second)
 	c.restart(c.workers["w001"])
 	c.run(10 * time.Second)
-	c.lead()
+	c.replaceLeader()
 	c.run(time.Second)
 	if len(c.roster) != 2 {
 		t.Fatalf("%d workers on the roster, want 2", len(c.roster))
--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -33,12 +33,12 @@
 	progress map[job.ID]*job.Progress
 	summary  Summary
 	roster   []RosterEntry
-	// rosterStands is whether the last leader stored it.
-	rosterStands bool
-	rosterAge    time.Duration
-	unseenCrash  bool
-	lostLeft     time.Duration
-	learned      []interference.Effect
+	// rosterValid is whether the last leader stored it.
+	rosterValid    bool
+	rosterAge      time.Duration
+	unseenCrash    bool
+	rosterLostLeft time.Duration
+	learned        []interference.Effect
 	// damaged holds the jobs whose records a new leader cannot read, and
 	// rosterDamaged is set when it cannot read the roster.
 	damaged       map[job.ID]bool
@@ -73,8 +73,8 @@
 	// restarting draws which do on a day; nil for none.
 	keepIDs    bool
 	restarting *rand.Rand
-	// startUntold has no worker say when it was started.
-	startUntold bool
+	// omitStartTimes has no worker say when it was started.
+	omitStartTimes bool
 	// earlierVersion has each leader find a roster as the version before wrote it.
 	earlierVersion bool
 	machineTime    time.Duration
@@ -87,7 +87,7 @@
 	slow *slowLeader
 	// damages, if not nil, has a damaged entry for each worker without one, and
 	// for strangers.
-	damages *damages
+	damages *entryDamage
 }
 
 // taskTruth is what the workers did for one task.
@@ -102,11 +102,11 @@
 	// failed holds the attempts that ever failed.
 	failed    map[int]struct{}
 	lastStart time.Time
-	// present counts the workers that crashed while the task ran there.
-	present int
-	// crashed counts the workers that the task has crashed, startsAfterMost its
+	// crashesWhilePresent counts the workers that crashed while the task ran there.
+	crashesWhilePresent int
+	// crashed counts the workers that the task has crashed, startsAfterLimit its
 	// starts since that were as many as may be.
-	crashed, startsAfterMost int
+	crashed, startsAfterLimit int
 }
 
 type delivery struct {
@@ -127,14 +127,14 @@
 	listed bool
 	dead   bool
 	cutOff bool
-	// before is the capacity before resizedAt.
-	before    model.Resources
-	resizedAt time.Time
+	// oldCapacity is the capacity oldCapacity resizedAt.
+	oldCapacity model.Resources
+	resizedAt   time.Time
 	// successor is the incarnation that came after it at its address, under another id.
 	successor *fakeWorker
-	// shown is the entry that the list has in place of its own, nil for none: that of
+	// listedEntry is the entry that the list has in place of its own, nil for none: that of
 	// the incarnation before, until it has written one.
-	shown *WorkerEntry
+	listedEntry *WorkerEntry
 	// clockAhead is how far its clock is ahead of those of the workers that have not
 	// started again.
 	clockAhead time.Duration
@@ -195,7 +195,7 @@
 	for i := range workers {
 		c.addWorker(i)
 	}
-	c.lead()
+	c.replaceLeader()
 	return c
 }
 
@@ -211,25 +211,25 @@
 			Capacity: model.Resources{MilliCPU: 16000, MemoryMB: 64000},
 		},
 	}
-	if c.startUntold {
+	if c.omitStartTimes {
 		w.entry.StartedMs = 0
 	}
 	c.workers[id] = w
 	return w
 }
 
-// lead makes a new leader, as after the loss of the one before: nothing of its
+// replaceLeader makes a new leader, as after the loss of the one before: nothing of its
 // state is left but what is stored.
-func (c *cluster) lead() {
+func (c *cluster) replaceLeader() {
 	c.epoch++
 	c.held = nil
 	r := Recovered{
 		Wall: c.wall, Config: c.config, Accepted: make(map[job.ID]*job.Accepted), Progress: make(map[job.ID]*job.Progress),
 		Unreadable: make(map[job.ID]*job.Accepted), Learned: c.learned, RosterLost: c.rosterDamaged,
-		UnseenCrash: c.unseenCrash, RosterLostLeft: c.lostLeft,
+		UnseenCrash: c.unseenCrash, RosterLostLeft: c.rosterLostLeft,
 	}
 	if !c.rosterDamaged {
-		r.Roster, r.RosterValid, r.RosterAge = c.roster, c.rosterStands, c.rosterAge
+		r.Roster, r.RosterValid, r.RosterAge = c.roster, c.rosterValid, c.rosterAge
 	}
 	for id, a := range c.accepted {
 		if !c.damaged[id] {
@@ -253,16 +253,16 @@
 	for _, id := range c.workerIDs() {
 		w := c.workers[id]
 		switch {
-		case w.listed && w.shown != nil:
-			list.add(*w.shown, w.fault)
+		case w.listed && w.listedEntry != nil:
+			list.add(*w.listedEntry, w.fault)
 		case w.listed:
 			list.add(w.entry, w.fault)
 		case c.damages != nil:
-			list.add(w.entry, c.damages.any())
+			list.add(w.entry, c.damages.randomFault())
 		}
 	}
 	if c.damages != nil {
-		c.damages.addStrangers(&list)
+		c.damages.addUnknownWorkers(&list)
 	}
 	c.machine.Handle(c.now, list)
 }
@@ -295,7 +295,7 @@
 	canceled := *a
 	canceled.Canceled = true
 	c.accepted[id] = &canceled
-	c.tell(c.machine, 0, func() Event { return JobAccepted{ID: id, Record: &canceled} })
+	c.sendEvent(c.machine, 0, func() Event { return JobAccepted{ID: id, Record: &canceled} })
 }
 
 func (c *cluster) state(id job.ID) job.State {
@@ -321,7 +321,7 @@
 	c.now = c.now.Add(clusterTick)
 	c.wall = c.wall.Add(clusterTick)
 	for _, id := range c.workerIDs() {
-		c.workers[id].work(clusterTick)
+		c.workers[id].advance(clusterTick)
 	}
 	for len(c.queue) > 0 && !c.queue[0].at.After(c.now) {
 		d := c.queue[0]
@@ -344,7 +344,7 @@
 		c.checkRound()
 	}
 	for _, e := range effects {
-		c.carryOut(e)
+		c.execute(e)
 	}
 }
 
@@ -360,8 +360,8 @@
 	c.queue = slices.Insert(c.queue, i, delivery{at: at, act: act})
 }
 
-// tell hands an event to the leader that asked, if it still leads.
-func (c *cluster) tell(m *Machine, d time.Duration, ev func() Event) {
+// sendEvent hands an event to the leader that asked, if it still leads.
+func (c *cluster) sendEvent(m *Machine, d time.Duration, ev func() Event) {
 	c.after(d, func() {
 		switch {
 		case m != c.machine:
@@ -373,7 +373,7 @@
 	})
 }
 
-func (c *cluster) carryOut(e Effect) {
+func (c *cluster) execute(e Effect) {
 	switch e := e.(type) {
 	case Note:
 		if c.keepNotes {
@@ -385,15 +385,15 @@
 		c.renew(e)
 	case Start:
 		c.starts++
-		c.deliver(e.Order, func(w *fakeWorker) Verdict { return w.start(e) }, func(v Verdict) Event {
+		c.deliverOrder(e.Order, func(w *fakeWorker) Verdict { return w.start(e) }, func(v Verdict) Event {
 			return Started{AttemptName{e.Worker, e.Key, e.Attempt}, v, c.clock(e.Worker.ID)}
 		})
 	case Stop:
-		c.deliver(e.Order, func(w *fakeWorker) Verdict { return w.stop(e) }, func(v Verdict) Event {
+		c.deliverOrder(e.Order, func(w *fakeWorker) Verdict { return w.stop(e) }, func(v Verdict) Event {
 			return Stopped{AttemptName{e.Worker, e.Key, e.Attempt}, v}
 		})
 	case Throttle:
-		c.deliver(e.Order, func(w *fakeWorker) Verdict { return w.pace(e) }, func(v Verdict) Event {
+		c.deliverOrder(e.Order, func(w *fakeWorker) Verdict { return w.throttle(e) }, func(v Verdict) Event {
 			return Throttled{AttemptName{e.Worker, e.Key, e.Attempt}, e.Percent, v}
 		})
 	case Advise:
@@ -404,49 +404,49 @@
 }
 
 // clock returns the clock of whichever incarnation is there under an id.
-func (c *cluster) clock(id model.WorkerID) int64 { return c.at(id).clockMs() }
+func (c *cluster) clock(id model.WorkerID) int64 { return c.incarnationAt(id).clockMs() }
 
-// at returns the incarnation that is there under an id.
-func (c *cluster) at(id model.WorkerID) *fakeWorker {
+// incarnationAt returns the incarnation that is there under an id.
+func (c *cluster) incarnationAt(id model.WorkerID) *fakeWorker {
 	if w := c.workers[id]; w != nil {
 		return w
 	}
 	return &fakeWorker{c: c, dead: true}
 }
 
-// holdUp returns when an order is carried out that is not answered, and who holds it
+// delayOf returns when an order is carried out that is not answered, and who holds it
 // up. A worker that holds it back takes it along when it ends; one held up on its way
 // comes sooner, and reaches whichever incarnation is there then.
-func (c *cluster) holdUp(o Order, late time.Duration) (time.Duration, *fakeWorker) {
+func (c *cluster) delayOf(o Order, late time.Duration) (time.Duration, *fakeWorker) {
 	switch {
 	case !c.keepIDs:
 		return late, nil
 	case late.Milliseconds()%2 == 0:
 		return late % (time.Second - 100*time.Millisecond), nil
 	}
-	return late, c.at(o.Worker.ID)
+	return late, c.incarnationAt(o.Worker.ID)
 }
 
-// deliver carries an order to its worker and the answer back, or fails to.
-func (c *cluster) deliver(o Order, act func(*fakeWorker) Verdict, event func(Verdict) Event) {
+// deliverOrder carries an order to its worker and the answer back, or fails to.
+func (c *cluster) deliverOrder(o Order, act func(*fakeWorker) Verdict, event func(Verdict) Event) {
 	m := c.machine
 	if c.rnd.Float64() < c.delayOrders {
 		late := 2*time.Second + time.Duration(c.rnd.Int64N(int64(6*time.Second)))
-		late, holder := c.holdUp(o, late)
+		late, holder := c.delayOf(o, late)
 		c.after(late, func() {
-			if w := c.at(o.Worker.ID); (holder == nil || holder == w) && !w.unreachable() && w.successor == nil && o.Epoch >= w.epoch {
+			if w := c.incarnationAt(o.Worker.ID); (holder == nil || holder == w) && !w.unreachable() && w.successor == nil && o.Epoch >= w.epoch {
 				w.epoch = o.Epoch
 				act(w)
 			}
 		})
-		c.tell(m, time.Second, func() Event { return event(VerdictUnknown) })
+		c.sendEvent(m, time.Second, func() Event { return event(VerdictUnknown) })
 		return
 	}
 	lost := c.rnd.Float64() < c.loseAnswers
 	c.after(orderDelay, func() {
-		w := c.at(o.Worker.ID)
+		w := c.incarnationAt(o.Worker.ID)
 		if w.unreachable() {
-			c.tell(m, time.Second, func() Event { return event(VerdictUnknown) })
+			c.sendEvent(m, time.Second, func() Event { return event(VerdictUnknown) })
 			return
 		}
 		verdict := VerdictFenced
@@ -458,10 +458,10 @@
 			verdict = act(w)
 		}
 		if lost {
-			c.tell(m, time.Second, func() Event { return event(VerdictUnknown) })
+			c.sendEvent(m, time.Second, func() Event { return event(VerdictUnknown) })
 			return
 		}
-		c.tell(m, orderDelay, func() Event { return event(verdict) })
+		c.sendEvent(m, orderDelay, func() Event { return event(verdict) })
 	})
 }
 
@@ -469,13 +469,13 @@
 	sent := c.now
 	var report Report
 	act := func(w *fakeWorker) Verdict {
-		report = w.hold(e)
+		report = w.renew(e)
 		return VerdictDone
 	}
 	event := func(v Verdict) Event { return Renewed{Worker: e.Worker, SentAt: sent, Verdict: v, Report: report} }
 	w := c.workers[e.Worker.ID]
 	if w == nil || e.Wait == 0 {
-		c.deliver(e.Order, act, event)
+		c.deliverOrder(e.Order, act, event)
 		return
 	}
 	m := c.machine
@@ -483,12 +483,12 @@
 	wait = func(left time.Duration) {
 		if c.keepIDs && w.dead {
 			// The connection has ended with the process.
-			c.tell(m, resetDelay, func() Event { return event(VerdictUnknown) })
+			c.sendEvent(m, resetDelay, func() Event { return event(VerdictUnknown) })
 			return
 		}
 		if left <= 0 || len(w.ended) > 0 && w.ended[len(w.ended)-1].Number > e.AckedEnds || w.dead || w.cutOff || w.successor != nil {
 			if m == c.machine {
-				c.deliver(e.Order, act, event)
+				c.deliverOrder(e.Order, act, event)
 			}
 			return
 		}
@@ -508,15 +508,15 @@
 			c.store(e)
 		}
 	})
-	c.tell(m, 2*orderDelay+c.storeDelay, func() Event { return Committed{Number: e.Number} })
+	c.sendEvent(m, 2*orderDelay+c.storeDelay, func() Event { return Committed{Number: e.Number} })
 }
 
 func (c *cluster) store(e Commit) {
 	c.summary = e.Summary
-	c.rosterStands, c.rosterAge, c.unseenCrash = e.RosterValid, e.RosterAge, e.UnseenCrash
-	c.lostLeft = e.RosterLostLeft
+	c.rosterValid, c.rosterAge, c.unseenCrash = e.RosterValid, e.RosterAge, e.UnseenCrash
+	c.rosterLostLeft = e.RosterLostLeft
 	if e.Roster != nil {
-		c.roster = rereadRoster(c.t, e.Roster)
+		c.roster = reencodeRoster(c.t, e.Roster)
 		if c.earlierVersion {
 			c.roster = asEarlierVersion(c.roster)
 		}
@@ -530,7 +530,7 @@
 		if old != nil && old.State.Final() && p.Progress.State != old.State {
 			c.t.Errorf("job %s was %s and is %s", p.ID, old.State, p.Progress.State)
 		}
-		c.progress[p.ID] = reread(c.t, p.Progress)
+		c.progress[p.ID] = reencodeProgress(c.t, p.Progress)
 		switch p.Progress.State {
 		case job.Completed:
 			c.checkCompleted(p.ID)
@@ -546,8 +546,8 @@
 	}
 }
 
-// rereadRoster passes a roster through its stored form.
-func rereadRoster(t testing.TB, roster []RosterEntry) []RosterEntry {
+// reencodeRoster passes a roster through its stored form.
+func reencodeRoster(t testing.TB, roster []RosterEntry) []RosterEntry {
 	data, err := json.Marshal(roster)
 	if err != nil {
 		t.Fatal(err)
@@ -580,8 +580,8 @@
 	return lines
 }
 
-// reread passes a record through its stored form.
-func reread(t testing.TB, p *job.Progress) *job.Progress {
+// reencodeProgress passes a record through its stored form.
+func reencodeProgress(t testing.TB, p *job.Progress) *job.Progress {
 	q, err := job.DecodeProgress(p.Encode())
 	if err != nil {
 		t.Fatal(err)
@@ -651,8 +651,8 @@
 	c.held = nil
 }
 
-// runsOn returns the first worker on which a task of a job runs.
-func (c *cluster) runsOn(id job.ID) model.WorkerID {
+// firstWorkerOf returns the first worker on which a task of a job runs.
+func (c *cluster) firstWorkerOf(id job.ID) model.WorkerID {
 	for _, worker := range c.workerIDs() {
 		for key := range c.workers[worker].attempts {
 			if key.task.Job == id {
@@ -711,15 +711,15 @@
 
 // checkSums checks the sums that a worker keeps of its attempts.
 func (c *cluster) checkSums(w *worker) {
-	var committed, yielding model.Resources
+	var committed, reclaimable model.Resources
 	for _, a := range w.attempts.All() {
 		committed = committed.Add(a.size)
 		if a.isReclaimable() {
-			yielding = yielding.Add(a.size)
+			reclaimable = reclaimable.Add(a.size)
 		}
 	}
-	if committed != w.committed || yielding != w.reclaimable {
+	if committed != w.committed || reclaimable != w.reclaimable {
 		c.t.Errorf("%s: %s commits %s of which %s may yield, its attempts %s and %s",
-			c.now.Sub(testEpoch), w.id, w.committed, w.reclaimable, committed, yielding)
+			c.now.Sub(testEpoch), w.id, w.committed, w.reclaimable, committed, reclaimable)
 	}
 }
--- a/core/jobsched/counters_test.go
+++ b/core/jobsched/counters_test.go
@@ -28,7 +28,7 @@
 		if kept > c.options.KeepFinal+finalClockError+2*term {
 			t.Fatalf("the record is still there after %s", kept)
 		}
-		c.lead()
+		c.replaceLeader()
 		c.run(term)
 	}
 	if kept < c.options.KeepFinal {
@@ -64,7 +64,7 @@
 // change of the lead, as its failures are counted anew.
 func TestFailingWorkerStaysClosedOverChangesOfTheLead(t *testing.T) {
 	alone := failuresAt(t, nil, 0)
-	for name, change := range map[string]func(*cluster){"planned": (*cluster).handOver, "lost": (*cluster).lead} {
+	for name, change := range map[string]func(*cluster){"planned": (*cluster).handOver, "lost": (*cluster).replaceLeader} {
 		if n := failuresAt(t, change, 2*time.Second); n > alone+quarantineAfter {
 			t.Errorf("%s: %d attempts fail there, %d while one daemon leads", name, n, alone)
 		}
@@ -81,7 +81,7 @@
 	step.Count, step.EstimateMs = 4, 2000
 	id := c.submit(1, "batch", step)
 	c.run(3 * time.Second)
-	c.lead()
+	c.replaceLeader()
 	blamed := 0
 	for c.state(id) != job.Failed {
 		c.run(clusterTick)
--- a/core/jobsched/crash_test.go
+++ b/core/jobsched/crash_test.go
@@ -13,24 +13,24 @@
 
 // A worker that crashed left no line that says so, and its attempts none that
 // tells how long they had run.
-func TestCrashesAreTold(t *testing.T) {
+func TestCrashesAreNoted(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.keepNotes = true
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "urgent", longRunning(1, 2000))
 	c.run(2 * time.Second)
-	c.restart(c.workers[c.runsOn(id)])
+	c.restart(c.workers[c.firstWorkerOf(id)])
 	c.run(3 * time.Second)
-	var told []string
+	var reasons []string
 	for _, n := range c.notes {
 		if n.Decision == joblog.MessageWorkerCrashed || n.Decision == joblog.MessageCrashCounted {
-			told = append(told, n.Reason)
+			reasons = append(reasons, n.Reason)
 		}
 	}
-	if len(told) != 2 {
-		t.Fatalf("%d lines, want one of the worker and one of the attempt: %q", len(told), told)
+	if len(reasons) != 2 {
+		t.Fatalf("%d lines, want one of the worker and one of the attempt: %q", len(reasons), reasons)
 	}
-	for _, line := range told {
+	for _, line := range reasons {
 		if !strings.Contains(line, "for 1.") && !strings.Contains(line, "for 2") {
 			t.Errorf("%q does not tell how long the attempt ran", line)
 		}
@@ -47,13 +47,13 @@
 func playCrasher(t *testing.T, after time.Duration, most int, disturb func(c *cluster)) {
 	t.Helper()
 	c := newCluster(t, 1, 12)
-	c.keepStates()
+	c.keepFinalJobs()
 	c.run(200 * time.Millisecond)
 	for i := range 6 {
 		c.submit(100+i, "batch", makeStep(6, 1000, 2*time.Second))
 	}
 	id := c.submit(1, "batch", makeStep(1, 1000, 8*time.Second))
-	c.crash(id, after)
+	c.addCrasher(id, after)
 	for at := c.now; c.now.Sub(at) < time.Minute && !c.state(id).Final(); {
 		disturb(c)
 	}
@@ -85,12 +85,12 @@
 	}
 }
 
-func calmTime(c *cluster) { c.run(100 * time.Millisecond) }
+func noDisturbance(c *cluster) { c.run(100 * time.Millisecond) }
 
 // A task that crashes each worker that starts it was started again without end.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, after := range crashDelays {
-		t.Run(after.String(), func(t *testing.T) { playCrasher(t, after, 3, calmTime) })
+		t.Run(after.String(), func(t *testing.T) { playCrasher(t, after, 3, noDisturbance) })
 	}
 }
 
@@ -98,18 +98,23 @@
 // crashed its workers; the crashes that were not stored counted for nothing.
 func TestCrashesCountOverLeaders(t *testing.T) {
 	disturbances := map[string]func(c *cluster){
-		"lost each second":           func(c *cluster) { c.run(time.Second); c.lead() },
-		"lost each three seconds":    func(c *cluster) { c.run(3 * time.Second); c.lead() },
+		"lost each second":           func(c *cluster) { c.run(time.Second); c.replaceLeader() },
+		"lost each three seconds":    func(c *cluster) { c.run(3 * time.Second); c.replaceLeader() },
 		"handed over each second":    func(c *cluster) { c.run(time.Second); c.handOver() },
 		"lost as the crash is seen":  loseLeaderAtCrash,
 		"store away for ten seconds": func(c *cluster) { c.storeDown = true; c.run(10 * time.Second); c.restoreStore(); c.run(time.Second) },
-		"all daemons lost, twice":    func(c *cluster) { c.run(2 * time.Second); c.lead(); c.run(20 * time.Millisecond); c.lead() },
-		"answers lost, orders late":  func(c *cluster) { c.loseAnswers, c.delayOrders = 0.1, 0.1; c.run(time.Second) },
+		"all daemons lost, twice": func(c *cluster) {
+			c.run(2 * time.Second)
+			c.replaceLeader()
+			c.run(20 * time.Millisecond)
+			c.replaceLeader()
+		},
+		"answers lost, orders late": func(c *cluster) { c.loseAnswers, c.delayOrders = 0.1, 0.1; c.run(time.Second) },
 		"lost while the store is away": func(c *cluster) {
 			c.storeDown = true
 			c.run(2 * time.Second)
 			c.storeDown = false
-			c.lead()
+			c.replaceLeader()
 			c.run(2 * time.Second)
 		},
 	}
@@ -128,13 +133,13 @@
 		c.tick()
 	}
 	c.run(2 * orderDelay)
-	c.lead()
+	c.replaceLeader()
 }
 
-// keepStates keeps the states of jobs that are over for longer than any test lasts.
-func (c *cluster) keepStates() {
+// keepFinalJobs keeps the states of jobs that are over for longer than any test lasts.
+func (c *cluster) keepFinalJobs() {
 	c.options.KeepFinal = time.Hour
-	c.lead()
+	c.replaceLeader()
 }
 
 // A step of many tasks that all crash their workers took the fleet down over and
@@ -142,10 +147,10 @@
 func TestManyCrashingTasksLeaveTheFleetStanding(t *testing.T) {
 	const workers, crashing, bystanders = 40, 20, 30
 	c := newCluster(t, 1, workers)
-	c.keepStates()
+	c.keepFinalJobs()
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "batch", makeStep(crashing, 1000, time.Second))
-	c.crash(id, 10*time.Millisecond)
+	c.addCrasher(id, 10*time.Millisecond)
 	for i := range bystanders {
 		c.submit(100+i, "batch", makeStep(6, 1500, 2*time.Second))
 	}
@@ -179,7 +184,7 @@
 	for seed := range uint64(massCrashDays) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			c := newCluster(t, seed, 24)
-			c.keepStates()
+			c.keepFinalJobs()
 			c.run(200 * time.Millisecond)
 			ids := c.massCrashes(rand.New(rand.NewPCG(seed, 5)))
 			c.run(40 * time.Second)
--- a/core/jobsched/crasher_test.go
+++ b/core/jobsched/crasher_test.go
@@ -22,22 +22,22 @@
 	furtherStarts      = 3
 )
 
-// crash says that tasks of a job crash their workers.
-func (c *cluster) crash(id job.ID, after time.Duration, tasks ...int) {
+// addCrasher says that tasks of a job addCrasher their workers.
+func (c *cluster) addCrasher(id job.ID, after time.Duration, tasks ...int) {
 	c.crashers[id] = crasher{tasks: tasks, after: after}
 }
 
-// guilty reports whether a task crashes its workers.
-func (c *cluster) guilty(key job.TaskKey) bool {
+// isCrasher reports whether a task crashes its workers.
+func (c *cluster) isCrasher(key job.TaskKey) bool {
 	g, ok := c.crashers[key.Job]
 	return ok && key.Step == 0 && (len(g.tasks) == 0 || slices.Contains(g.tasks, key.Index))
 }
 
-func (c *cluster) crashesBy(a *fakeAttempt) bool {
-	return c.guilty(a.key.task) && c.now.Sub(a.begun) >= c.crashers[a.key.task.Job].after
+func (c *cluster) isCrashDue(a *fakeAttempt) bool {
+	return c.isCrasher(a.key.task) && c.now.Sub(a.begun) >= c.crashers[a.key.task.Job].after
 }
 
-func (c *cluster) crashUnder(w *fakeWorker, a *fakeAttempt) {
+func (c *cluster) crashWorker(w *fakeWorker, a *fakeAttempt) {
 	c.task(a.key.task).crashed++
 	c.restart(w)
 }
@@ -47,8 +47,8 @@
 	if truth.crashed < crashedBeforeCount {
 		return
 	}
-	truth.startsAfterMost++
-	if truth.startsAfterMost == furtherStarts {
+	truth.startsAfterLimit++
+	if truth.startsAfterLimit == furtherStarts {
 		c.t.Errorf("%s: %s is started %d times after %d workers have crashed under it", c.now.Sub(testEpoch), key, furtherStarts, crashedBeforeCount)
 	}
 }
@@ -61,7 +61,7 @@
 // so that the job may be given up.
 func (c *cluster) crashedTwice(id job.ID) bool {
 	for key, truth := range c.truth {
-		if key.Job == id && truth.present >= 2 {
+		if key.Job == id && truth.crashesWhilePresent >= 2 {
 			return true
 		}
 	}
--- a/core/jobsched/entry_test.go
+++ b/core/jobsched/entry_test.go
@@ -33,17 +33,17 @@
 	}
 }
 
-// damages draws damaged entries.
-type damages struct{ rnd *rand.Rand }
+// entryDamage draws damaged entries.
+type entryDamage struct{ rnd *rand.Rand }
 
-// any returns any fault.
-func (d *damages) any() EntryFault {
+// randomFault returns randomFault fault.
+func (d *entryDamage) randomFault() EntryFault {
 	faults := EntryFaults()
 	return faults[d.rnd.IntN(len(faults))]
 }
 
-// addStrangers adds damaged entries that name no worker there ever was.
-func (d *damages) addStrangers(l *WorkersListed) {
+// addUnknownWorkers adds damaged entries that name no worker there ever was.
+func (d *entryDamage) addUnknownWorkers(l *WorkersListed) {
 	for i := range 5 {
 		if d.rnd.IntN(3) == 0 {
 			continue
@@ -52,12 +52,12 @@
 		l.add(WorkerEntry{
 			Incarnation: model.Incarnation{ID: id}, Address: string(id), Rack: rackOfWorker(0), Labels: []string{"a", "r0"}, Draining: d.rnd.IntN(2) == 0,
 			Capacity: model.Resources{MilliCPU: 16000, MemoryMB: 64000},
-		}, d.any())
+		}, d.randomFault())
 	}
 }
 
-// tellsOfAnEntry reports whether a note tells of an entry and no more.
-func tellsOfAnEntry(n Note) bool {
+// isEntryNote reports whether a note tells of an entry and no more.
+func isEntryNote(n Note) bool {
 	return slices.Contains([]string{
 		joblog.MessageEntryUnusable, joblog.MessageEntryRepaired, joblog.MessageEntryGone,
 	}, n.Decision)
@@ -67,7 +67,7 @@
 func (c *cluster) entryNotes() []string {
 	var lines []string
 	for _, n := range c.notes {
-		if tellsOfAnEntry(n) {
+		if isEntryNote(n) {
 			lines = append(lines, sessionLine(n))
 		}
 	}
@@ -75,9 +75,9 @@
 	return lines
 }
 
-// eachDamage runs a test with a fault that the decoder finds, and with one that
+// forEachFault runs a test with a fault that the decoder finds, and with one that
 // the configuration brings about.
-func eachDamage(t *testing.T, test func(t *testing.T, fault EntryFault)) {
+func forEachFault(t *testing.T, test func(t *testing.T, fault EntryFault)) {
 	for _, fault := range []EntryFault{EntryUnreadable, EntryUnnamedService} {
 		t.Run(fault.String(), func(t *testing.T) { test(t, fault) })
 	}
@@ -90,12 +90,12 @@
 // where nobody answers; a leader lists it, and the daemon that leads next asks
 // there. Cause: whatever was listed came on the roster.
 func TestTakeoverDoesNotWaitForDamagedEntries(t *testing.T) {
-	eachDamage(t, func(t *testing.T, fault EntryFault) {
+	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 4)
 		c.addWorker(9)
 		c.workers["w009"].dead = true
 		c.workers["w009"].fault = fault
-		c.lead()
+		c.replaceLeader()
 		c.run(time.Second)
 		for _, e := range c.roster {
 			if e.ID == "w009" {
@@ -103,7 +103,7 @@
 			}
 		}
 		id := c.submit(1, "urgent", longRunning(4, 2000))
-		c.lead()
+		c.replaceLeader()
 		c.run(time.Second)
 		if n := c.runningOf(id); n != 4 {
 			t.Errorf("%d tasks run a second after the take-over, want 4", n)
@@ -115,7 +115,7 @@
 // damaged for longer than any lease. Its tasks go on, nothing new goes there,
 // and once the entry is good again it is used as before.
 func TestDamagedEntryOfAKnownWorker(t *testing.T) {
-	eachDamage(t, func(t *testing.T, fault EntryFault) {
+	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 2)
 		c.run(200 * time.Millisecond)
 		spread := longRunning(4, 2000)
@@ -147,7 +147,7 @@
 // TestDrainingWorkerWithADamagedEntry: a worker says that it leaves, and its
 // entry is damaged then. It must not be used again.
 func TestDrainingWorkerWithADamagedEntry(t *testing.T) {
-	eachDamage(t, func(t *testing.T, fault EntryFault) {
+	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 2)
 		c.run(200 * time.Millisecond)
 		id := c.submit(1, "urgent", longRunning(2, 10000))
@@ -172,7 +172,7 @@
 // TestSilentWorkerWithADamagedEntry: a worker is lost while its entry is damaged.
 // It is given up as one without an entry.
 func TestSilentWorkerWithADamagedEntry(t *testing.T) {
-	eachDamage(t, func(t *testing.T, fault EntryFault) {
+	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 3)
 		c.run(200 * time.Millisecond)
 		id := c.submit(1, "urgent", longRunning(6, 2000))
@@ -191,9 +191,9 @@
 	})
 }
 
-// TestServiceOfAGoneQueue: a queue leaves the configuration with its service.
+// TestServiceOfARemovedQueue: a queue leaves the configuration with its service.
 // The jobs that it took still run there, and its entries are good as long.
-func TestServiceOfAGoneQueue(t *testing.T) {
+func TestServiceOfARemovedQueue(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	c.submit(1, "urgent", makeStep(1, 1000, time.Second), makeStep(1, 1000, time.Second, 0))
@@ -208,9 +208,9 @@
 	}
 }
 
-// TestSightOfDamagedEntries: an entry that turns unusable is told once, and once
+// TestDamagedEntriesAreNotedOnce: an entry that turns unusable is told once, and once
 // when it is good again or gone.
-func TestSightOfDamagedEntries(t *testing.T) {
+func TestDamagedEntriesAreNotedOnce(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.keepNotes = true
 	c.run(time.Second)
@@ -250,33 +250,33 @@
 	}
 	c.machine.Advance(c.now, c.wall)
 	c.machine.TakeEntryCounts()
-	strangers, told := 0, 0
+	unknownNotes, workerNotes := 0, 0
 	for number := range lists {
 		c.now = c.now.Add(100 * time.Millisecond)
 		c.machine.Handle(c.now, list(number))
 		for _, e := range c.machine.Advance(c.now, c.wall) {
 			n, ok := e.(Note)
 			switch {
-			case !ok || !tellsOfAnEntry(n):
+			case !ok || !isEntryNote(n):
 			case n.Worker.ID == "w001":
-				told++
+				workerNotes++
 			default:
-				strangers++
+				unknownNotes++
 			}
 		}
 		if n := c.machine.entries.tracked.Len(); n != maxTrackedUnknown+1 {
 			t.Errorf("%d entries are followed, want %d", n, maxTrackedUnknown+1)
 		}
 	}
-	if strangers != unknownNotesPerWindow || told != 1 {
-		t.Errorf("%d notes on strangers and %d on a worker, want %d and 1", strangers, told, unknownNotesPerWindow)
+	if unknownNotes != unknownNotesPerWindow || workerNotes != 1 {
+		t.Errorf("%d notes on strangers and %d on a worker, want %d and 1", unknownNotes, workerNotes, unknownNotesPerWindow)
 	}
 	counts := c.machine.TakeEntryCounts()
 	if counts.Unusable[EntryUnreadable] != flood || counts.Unusable[EntryNoLabels] != 1 {
 		t.Errorf("counted: %v", counts.Unusable)
 	}
-	if turned, gone := counts.Changes[EntryBecameUnusable], counts.Changes[EntryGone]; turned != lists*maxTrackedUnknown+1 || gone != (lists-1)*maxTrackedUnknown {
-		t.Errorf("%d turned unusable and %d are gone", turned, gone)
+	if unusable, gone := counts.Changes[EntryBecameUnusable], counts.Changes[EntryGone]; unusable != lists*maxTrackedUnknown+1 || gone != (lists-1)*maxTrackedUnknown {
+		t.Errorf("%d turned unusable and %d are gone", unusable, gone)
 	}
 }
 
@@ -291,7 +291,7 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("decisions", prop.ForAllNoShrink(func(seed uint64) bool {
 		without := decisions(t, seed, nil)
-		with := decisions(t, seed, &damages{rand.New(rand.NewPCG(seed, 3))})
+		with := decisions(t, seed, &entryDamage{rand.New(rand.NewPCG(seed, 3))})
 		if slices.Equal(without, with) {
 			return true
 		}
@@ -312,11 +312,11 @@
 }
 
 // decisions plays a day and returns what was decided.
-func decisions(t *testing.T, seed uint64, d *damages) []Note {
+func decisions(t *testing.T, seed uint64, d *entryDamage) []Note {
 	c := newCluster(t, seed, 8)
 	c.keepNotes = true
 	c.damages = d
 	c.loseAnswers, c.delayOrders = 0.03, 0.03
 	c.faultyDay(rand.New(rand.NewPCG(seed, 2)))
-	return slices.DeleteFunc(c.notes, tellsOfAnEntry)
+	return slices.DeleteFunc(c.notes, isEntryNote)
 }
--- a/core/jobsched/fakeworker_test.go
+++ b/core/jobsched/fakeworker_test.go
@@ -13,8 +13,8 @@
 	return (w.c.now.Sub(testEpoch) + w.clockAhead).Milliseconds() + 1000
 }
 
-// work lets the worker's attempts advance.
-func (w *fakeWorker) work(d time.Duration) {
+// advance lets the worker's attempts advance.
+func (w *fakeWorker) advance(d time.Duration) {
 	if w.dead {
 		return
 	}
@@ -24,13 +24,13 @@
 			w.ended[i].void = true
 		}
 	}
-	for _, a := range w.sorted() {
+	for _, a := range w.sortedAttempts() {
 		if w.dead {
 			return
 		}
 		switch {
-		case w.c.crashesBy(a):
-			w.c.crashUnder(w, a)
+		case w.c.isCrashDue(a):
+			w.c.crashWorker(w, a)
 		case !a.stopping.IsZero() && !w.c.now.Before(a.stopping):
 			w.end(a, EndStopped)
 		case w.c.now.After(w.lease):
@@ -49,7 +49,7 @@
 	}
 }
 
-func (w *fakeWorker) sorted() []*fakeAttempt {
+func (w *fakeWorker) sortedAttempts() []*fakeAttempt {
 	list := make([]*fakeAttempt, 0, len(w.attempts))
 	for _, a := range w.attempts {
 		list = append(list, a)
@@ -74,7 +74,7 @@
 	var found []member
 	for _, id := range c.workerIDs() {
 		w := c.workers[id]
-		for _, a := range w.sorted() {
+		for _, a := range w.sortedAttempts() {
 			same := a.key.task
 			same.Index = key.task.Index
 			if same == key.task && a.key.attempt == key.attempt && a.stopping.IsZero() {
@@ -131,7 +131,7 @@
 	c.after(entryLife, func() { w.listed = false })
 	c.after(cmp.Or(c.restartTime, restartTime), func() {
 		if c.keepIDs {
-			c.startAgain(w)
+			c.restartUnderSameID(w)
 			return
 		}
 		next := c.addWorker(firstRestart + c.restarts)
@@ -150,20 +150,20 @@
 	otherClock = 20 * time.Minute
 )
 
-// startAgain has another incarnation of a worker that has crashed come under its id.
+// restartUnderSameID has another incarnation of a worker that has crashed come under its id.
 // It knows nothing of before: its clock, and the numbers of its ends, begin anew.
-func (c *cluster) startAgain(w *fakeWorker) {
+func (c *cluster) restartUnderSameID(w *fakeWorker) {
 	next := &fakeWorker{
 		c: c, entry: w.entry, listed: true, attempts: make(map[attemptKey]*fakeAttempt), barred: make(map[job.TaskKey]int),
 		clockAhead: otherClock - w.clockAhead, failAll: w.failAll, cutOff: w.cutOff,
 	}
 	next.entry.StartedMs = c.wall.UnixMilli()
 	if w.listed {
-		next.shown = &w.entry
+		next.listedEntry = &w.entry
 	} else {
 		next.listed = false
 	}
-	c.after(entryDelay, func() { next.listed, next.shown = true, nil })
+	c.after(entryDelay, func() { next.listed, next.listedEntry = true, nil })
 	c.restarts++
 	c.workers[w.entry.ID] = next
 }
@@ -189,7 +189,7 @@
 	for _, a := range w.attempts {
 		truth := w.c.task(a.key.task)
 		delete(truth.running, w.entry.ID)
-		truth.present++
+		truth.crashesWhilePresent++
 	}
 	w.attempts = nil
 }
@@ -221,11 +221,11 @@
 	for _, a := range w.attempts {
 		used = used.Add(a.step.Committed())
 	}
-	if !w.holds(used) {
+	if !w.hasCapacityFor(used) {
 		w.c.t.Errorf("%s: %s does not fit on %s", w.c.now.Sub(testEpoch), s.Key, w.entry.ID)
 		return VerdictNoRoom
 	}
-	w.check(s, step)
+	w.checkStart(s, step)
 	w.attempts[key] = &fakeAttempt{
 		key: key, step: step, begun: w.c.now, need: time.Duration(step.EstimateMs) * time.Millisecond, share: 100,
 	}
@@ -233,8 +233,8 @@
 	return VerdictDone
 }
 
-// check holds a start against what must never happen.
-func (w *fakeWorker) check(s Start, step *job.Step) {
+// checkStart holds a start against what must never happen.
+func (w *fakeWorker) checkStart(s Start, step *job.Step) {
 	c := w.c
 	truth := c.task(s.Key)
 	at := c.now.Sub(testEpoch)
@@ -258,8 +258,8 @@
 	}
 }
 
-// settle takes in that an end is acknowledged.
-func (w *fakeWorker) settle(e fakeEnd) {
+// acknowledge takes in that an end is acknowledged.
+func (w *fakeWorker) acknowledge(e fakeEnd) {
 	if e.void {
 		return
 	}
@@ -283,14 +283,14 @@
 	return VerdictDone
 }
 
-func (w *fakeWorker) pace(t Throttle) Verdict {
+func (w *fakeWorker) throttle(t Throttle) Verdict {
 	if a := w.attempts[attemptKey{task: t.Key, attempt: t.Attempt}]; a != nil {
 		a.share = t.Percent
 	}
 	return VerdictDone
 }
 
-func (w *fakeWorker) hold(r Renew) Report {
+func (w *fakeWorker) renew(r Renew) Report {
 	if r.UntilMs > 0 {
 		w.extend(r.UntilMs)
 	}
@@ -300,14 +300,14 @@
 		acked = 0
 	}
 	for len(w.ended) > 0 && w.ended[0].Number <= acked {
-		w.settle(w.ended[0])
+		w.acknowledge(w.ended[0])
 		w.ended = w.ended[1:]
 	}
 	report := Report{ClockMs: w.clockMs(), StartedMs: w.entry.StartedMs}
 	for _, e := range w.ended {
 		report.Ended = append(report.Ended, e.EndedAttempt)
 	}
-	for _, a := range w.sorted() {
+	for _, a := range w.sortedAttempts() {
 		percent := 100
 		if a.need > 0 && !a.step.LongRunning {
 			percent = int(100 * a.worked / a.need)
--- a/core/jobsched/handover_test.go
+++ b/core/jobsched/handover_test.go
@@ -16,7 +16,7 @@
 	if !c.storeDown {
 		c.store(last)
 	}
-	c.lead()
+	c.replaceLeader()
 }
 
 // drain lets a worker say that it leaves; depart is its leaving.
@@ -30,8 +30,8 @@
 // absences notes since when each task of a job has no attempt that runs.
 type absences map[job.TaskKey]time.Time
 
-// look takes in what runs now, and returns the longest absence there is.
-func (a absences) look(c *cluster, id job.ID, tasks int) time.Duration {
+// update takes in what runs now, and returns the longest absence there is.
+func (a absences) update(c *cluster, id job.ID, tasks int) time.Duration {
 	longest := time.Duration(0)
 	for index := range tasks {
 		key := job.TaskKey{Job: id, Index: index}
@@ -47,9 +47,9 @@
 	return longest
 }
 
-// mostAbsence is how long a long-running task may be without a run while there is
+// maxAbsence is how long a long-running task may be without a run while there is
 // room for it and nothing happens but planned work, by the users' rule.
-const mostAbsence = 6 * time.Second
+const maxAbsence = 6 * time.Second
 
 // Workers were replaced one after the other, each after it had said so, and all
 // daemons were restarted in turn, so that the lead changed every two seconds. A
@@ -78,11 +78,11 @@
 		}
 		for range 140 {
 			c.tick()
-			longest = max(longest, absent.look(c, id, tasks))
+			longest = max(longest, absent.update(c, id, tasks))
 		}
 	}
-	if longest > mostAbsence {
-		t.Errorf("a task did not run for %s, want at most %s", longest, mostAbsence)
+	if longest > maxAbsence {
+		t.Errorf("a task did not run for %s, want at most %s", longest, maxAbsence)
 	}
 }
 
@@ -104,12 +104,12 @@
 	id := c.submit(1, "urgent", longRunning(8, 2000))
 	c.run(time.Second)
 	c.workers["w002"].cutOff = true
-	c.lead()
+	c.replaceLeader()
 	taken := c.now
 	bound := c.machine.earlierLeasesEnd().Sub(taken)
 	for c.runningElsewhere(id, "w002") < 8 && c.now.Sub(taken) < 3*bound {
 		c.run(every)
-		c.lead()
+		c.replaceLeader()
 	}
 	// The leader that is at work when the time is over begins with it at once, but
 	// for what its workers take to answer.
@@ -206,7 +206,7 @@
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
 	c.rosterDamaged = true
-	c.lead()
+	c.replaceLeader()
 	id := c.submit(1, "batch", makeStep(2, 1000, 300*time.Millisecond))
 	at := c.now
 	for c.now.Sub(at) < 20*time.Second {
@@ -226,7 +226,7 @@
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "batch", makeStep(8, 1000, 600*time.Millisecond))
 	c.run(200 * time.Millisecond)
-	c.workers[c.runsOn(id)].freeze = true
+	c.workers[c.firstWorkerOf(id)].freeze = true
 	at, led := c.now, c.now
 	for c.state(id) != job.Completed && c.now.Sub(at) < 15*time.Second {
 		c.tick()
--- a/core/jobsched/headroom_test.go
+++ b/core/jobsched/headroom_test.go
@@ -42,7 +42,7 @@
 // hundredths to the tail, which was held to a bound of its own; nobody added them
 // up, and at the peak little was left up to the target. How much may start has to
 // follow from what all of it adds, and from what the load leaves.
-func TestBestEffortWorkKeepsToTheHeadroomOfTails(t *testing.T) {
+func TestBestEffortWorkStaysWithinTheLatencyHeadroom(t *testing.T) {
 	tests := []struct {
 		name string
 		tail int64
@@ -94,7 +94,7 @@
 // over its target, was cut, and began anew: each turn cost the users of the serving
 // tasks a second. It works at the share that the tails beside it are predicted to
 // bear.
-func TestDisturbingWorkIsSlowedBeforeATailIsOver(t *testing.T) {
+func TestDisturbingWorkIsThrottledBeforeATailExceedsItsTarget(t *testing.T) {
 	c := servingCluster(t, 45)
 	id := c.submit(2, "batch", bestEffortStep("loud", 1, 1600))
 	c.run(300 * time.Millisecond)
@@ -103,7 +103,7 @@
 	}
 	c.machine.learner.Import(c.now, learnedEffect("loud", 2))
 	c.run(1200 * time.Millisecond)
-	for _, a := range c.workers["w000"].sorted() {
+	for _, a := range c.workers["w000"].sortedAttempts() {
 		if a.step.BestEffort && (a.share < throttleFloor || a.share > 50) {
 			t.Errorf("it works at a share of %d%%, want some 38", a.share)
 		}
@@ -112,7 +112,7 @@
 
 // Co-resident serving tasks were blamed for each other's tails, though they do not
 // disturb, and took a part of the blame from the work that does.
-func TestServingTasksAreNotBlamed(t *testing.T) {
+func TestServingTasksAreNotLearnedAsAggressors(t *testing.T) {
 	c := servingCluster(t, 50)
 	c.tail = 150
 	c.run(3 * time.Second)
--- a/core/jobsched/health_test.go
+++ b/core/jobsched/health_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestFailuresFarApartDoNotCloseAWorker
+// TestFailuresFarApartDoNotQuarantineAWorker
 //
 // Symptom: a long-running task waited 20 s while a worker had room for it.
 // Events: the worker has only long-running tasks, two of which fail by
 // themselves, half a minute apart. Cause: failures counted until something was
 // done there, and nothing ever was.
-func TestFailuresFarApartDoNotCloseAWorker(t *testing.T) {
+func TestFailuresFarApartDoNotQuarantineAWorker(t *testing.T) {
 	var h health
 	h.recordFailure(testEpoch)
 	later := testEpoch.Add(30 * time.Second)
@@ -21,9 +21,9 @@
 	}
 }
 
-// TestFailingWorkerIsClosedLongerEachTime: a worker that goes on failing what it
+// TestQuarantineDoublesWithEachFailedProbation: a worker that goes on failing what it
 // is probed with stays closed twice as long each time.
-func TestFailingWorkerIsClosedLongerEachTime(t *testing.T) {
+func TestQuarantineDoublesWithEachFailedProbation(t *testing.T) {
 	var h health
 	now := testEpoch
 	h.recordFailure(now)
--- a/core/jobsched/hold_test.go
+++ b/core/jobsched/hold_test.go
@@ -18,7 +18,7 @@
 	id := c.submit(1, "urgent", longRunning(6, 2000))
 	c.run(time.Second)
 	c.workers["w002"].cutOff = true
-	c.lead()
+	c.replaceLeader()
 	c.run(1500 * time.Millisecond)
 	if n := c.machine.UnansweredWorkers(); n != 1 {
 		t.Errorf("%d workers hold starts back, want 1", n)
@@ -46,7 +46,7 @@
 	id := c.submit(1, "batch", makeStep(2, 1000, 300*time.Millisecond), makeStep(2, 1000, 300*time.Millisecond, 0))
 	c.run(100 * time.Millisecond)
 	c.keepNotes = true
-	c.lead()
+	c.replaceLeader()
 	c.run(2 * time.Second)
 	noted := 0
 	for _, n := range c.notes {
--- a/core/jobsched/inherit_test.go
+++ b/core/jobsched/inherit_test.go
@@ -7,8 +7,8 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// finishAsDaemons hands the lead over as a daemon does: after the commit in flight.
-func (c *cluster) finishAsDaemons() {
+// handOverAfterCommit hands the lead over as a daemon does: after the commit in flight.
+func (c *cluster) handOverAfterCommit() {
 	held := c.held
 	c.held, c.storeDown = nil, false
 	for _, e := range held {
@@ -46,10 +46,10 @@
 	c.machine.latestIncarnation("w001").noStartsUntil = c.now.Add(2 * time.Second)
 	c.run(900 * time.Millisecond)
 	for k := range 2 {
-		c.runsAt(job.TaskKey{Job: id, Occurrence: k}).cutOff = true
+		c.workerRunning(job.TaskKey{Job: id, Occurrence: k}).cutOff = true
 	}
 	c.run(100 * time.Millisecond)
-	c.finishAsDaemons()
+	c.handOverAfterCommit()
 	c.run(2 * time.Second)
 }
 
@@ -62,7 +62,7 @@
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "batch", makeStep(1, 1000, 600*time.Millisecond))
 	c.run(300 * time.Millisecond)
-	ran := c.runsAt(job.TaskKey{Job: id})
+	ran := c.workerRunning(job.TaskKey{Job: id})
 	ran.cutOff = true
 	c.run(time.Second)
 	c.damaged[id] = true
--- a/core/jobsched/inspect_test.go
+++ b/core/jobsched/inspect_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestInspectSaysWhyAStepWaits(t *testing.T) {
+func TestInspectReportsWhyAStepWaits(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	first := makeStep(2, 1000, time.Second)
--- a/core/jobsched/interrupted_test.go
+++ b/core/jobsched/interrupted_test.go
@@ -33,11 +33,11 @@
 				c.submit(100+10*i+tick/60, "urgent", longRunning(2, 3000))
 			}
 			c.tick()
-			longest = max(longest, absent.look(c, old, tasks))
+			longest = max(longest, absent.update(c, old, tasks))
 		}
 	}
-	if longest > mostAbsence {
-		t.Errorf("a task did not run for %s, want at most %s", longest, mostAbsence)
+	if longest > maxAbsence {
+		t.Errorf("a task did not run for %s, want at most %s", longest, maxAbsence)
 	}
 }
 
--- a/core/jobsched/overload_test.go
+++ b/core/jobsched/overload_test.go
@@ -36,7 +36,7 @@
 	for _, w := range c.workers {
 		w.entry.Capacity = model.Resources{MilliCPU: 64000, MemoryMB: 1 << 20}
 	}
-	c.lead()
+	c.replaceLeader()
 	c.run(200 * time.Millisecond)
 	for i := range 48 {
 		step := longRunning(1, 60000)
--- a/core/jobsched/pass_test.go
+++ b/core/jobsched/pass_test.go
@@ -12,7 +12,7 @@
 func TestUrgentStepComesNextInAnOpenPass(t *testing.T) {
 	c := newCluster(t, 1, 8)
 	c.options.RoundBudget = 16
-	c.lead()
+	c.replaceLeader()
 	c.run(200 * time.Millisecond)
 	for i := range 10 {
 		c.submit(10+i, "batch", makeStep(1, 1000, time.Minute))
@@ -41,7 +41,7 @@
 func manyRounds(t *testing.T) *cluster {
 	c := newCluster(t, 1, 8)
 	c.options.RoundBudget = 8
-	c.lead()
+	c.replaceLeader()
 	c.run(200 * time.Millisecond)
 	for i := range 10 {
 		s := makeStep(9, 100, time.Minute)
@@ -93,7 +93,7 @@
 func TestTheMostUrgentStepsHaveATurnInEveryRound(t *testing.T) {
 	c := newCluster(t, 1, 8)
 	c.options.RoundBudget = 32
-	c.lead()
+	c.replaceLeader()
 	c.run(200 * time.Millisecond)
 	// One of its tasks waits for a ninth worker, so that its step has its turn in
 	// each pass.
@@ -110,8 +110,8 @@
 	if !c.machine.pass.open {
 		t.Fatal("no pass is open")
 	}
-	w := c.workers[c.runsOn(lasting)]
-	for _, a := range w.sorted() {
+	w := c.workers[c.firstWorkerOf(lasting)]
+	for _, a := range w.sortedAttempts() {
 		if a.key.task.Job == lasting {
 			w.end(a, EndFailed)
 		}
--- a/core/jobsched/property_test.go
+++ b/core/jobsched/property_test.go
@@ -43,12 +43,12 @@
 // workers for four tasks in a round, so that most passes take several: events
 // come in the middle of them. All jobs must come to their end as well.
 func TestPassesOfManyRounds(t *testing.T) {
-	const days, looks = 20, 32
+	const days, budget = 20, 32
 	for seed := range uint64(days) {
 		playFaults(t, seed, func(c *cluster) {
-			c.options.RoundBudget = looks
+			c.options.RoundBudget = budget
 			c.checkRounds = false
-			c.lead()
+			c.replaceLeader()
 		})
 	}
 }
@@ -99,7 +99,7 @@
 func TestNothingRunsTwiceWithCrashingTasks(t *testing.T) {
 	for seed := range uint64(*crashDays) {
 		playFaults(t, seed, func(c *cluster) {
-			c.keepStates()
+			c.keepFinalJobs()
 			c.crashing = rand.New(rand.NewPCG(seed, crashStream))
 			c.checkRounds = true
 			if seed%2 == 1 {
@@ -114,9 +114,9 @@
 func (c *cluster) crashAtRandom(id job.ID) {
 	switch c.crashing.IntN(30) {
 	case 0:
-		c.crash(id, crashDelays[c.crashing.IntN(len(crashDelays))])
+		c.addCrasher(id, crashDelays[c.crashing.IntN(len(crashDelays))])
 	case 1:
-		c.crash(id, crashDelays[c.crashing.IntN(len(crashDelays))], 0)
+		c.addCrasher(id, crashDelays[c.crashing.IntN(len(crashDelays))], 0)
 	case 2, 3:
 		if w := c.workers[c.workerIDs()[c.crashing.IntN(len(c.workers))]]; !w.dead {
 			c.restart(w)
@@ -161,12 +161,12 @@
 	}
 }
 
-// TestSamePlayTwice
+// TestReplayIsDeterministic
 //
 // Symptom: a seed that had shown a fault did not show it again. Events: the
 // machine sends renewals and looks at attempts in the order of a map. Cause: Go
 // iterates over a map in another order each time.
-func TestSamePlayTwice(t *testing.T) {
+func TestReplayIsDeterministic(t *testing.T) {
 	notes := func() []Note {
 		c := newCluster(t, 5, 8)
 		c.keepNotes = true
@@ -193,7 +193,7 @@
 		rnd := rand.New(rand.NewPCG(seed, 2))
 		c.loseAnswers, c.delayOrders = 0.03, 0.03
 		ids := c.faultyDay(rnd)
-		c.calm()
+		c.endFaults()
 		c.run(40 * time.Second)
 		if c.crashing != nil {
 			// With eight workers one task is tried alone at a time.
@@ -229,7 +229,7 @@
 		case 3:
 			w.freeze = !w.freeze
 		case 4:
-			c.lead()
+			c.replaceLeader()
 		case 5:
 			c.storeDown = true
 		case 6:
@@ -267,7 +267,7 @@
 			c.run(time.Duration(c.planned.IntN(900)) * time.Millisecond)
 		}
 	case 3:
-		c.lead()
+		c.replaceLeader()
 		c.run(time.Duration(c.planned.IntN(1500)) * time.Millisecond)
 		c.handOver()
 	case 4, 5:
@@ -283,10 +283,10 @@
 	switch id := ids[c.recordDamages.IntN(len(ids))]; c.recordDamages.IntN(10) {
 	case 0, 1:
 		c.damaged[id] = true
-		c.lead()
+		c.replaceLeader()
 	case 2:
 		c.rosterDamaged = true
-		c.lead()
+		c.replaceLeader()
 	case 3, 4:
 		c.repairAll()
 	}
@@ -298,8 +298,8 @@
 	}
 }
 
-// calm ends all faults.
-func (c *cluster) calm() {
+// endFaults ends all faults.
+func (c *cluster) endFaults() {
 	c.repairAll()
 	c.loseAnswers, c.delayOrders = 0, 0
 	c.restoreStore()
--- a/core/jobsched/restart_test.go
+++ b/core/jobsched/restart_test.go
@@ -7,8 +7,8 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// runsAt returns the worker on which a task runs.
-func (c *cluster) runsAt(key job.TaskKey) *fakeWorker {
+// workerRunning returns the worker on which a task runs.
+func (c *cluster) workerRunning(key job.TaskKey) *fakeWorker {
 	c.t.Helper()
 	for on := range c.task(key).running {
 		return c.workers[on]
@@ -34,17 +34,17 @@
 		Spec:  job.Spec{Payload: "p", Steps: []job.Step{makeStep(1, 1000, 3*time.Second)}},
 		Queue: *c.config.Queues["batch"], ConfigVersion: 1, AcceptedAtMs: c.wall.UnixMilli(),
 	}
-	c.lead()
+	c.replaceLeader()
 	for c.starts == 0 {
 		c.tick()
 	}
 	c.run(50 * time.Millisecond)
-	ran := c.runsAt(job.TaskKey{Job: id})
-	c.lead()
+	worker := c.workerRunning(job.TaskKey{Job: id})
+	c.replaceLeader()
 	c.storeDelay = 0
-	ran.cutOff = true
+	worker.cutOff = true
 	c.run(8 * time.Second)
-	ran.cutOff = false
+	worker.cutOff = false
 	c.run(3 * time.Second)
 }
 
@@ -59,11 +59,11 @@
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "batch", makeStep(1, 1000, 600*time.Millisecond))
 	c.run(300 * time.Millisecond)
-	ran := c.runsAt(job.TaskKey{Job: id})
+	ran := c.workerRunning(job.TaskKey{Job: id})
 	ran.cutOff = true
 	c.run(time.Second)
 	c.rosterDamaged = true
-	c.lead()
+	c.replaceLeader()
 	c.run(12 * time.Second)
 	ran.cutOff = false
 	c.run(3 * time.Second)
--- a/core/jobsched/restarted_test.go
+++ b/core/jobsched/restarted_test.go
@@ -57,7 +57,7 @@
 			playCrasher(t, after, 5, func(c *cluster) {
 				c.keepIDs = true
 				c.run(time.Second)
-				c.lead()
+				c.replaceLeader()
 			})
 		})
 	}
@@ -131,8 +131,8 @@
 	}
 }
 
-// startsOn counts the attempts of a job that are on a worker now.
-func (c *cluster) startsOn(w *fakeWorker, id job.ID) int {
+// attemptsOn counts the attempts of a job that are on a worker now.
+func (c *cluster) attemptsOn(w *fakeWorker, id job.ID) int {
 	n := 0
 	for key := range w.attempts {
 		if key.task.Job == id {
@@ -153,24 +153,24 @@
 			before := c.submit(1, "urgent", makeStep(8, 1000, 6*time.Second))
 			c.run(2 * time.Second)
 			w := c.workers["w000"]
-			had := c.startsOn(w, before)
+			had := c.attemptsOn(w, before)
 			damaged := w.entry
 			damaged.StartedMs = startedMs
-			w.shown = &damaged
+			w.listedEntry = &damaged
 			c.run(time.Second)
 			meanwhile := c.submit(2, "urgent", makeStep(8, 1000, 20*time.Second))
 			c.run(2 * time.Second)
-			if n := c.startsOn(w, before); n != had || had == 0 {
+			if n := c.attemptsOn(w, before); n != had || had == 0 {
 				t.Errorf("of %d tasks that ran, %d still do", had, n)
 			}
-			if n := c.startsOn(w, meanwhile); n != 0 {
+			if n := c.attemptsOn(w, meanwhile); n != 0 {
 				t.Errorf("%d tasks were started by a damaged entry", n)
 			}
-			w.shown = nil
+			w.listedEntry = nil
 			c.run(time.Second)
 			after := c.submit(3, "urgent", makeStep(12, 1000, 20*time.Second))
 			c.run(2 * time.Second)
-			if c.startsOn(w, after) == 0 {
+			if c.attemptsOn(w, after) == 0 {
 				t.Error("no task is started by the entry that is sound again")
 			}
 			c.run(25 * time.Second)
@@ -191,7 +191,7 @@
 	w := c.workers["w000"]
 	damaged := w.entry
 	damaged.StartedMs = 0
-	w.shown = &damaged
+	w.listedEntry = &damaged
 	stranger := damaged
 	stranger.ID = "stranger"
 	c.workers["stranger"] = &fakeWorker{c: c, entry: stranger, listed: true, dead: true}
@@ -212,11 +212,11 @@
 	const days = 10
 	for seed := range uint64(days) {
 		playFaults(t, seed, func(c *cluster) {
-			c.startUntold = true
+			c.omitStartTimes = true
 			for _, w := range c.workers {
 				w.entry.StartedMs = 0
 			}
-			c.lead()
+			c.replaceLeader()
 			c.checkRounds = true
 		})
 	}
@@ -259,7 +259,7 @@
 	id := c.submit(1, "urgent", longRunning(4, 1000))
 	c.run(time.Second)
 	w := c.workers["w000"]
-	late := Renewed{Worker: w.entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: w.hold(Renew{})}
+	late := Renewed{Worker: w.entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: w.renew(Renew{})}
 	c.restart(w)
 	c.run(400 * time.Millisecond)
 	c.machine.Handle(c.now, late)
--- a/core/jobsched/roster_test.go
+++ b/core/jobsched/roster_test.go
@@ -50,7 +50,7 @@
 	c.run(time.Second)
 	silent := c.workers["w001"]
 	silent.cutOff = true
-	c.lead()
+	c.replaceLeader()
 	c.run(1500 * time.Millisecond)
 	c.storeDown = true
 	silent.cutOff = false
@@ -126,7 +126,7 @@
 // The stored roster was older than the move of a task from a closed worker to
 // another. The next leader heard of the later attempt first, and must not stop it
 // for the sake of the earlier one.
-func TestLaterAttemptOutdatesAnInheritedOne(t *testing.T) {
+func TestLaterAttemptSupersedesAnInheritedOne(t *testing.T) {
 	for _, stands := range []bool{true, false} {
 		t.Run(fmt.Sprint("roster stands: ", stands), func(t *testing.T) {
 			c := newCluster(t, 1, 2)
@@ -137,8 +137,8 @@
 				{WorkerEntry: c.workers["w000"].entry, Closed: true, Attempts: []RosterAttempt{{Task: key, Attempt: 1}}},
 				{WorkerEntry: c.workers["w001"].entry},
 			}
-			c.rosterStands = stands
-			c.lead()
+			c.rosterValid = stands
+			c.replaceLeader()
 			if held := c.machine.unresolved.Has(c.workers["w000"].entry.Incarnation); held == stands {
 				t.Errorf("all that ran on the closed worker is unknown: %v", held)
 			}
@@ -154,7 +154,7 @@
 
 // A roster has room for so many attempts. A worker whose attempts are left out is
 // one on which anything may run; to call it closed would let its tasks run twice.
-func TestWorkerWithTooManyAttemptsStaysOpen(t *testing.T) {
+func TestWorkerWithTooManyAttemptsIsNotClosed(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	w := c.machine.latestIncarnation("w000")
--- a/core/jobsched/takeover_test.go
+++ b/core/jobsched/takeover_test.go
@@ -37,7 +37,7 @@
 	id := c.submit(1, "urgent", longRunning(4, 2000))
 	c.run(time.Second)
 	for range 4 {
-		c.lead()
+		c.replaceLeader()
 		c.run(2 * time.Second)
 	}
 	if n := c.runningOf(id); n != 4 || c.starts != 4 {
@@ -60,7 +60,7 @@
 		w.listed = false
 	}
 	c.workers["w003"].listed = true
-	c.lead()
+	c.replaceLeader()
 	c.run(500 * time.Millisecond)
 	for _, w := range c.workers {
 		w.listed = true
@@ -80,20 +80,20 @@
 	id := c.submit(1, "urgent", longRunning(8, 2000))
 	c.run(time.Second)
 	c.workers["w002"].cutOff = true
-	c.lead()
+	c.replaceLeader()
 	c.run(12 * time.Second)
 	if n := c.runningOf(id); n != 8 {
 		t.Errorf("%d tasks run, want 8", n)
 	}
 }
 
-// TestFailingWorkerOpensAgain
+// TestFailingWorkerLeavesQuarantine
 //
 // Symptom: a long-running task had no worker for 13 s although one had room.
 // Events: a worker fails what it starts for a while and is closed; it still runs
 // older long-running tasks. Cause: it was to get one task at a time until one
 // was done, when nothing else ran there; long-running tasks are never done.
-func TestFailingWorkerOpensAgain(t *testing.T) {
+func TestFailingWorkerLeavesQuarantine(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	c.submit(1, "urgent", longRunning(2, 2000))
@@ -114,11 +114,11 @@
 	}
 }
 
-// TestUrgentTasksDisplaceBestEffortWork
+// TestUrgentTasksPreemptBestEffortWork
 //
 // Symptom: a long-running task waited while smaller best-effort ones kept
 // coming. Cause: whatever room came free went to the first that fitted.
-func TestUrgentTasksDisplaceBestEffortWork(t *testing.T) {
+func TestUrgentTasksPreemptBestEffortWork(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	hungry := makeStep(60, 500, 20*time.Second)
@@ -146,7 +146,7 @@
 		t.Fatal("shown as completed without the store")
 	}
 	c.storeDown = false
-	c.lead()
+	c.replaceLeader()
 	c.run(2 * time.Second)
 	if s := c.state(id); s != job.Completed || c.starts != 4 {
 		t.Errorf("state %s after %d starts, want completed after 4", s, c.starts)
@@ -174,9 +174,9 @@
 	}
 	for range 4 {
 		// The ends come to each leader, and are stored, before it acknowledges.
-		c.lead()
-		c.machine.Handle(c.now, Renewed{Worker: c.workers["w000"].entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: c.workers["w000"].hold(Renew{})})
-		c.machine.Handle(c.now, Renewed{Worker: c.workers["w001"].entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: c.workers["w001"].hold(Renew{})})
+		c.replaceLeader()
+		c.machine.Handle(c.now, Renewed{Worker: c.workers["w000"].entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: c.workers["w000"].renew(Renew{})})
+		c.machine.Handle(c.now, Renewed{Worker: c.workers["w001"].entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: c.workers["w001"].renew(Renew{})})
 		for _, e := range c.machine.Advance(c.now, c.wall) {
 			if commit, ok := e.(Commit); ok {
 				c.store(commit)
@@ -186,7 +186,7 @@
 	if n := len(c.stored(id).Failed); n != 1 {
 		t.Errorf("%d failures are counted, want 1", n)
 	}
-	c.lead()
+	c.replaceLeader()
 	c.run(10 * time.Second)
 	if s := c.state(id); s != job.Completed {
 		t.Errorf("state %s, want completed", s)
@@ -212,7 +212,7 @@
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "batch", makeStep(1, 1000, 100*time.Millisecond))
-	c.lead()
+	c.replaceLeader()
 	key := job.TaskKey{Job: id}
 	for i, worker := range []model.WorkerID{"w001", "w000"} {
 		end := EndedAttempt{Number: 1, Key: key, Attempt: 2 - i, Cause: EndFailed}
@@ -261,7 +261,7 @@
 		{Victim: "serving", Aggressor: "quiet", Mean: 0, Std: 0.1},
 	})
 	c.run(4 * time.Second)
-	c.lead()
+	c.replaceLeader()
 	c.run(200 * time.Millisecond)
 	serving := longRunning(2, 2000)
 	serving.Image, serving.LatencyTargetMs, serving.MaxPerWorker = "serving", 150, 1
@@ -278,40 +278,40 @@
 	}
 }
 
-// TestHopelessJobsDoNotCloseWorkers
+// TestFailingJobsDoNotQuarantineWorkers
 //
 // Symptom: a long-running task waited 20 s although workers had room. Events:
 // jobs that can never be done come, each with a task on every worker. Cause:
 // two failures in a row closed a worker, whosever fault they were.
-func TestHopelessJobsDoNotCloseWorkers(t *testing.T) {
+func TestFailingJobsDoNotQuarantineWorkers(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
 	for _, w := range c.workers {
 		w.failAll = true
 	}
 	for i := range 3 {
-		hopeless := makeStep(4, 1000, 100*time.Millisecond)
-		hopeless.MaxPerWorker = 1
-		c.submit(1+i, "batch", hopeless)
+		failing := makeStep(4, 1000, 100*time.Millisecond)
+		failing.MaxPerWorker = 1
+		c.submit(1+i, "batch", failing)
 		c.run(400 * time.Millisecond)
 	}
-	closed := 0
+	quarantined := 0
 	for _, w := range c.machine.workers.All() {
 		if !w.health.isAvailable(c.now) {
-			closed++
+			quarantined++
 		}
 	}
-	if closed > 1 {
-		t.Errorf("%d of 4 workers are closed", closed)
+	if quarantined > 1 {
+		t.Errorf("%d of 4 workers are closed", quarantined)
 	}
 }
 
-// TestLongRunningTaskDisplacesShortWorkOfItsPriority
+// TestLongRunningTaskPreemptsShortWorkOfItsPriority
 //
 // Symptom: a long-running task waited 20 s on a crowded cluster. Events: short
 // tasks of the same priority keep coming and fill every gap. Cause: only work of
 // a lower priority, or best-effort work, was displaced.
-func TestLongRunningTaskDisplacesShortWorkOfItsPriority(t *testing.T) {
+func TestLongRunningTaskPreemptsShortWorkOfItsPriority(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	for i := range 60 {
@@ -348,13 +348,13 @@
 	}
 }
 
-// TestDeposedLeaderSaysSo
+// TestDeposedLeaderNotifiesItsDaemon
 //
 // Symptom: a daemon that had lost the lead kept its lease in the store, did
 // nothing, and never stood for the lead again. Events: the leader's key is taken
 // away while its lease lives on; another daemon leads; a worker refuses the old
 // one's order. Cause: the machine stopped before it told its daemon.
-func TestDeposedLeaderSaysSo(t *testing.T) {
+func TestDeposedLeaderNotifiesItsDaemon(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	c.submit(1, "urgent", longRunning(2, 2000))
--- a/core/jobsched/throttle_test.go
+++ b/core/jobsched/throttle_test.go
@@ -9,12 +9,12 @@
 // tenth of what all work is worth, for tails that harm nobody. It is slowed at
 // once when a tail is clearly above its target; when it stays a little above it,
 // within a second or two, well before the four that are allowed; and not below.
-func TestBestEffortWorkIsSlowedForTailsAboveTheTarget(t *testing.T) {
+func TestBestEffortWorkIsThrottledAboveTheLatencyTarget(t *testing.T) {
 	tests := []struct {
-		name   string
-		tail   int64
-		after  time.Duration
-		slowed bool
+		name      string
+		tail      int64
+		after     time.Duration
+		throttled bool
 	}{
 		{"below", 97, 4 * time.Second, false},
 		{"a little above, at first", 103, 800 * time.Millisecond, false},
@@ -34,14 +34,14 @@
 			c.run(2 * time.Second)
 			c.tail = test.tail
 			c.run(test.after)
-			slowed := false
+			throttled := false
 			for _, w := range c.workers {
-				for _, a := range w.sorted() {
-					slowed = slowed || a.step.BestEffort && a.share < fullSpeed
+				for _, a := range w.sortedAttempts() {
+					throttled = throttled || a.step.BestEffort && a.share < fullSpeed
 				}
 			}
-			if slowed != test.slowed {
-				t.Errorf("slowed %v after %s at %d%% of the target, want %v", slowed, test.after, test.tail, test.slowed)
+			if throttled != test.throttled {
+				t.Errorf("slowed %v after %s at %d%% of the target, want %v", throttled, test.after, test.tail, test.throttled)
 			}
 		})
 	}
--- a/core/jobsched/window_test.go
+++ b/core/jobsched/window_test.go
@@ -16,7 +16,7 @@
 	const bound = 40
 	c := newCluster(t, 1, 120)
 	c.options.StartsInFlight = bound
-	c.lead()
+	c.replaceLeader()
 	c.run(200 * time.Millisecond)
 	for i := range 40 {
 		c.submit(i+1, "batch", makeStep(40, 500, time.Second))
