--- a/core/jobsched/advice_test.go
+++ b/core/jobsched/advice_test.go
@@ -8,14 +8,14 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// adviceTime is how long the advice service takes, ticketTime how long a ticket
-// is valid.
+// adviceTime is how long the advice service takes to respond, ticketTime how long a
+// ticket is valid.
 const (
 	adviceTime = 100 * time.Millisecond
 	ticketTime = 3 * time.Second
 )
 
-// advise answers for the advice service: every second worker may run the step.
+// advise responds for the advice service: every second worker may run the step.
 func (c *cluster) advise(e Advise) {
 	tickets := make(map[model.Incarnation]string)
 	for _, worker := range e.Workers {
@@ -28,8 +28,8 @@
 	})
 }
 
-// TestAdvisedTasksStartWithTickets: the tasks of an advised queue run only on
-// workers that the advice service allows, and carry the ticket.
+// TestAdvisedTasksStartWithTickets checks that the tasks of an advised queue run
+// only on workers that the advice service allows.
 func TestAdvisedTasksStartWithTickets(t *testing.T) {
 	c := newCluster(t, 1, 6)
 	c.config.Queues["advised"] = &job.Queue{Name: "advised", Service: "pool", MaxAttempts: 3, Advised: true}
--- a/core/jobsched/aside_test.go
+++ b/core/jobsched/aside_test.go
@@ -7,33 +7,31 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// repair makes the records of a damaged job readable and hands them to the leader.
+// repair makes the records of a damaged job readable and passes them to the leader.
 func (c *cluster) repair(id job.ID) {
 	delete(c.damaged, id)
 	c.machine.Handle(c.now, JobReread{ID: id, Record: c.accepted[id], Progress: c.progress[id]})
 }
 
-// TestDamagedRecordsAtATakeOver
-//
-// Symptom: no daemon leads, or the tasks of a job are stopped or run twice after
-// a take-over. Events: another writer damages the records of a job, or the
-// roster; the leader is lost and another takes over. Cause: it took what it could
-// not read for what is not there.
+// TestDamagedRecordsAtATakeOver guards against a leader that treats records that it
+// cannot read as missing. Another writer damages the records of a job, or the
+// roster, and the leader is lost. Then no daemon led, or the tasks of a job were
+// stopped or run twice after the takeover.
 func TestDamagedRecordsAtATakeOver(t *testing.T) {
-	t.Run("what runs of a job goes on, and nothing of it is started", unreadableJobKeepsRunning)
-	t.Run("a job whose records are repaired goes on", unreadableJobIsRepaired)
-	t.Run("ends wait for the job's records", unreadableJobDefersEnds)
-	t.Run("ends wait over another take-over", deferredEndsSurviveATakeover)
+	t.Run("running attempts continue, and no task is started", unreadableJobKeepsRunning)
+	t.Run("a job continues once its records are repaired", unreadableJobIsRepaired)
+	t.Run("ends are deferred until the job's records can be read", unreadableJobDefersEnds)
+	t.Run("ends are deferred over another takeover", deferredEndsSurviveATakeover)
 	t.Run("other jobs' ends are acknowledged", deferredEndsAreBounded)
 	t.Run("a repaired job that was canceled stops", unreadableJobIsCanceled)
-	t.Run("a job that cannot be read when it comes", unreadableJobAtAcceptance)
+	t.Run("a job that is unreadable when it is accepted", unreadableJobAtAcceptance)
 	t.Run("a job whose records are removed stops", unreadableJobIsRemoved)
-	t.Run("a lost roster holds recovered jobs back", lostRoster)
+	t.Run("a lost roster holds back recovered jobs", lostRoster)
 	t.Run("a lost roster stays lost for the next leader", lostRosterTwice)
 }
 
-// newUnreadableJobCluster has a job with four running tasks and four that wait, whose
-// records a new leader cannot read.
+// newUnreadableJobCluster returns a cluster and a job with four running and four
+// waiting tasks, whose records a new leader cannot read.
 func newUnreadableJobCluster(t *testing.T, took time.Duration) (*cluster, job.ID) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -47,7 +45,8 @@
 	return c, id
 }
 
-// runToCompletion checks that a job runToCompletion with as many starts as it has tasks.
+// runToCompletion checks that a job completes within 10 s, after the given number of
+// starts in total.
 func (c *cluster) runToCompletion(id job.ID, starts int) {
 	c.t.Helper()
 	c.run(10 * time.Second)
@@ -62,8 +61,8 @@
 	if n := c.runningOf(id); n != 4 || c.starts != 4 {
 		t.Errorf("%d tasks run after %d starts, want 4 after 4", n, c.starts)
 	}
-	// Nothing is put beside tasks of unknown size: the other job has a worker of
-	// its own.
+	// Nothing is placed next to tasks of unknown size, so the other job needs a
+	// worker of its own.
 	c.addWorker(9)
 	other := c.submit(2, "urgent", makeStep(1, 1000, 200*time.Millisecond))
 	c.runToCompletion(other, 5)
@@ -80,14 +79,15 @@
 	c, id := newUnreadableJobCluster(t, 2*time.Second)
 	c.run(5 * time.Second)
 	if n := c.runningOf(id); n != 0 || c.starts != 4 {
-		t.Errorf("%d tasks run after %d starts, want none after 4", n, c.starts)
+		t.Errorf("%d tasks run after %d starts, want 0 after 4", n, c.starts)
 	}
 	c.repair(id)
 	c.runToCompletion(id, 8)
 }
 
-// The ends of a job that is set aside are known to its workers alone. Were they
-// acknowledged, the next leader would start again what is done.
+// deferredEndsSurviveATakeover checks that the ends of an unreadable job, which only
+// its workers know, are not acknowledged: otherwise the next leader would start done
+// tasks again.
 func deferredEndsSurviveATakeover(t *testing.T) {
 	c, id := newUnreadableJobCluster(t, 2*time.Second)
 	c.run(5 * time.Second)
@@ -97,8 +97,10 @@
 	c.runToCompletion(id, 8)
 }
 
-// A worker tells 500 ends at a time, in their order: were all held back behind
-// one of a job that is set aside, those of other jobs would not be heard of.
+// deferredEndsAreBounded checks that the ends of an unreadable job do not hold back
+// those of other jobs for long. A worker reports 500 ends at a time, in order: if
+// all were held back behind one of an unreadable job, the ends of other jobs would
+// no longer be reported.
 func deferredEndsAreBounded(t *testing.T) {
 	c, _ := newUnreadableJobCluster(t, 2*time.Second)
 	c.run(5 * time.Second)
@@ -110,7 +112,7 @@
 	}
 	for id, w := range c.workers {
 		if len(w.ended) > maxDeferredEnds {
-			t.Errorf("%s keeps %d ends", id, len(w.ended))
+			t.Errorf("%s keeps %d unacknowledged ends", id, len(w.ended))
 		}
 	}
 }
@@ -124,7 +126,7 @@
 	c.repair(id)
 	c.run(2 * time.Second)
 	if n := c.runningOf(id); n != 0 || c.state(id) != job.Canceled {
-		t.Errorf("%d tasks run, and the job is %s", n, c.state(id))
+		t.Errorf("%d tasks run and the job is %s, want 0 and canceled", n, c.state(id))
 	}
 }
 
@@ -150,12 +152,12 @@
 	c.repair(id)
 	c.run(2 * time.Second)
 	if n := c.runningOf(id); n != 0 {
-		t.Errorf("%d tasks run of a job that is gone", n)
+		t.Errorf("%d tasks of a removed job run, want 0", n)
 	}
 }
 
-// The platform's list lacks all workers but one when the leader takes over, as
-// after an outage of the platform's store, and the roster is lost with them.
+// lostRoster checks a takeover with a lost roster during which the platform's list
+// lacks all workers but one, as after an outage of the platform's store.
 func lostRoster(t *testing.T) {
 	c, id := newLostRoster(t)
 	c.run(2 * time.Second)
@@ -178,9 +180,9 @@
 	}
 }
 
-// A roster that is written anew before all leases have ended lacks workers on which
-// attempts run. The next leader must not take it for whole, and start nothing before
-// the first one would have.
+// lostRosterTwice checks that a roster written after a roster was lost and before
+// all leases have ended, which lacks workers with running attempts, is not taken for
+// complete. The next leader must start nothing before the first one would have.
 func lostRosterTwice(t *testing.T) {
 	c, id := newLostRoster(t)
 	bound := c.machine.earlierLeasesEnd()
@@ -200,11 +202,11 @@
 	}
 }
 
-// checkRosterIncomplete checks that a leader which reads what is stored now starts
-// nothing before the time given.
+// checkRosterIncomplete checks that a leader that reads the stored records now
+// starts nothing before the given time.
 func (c *cluster) checkRosterIncomplete(until time.Time) {
 	if left := until.Sub(c.now); !c.rosterDamaged && c.rosterLostLeft < left {
-		c.t.Errorf("the stored roster is told to lack workers for %s, want %s at least", c.rosterLostLeft, left)
+		c.t.Errorf("the stored roster counts as incomplete for %s, want at least %s", c.rosterLostLeft, left)
 	}
 }
 
--- a/core/jobsched/bench_test.go
+++ b/core/jobsched/bench_test.go
@@ -9,8 +9,7 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// busyCluster returns a cluster of workers with serving tasks on all of them
-// and more best-effort work than fits.
+// busyCluster returns a cluster whose workers run serving tasks.
 func busyCluster(b testing.TB, workers int) *cluster {
 	c := newCluster(b, 1, workers)
 	c.run(200 * time.Millisecond)
@@ -34,9 +33,9 @@
 	c.submit(100+i, "batch", steps...)
 }
 
-// BenchmarkBusySecond plays a second of a crowded cluster of 48 workers: 14 jobs
-// handed in, about 150 tasks started and ended, and hundreds of tasks that wait;
-// and as much again for each 48 of 350 workers.
+// BenchmarkBusySecond plays a second of a crowded cluster of 48 workers: 14
+// submitted jobs, about 150 tasks started and ended, and hundreds of waiting tasks.
+// With 350 workers it plays the same load per worker.
 func BenchmarkBusySecond(b *testing.B) {
 	for _, workers := range []int{48, 350} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) { benchmarkBusySecond(b, workers) })
@@ -60,7 +59,7 @@
 	})
 }
 
-// benchmarkSecond tells the machine's time of a second of a cluster.
+// benchmarkSecond reports the machine's processing time for one second of a cluster.
 func benchmarkSecond(b *testing.B, c *cluster, second func()) {
 	b.ResetTimer()
 	machine := c.machineTime
@@ -70,8 +69,9 @@
 	b.ReportMetric(float64(c.machineTime-machine)/float64(b.N)/1e6, "machine-ms/op")
 }
 
-// BenchmarkFullCluster plays a second of 350 workers that long-running tasks
-// fill, while 600 urgent steps wait which fit nowhere and displace nothing.
+// BenchmarkFullCluster plays a second of 350 workers that are filled with
+// long-running tasks, while 600 urgent steps wait that fit nowhere and preempt
+// nothing.
 func BenchmarkFullCluster(b *testing.B) {
 	c := newCluster(b, 1, 350)
 	c.run(200 * time.Millisecond)
@@ -90,8 +90,9 @@
 	benchmarkSecond(b, c, func() { c.run(time.Second) })
 }
 
-// BenchmarkWaitingGangs plays a second of 350 workers that long-running tasks
-// fill, while 600 gangs wait that fit on no rack and nowhere else.
+// BenchmarkWaitingGangs plays a second of 350 workers that are filled with
+// long-running tasks, while 600 gangs wait that must run on one rack and fit on
+// none.
 func BenchmarkWaitingGangs(b *testing.B) {
 	c, _ := fullCluster(b)
 	for i := range 600 {
@@ -104,7 +105,7 @@
 }
 
 // BenchmarkPlacement places steps of 40 tasks on clusters of several sizes, a
-// quarter of which long-running tasks fill, and tells the time of one task.
+// quarter of whose workers run long-running tasks, and reports the time per task.
 func BenchmarkPlacement(b *testing.B) {
 	for _, workers := range []int{48, 350, 1100, 3500} {
 		b.Run(fmt.Sprint(workers, " workers"), func(b *testing.B) { benchmarkPlacement(b, workers) })
@@ -133,8 +134,8 @@
 	b.ReportMetric(float64(took.Microseconds())/float64(b.N)/tasks, "us/task")
 }
 
-// BenchmarkRoster measures the look at whether a roster is due, and a roster of
-// all workers with what runs there, as a leader writes it when it hands over.
+// BenchmarkRoster measures the check whether a roster is due, and a roster of all
+// workers with their attempts, as a leader writes it when it hands over.
 func BenchmarkRoster(b *testing.B) {
 	c := newCluster(b, 1, 1100)
 	c.run(time.Second)
--- a/core/jobsched/busy_test.go
+++ b/core/jobsched/busy_test.go
@@ -7,25 +7,26 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// slowLeader gives the leader of a cluster a processor: a step takes the longer
-// the more workers are looked at in it, and events wait until it is over.
+// slowLeader simulates the processor of a cluster's leader: a step takes longer the
+// more checks of workers it makes, and events wait until it ends.
 type slowLeader struct {
-	// checks counts how often a worker was looked at for a task in this step, maxChecks
-	// is the highest count of any.
+	// checks counts the checks of a worker for a task in this step; maxChecks is the
+	// highest count of any step.
 	checks, maxChecks int
 	busyUntil         time.Time
 	waiting           []Event
 }
 
 const (
-	// checkCost is the time of a look at a worker for a task: 0.32 us of a core,
-	// measured over rounds of 600 waiting gangs, by a leader with a fifth of one.
+	// checkCost is the time of a check of a worker for a task: 0.32 us of a core,
+	// measured over rounds of 600 waiting gangs, on a leader with a fifth of a core.
 	checkCost = 1600 * time.Nanosecond
-	// leaderBatch is how many events the daemon takes in before it acts.
+	// leaderBatch is how many events the daemon handles before it advances the
+	// machine.
 	leaderBatch = 1024
 )
 
-// newSlowLeader has the looks counted until the test ends.
+// newSlowLeader returns a slow leader that counts the checks until the test ends.
 func newSlowLeader(t testing.TB) *slowLeader {
 	l := new(slowLeader)
 	count := func(*Machine, *task, *worker) bool {
@@ -40,8 +41,8 @@
 	return l
 }
 
-// begin takes in the events that wait, and returns false while the leader is
-// still in a step.
+// begin handles the waiting events, and returns false while the previous step has
+// not ended.
 func (l *slowLeader) begin(c *cluster) bool {
 	if c.now.Before(l.busyUntil) {
 		return false
@@ -60,8 +61,8 @@
 	l.busyUntil = c.now.Add(time.Duration(l.checks) * checkCost)
 }
 
-// fullCluster returns 350 workers that long-running tasks fill but for a little,
-// and the first of their jobs.
+// fullCluster returns 350 workers that are almost filled with long-running tasks,
+// and the first of the jobs.
 func fullCluster(t testing.TB) (*cluster, job.ID) {
 	c := newCluster(t, 1, 350)
 	c.run(200 * time.Millisecond)
@@ -73,17 +74,17 @@
 	return c, first
 }
 
-// Callers canceled jobs, and their tasks ran on for 9.5 s where 4.4 s are
-// allowed; after a restart of all daemons next to nothing was served. The
-// cluster was full, and hundreds of steps waited for room. Each round of
-// placement looked at every worker again for each of them, so that a step of the
-// leader took the longer the more there was to do. Events came faster than such
-// steps took them in, 256 at a time, and cancels waited among them. The jobs
-// that waited are in the store, so that the next leader began with all of them.
+// TestCancelIsTakenInBesideHundredsOfWaitingSteps guards against cancellations that
+// are delayed by placement. If each round checks every worker for each of hundreds
+// of steps that wait in a full cluster, a step of the leader takes longer the more
+// steps wait. Events then arrive faster than they are handled, 256 at a time, and
+// cancellations wait among them. Tasks of canceled jobs ran on for 9.5 s where 4.4 s
+// are allowed. After a restart of all daemons almost nothing was served, because the
+// waiting jobs are stored and the next leader starts with all of them.
 //
-// What settled it, from two days of the same kind: "job canceled by its caller"
-// and "job canceled" lay 18.5 s apart at most, "job accepted" and "job taken in"
-// 27.9 s, while "state read" took 0.37 s and one worker of 350 was silent.
+// On two such days, up to 18.5 s passed between "job canceled by its caller" and
+// "job canceled", and 27.9 s between "job accepted" and "job taken in", while "state
+// read" took 0.37 s and one worker of 350 was silent.
 func TestCancelIsTakenInBesideHundredsOfWaitingSteps(t *testing.T) {
 	for name, step := range map[string]func(i int) job.Step{
 		"steps that fit nowhere": func(i int) job.Step {
@@ -93,7 +94,7 @@
 			}
 			return s
 		},
-		"steps that ask for labels of racks": func(i int) job.Step {
+		"steps that require the label of a rack": func(i int) job.Step {
 			s := makeStep(6, int64(1900+i), 800*time.Millisecond)
 			s.Label = string(rackOfWorker(i % 350))
 			return s
@@ -103,11 +104,11 @@
 	}
 }
 
-// Gangs were left out when rounds of placement stopped looking for what fits
-// nowhere again: 600 that waited were sought places for in every round, those
-// that want one rack on each of 44 racks. A step looked at workers 420,000
-// times, 0.13 s of a core and 0.7 s of one in each second, so that cancels were
-// taken in late as above.
+// TestWaitingGangsDoNotHoldUpTheLeader guards against gangs that are not remembered
+// as unplaceable. If a place is searched for each of 600 waiting gangs in every
+// round, and on each of 44 racks for those that need a single rack, a step makes
+// 420,000 checks of workers. That takes 0.13 s of a core, and 0.7 s of a core in
+// each second, so that cancellations are handled late as above.
 func TestWaitingGangsDoNotHoldUpTheLeader(t *testing.T) {
 	for name, step := range map[string]func(i int) job.Step{
 		"gangs that fit on no rack": func(i int) job.Step {
@@ -115,7 +116,7 @@
 			s.Gang, s.SameRack = true, true
 			return s
 		},
-		"gangs that fit nowhere, some with a bound on one worker": func(i int) job.Step {
+		"gangs that fit nowhere, some with a limit of tasks per worker": func(i int) job.Step {
 			s := makeStep(20, int64(1900+i%7*300), 800*time.Millisecond)
 			s.Gang = true
 			s.MaxPerWorker = i % 2
@@ -126,9 +127,10 @@
 	}
 }
 
-// Steps with a bound on their tasks on one worker are not remembered as fitting
-// nowhere while any worker has room, and there is no end to such cases: nothing
-// but the bound on the looks of a round keeps a step of the leader short then.
+// TestRoundIsBoundedWithoutUnplaceableCache checks that the budget alone bounds a
+// placement round. Steps with a limit of tasks per worker are not remembered as
+// unplaceable while any worker has room, and other such cases are possible at any
+// time.
 func TestRoundIsBoundedWithoutUnplaceableCache(t *testing.T) {
 	c := newCluster(t, 1, 350)
 	c.run(200 * time.Millisecond)
@@ -137,7 +139,8 @@
 	}
 	c.run(time.Second)
 	c.slow = newSlowLeader(t)
-	// What such a leader has; with more the stand-ins take half a minute.
+	// The value for such a leader; with a higher one the simulation takes half a
+	// minute.
 	c.machine.options.StartsInFlight = DefaultStartsInFlight / 5
 	for i := range 600 {
 		s := makeStep(351, 10, time.Minute)
@@ -146,14 +149,14 @@
 	}
 	c.run(5 * time.Second)
 	if c.slow.maxChecks > checkBound {
-		t.Errorf("a step looked at workers %d times, want at most %d", c.slow.maxChecks, checkBound)
+		t.Errorf("a step made %d checks of workers, want at most %d", c.slow.maxChecks, checkBound)
 	}
 }
 
-// All best-effort work of a cluster may stand still for the sake of the tasks
-// beside it. Each sweep looked at every worker for each such attempt, to move it:
-// 1,580 attempts on 350 workers were 553,000 looks in a step of the leader, 22
-// times a second.
+// TestSweepOverWorkThatStandsStillIsBounded guards against sweeps that check every
+// worker for each best-effort attempt throttled to a share of 0, in order to move
+// it. All best-effort work of a cluster may be throttled so: 1,580 attempts on 350
+// workers took 553,000 checks in a step of the leader, 22 times a second.
 func TestSweepOverWorkThatStandsStillIsBounded(t *testing.T) {
 	c := newCluster(t, 1, 350)
 	c.run(200 * time.Millisecond)
@@ -177,12 +180,12 @@
 	c.slow = newSlowLeader(t)
 	c.run(3 * time.Second)
 	if c.slow.maxChecks > checkBound {
-		t.Errorf("a step looked at workers %d times, want at most %d", c.slow.maxChecks, checkBound)
+		t.Errorf("a step made %d checks of workers, want at most %d", c.slow.maxChecks, checkBound)
 	}
 }
 
-// checkCancelBesideWaiting cancels a job of a full cluster in which 600 steps
-// wait, and checks how long its tasks run on and how long the leader's steps are.
+// checkCancelBesideWaiting cancels a job in a full cluster with 600 waiting steps,
+// and checks how long its tasks run on and how long the leader's steps take.
 func checkCancelBesideWaiting(t *testing.T, step func(i int) job.Step) {
 	c, first := fullCluster(t)
 	c.slow = newSlowLeader(t)
@@ -199,14 +202,14 @@
 		t.Errorf("the tasks of a canceled job ran on for %s, want at most %s", took, cancelBound)
 	}
 	if c.slow.maxChecks > checkBound {
-		t.Errorf("a step looked at workers %d times, want at most %d", c.slow.maxChecks, checkBound)
+		t.Errorf("a step made %d checks of workers, want at most %d", c.slow.maxChecks, checkBound)
 	}
 }
 
 const (
-	// cancelBound is a fourth of what the platform allows from a cancel to the
-	// end of the tasks: a take-over may lie between too.
+	// cancelBound is a quarter of the time that the platform allows from a
+	// cancellation to the end of the tasks, since a takeover may happen in between.
 	cancelBound = 1100 * time.Millisecond
-	// checkBound is 160 ms of such a leader.
+	// checkBound corresponds to 160 ms on such a leader.
 	checkBound = 100_000
 )
--- a/core/jobsched/candidates_test.go
+++ b/core/jobsched/candidates_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestCandidatesMatchAFullSearch: the candidates of a step are scored once
-// and not for each of its tasks. Each worker that they give must be the one that a
-// look at all workers gives at that moment.
+// TestCandidatesMatchAFullSearch checks that candidates, which are scored once for a
+// step instead of once for each task, yield the same worker for each task as a
+// search over all workers at that moment.
 func TestCandidatesMatchAFullSearch(t *testing.T) {
 	for seed := range uint64(30) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { checkCandidates(t, seed) })
@@ -52,7 +52,7 @@
 	for _, task := range s.tasks {
 		want, got := m.bestWorker(task), places.best()
 		if want != got {
-			t.Fatalf("%s goes to %v, want %v", task.key(), workerName(got), workerName(want))
+			t.Fatalf("%s is placed on %v, want %v", task.key(), workerName(got), workerName(want))
 		}
 		if got == nil {
 			return
@@ -64,7 +64,7 @@
 
 func workerName(w *worker) string {
 	if w == nil {
-		return "nobody"
+		return "no worker"
 	}
 	return w.id.String()
 }
--- a/core/jobsched/capacity_test.go
+++ b/core/jobsched/capacity_test.go
@@ -10,11 +10,12 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// shrinkNotice is how long after its capacity has shrunk a worker may still be
-// given what fitted before: the platform's time to notice, and a heartbeat.
+// shrinkNotice is how long after its capacity has shrunk a worker may still get
+// tasks that fitted before: the time in which the platform notices the change, and a
+// heartbeat.
 const shrinkNotice = 3500 * time.Millisecond
 
-// resize changes the capacity that the worker shows.
+// resize changes the capacity in the worker's entry.
 func (w *fakeWorker) resize(capacity model.Resources) {
 	if capacity != w.entry.Capacity {
 		w.oldCapacity, w.resizedAt = w.entry.Capacity, w.c.now
@@ -22,16 +23,16 @@
 	}
 }
 
-// hasCapacityFor reports whether a start may bring the worker to so much.
+// hasCapacityFor reports whether a start may raise the worker's use to used.
 func (w *fakeWorker) hasCapacityFor(used model.Resources) bool {
 	noticed := w.c.now.Sub(w.resizedAt) >= shrinkNotice
 	return used.Fits(w.entry.Capacity) || !noticed && used.Fits(w.oldCapacity)
 }
 
-// TestStartsFollowCapacitiesThatChange plays workers that shrink to a part of their
-// size and grow again while jobs of all kinds come, gangs and urgent ones that
-// displace others among them, and leaders change. No start may bring a worker over
-// its capacity, and all jobs are done once the workers have their size again.
+// TestStartsFollowCapacitiesThatChange shrinks workers to a part of their size and
+// grows them again while jobs of all kinds arrive, including gangs and urgent jobs
+// that preempt others, and leaders change. No start may exceed a worker's capacity,
+// and all jobs must complete once the workers have their full size again.
 func TestStartsFollowCapacitiesThatChange(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -69,9 +70,10 @@
 	}
 }
 
-// All workers were shrunk when the roster was stored that tells what jobs could
-// ever run, also by a leader that took over meanwhile, or when a worker had come
-// back from a crash. A job that fits when they have grown again was turned away.
+// TestRosterTellsTheFullSizeOfShrunkWorkers guards against a roster that holds only
+// the shrunk size of workers. It determines which jobs can ever run. If all workers
+// are shrunk when it is stored, also by a leader that has taken over or after a
+// worker has restarted, jobs that fit the full size were rejected.
 func TestRosterTellsTheFullSizeOfShrunkWorkers(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(time.Second)
--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -14,8 +14,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// cluster plays workers, a store and callers around a Machine in virtual time,
-// and checks what must hold at the workers. Orders take orderDelay each way.
+// cluster simulates workers, a store and callers around a Machine in virtual time,
+// and checks the invariants at the workers. Orders take orderDelay in each
+// direction.
 type cluster struct {
 	t       testing.TB
 	rnd     *rand.Rand
@@ -26,38 +27,39 @@
 	epoch   model.Epoch
 	config  *job.Config
 	workers map[model.WorkerID]*fakeWorker
-	// queue holds what is on its way, in the order of its times.
+	// queue holds the deliveries on their way, in order of time.
 	queue []delivery
 
 	accepted map[job.ID]*job.Accepted
 	progress map[job.ID]*job.Progress
 	summary  Summary
 	roster   []RosterEntry
-	// rosterValid is whether the last leader stored it.
+	// rosterValid is whether the guarantees in the roster were valid at the last
+	// commit.
 	rosterValid    bool
 	rosterAge      time.Duration
 	unseenCrash    bool
 	rosterLostLeft time.Duration
 	learned        []interference.Effect
-	// damaged holds the jobs whose records a new leader cannot read, and
-	// rosterDamaged is set when it cannot read the roster.
+	// damaged holds the jobs whose records a new leader cannot read; rosterDamaged
+	// is set if it cannot read the roster.
 	damaged       map[job.ID]bool
 	rosterDamaged bool
 	// recordDamages draws which records are damaged on a day; nil for none.
 	recordDamages *rand.Rand
-	// storeDown holds commits back, storeDelay is what the store takes for one.
+	// storeDown holds commits back; storeDelay is how long the store takes for one.
 	storeDown  bool
 	storeDelay time.Duration
 	held       []Commit
 
-	// truth is what has happened to each task, by its name.
+	// truth is what has happened to each task.
 	truth map[job.TaskKey]*taskTruth
-	// loseAnswers and delayOrders are the parts of the orders whose answers are
-	// lost, and that are carried out seconds later.
+	// loseAnswers is the fraction of orders whose responses are lost, delayOrders
+	// the fraction that is executed seconds late.
 	loseAnswers, delayOrders float64
 	notes                    []Note
 	keepNotes                bool
-	// checkRounds has every round of placement checked.
+	// checkRounds makes the cluster check each placement round.
 	checkRounds bool
 	starts      int
 	// crashers holds the jobs with tasks that crash their workers.
@@ -65,47 +67,50 @@
 	// crashing draws which jobs have tasks that crash their workers, and which
 	// workers crash for other reasons on a day; nil for none.
 	crashing *rand.Rand
-	// restartTime is what a crashed worker takes to come back; 0 for the usual.
+	// restartTime is how long a crashed worker takes to restart; 0 for the default.
 	restartTime time.Duration
-	// restarts counts the incarnations that came after a crash.
+	// restarts counts the incarnations started after a crash.
 	restarts int
-	// keepIDs has workers that crash start again under the id that they had, and
-	// restarting draws which do on a day; nil for none.
+	// keepIDs makes crashed workers restart under the same id. restarting draws
+	// which of them restart on a day; nil for none.
 	keepIDs    bool
 	restarting *rand.Rand
-	// omitStartTimes has no worker say when it was started.
+	// omitStartTimes makes all workers omit their start time.
 	omitStartTimes bool
-	// earlierVersion has each leader find a roster as the version before wrote it.
+	// earlierVersion makes each leader read a roster in the form of the previous
+	// version.
 	earlierVersion bool
 	machineTime    time.Duration
 	allSpecs       map[job.ID]*job.Spec
-	// planned draws the planned work on a day; nil for none.
+	// planned draws the planned changes on a day; nil for none.
 	planned *rand.Rand
 	// tail is the tail latency of serving tasks, in percent of their target.
 	tail int64
-	// slow makes the leader's steps take time; nil for a leader that takes none.
+	// slow makes the leader's steps take time; nil for a leader whose steps take
+	// none.
 	slow *slowLeader
-	// damages, if not nil, has a damaged entry for each worker without one, and
-	// for strangers.
+	// damages, if not nil, lists a damaged entry for each unlisted worker, and for
+	// unknown workers.
 	damages *entryDamage
 }
 
 // taskTruth is what the workers did for one task.
 type taskTruth struct {
 	running map[model.WorkerID]int
-	// done is whether an attempt has ever ended so.
+	// done is whether an attempt has ever ended as done.
 	done bool
-	// settled is whether such an end has been acknowledged before the worker's
-	// lease ran out, and failures counts the failed ones that were.
+	// settled is whether such an end was acknowledged before the worker's lease ran
+	// out; failures counts the failed ends that were.
 	settled  bool
 	failures int
-	// failed holds the attempts that ever failed.
+	// failed holds the numbers of the attempts that have failed.
 	failed    map[int]struct{}
 	lastStart time.Time
-	// crashesWhilePresent counts the workers that crashed while the task ran there.
+	// crashesWhilePresent counts the workers that crashed, for any reason, while
+	// running the task.
 	crashesWhilePresent int
 	// crashed counts the workers that the task has crashed, startsAfterLimit its
-	// starts since that were as many as may be.
+	// starts after crashedBeforeCount such crashes.
 	crashed, startsAfterLimit int
 }
 
@@ -116,27 +121,28 @@
 
 const (
 	orderDelay = 2 * time.Millisecond
-	// resetDelay is how long it takes to notice that a connection has ended.
+	// resetDelay is how long it takes to notice that a connection was closed.
 	resetDelay = 20 * time.Millisecond
 )
 
-// fakeWorker behaves as the platform's contract says.
+// fakeWorker behaves as the platform's contract requires.
 type fakeWorker struct {
 	c      *cluster
 	entry  WorkerEntry
 	listed bool
 	dead   bool
 	cutOff bool
-	// oldCapacity is the capacity oldCapacity resizedAt.
+	// oldCapacity is the capacity before resizedAt.
 	oldCapacity model.Resources
 	resizedAt   time.Time
-	// successor is the incarnation that came after it at its address, under another id.
+	// successor is the next incarnation at the same address, under another id.
 	successor *fakeWorker
-	// listedEntry is the entry that the list has in place of its own, nil for none: that of
-	// the incarnation before, until it has written one.
+	// listedEntry is the entry that is listed instead of the worker's own, such as
+	// that of the previous incarnation until the worker has written one; nil for
+	// none.
 	listedEntry *WorkerEntry
 	// clockAhead is how far its clock is ahead of those of the workers that have not
-	// started again.
+	// restarted.
 	clockAhead time.Duration
 	epoch      model.Epoch
 	lease      time.Time
@@ -144,17 +150,17 @@
 	barred     map[job.TaskKey]int
 	ended      []fakeEnd
 	number     int64
-	// failAll makes every attempt fail; freeze keeps them from advancing.
+	// failAll makes every attempt fail; freeze stops the progress of attempts.
 	failAll, freeze bool
-	// fault is what is wrong with its entry.
+	// fault is the fault of its entry.
 	fault EntryFault
 }
 
-// fakeEnd is an end that the worker keeps.
+// fakeEnd is an end that the worker keeps until it is acknowledged.
 type fakeEnd struct {
 	EndedAttempt
 	at time.Time
-	// void is set when the lease ran out before the end was acknowledged.
+	// void is set if the lease ran out before the end was acknowledged.
 	void bool
 }
 
@@ -218,8 +224,8 @@
 	return w
 }
 
-// replaceLeader makes a new leader, as after the loss of the one before: nothing of its
-// state is left but what is stored.
+// replaceLeader starts a new leader, as after the loss of the previous one: it knows
+// only what is stored.
 func (c *cluster) replaceLeader() {
 	c.epoch++
 	c.held = nil
@@ -276,7 +282,7 @@
 	return ids
 }
 
-// submit stores a job and tells the leader.
+// submit stores a job and notifies the leader.
 func (c *cluster) submit(number int, queue string, steps ...job.Step) job.ID {
 	id := job.ID(fmt.Sprintf("%016x", number))
 	c.accepted[id] = &job.Accepted{
@@ -310,7 +316,7 @@
 
 const clusterTick = 5 * time.Millisecond
 
-// run lets time pass.
+// run advances the virtual time by d.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now.Add(d); c.now.Before(end); {
 		c.tick()
@@ -348,7 +354,7 @@
 	}
 }
 
-// after calls act when a time has passed.
+// after calls act once d has passed.
 func (c *cluster) after(d time.Duration, act func()) {
 	at := c.now.Add(d)
 	i, _ := slices.BinarySearchFunc(c.queue, at, func(d delivery, at time.Time) int {
@@ -360,7 +366,8 @@
 	c.queue = slices.Insert(c.queue, i, delivery{at: at, act: act})
 }
 
-// sendEvent hands an event to the leader that asked, if it still leads.
+// sendEvent delivers an event to the leader m after d, unless m has been replaced by
+// then.
 func (c *cluster) sendEvent(m *Machine, d time.Duration, ev func() Event) {
 	c.after(d, func() {
 		switch {
@@ -403,10 +410,10 @@
 	}
 }
 
-// clock returns the clock of whichever incarnation is there under an id.
+// clock returns the clock of the current incarnation under an id.
 func (c *cluster) clock(id model.WorkerID) int64 { return c.incarnationAt(id).clockMs() }
 
-// incarnationAt returns the incarnation that is there under an id.
+// incarnationAt returns the current incarnation under an id.
 func (c *cluster) incarnationAt(id model.WorkerID) *fakeWorker {
 	if w := c.workers[id]; w != nil {
 		return w
@@ -414,9 +421,10 @@
 	return &fakeWorker{c: c, dead: true}
 }
 
-// delayOf returns when an order is carried out that is not answered, and who holds it
-// up. A worker that holds it back takes it along when it ends; one held up on its way
-// comes sooner, and reaches whichever incarnation is there then.
+// delayOf returns the delay of an order whose response is lost, and the worker that
+// holds the order back, if any. An order held back by a worker is lost when that
+// incarnation ends. One delayed in the network has a shorter delay, and reaches the
+// incarnation that is current when it arrives.
 func (c *cluster) delayOf(o Order, late time.Duration) (time.Duration, *fakeWorker) {
 	switch {
 	case !c.keepIDs:
@@ -427,7 +435,8 @@
 	return late, c.incarnationAt(o.Worker.ID)
 }
 
-// deliverOrder carries an order to its worker and the answer back, or fails to.
+// deliverOrder delivers an order to its worker and the response to the leader,
+// unless a simulated fault prevents it.
 func (c *cluster) deliverOrder(o Order, act func(*fakeWorker) Verdict, event func(Verdict) Event) {
 	m := c.machine
 	if c.rnd.Float64() < c.delayOrders {
@@ -482,7 +491,7 @@
 	var wait func(left time.Duration)
 	wait = func(left time.Duration) {
 		if c.keepIDs && w.dead {
-			// The connection has ended with the process.
+			// The connection was closed when the process ended.
 			c.sendEvent(m, resetDelay, func() Event { return event(VerdictUnknown) })
 			return
 		}
@@ -546,7 +555,7 @@
 	}
 }
 
-// reencodeRoster passes a roster through its stored form.
+// reencodeRoster encodes and decodes a roster.
 func reencodeRoster(t testing.TB, roster []RosterEntry) []RosterEntry {
 	data, err := json.Marshal(roster)
 	if err != nil {
@@ -559,8 +568,8 @@
 	return read
 }
 
-// asEarlierVersion returns a roster as the version before would have written it: with
-// one line for each id.
+// asEarlierVersion returns a roster as the previous version would have written it:
+// with one entry for each id.
 func asEarlierVersion(roster []RosterEntry) []RosterEntry {
 	var lines []RosterEntry
 	for _, e := range roster {
@@ -580,7 +589,7 @@
 	return lines
 }
 
-// reencodeProgress passes a record through its stored form.
+// reencodeProgress encodes and decodes a record.
 func reencodeProgress(t testing.TB, p *job.Progress) *job.Progress {
 	q, err := job.DecodeProgress(p.Encode())
 	if err != nil {
@@ -589,9 +598,9 @@
 	return q
 }
 
-// checkFailed holds a job shown as failed against the failures that there were:
-// of one task, or of a gang, of which each attempt fails as a whole with
-// whichever member does.
+// checkFailed checks that a job stored as failed has a task with MaxAttempts
+// failures, or a gang with that many, counting an attempt of a gang as failed if any
+// member failed in it.
 func (c *cluster) checkFailed(id job.ID) {
 	record := c.accepted[id]
 	if record == nil {
@@ -615,7 +624,7 @@
 			return
 		}
 	}
-	c.t.Errorf("job %s is failed, no task or gang has failed %d times, and no two workers have crashed under one", id, limit)
+	c.t.Errorf("job %s is failed, but no task or gang has failed %d times, and no two workers crashed under one of its tasks", id, limit)
 }
 
 func (c *cluster) checkCompleted(id job.ID) {
@@ -627,7 +636,7 @@
 		for index := range record.Spec.Steps[number].Count {
 			key := job.TaskKey{Job: id, Step: number, Index: index}
 			if !c.task(key).done {
-				c.t.Errorf("job %s is completed, and %s is not done", id, key)
+				c.t.Errorf("job %s is completed, but %s is not done", id, key)
 			}
 		}
 	}
@@ -642,7 +651,7 @@
 	return t
 }
 
-// restoreStore lets the commits that were held back through.
+// restoreStore ends the store outage and sends the commits that were held back.
 func (c *cluster) restoreStore() {
 	c.storeDown = false
 	for _, e := range c.held {
@@ -651,7 +660,7 @@
 	c.held = nil
 }
 
-// firstWorkerOf returns the first worker on which a task of a job runs.
+// firstWorkerOf returns the first worker that runs a task of the job.
 func (c *cluster) firstWorkerOf(id job.ID) model.WorkerID {
 	for _, worker := range c.workerIDs() {
 		for key := range c.workers[worker].attempts {
@@ -663,8 +672,8 @@
 	return ""
 }
 
-// checkRound checks that a round of placement has left nothing over that fits,
-// whatever it took for granted to save time.
+// checkRound checks that a placement round has left no task waiting that fits on a
+// worker, whatever the round skipped to save time.
 func (c *cluster) checkRound() {
 	m := c.machine
 	for _, w := range m.workers.All() {
@@ -680,20 +689,20 @@
 		}
 		for _, t := range s.tasks {
 			if !t.idle() || m.needsRestartRecord(t) || m.waitsForTrial(t) {
-				// What may have been done unheard waits for the store, as do trials, and
-				// these for each other.
+				// A restart of a task that may be done waits for its stored record, a trial
+				// also for other trials.
 				continue
 			}
 			if w := m.bestWorker(t); w != nil {
-				c.t.Errorf("%s: %s waits, and fits on %s", c.now.Sub(testEpoch), t.key(), w.id)
+				c.t.Errorf("%s: %s waits but fits on %s", c.now.Sub(testEpoch), t.key(), w.id)
 			}
 			break
 		}
 	}
 }
 
-// checkGang checks that a gang none of whose members has an attempt does not fit,
-// without what the round remembers.
+// checkGang checks that a gang without any attempts does not fit, ignoring what the
+// round remembers as unplaceable.
 func (c *cluster) checkGang(s *step) {
 	m := c.machine
 	for _, t := range s.tasks {
@@ -705,11 +714,11 @@
 	defer func() { m.unplaceable = remembered }()
 	m.unplaceable.reset()
 	if _, fits := m.placeGang(s); fits {
-		c.t.Errorf("%s: gang %s waits, and fits", c.now.Sub(testEpoch), s.name())
+		c.t.Errorf("%s: gang %s waits but fits", c.now.Sub(testEpoch), s.name())
 	}
 }
 
-// checkSums checks the sums that a worker keeps of its attempts.
+// checkSums checks the sums that a worker keeps over its attempts.
 func (c *cluster) checkSums(w *worker) {
 	var committed, reclaimable model.Resources
 	for _, a := range w.attempts.All() {
@@ -719,7 +728,7 @@
 		}
 	}
 	if committed != w.committed || reclaimable != w.reclaimable {
-		c.t.Errorf("%s: %s commits %s of which %s may yield, its attempts %s and %s",
+		c.t.Errorf("%s: %s has sums of %s committed and %s reclaimable, but its attempts have %s and %s",
 			c.now.Sub(testEpoch), w.id, w.committed, w.reclaimable, committed, reclaimable)
 	}
 }
--- a/core/jobsched/commit_test.go
+++ b/core/jobsched/commit_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// Ends were acknowledged only with a commit that left nothing waiting to be
-// stored. With a store that took 150 ms and a hundred jobs a second something
-// always waited: no end was acknowledged any more, 190 were kept on one worker,
-// and from 500 on a worker no longer lists new ones, so that tasks that are done
-// look as if they ran.
+// TestEndsAreAcknowledgedBesideWhatWaits guards against ends that are acknowledged
+// only with a commit that leaves nothing waiting to be stored. With a store that
+// takes 150 ms and a hundred jobs a second, something is always waiting: no end was
+// acknowledged any more, and 190 were kept on one worker. From 500 kept ends on, a
+// worker no longer reports new ones, so that done tasks appear to be running.
 func TestEndsAreAcknowledgedBesideWhatWaits(t *testing.T) {
 	const jobsPerSecond, seconds, mostKept = 100, 12, 60
 	c := newCluster(t, 1, 50)
--- a/core/jobsched/counters_test.go
+++ b/core/jobsched/counters_test.go
@@ -8,13 +8,13 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// quickTask is a step of one task that takes a tenth of a second.
+// quickTask returns a step of one task that takes a tenth of a second.
 func quickTask() job.Step {
 	return job.Step{Count: 1, Size: model.Resources{MilliCPU: 1000, MemoryMB: 500}, EstimateMs: 100}
 }
 
-// Guards against records of jobs that are over and stay for good, as the time for
-// which they are kept begins anew with each leader.
+// TestRecordsOfEndedJobsGoWhileLeadersChange guards against records of final jobs
+// that are never removed because their retention time restarts with each leader.
 func TestRecordsOfEndedJobsGoWhileLeadersChange(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	id := c.submit(1, "urgent", quickTask())
@@ -36,8 +36,8 @@
 	}
 }
 
-// failuresAt returns how many attempts fail in half a minute at a worker that fails
-// all that it starts, while the lead changes every so often; 0 for never.
+// failuresAt returns how many attempts fail in half a minute on a worker that fails
+// every task, while the leader is changed at intervals of every; 0 for never.
 func failuresAt(t *testing.T, change func(*cluster), every time.Duration) int {
 	c := newCluster(t, 1, 3)
 	c.workers["w000"].failAll = true
@@ -60,18 +60,20 @@
 	return failures
 }
 
-// Guards against a worker that fails all that it starts and is given more with each
-// change of the lead, as its failures are counted anew.
+// TestFailingWorkerStaysClosedOverChangesOfTheLead guards against a failing worker
+// that gets more tasks after each change of the leader because its failures are
+// counted anew.
 func TestFailingWorkerStaysClosedOverChangesOfTheLead(t *testing.T) {
 	alone := failuresAt(t, nil, 0)
 	for name, change := range map[string]func(*cluster){"planned": (*cluster).handOver, "lost": (*cluster).replaceLeader} {
 		if n := failuresAt(t, change, 2*time.Second); n > alone+quarantineAfter {
-			t.Errorf("%s: %d attempts fail there, %d while one daemon leads", name, n, alone)
+			t.Errorf("%s: %d attempts fail on the worker, %d while one daemon leads", name, n, alone)
 		}
 	}
 }
 
-// Guards against a hopeless step that has another worker blamed with each leader.
+// TestStepIsBlamedOnOneWorkerOverLeaders guards against a step that always fails and
+// is counted as a failure of another worker under each leader.
 func TestStepIsBlamedOnOneWorkerOverLeaders(t *testing.T) {
 	c := newCluster(t, 1, 6)
 	for _, w := range c.workers {
@@ -90,6 +92,6 @@
 		}
 	}
 	if blamed > 0 {
-		t.Errorf("a worker is blamed %d times more", blamed)
+		t.Errorf("%d failures are counted against a worker after the takeover, want none", blamed)
 	}
 }
--- a/core/jobsched/crash_test.go
+++ b/core/jobsched/crash_test.go
@@ -11,8 +11,8 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// A worker that crashed left no line that says so, and its attempts none that
-// tells how long they had run.
+// TestCrashesAreNoted checks that the crash of a worker and the crash counted for
+// each attempt are noted, with the run time of the attempt.
 func TestCrashesAreNoted(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.keepNotes = true
@@ -28,22 +28,22 @@
 		}
 	}
 	if len(reasons) != 2 {
-		t.Fatalf("%d lines, want one of the worker and one of the attempt: %q", len(reasons), reasons)
+		t.Fatalf("%d notes, want one for the worker and one for the attempt: %q", len(reasons), reasons)
 	}
 	for _, line := range reasons {
 		if !strings.Contains(line, "for 1.") && !strings.Contains(line, "for 2") {
-			t.Errorf("%q does not tell how long the attempt ran", line)
+			t.Errorf("%q does not contain the run time of the attempt", line)
 		}
 	}
 }
 
-// crashDelays are the times from its start to the crash of the task's worker that
-// are played.
+// crashDelays are the times from a task's start to the crash of its worker that are
+// played.
 var crashDelays = []time.Duration{10 * time.Millisecond, 400 * time.Millisecond, 3 * time.Second}
 
-// playCrasher hands in a job whose only task crashes its workers, has disturb
-// called until the job is given up, and holds that against the number of workers
-// that may have crashed by then. The cluster checks each start.
+// playCrasher submits a job whose only task crashes its workers, calls disturb until
+// the job is final, and checks that it fails before more than most workers have
+// crashed. The cluster checks each start.
 func playCrasher(t *testing.T, after time.Duration, most int, disturb func(c *cluster)) {
 	t.Helper()
 	c := newCluster(t, 1, 12)
@@ -61,19 +61,20 @@
 		t.Errorf("the job is %s after a minute, want failed", s)
 	}
 	if n := c.crashedBy(id); n > most {
-		t.Errorf("%d workers have crashed, want %d at most", n, most)
+		t.Errorf("%d workers have crashed, want at most %d", n, most)
 	}
 	c.run(20 * time.Second)
 	for i := range 6 {
 		bystander := job.ID(fmt.Sprintf("%016x", 100+i))
 		if s := c.state(bystander); s != job.Completed {
-			t.Errorf("job %s is %s in the end, want completed: it crashes nothing", bystander, s)
+			t.Errorf("job %s is %s in the end, want completed: none of its tasks crashes workers", bystander, s)
 		}
 	}
 }
 
-// Workers that a task had crashed came back only when their leases had ended, so
-// that the task was given up as unheard of, and started again without end.
+// TestTaskThatCrashesWorkersThatReturnLate guards against crashes that are not
+// counted because the crashed workers restart only after their leases have ended:
+// the attempts were declared lost, and the task was started again without end.
 func TestTaskThatCrashesWorkersThatReturnLate(t *testing.T) {
 	for _, after := range crashDelays {
 		t.Run(after.String(), func(t *testing.T) {
@@ -87,30 +88,32 @@
 
 func noDisturbance(c *cluster) { c.run(100 * time.Millisecond) }
 
-// A task that crashes each worker that starts it was started again without end.
+// TestTaskThatCrashesItsWorkersIsGivenUp guards against a task that crashes each
+// worker that starts it and is started again without end.
 func TestTaskThatCrashesItsWorkersIsGivenUp(t *testing.T) {
 	for _, after := range crashDelays {
 		t.Run(after.String(), func(t *testing.T) { playCrasher(t, after, 3, noDisturbance) })
 	}
 }
 
-// Leaders were lost, handed the lead over, or were without the store, while a task
-// crashed its workers; the crashes that were not stored counted for nothing.
+// TestCrashesCountOverLeaders guards against crashes that are forgotten because they
+// were not stored when the leader was lost, handed the lead over or could not reach
+// the store.
 func TestCrashesCountOverLeaders(t *testing.T) {
 	disturbances := map[string]func(c *cluster){
-		"lost each second":           func(c *cluster) { c.run(time.Second); c.replaceLeader() },
-		"lost each three seconds":    func(c *cluster) { c.run(3 * time.Second); c.replaceLeader() },
-		"handed over each second":    func(c *cluster) { c.run(time.Second); c.handOver() },
-		"lost as the crash is seen":  loseLeaderAtCrash,
-		"store away for ten seconds": func(c *cluster) { c.storeDown = true; c.run(10 * time.Second); c.restoreStore(); c.run(time.Second) },
+		"lost every second":                 func(c *cluster) { c.run(time.Second); c.replaceLeader() },
+		"lost every three seconds":          func(c *cluster) { c.run(3 * time.Second); c.replaceLeader() },
+		"handed over every second":          func(c *cluster) { c.run(time.Second); c.handOver() },
+		"lost when the crash is noticed":    loseLeaderAtCrash,
+		"store unavailable for ten seconds": func(c *cluster) { c.storeDown = true; c.run(10 * time.Second); c.restoreStore(); c.run(time.Second) },
 		"all daemons lost, twice": func(c *cluster) {
 			c.run(2 * time.Second)
 			c.replaceLeader()
 			c.run(20 * time.Millisecond)
 			c.replaceLeader()
 		},
-		"answers lost, orders late": func(c *cluster) { c.loseAnswers, c.delayOrders = 0.1, 0.1; c.run(time.Second) },
-		"lost while the store is away": func(c *cluster) {
+		"responses lost, orders late": func(c *cluster) { c.loseAnswers, c.delayOrders = 0.1, 0.1; c.run(time.Second) },
+		"lost while the store is unavailable": func(c *cluster) {
 			c.storeDown = true
 			c.run(2 * time.Second)
 			c.storeDown = false
@@ -125,8 +128,8 @@
 	}
 }
 
-// loseLeaderAtCrash loses the leader when a worker has come back from a crash, at
-// the moment when the first answer of its next incarnation is on its way.
+// loseLeaderAtCrash replaces the leader when a worker has restarted after a crash
+// and the first response of the new incarnation is in flight.
 func loseLeaderAtCrash(c *cluster) {
 	restarts := c.restarts
 	for i := 0; c.restarts == restarts && i < 2000; i++ {
@@ -136,14 +139,15 @@
 	c.replaceLeader()
 }
 
-// keepFinalJobs keeps the states of jobs that are over for longer than any test lasts.
+// keepFinalJobs keeps the states of final jobs for longer than any test takes.
 func (c *cluster) keepFinalJobs() {
 	c.options.KeepFinal = time.Hour
 	c.replaceLeader()
 }
 
-// A step of many tasks that all crash their workers took the fleet down over and
-// over, with the work of all other callers.
+// TestManyCrashingTasksLeaveTheFleetStanding guards against a step of many tasks
+// that all crash their workers and take the whole fleet down repeatedly, with the
+// work of all other callers.
 func TestManyCrashingTasksLeaveTheFleetStanding(t *testing.T) {
 	const workers, crashing, bystanders = 40, 20, 30
 	c := newCluster(t, 1, workers)
@@ -161,25 +165,26 @@
 	if s, took := c.state(id), c.now.Sub(at); s != job.Failed || took > 20*time.Second {
 		t.Errorf("the job is %s after %s, want failed within 20 s", s, took)
 	}
-	// Each of its tasks may begin once before anything is known of it.
+	// Each of its tasks may be started once before anything is known about it.
 	if n := c.crashedBy(id); n > crashing+6 {
-		t.Errorf("%d workers have crashed, want %d at most", n, crashing+6)
+		t.Errorf("%d workers have crashed, want at most %d", n, crashing+6)
 	}
 	c.run(30 * time.Second)
 	for i := range bystanders {
 		bystander := job.ID(fmt.Sprintf("%016x", 100+i))
 		if s := c.state(bystander); s != job.Completed {
-			t.Errorf("job %s is %s in the end, want completed: it crashes nothing", bystander, s)
+			t.Errorf("job %s is %s in the end, want completed: none of its tasks crashes workers", bystander, s)
 		}
 	}
 }
 
-// massCrashDays are the seeds of days on which workers crash for reasons of their own.
+// massCrashDays is the number of days on which workers crash for reasons of their
+// own.
 const massCrashDays = 6
 
-// A quarter of the workers crashed over and over, for reasons of their own; tasks
-// that were there two or three times must not be given up for it, short ones and
-// those that run for long.
+// TestBystandersOfMassCrashesAreNotGivenUp checks that no job fails, with short or
+// long-running tasks, because its tasks were running on two or three workers that
+// crashed for reasons of their own. A quarter of the workers crash repeatedly.
 func TestBystandersOfMassCrashesAreNotGivenUp(t *testing.T) {
 	for seed := range uint64(massCrashDays) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -190,15 +195,15 @@
 			c.run(40 * time.Second)
 			for _, id := range ids {
 				if s := c.state(id); s == job.Failed {
-					t.Errorf("job %s is given up, and crashes nothing", id)
+					t.Errorf("job %s has failed, but none of its tasks crashes workers", id)
 				}
 			}
 		})
 	}
 }
 
-// massCrashes plays two minutes of jobs, and crashes six workers at once every
-// seven seconds. It returns the jobs.
+// massCrashes plays two minutes of jobs, crashes six workers at once every seven
+// seconds, and returns the jobs.
 func (c *cluster) massCrashes(rnd *rand.Rand) []job.ID {
 	ids := []job.ID{c.submit(1, "urgent", longRunning(24, 1000))}
 	for i := range 240 {
--- a/core/jobsched/crasher_test.go
+++ b/core/jobsched/crasher_test.go
@@ -7,22 +7,23 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// crasher tells which tasks of a job crash the worker that starts them, and how
+// crasher describes which tasks of a job crash the worker that starts them, and how
 // long after the start.
 type crasher struct {
-	// tasks holds the indexes in the first step; empty for all.
+	// tasks holds the task indexes in the first step; empty for all.
 	tasks []int
 	after time.Duration
 }
 
 const (
-	// crashedBeforeCount is how many workers a task may have crashed before its starts
-	// are counted, furtherStarts the number of further ones that is one too many.
+	// crashedBeforeCount is how many workers a task must have crashed before its
+	// further starts are counted. furtherStarts is the number of further starts that
+	// is one too many.
 	crashedBeforeCount = 3
 	furtherStarts      = 3
 )
 
-// addCrasher says that tasks of a job addCrasher their workers.
+// addCrasher makes tasks of a job crash their workers.
 func (c *cluster) addCrasher(id job.ID, after time.Duration, tasks ...int) {
 	c.crashers[id] = crasher{tasks: tasks, after: after}
 }
@@ -42,7 +43,8 @@
 	c.restart(w)
 }
 
-// checkCrashes holds a start against the workers that the task has crashed.
+// checkCrashes checks a start against the number of workers that the task has
+// crashed.
 func (c *cluster) checkCrashes(key job.TaskKey, truth *taskTruth) {
 	if truth.crashed < crashedBeforeCount {
 		return
@@ -53,12 +55,12 @@
 	}
 }
 
-// waitsForTrial reports whether the task may wait for its trial to be stored, or for
-// another one.
+// waitsForTrial reports whether the task may be waiting for the record of its trial
+// to be stored, or for another trial.
 func (m *Machine) waitsForTrial(t *task) bool { return m.needsTrial(t) || t.trial.number > 0 }
 
-// crashedTwice reports whether two workers have crashed under a task of the job,
-// so that the job may be given up.
+// crashedTwice reports whether two workers have crashed while running the same task
+// of the job, so that the job may fail.
 func (c *cluster) crashedTwice(id job.ID) bool {
 	for key, truth := range c.truth {
 		if key.Job == id && truth.crashesWhilePresent >= 2 {
--- a/core/jobsched/entry_test.go
+++ b/core/jobsched/entry_test.go
@@ -17,10 +17,10 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// unnamedService is a service that the configuration of a cluster lacks.
+// unnamedService is a service that is not in the configuration of a cluster.
 const unnamedService = "elsewhere"
 
-// add adds an entry with a fault as the platform's list brings it.
+// add adds an entry with a fault, in the form that the platform's list yields.
 func (l *WorkersListed) add(e WorkerEntry, fault EntryFault) {
 	switch fault {
 	case EntryValid:
@@ -36,13 +36,13 @@
 // entryDamage draws damaged entries.
 type entryDamage struct{ rnd *rand.Rand }
 
-// randomFault returns randomFault fault.
+// randomFault returns a random fault.
 func (d *entryDamage) randomFault() EntryFault {
 	faults := EntryFaults()
 	return faults[d.rnd.IntN(len(faults))]
 }
 
-// addUnknownWorkers adds damaged entries that name no worker there ever was.
+// addUnknownWorkers adds damaged entries of workers that never existed.
 func (d *entryDamage) addUnknownWorkers(l *WorkersListed) {
 	for i := range 5 {
 		if d.rnd.IntN(3) == 0 {
@@ -56,14 +56,14 @@
 	}
 }
 
-// isEntryNote reports whether a note tells of an entry and no more.
+// isEntryNote reports whether a note concerns only an entry.
 func isEntryNote(n Note) bool {
 	return slices.Contains([]string{
 		joblog.MessageEntryUnusable, joblog.MessageEntryRepaired, joblog.MessageEntryGone,
 	}, n.Decision)
 }
 
-// entryNotes returns what was noted of entries since the last call.
+// entryNotes returns the notes on entries since the last call.
 func (c *cluster) entryNotes() []string {
 	var lines []string
 	for _, n := range c.notes {
@@ -75,20 +75,18 @@
 	return lines
 }
 
-// forEachFault runs a test with a fault that the decoder finds, and with one that
-// the configuration brings about.
+// forEachFault runs a test with a fault that the decoder detects, and with one that
+// depends on the configuration.
 func forEachFault(t *testing.T, test func(t *testing.T, fault EntryFault)) {
 	for _, fault := range []EntryFault{EntryUnreadable, EntryUnnamedService} {
 		t.Run(fault.String(), func(t *testing.T) { test(t, fault) })
 	}
 }
 
-// TestTakeoverDoesNotWaitForDamagedEntries
-//
-// Symptom: a leader that took over started nothing for seven seconds. Events:
-// somebody leaves an entry of a service that nobody configured, with an address
-// where nobody answers; a leader lists it, and the daemon that leads next asks
-// there. Cause: whatever was listed came on the roster.
+// TestTakeoverDoesNotWaitForDamagedEntries guards against damaged entries that are
+// added to the roster. If an entry of a service that is not configured has an
+// address where no worker answers and is on the roster, the next leader waits for
+// that worker: it started nothing for seven seconds.
 func TestTakeoverDoesNotWaitForDamagedEntries(t *testing.T) {
 	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 4)
@@ -106,14 +104,14 @@
 		c.replaceLeader()
 		c.run(time.Second)
 		if n := c.runningOf(id); n != 4 {
-			t.Errorf("%d tasks run a second after the take-over, want 4", n)
+			t.Errorf("%d tasks run a second after the takeover, want 4", n)
 		}
 	})
 }
 
-// TestDamagedEntryOfAKnownWorker: the entry of a worker with running tasks is
-// damaged for longer than any lease. Its tasks go on, nothing new goes there,
-// and once the entry is good again it is used as before.
+// TestDamagedEntryOfAKnownWorker checks that the tasks of a worker continue while
+// its entry is damaged for longer than any lease, that nothing new is started there,
+// and that the worker is used as before once its entry is repaired.
 func TestDamagedEntryOfAKnownWorker(t *testing.T) {
 	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 2)
@@ -136,7 +134,7 @@
 		w.fault = EntryValid
 		c.run(time.Second)
 		if n := c.runningOf(wide); n != 8 {
-			t.Errorf("%d tasks run once the entry is good again, want 8", n)
+			t.Errorf("%d tasks run once the entry is repaired, want 8", n)
 		}
 		if c.starts != 12 {
 			t.Errorf("%d starts, want 12", c.starts)
@@ -144,8 +142,8 @@
 	})
 }
 
-// TestDrainingWorkerWithADamagedEntry: a worker says that it leaves, and its
-// entry is damaged then. It must not be used again.
+// TestDrainingWorkerWithADamagedEntry checks that a draining worker whose entry is
+// damaged afterwards gets no tasks again.
 func TestDrainingWorkerWithADamagedEntry(t *testing.T) {
 	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 2)
@@ -155,13 +153,13 @@
 		w := c.workers["w000"]
 		w.entry.Draining = true
 		c.run(time.Second)
-		// The damaged entry does not say any more that the worker leaves.
+		// The damaged entry no longer has the worker as draining.
 		w.entry.Draining = false
 		w.fault = fault
 		c.submit(2, "urgent", longRunning(4, 1000))
 		c.run(5 * time.Second)
 		if len(w.attempts) != 0 {
-			t.Errorf("%d tasks run on a worker that leaves, want none", len(w.attempts))
+			t.Errorf("%d tasks run on a draining worker, want 0", len(w.attempts))
 		}
 		if n := c.runningOf(id); n != 1 {
 			t.Errorf("%d tasks run on the other worker, want 1", n)
@@ -169,8 +167,9 @@
 	})
 }
 
-// TestSilentWorkerWithADamagedEntry: a worker is lost while its entry is damaged.
-// It is given up as one without an entry.
+// TestSilentWorkerWithADamagedEntry checks that a worker that crashes while its
+// entry is damaged is forgotten like one without an entry, and its tasks start
+// elsewhere.
 func TestSilentWorkerWithADamagedEntry(t *testing.T) {
 	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 3)
@@ -186,13 +185,14 @@
 			t.Errorf("%d tasks run, want 6", n)
 		}
 		if c.machine.latestIncarnation("w000") != nil {
-			t.Error("a worker that is gone is still known")
+			t.Error("a crashed worker is still known to the machine")
 		}
 	})
 }
 
-// TestServiceOfARemovedQueue: a queue leaves the configuration with its service.
-// The jobs that it took still run there, and its entries are good as long.
+// TestServiceOfARemovedQueue checks that the jobs of a queue that is removed from
+// the configuration together with its service still run on the workers of that
+// service, whose entries stay usable for as long.
 func TestServiceOfARemovedQueue(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -204,12 +204,12 @@
 	c.machine.Handle(c.now, ConfigChanged{Config: &next})
 	c.run(4 * time.Second)
 	if state := c.progress["0000000000000001"].State; !state.Final() {
-		t.Errorf("the job of a queue that has gone is %s", state)
+		t.Errorf("the job of a removed queue is %s", state)
 	}
 }
 
-// TestDamagedEntriesAreNotedOnce: an entry that turns unusable is told once, and once
-// when it is good again or gone.
+// TestDamagedEntriesAreNotedOnce checks that an entry is noted once when it becomes
+// unusable, and once when it is repaired or gone.
 func TestDamagedEntriesAreNotedOnce(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.keepNotes = true
@@ -230,11 +230,10 @@
 	}
 }
 
-// TestFloodOfDamagedEntries
-//
-// Symptom it guards against: the leader's log and memory fill up. Events: a
-// writer leaves ten thousand damaged entries, other ones in each list, and
-// damages that of a worker among them. Cause: each entry is followed and told.
+// TestFloodOfDamagedEntries guards against a flood of damaged entries that fills the
+// leader's log and memory because each entry is tracked and noted. A writer leaves
+// ten thousand damaged entries, different ones in each list, and damages that of a
+// known worker as well.
 func TestFloodOfDamagedEntries(t *testing.T) {
 	const flood, lists = 10000, 20
 	c := newCluster(t, 1, 2)
@@ -265,25 +264,25 @@
 			}
 		}
 		if n := c.machine.entries.tracked.Len(); n != maxTrackedUnknown+1 {
-			t.Errorf("%d entries are followed, want %d", n, maxTrackedUnknown+1)
+			t.Errorf("%d entries are tracked, want %d", n, maxTrackedUnknown+1)
 		}
 	}
 	if unknownNotes != unknownNotesPerWindow || workerNotes != 1 {
-		t.Errorf("%d notes on strangers and %d on a worker, want %d and 1", unknownNotes, workerNotes, unknownNotesPerWindow)
+		t.Errorf("%d notes on unknown workers and %d on a known worker, want %d and 1", unknownNotes, workerNotes, unknownNotesPerWindow)
 	}
 	counts := c.machine.TakeEntryCounts()
 	if counts.Unusable[EntryUnreadable] != flood || counts.Unusable[EntryNoLabels] != 1 {
 		t.Errorf("counted: %v", counts.Unusable)
 	}
 	if unusable, gone := counts.Changes[EntryBecameUnusable], counts.Changes[EntryGone]; unusable != lists*maxTrackedUnknown+1 || gone != (lists-1)*maxTrackedUnknown {
-		t.Errorf("%d turned unusable and %d are gone", unusable, gone)
+		t.Errorf("%d entries became unusable and %d are gone", unusable, gone)
 	}
 }
 
 // TestDecidesAsWithoutDamagedEntries plays random days under faults, once with
-// entries that are missing now and then, and once with damaged ones in their
-// place and more of them that name nobody. All decisions must be the same, in
-// their order and with their reasons.
+// entries that are missing at times, and once with damaged entries in their place
+// and more of them for unknown workers. All decisions must be the same, in the same
+// order and with the same reasons.
 func TestDecidesAsWithoutDamagedEntries(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 10
@@ -301,7 +300,7 @@
 	properties.TestingRun(t)
 }
 
-// firstDifference tells where two lists of decisions part.
+// firstDifference describes where two lists of decisions differ first.
 func firstDifference(without, with []Note) string {
 	for i := range min(len(without), len(with)) {
 		if without[i] != with[i] {
@@ -311,7 +310,7 @@
 	return fmt.Sprintf("%d decisions without, %d with", len(without), len(with))
 }
 
-// decisions plays a day and returns what was decided.
+// decisions plays a day and returns the decisions.
 func decisions(t *testing.T, seed uint64, d *entryDamage) []Note {
 	c := newCluster(t, seed, 8)
 	c.keepNotes = true
--- a/core/jobsched/fakeworker_test.go
+++ b/core/jobsched/fakeworker_test.go
@@ -13,13 +13,13 @@
 	return (w.c.now.Sub(testEpoch) + w.clockAhead).Milliseconds() + 1000
 }
 
-// advance lets the worker's attempts advance.
+// advance lets the worker's attempts progress by d.
 func (w *fakeWorker) advance(d time.Duration) {
 	if w.dead {
 		return
 	}
 	if w.c.now.After(w.lease) && len(w.attempts) > 0 {
-		// A lease that ends with nothing running ends nothing: ends from before count.
+		// A lease that ends while nothing runs does not void earlier ends.
 		for i := range w.ended {
 			w.ended[i].void = true
 		}
@@ -63,13 +63,13 @@
 // gangWait is how long a member of a gang waits for the others.
 const gangWait = 3 * time.Second
 
-// member is an attempt of a gang and its worker.
+// member is an attempt of a gang member and its worker.
 type member struct {
 	worker  *fakeWorker
 	attempt *fakeAttempt
 }
 
-// members returns the attempts of a gang that are present under one number.
+// members returns the running attempts of a gang that have the given attempt number.
 func (c *cluster) members(key attemptKey) []member {
 	var found []member
 	for _, id := range c.workerIDs() {
@@ -85,7 +85,8 @@
 	return found
 }
 
-// end ends an attempt and, in a gang, the others: as done if it is, else broken.
+// end ends an attempt and, for a gang, the other members: as done if the cause is
+// EndDone, otherwise as broken.
 func (w *fakeWorker) end(a *fakeAttempt, cause EndCause) {
 	if cause == EndDone && w.failAll {
 		cause = EndFailed
@@ -121,11 +122,10 @@
 	w.ended = append(w.ended, fakeEnd{EndedAttempt: end, at: w.c.now})
 }
 
-// restartTime is what a worker that has crashed takes to come back as another
-// incarnation.
+// restartTime is the default time after a crash until the next incarnation starts.
 const restartTime = 1500 * time.Millisecond
 
-// restart crashes the worker, and has another incarnation come at its address.
+// restart crashes the worker and later starts another incarnation at its address.
 func (c *cluster) restart(w *fakeWorker) {
 	w.crash()
 	c.after(entryLife, func() { w.listed = false })
@@ -143,15 +143,17 @@
 }
 
 const (
-	// entryDelay is how long a worker that starts again takes to write its entry, in
-	// the place of that of the incarnation before.
+	// entryDelay is how long a restarted worker takes to replace the entry of the
+	// previous incarnation.
 	entryDelay = 300 * time.Millisecond
-	// otherClock is how far its clock may be off that of the incarnation before.
+	// otherClock is how far its clock may differ from that of the previous
+	// incarnation.
 	otherClock = 20 * time.Minute
 )
 
-// restartUnderSameID has another incarnation of a worker that has crashed come under its id.
-// It knows nothing of before: its clock, and the numbers of its ends, begin anew.
+// restartUnderSameID starts another incarnation of a crashed worker under its id. It
+// knows nothing of the previous one: its clock and the numbers of its ends start
+// anew.
 func (c *cluster) restartUnderSameID(w *fakeWorker) {
 	next := &fakeWorker{
 		c: c, entry: w.entry, listed: true, attempts: make(map[attemptKey]*fakeAttempt), barred: make(map[job.TaskKey]int),
@@ -168,14 +170,14 @@
 	c.workers[w.entry.ID] = next
 }
 
-// firstRestart numbers the first incarnation that comes after a crash, beyond all
-// that tests add.
+// firstRestart is the number of the first incarnation started after a crash, above
+// all numbers that tests use.
 const firstRestart = 5000
 
-// entryLife is how long the entry of a worker stays that writes it no more.
+// entryLife is how long the entry of a worker stays listed after its last write.
 const entryLife = 1200 * time.Millisecond
 
-// unreachable reports whether nobody answers at the worker's address.
+// unreachable reports whether no worker responds at the worker's address.
 func (w *fakeWorker) unreachable() bool {
 	if w.successor != nil {
 		return w.successor.unreachable()
@@ -183,7 +185,7 @@
 	return w.dead || w.cutOff
 }
 
-// crash ends the worker with all that runs on it.
+// crash ends the worker and everything that runs on it.
 func (w *fakeWorker) crash() {
 	w.dead = true
 	for _, a := range w.attempts {
@@ -194,7 +196,7 @@
 	w.attempts = nil
 }
 
-// maxLease is the longest lease that a worker takes.
+// maxLease is the longest lease that a worker accepts.
 const maxLease = 6 * time.Second
 
 func (w *fakeWorker) extend(untilMs int64) {
@@ -233,32 +235,34 @@
 	return VerdictDone
 }
 
-// checkStart holds a start against what must never happen.
+// checkStart checks a start against the invariants: the task runs nowhere else, its
+// completion was not acknowledged, it has not failed too often, and the steps it
+// depends on are done.
 func (w *fakeWorker) checkStart(s Start, step *job.Step) {
 	c := w.c
 	truth := c.task(s.Key)
 	at := c.now.Sub(testEpoch)
 	if len(truth.running) > 0 {
-		c.t.Errorf("%s: %s attempt %d starts on %s while it runs on %v", at, s.Key, s.Attempt, w.entry.ID, truth.running)
+		c.t.Errorf("%s: %s attempt %d is started on %s while the task runs on %v", at, s.Key, s.Attempt, w.entry.ID, truth.running)
 	}
 	if truth.settled {
-		c.t.Errorf("%s: %s starts on %s after it is done", at, s.Key, w.entry.ID)
+		c.t.Errorf("%s: %s is started on %s after it is done", at, s.Key, w.entry.ID)
 	}
 	truth.lastStart = c.now
 	c.checkCrashes(s.Key, truth)
 	if limit := c.config.Queues["batch"].MaxAttempts; truth.failures >= limit && !step.LongRunning {
-		c.t.Errorf("%s: %s starts after %d failures", at, s.Key, truth.failures)
+		c.t.Errorf("%s: %s is started after %d failures", at, s.Key, truth.failures)
 	}
 	for _, earlier := range step.After {
 		for index := range c.specOf(s.Key.Job).Steps[earlier].Count {
 			if !c.task(job.TaskKey{Job: s.Key.Job, Step: earlier, Index: index}).done {
-				c.t.Errorf("%s: %s starts before step %d is done", at, s.Key, earlier)
+				c.t.Errorf("%s: %s is started before step %d is done", at, s.Key, earlier)
 			}
 		}
 	}
 }
 
-// acknowledge takes in that an end is acknowledged.
+// acknowledge records that an end was acknowledged.
 func (w *fakeWorker) acknowledge(e fakeEnd) {
 	if e.void {
 		return
@@ -270,7 +274,7 @@
 	case EndDone:
 		truth.settled = true
 		if truth.lastStart.After(e.at) {
-			w.c.t.Errorf("%s was started after it was done on %s", e.Key, w.entry.ID)
+			w.c.t.Errorf("%s was started again after it was done on %s", e.Key, w.entry.ID)
 		}
 	}
 }
@@ -296,7 +300,8 @@
 	}
 	acked := r.AckedEnds
 	if r.Worker.StartedMs != w.entry.StartedMs {
-		// An acknowledgement goes by a connection on which the incarnation has answered.
+		// Acknowledgements are sent on a connection on which this incarnation has
+		// responded.
 		acked = 0
 	}
 	for len(w.ended) > 0 && w.ended[0].Number <= acked {
@@ -325,7 +330,7 @@
 
 func (c *cluster) specOf(id job.ID) *job.Spec { return c.specs()[id] }
 
-// specs remembers every job that was ever submitted.
+// specs returns the specs of all jobs that were ever submitted.
 func (c *cluster) specs() map[job.ID]*job.Spec {
 	if c.allSpecs == nil {
 		c.allSpecs = make(map[job.ID]*job.Spec)
@@ -338,7 +343,7 @@
 
 func (c *cluster) stepOf(key job.TaskKey) *job.Step { return &c.specOf(key.Job).Steps[key.Step] }
 
-// makeStep makes a step of count tasks.
+// makeStep returns a step of count tasks.
 func makeStep(count int, cpu int64, estimate time.Duration, after ...int) job.Step {
 	return job.Step{
 		Count: count, Size: model.Resources{MilliCPU: cpu, MemoryMB: 2 * cpu},
--- a/core/jobsched/handover_test.go
+++ b/core/jobsched/handover_test.go
@@ -9,8 +9,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// handOver makes a new leader, as after a planned stop of the one before, which
-// stores its last commit if the store can be reached.
+// handOver starts a new leader, as after a planned stop of the previous one, which
+// stores its last commit if the store is available.
 func (c *cluster) handOver() {
 	last, _ := c.machine.HandOver(c.now, c.wall)
 	if !c.storeDown {
@@ -19,7 +19,7 @@
 	c.replaceLeader()
 }
 
-// drain lets a worker say that it leaves; depart is its leaving.
+// drain makes a worker announce that it leaves; depart removes it.
 func (c *cluster) drain(w *fakeWorker) { w.entry.Draining = true }
 
 func (c *cluster) depart(w *fakeWorker) {
@@ -27,10 +27,11 @@
 	w.listed = false
 }
 
-// absences notes since when each task of a job has no attempt that runs.
+// absences holds, for each task of a job without a running attempt, since when it
+// has none.
 type absences map[job.TaskKey]time.Time
 
-// update takes in what runs now, and returns the longest absence there is.
+// update records which tasks run now, and returns the longest absence.
 func (a absences) update(c *cluster, id job.ID, tasks int) time.Duration {
 	longest := time.Duration(0)
 	for index := range tasks {
@@ -47,19 +48,20 @@
 	return longest
 }
 
-// maxAbsence is how long a long-running task may be without a run while there is
-// room for it and nothing happens but planned work, by the users' rule.
+// maxAbsence is how long a long-running task may be without a running attempt while
+// there is room for it and only planned changes happen, as the users require.
 const maxAbsence = 6 * time.Second
 
-// Workers were replaced one after the other, each after it had said so, and all
-// daemons were restarted in turn, so that the lead changed every two seconds. A
-// long-running task that was stopped because its worker left was not started
-// again for 9 to 14 s, though there was room. Departed workers stayed on the
-// stored roster for as long as their last lease could last; they never answer, so
-// each new leader held all older jobs back until 6.8 s after its own take-over,
-// and none led that long. What settled it: no attempt of any older job for 12 s,
-// then "worker gone" 21 times and all starts in one round, 6.86 s after the last
-// take-over.
+// TestTasksGoOnWhileWorkersAndLeadersAreReplaced guards against workers that have
+// left and hold back older jobs after each takeover. Workers are replaced one by one
+// after announcing it, and all daemons are restarted in turn, so that the leader
+// changes every two seconds. Workers that had left stayed on the stored roster for
+// as long as their last lease could last. They never answer, so each new leader held
+// back all older jobs until 6.8 s after its own takeover, and none led for that
+// long. Long-running tasks that were stopped because their worker left were not
+// started again for 9 to 14 s, although there was room. The log showed no attempt of
+// any older job for 12 s, then "worker gone" 21 times and all starts in one round,
+// 6.86 s after the last takeover.
 func TestTasksGoOnWhileWorkersAndLeadersAreReplaced(t *testing.T) {
 	const tasks, first = 6, 8
 	c := newCluster(t, 1, first)
@@ -82,21 +84,22 @@
 		}
 	}
 	if longest > maxAbsence {
-		t.Errorf("a task did not run for %s, want at most %s", longest, maxAbsence)
+		t.Errorf("a task had no running attempt for %s, want at most %s", longest, maxAbsence)
 	}
 }
 
-// Leaders were lost one after the other without a word while one worker that had
-// run older jobs was out of reach. Each new leader counted the time in which that
-// worker's leases may last from its own take-over, so that older jobs waited until
-// the series ended, however long ago the last lease had been given.
+// TestHoldLastsAsLongOverManyLeaders guards against holds that restart with each
+// leader. Leaders are lost one after the other while a worker that runs older jobs
+// is unreachable. If each new leader counts the possible duration of that worker's
+// leases from its own takeover, older jobs wait until leaders stop changing, however
+// long ago the last lease was granted.
 func TestHoldLastsAsLongOverManyLeaders(t *testing.T) {
 	loseLeadersInTurn(t, 1800*time.Millisecond)
 }
 
-// loseLeadersInTurn loses a leader each time so much time has passed, while one
-// worker that runs tasks of an older job is out of reach. It checks that all tasks
-// run elsewhere within the time that the first of these leaders has to wait.
+// loseLeadersInTurn replaces the leader at intervals of every while a worker that
+// runs tasks of an older job is unreachable. It checks that all tasks run elsewhere
+// within the time that the first of these leaders has to wait.
 func loseLeadersInTurn(t *testing.T, every time.Duration) {
 	t.Helper()
 	c := newCluster(t, 1, 4)
@@ -111,14 +114,15 @@
 		c.run(every)
 		c.replaceLeader()
 	}
-	// The leader that is at work when the time is over begins with it at once, but
-	// for what its workers take to answer.
+	// The leader at the end of that time starts the tasks at once, apart from the
+	// time that its workers take to answer.
 	if took := c.now.Sub(taken); took > bound+2*time.Second {
-		t.Errorf("all tasks run %s after the first take-over, want them within %s", took, bound+2*time.Second)
+		t.Errorf("all tasks run elsewhere %s after the first takeover, want at most %s", took, bound+2*time.Second)
 	}
 }
 
-// runningElsewhere counts the tasks of a job that run on other workers than one.
+// runningElsewhere counts the tasks of a job that run on workers other than the
+// given one.
 func (c *cluster) runningElsewhere(id job.ID, worker model.WorkerID) int {
 	n := 0
 	for key, truth := range c.truth {
@@ -131,9 +135,10 @@
 	return n
 }
 
-// A leader was stopped as planned while one worker was out of reach. The next one
-// started nothing of any older job until 6.8 s after its take-over, though the
-// earlier leader knew which tasks that worker ran and had stopped giving orders.
+// TestPlannedChangeOfLeaderHoldsOnlyWhatMayRun guards against a planned change of
+// the leader that holds back all older jobs because one worker is unreachable. The
+// next leader started none of them until 6.8 s after its takeover, although the
+// previous one knew which tasks the worker ran and had stopped sending orders.
 func TestPlannedChangeOfLeaderHoldsOnlyWhatMayRun(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
@@ -149,13 +154,13 @@
 	c.handOver()
 	c.run(2 * time.Second)
 	if n := c.runningOf(running); n != 8 {
-		t.Errorf("%d long-running tasks run, want the 8 that were not disturbed", n)
+		t.Errorf("%d long-running tasks run, want 8 undisturbed ones", n)
 	}
 	if s := c.state(waiting); s != job.Completed {
-		t.Errorf("a job that the worker never had is %s, want completed", s)
+		t.Errorf("a job without attempts on the unreachable worker is %s, want completed", s)
 	}
 	if onCut == 0 {
-		t.Fatal("nothing ran on the worker that was cut off")
+		t.Fatal("nothing ran on the worker when it was cut off")
 	}
 	c.run(20 * time.Second)
 	for _, id := range []job.ID{steps, waiting} {
@@ -168,9 +173,9 @@
 	}
 }
 
-// TestHeldOverManyPlannedChanges plays planned changes of the lead that follow
-// each other faster than any bound, while a worker is out of reach: its tasks
-// start elsewhere once its leases have ended, and nothing runs twice.
+// TestHeldOverManyPlannedChanges plays planned changes of the leader at intervals
+// shorter than any hold while a worker is unreachable: its tasks must start
+// elsewhere once its leases have ended, and nothing may run twice.
 func TestHeldOverManyPlannedChanges(t *testing.T) {
 	for _, every := range []time.Duration{700 * time.Millisecond, 900 * time.Millisecond, 1700 * time.Millisecond} {
 		t.Run(fmt.Sprint(every), func(t *testing.T) {
@@ -191,17 +196,19 @@
 	}
 }
 
-// Leaders were lost within a second, and the bound of a worker that was out of
-// reach began anew with each: none had yet stored a roster of its own.
+// TestHoldOverLeadersLostWithinASecond guards against a lease bound of an
+// unreachable worker that restarts with each leader because none of them has stored
+// a roster of its own before it is lost within a second.
 func TestHoldOverLeadersLostWithinASecond(t *testing.T) {
 	for _, every := range []time.Duration{900 * time.Millisecond, 1050 * time.Millisecond, 1300 * time.Millisecond} {
 		t.Run(every.String(), func(t *testing.T) { loseLeadersInTurn(t, every) })
 	}
 }
 
-// The stored roster could not be read, and planned changes of the lead followed
-// each other: each new leader counted the time for which earlier leases may last
-// from its own take-over, and no job was started until the changes ended.
+// TestLostRosterOverPlannedChanges guards against jobs that are not started until
+// leaders stop changing. The stored roster cannot be read, and planned changes of
+// the leader follow each other: each new leader counted the possible duration of
+// earlier leases from its own takeover.
 func TestLostRosterOverPlannedChanges(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
@@ -214,13 +221,13 @@
 		c.handOver()
 	}
 	if s := c.state(id); s != job.Completed {
-		t.Errorf("a job is %s 20 s after the first take-over, want completed after 9", s)
+		t.Errorf("a job is %s 20 s after the first takeover, want completed after 9", s)
 	}
 }
 
-// Tasks on a worker stood still, and planned changes of the lead followed each
-// other: each new leader counted the time without progress from its own take-over,
-// so that they were never moved.
+// TestStalledTasksOverPlannedChanges guards against stalled tasks that are never
+// moved because each new leader counts the time without progress from its own
+// takeover, while planned changes of the leader follow each other.
 func TestStalledTasksOverPlannedChanges(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
--- a/core/jobsched/headroom_test.go
+++ b/core/jobsched/headroom_test.go
@@ -8,8 +8,8 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// learnedEffect is what a leader takes over of an image: how much it slows serving
-// tasks down, and nothing of its ways with others.
+// learnedEffect returns what a new leader recovers about an image: how much it slows
+// down serving tasks, and nothing about other pairs.
 func learnedEffect(aggressor string, mean float64) []interference.Effect {
 	return []interference.Effect{
 		{Aggressor: aggressor, Mean: 0, Std: 0.01},
@@ -17,8 +17,8 @@
 	}
 }
 
-// servingCluster is a worker with serving tasks whose tail is the given part, in
-// percent, of their target.
+// servingCluster returns a cluster of one worker with serving tasks whose tail is
+// the given percentage of their target.
 func servingCluster(t *testing.T, tail int64) *cluster {
 	c := newCluster(t, 1, 1)
 	c.tail = tail
@@ -30,18 +30,19 @@
 	return c
 }
 
-// bestEffortStep is a step of best-effort work of an image.
+// bestEffortStep returns a step of best-effort tasks of an image.
 func bestEffortStep(image string, count int, milliCPU int64) job.Step {
 	s := makeStep(count, milliCPU, 20*time.Second)
 	s.BestEffort, s.Checkpointing, s.Image = true, true, image
 	return s
 }
 
-// Serving tasks were over their target mostly at the peak of their load, and beside
-// best-effort work that was known to be harmless. Each of its tasks added a few
-// hundredths to the tail, which was held to a bound of its own; nobody added them
-// up, and at the peak little was left up to the target. How much may start has to
-// follow from what all of it adds, and from what the load leaves.
+// TestBestEffortWorkStaysWithinTheLatencyHeadroom checks that the number of
+// best-effort tasks that start next to serving tasks follows from the sum of their
+// effects and from the headroom that the load leaves. If only each task by itself is
+// bounded, many tasks with an effect of a few hundredths each add up; serving tasks
+// exceeded their target mostly at peak load, when little headroom is left, next to
+// best-effort work that was known to be harmless.
 func TestBestEffortWorkStaysWithinTheLatencyHeadroom(t *testing.T) {
 	tests := []struct {
 		name string
@@ -58,14 +59,15 @@
 			id := c.submit(2, "batch", bestEffortStep("mild", 8, 1600))
 			c.run(300 * time.Millisecond)
 			if n := c.runningOf(id); n != test.runs {
-				t.Errorf("%d tasks of 8 run beside serving ones, want %d", n, test.runs)
+				t.Errorf("%d tasks of 8 run next to serving ones, want %d", n, test.runs)
 			}
 		})
 	}
 }
 
-// Where tails are never far below their target, an image of which nothing is known
-// would wait for a lower load for ever, and nothing would ever be known of it.
+// TestAnUnknownImageIsTriedAtAnyLoad guards against an image without known effects
+// that waits for a lower load forever, where tails are never far below their target,
+// so that its effects are never learned.
 func TestAnUnknownImageIsTriedAtAnyLoad(t *testing.T) {
 	c := servingCluster(t, 60)
 	id := c.submit(2, "batch", bestEffortStep("unknown", 1, 1600))
@@ -75,10 +77,11 @@
 	}
 }
 
-// Best-effort tasks with many processors disturbed far more than was predicted, and
-// small ones were kept away from places where they would have harmed nobody: effects
-// were learned and predicted by the task, whatever its size. They grow with the part
-// of the worker's processors that a task uses.
+// TestEffectsGrowWithTheShareOfProcessors guards against effects that are learned
+// and predicted per task, whatever its size. They grow with the fraction of the
+// worker's processors that a task uses: otherwise large best-effort tasks disturb
+// far more than predicted, and small ones are kept away from workers where they
+// would be harmless.
 func TestEffectsGrowWithTheShareOfProcessors(t *testing.T) {
 	c := servingCluster(t, 50)
 	c.machine.learner.Import(c.now, learnedEffect("mild", 0.06))
@@ -86,14 +89,15 @@
 	large := c.submit(3, "batch", bestEffortStep("mild", 1, 6400))
 	c.run(300 * time.Millisecond)
 	if c.runningOf(small) != 1 || c.runningOf(large) != 0 {
-		t.Errorf("%d small and %d large tasks run beside serving ones, want 1 and 0", c.runningOf(small), c.runningOf(large))
+		t.Errorf("%d small and %d large tasks run next to serving ones, want 1 and 0", c.runningOf(small), c.runningOf(large))
 	}
 }
 
-// Work that is known to disturb was let up to full speed in steps, until a tail was
-// over its target, was cut, and began anew: each turn cost the users of the serving
-// tasks a second. It works at the share that the tails beside it are predicted to
-// bear.
+// TestDisturbingWorkIsThrottledBeforeATailExceedsItsTarget checks that work that is
+// known to disturb runs at the share that the tails next to it are predicted to
+// tolerate. If its share is raised to full speed in steps until a tail exceeds its
+// target, and then reduced, each such cycle costs the users of the serving tasks a
+// second.
 func TestDisturbingWorkIsThrottledBeforeATailExceedsItsTarget(t *testing.T) {
 	c := servingCluster(t, 45)
 	id := c.submit(2, "batch", bestEffortStep("loud", 1, 1600))
@@ -105,13 +109,14 @@
 	c.run(1200 * time.Millisecond)
 	for _, a := range c.workers["w000"].sortedAttempts() {
 		if a.step.BestEffort && (a.share < throttleFloor || a.share > 50) {
-			t.Errorf("it works at a share of %d%%, want some 38", a.share)
+			t.Errorf("the task runs at a share of %d%%, want about 38", a.share)
 		}
 	}
 }
 
-// Co-resident serving tasks were blamed for each other's tails, though they do not
-// disturb, and took a part of the blame from the work that does.
+// TestServingTasksAreNotLearnedAsAggressors guards against slowdowns that are
+// attributed to other serving tasks on the worker. They do not disturb each other,
+// and would take a part of the attribution from the work that does.
 func TestServingTasksAreNotLearnedAsAggressors(t *testing.T) {
 	c := servingCluster(t, 50)
 	c.tail = 150
--- a/core/jobsched/health_test.go
+++ b/core/jobsched/health_test.go
@@ -5,24 +5,23 @@
 	"time"
 )
 
-// TestFailuresFarApartDoNotQuarantineAWorker
-//
-// Symptom: a long-running task waited 20 s while a worker had room for it.
-// Events: the worker has only long-running tasks, two of which fail by
-// themselves, half a minute apart. Cause: failures counted until something was
-// done there, and nothing ever was.
+// TestFailuresFarApartDoNotQuarantineAWorker guards against failures that are
+// counted, however far apart, until a task completes on the worker. A worker with
+// only long-running tasks, which never complete, was quarantined after two of them
+// failed by themselves half a minute apart, and a long-running task waited for 20 s
+// although the worker had room.
 func TestFailuresFarApartDoNotQuarantineAWorker(t *testing.T) {
 	var h health
 	h.recordFailure(testEpoch)
 	later := testEpoch.Add(30 * time.Second)
 	h.recordFailure(later)
 	if !h.isAvailable(later) || h.isOnProbation(later) {
-		t.Error("the worker is closed")
+		t.Error("the worker is quarantined")
 	}
 }
 
-// TestQuarantineDoublesWithEachFailedProbation: a worker that goes on failing what it
-// is probed with stays closed twice as long each time.
+// TestQuarantineDoublesWithEachFailedProbation checks that the quarantine of a
+// worker that fails its probation doubles each time, up to maxQuarantine.
 func TestQuarantineDoublesWithEachFailedProbation(t *testing.T) {
 	var h health
 	now := testEpoch
@@ -30,7 +29,7 @@
 	h.recordFailure(now)
 	for _, pause := range []time.Duration{firstQuarantine, 2 * firstQuarantine, 4 * firstQuarantine, maxQuarantine} {
 		if h.isAvailable(now.Add(pause-time.Millisecond)) || !h.isAvailable(now.Add(pause)) {
-			t.Errorf("not closed for %s", pause)
+			t.Errorf("not quarantined for exactly %s", pause)
 		}
 		now = now.Add(pause + time.Second)
 		if !h.isOnProbation(now) {
--- a/core/jobsched/hold_test.go
+++ b/core/jobsched/hold_test.go
@@ -8,9 +8,10 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// A task that an earlier leader may have started waited without a word: no line,
-// no metric and no view told that it waited, for which worker and until when, so
-// that it could not be told from a job that nobody knew of.
+// TestHeldStartsAreTold checks that a start that is held back because an earlier
+// leader may have started the task is visible in a note, a metric and the view of
+// the job, with the worker it waits for and the time until which it waits. Without
+// them, the job cannot be told from one that the leader does not know.
 func TestHeldStartsAreTold(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	c.keepNotes = true
@@ -21,7 +22,7 @@
 	c.replaceLeader()
 	c.run(1500 * time.Millisecond)
 	if n := c.machine.UnansweredWorkers(); n != 1 {
-		t.Errorf("%d workers hold starts back, want 1", n)
+		t.Errorf("%d unanswered workers hold starts back, want 1", n)
 	}
 	noted := false
 	for _, n := range c.notes {
@@ -34,12 +35,12 @@
 	}
 	view, _ := c.machine.Inspect(id)
 	if step := view.Steps[0]; !strings.Contains(step.HeldBack, "w002") || !step.HeldUntil.After(c.now) {
-		t.Errorf("the view says %q until %s, want w002 and a time to come", step.HeldBack, step.HeldUntil)
+		t.Errorf("the view has %q until %s, want w002 and a time in the future", step.HeldBack, step.HeldUntil)
 	}
 }
 
-// TestResumedJobsAreTold: the first start of a job that an earlier leader had is
-// noted once, with the time since the take-over.
+// TestResumedJobsAreTold checks that the first start of a job accepted under an
+// earlier leader is noted once, with the time since the takeover.
 func TestResumedJobsAreTold(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
--- a/core/jobsched/inherit_test.go
+++ b/core/jobsched/inherit_test.go
@@ -7,7 +7,8 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// handOverAfterCommit hands the lead over as a daemon does: after the commit in flight.
+// handOverAfterCommit hands the lead over as a daemon does: after the commit in
+// flight.
 func (c *cluster) handOverAfterCommit() {
 	held := c.held
 	c.held, c.storeDown = nil, false
@@ -18,11 +19,15 @@
 	c.handOver()
 }
 
-// Two repetitions of a job had begun and neither was recorded when the lead was
-// handed over. The roster named the attempt of the second one first, and the next
-// leader, to which only the first repetition could have begun, dropped it. When the
-// repetition was due its task was started beside the attempt that ran. The test
-// fails by the cluster's own checks of each start and end, like the next one.
+// TestLaterRepetitionIsInherited guards against an inherited attempt that is dropped
+// because it belongs to a later repetition. Two repetitions of a job have begun and
+// neither is stored when the lead is handed over. The roster names the attempt of
+// the second one first. The next leader assumed that only the first repetition could
+// have begun and dropped the attempt; when the second repetition was due, its task
+// was started although the attempt was running.
+//
+// The checks of the cluster on each start and end detect the fault, here and in the
+// next test.
 func TestLaterRepetitionIsInherited(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	c.run(200 * time.Millisecond)
@@ -53,10 +58,12 @@
 	c.run(2 * time.Second)
 }
 
-// A job's records could not be read when the lead was handed over, and an attempt
-// of it was given up meanwhile, since its worker was out of reach. The records were
-// repaired and the task was started again without that being stored first; then the
-// worker told that the earlier attempt was done, and both ends counted.
+// TestAttemptOfAJobSetAsideIsGivenUp guards against a restart that is not stored
+// first after an attempt of an unreadable job was lost. The job's records cannot be
+// read when the lead is handed over, and an attempt of it is declared lost because
+// its worker is unreachable. After the records are repaired the task is started
+// again; then the worker reports that the earlier attempt is done, and both ends
+// count.
 func TestAttemptOfAJobSetAsideIsGivenUp(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
--- a/core/jobsched/inspect_test.go
+++ b/core/jobsched/inspect_test.go
@@ -30,7 +30,7 @@
 		t.Errorf("waiting job: %+v", view)
 	}
 	if _, known := c.machine.Inspect("ffffffffffffffff"); known {
-		t.Error("a job that was never accepted is known")
+		t.Error("a job that was never accepted is known to the machine")
 	}
 	if list := c.machine.List(1); len(list) != 1 || list[0].ID != running {
 		t.Errorf("list: %+v", list)
--- a/core/jobsched/interrupted_test.go
+++ b/core/jobsched/interrupted_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// Workers of a full cluster were replaced one after the other while long-running
-// jobs kept being handed in. Long-running tasks that were stopped because their
-// worker left were not started again for 10 s and more, with "no room" on all
-// workers; meanwhile eight of nine long-running starts were first starts. Among
-// long-running steps those came first whose job could still meet its objective,
-// so that each new worker went to the newest jobs, and the tasks of an older one,
-// which were at work before, to the end of the queue.
+// TestInterruptedTasksGoBeforeNewOnesInAFullCluster guards against interrupted
+// long-running tasks that wait behind new ones. Workers of a full cluster are
+// replaced one by one while long-running jobs keep arriving. If steps whose job can
+// still meet its objective come first among long-running steps, each new worker is
+// given to the newest jobs. Tasks that were stopped because their worker left were
+// not started again for 10 s and more, with "no room" on all workers, while eight of
+// nine long-running starts were first starts.
 func TestInterruptedTasksGoBeforeNewOnesInAFullCluster(t *testing.T) {
 	const workers, tasks = 6, 30
 	c := newCluster(t, 1, workers)
@@ -37,14 +37,15 @@
 		}
 	}
 	if longest > maxAbsence {
-		t.Errorf("a task did not run for %s, want at most %s", longest, maxAbsence)
+		t.Errorf("a task had no running attempt for %s, want at most %s", longest, maxAbsence)
 	}
 }
 
-// The worker of two jobs left, and smaller ones came for it one by one. The second
-// of them went to a task of the older job that had never run, and the younger
-// job's task, which had, was left out. The age of a job says nothing of which of
-// its tasks was interrupted.
+// TestInterruptedTaskGoesBeforeTheRestOfAnOlderJob guards against ordering
+// interrupted tasks by the age of their job. The worker of two jobs leaves and is
+// replaced by smaller ones, one by one. The second of these was given to a task of
+// the older job that had never run, instead of the interrupted task of the younger
+// job.
 func TestInterruptedTaskGoesBeforeTheRestOfAnOlderJob(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.run(200 * time.Millisecond)
--- a/core/jobsched/overload_test.go
+++ b/core/jobsched/overload_test.go
@@ -12,25 +12,25 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// shortJob is a job of the recorded load.
+// shortJob is a job of the simulated load.
 type shortJob struct {
 	id job.ID
-	// at is when it was handed in, completed when it was over.
+	// at is when the job was submitted, completed when it completed.
 	at, completed time.Time
-	// coreSeconds is its work, chain its longest chain of run times, and allowance
-	// the time in which it is to be done.
+	// coreSeconds is the total work, chain the run time of the longest chain of
+	// steps, and allowance the time within which the job must complete.
 	coreSeconds      float64
 	chain, allowance time.Duration
 }
 
-// served reports whether the job was of use to its caller, in time or late.
+// served reports whether the job's result was of use to its caller, on time or late.
 func (j *shortJob) served() bool {
 	return !j.completed.IsZero() && j.completed.Sub(j.at) <= lateFactor*j.allowance
 }
 
-// playShortage plays short urgent jobs for 20 s on 48 workers of 64 cores, of which
-// long-running tasks leave 4 each. Widths, run times and the spread of sizes are
-// those of a hotels' day.
+// playShortage plays 20 s of short urgent jobs on 48 workers with 64 cores each, of
+// which long-running tasks leave 4 free. Widths, run times and the spread of sizes
+// are those of a day of the hotels deployment.
 func playShortage(t *testing.T, seed uint64, jobsPerSecond float64) []*shortJob {
 	c := newCluster(t, seed, 48)
 	for _, w := range c.workers {
@@ -61,12 +61,13 @@
 	return jobs
 }
 
-// drawLogNormal draws a figure with the given mean and spread, at most most.
+// drawLogNormal draws a log-normal value with the given mean and spread, limited to
+// most.
 func drawLogNormal(rnd *rand.Rand, mean, spread, most float64) float64 {
 	return min(mean*math.Exp(spread*rnd.NormFloat64()-spread*spread/2), most)
 }
 
-// submitShort hands a job in, with one to four steps.
+// submitShort submits a job of one to four steps.
 func (c *cluster) submitShort(rnd *rand.Rand, number int) *shortJob {
 	j := &shortJob{at: c.now}
 	var steps []job.Step
@@ -108,19 +109,17 @@
 	return float64(n) / float64(max(len(jobs), 1))
 }
 
-// TestLargeJobsInASmallShortage
-//
-// Load: urgent jobs ask for 1.2 times the room that long-running tasks leave. Jobs
-// that ask for much wait for more tasks than others, and must not be left out for
-// it: the largest tenth is served at least half as often as all.
+// TestLargeJobsInASmallShortage checks that large jobs are not starved when urgent
+// jobs request 1.2 times the room that long-running tasks leave. Large jobs wait for
+// more tasks than others; the largest tenth must be served at least half as often as
+// all jobs.
 func TestLargeJobsInASmallShortage(t *testing.T) { checkLargeJobs(t, 24) }
 
-// TestLargeJobsInALargeShortage is the same with 1.9 times the room.
-//
-// Symptom: on a day of the hotels' grown deployment 0.22 of the largest tenth of
-// the short jobs were served, of all 0.52. Events: jobs that are handed in later
-// and can still meet their objective go before those that have begun and cannot.
-// Cause: the order does not tell the work that is lost with a job that has begun.
+// TestLargeJobsInALargeShortage is the same with 1.9 times the room. It guards
+// against an order that ignores the work lost with a job that has begun: jobs that
+// arrive later and can still meet their objective went before jobs that had begun
+// and could not. On a day of the grown hotels deployment 0.22 of the largest tenth
+// of the short jobs were served, but 0.52 of all.
 func TestLargeJobsInALargeShortage(t *testing.T) { checkLargeJobs(t, 36) }
 
 func checkLargeJobs(t *testing.T, jobsPerSecond float64) {
@@ -133,6 +132,6 @@
 		largest += servedShare(jobs[:len(jobs)/10]) / seeds
 	}
 	if largest < all/2 {
-		t.Errorf("%.2f of the largest tenth are served, of all %.2f", largest, all)
+		t.Errorf("%.2f of the largest tenth are served, %.2f of all", largest, all)
 	}
 }
--- a/core/jobsched/pass_test.go
+++ b/core/jobsched/pass_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestUrgentStepComesNextInAnOpenPass: a pass over hundreds of steps takes many
-// rounds, and an urgent step that comes in the middle must not wait for its end.
-// It has its turn in the next round, before those that came earlier and are less
-// urgent; and each of them has its turn too.
+// TestUrgentStepComesNextInAnOpenPass checks that an urgent step that arrives during
+// a pass over hundreds of steps, which takes many rounds, does not wait for the end
+// of the pass. It has its turn in the next round, before less urgent steps that
+// arrived earlier, and each of them still has its turn.
 func TestUrgentStepComesNextInAnOpenPass(t *testing.T) {
 	c := newCluster(t, 1, 8)
 	c.options.RoundBudget = 16
@@ -20,14 +20,14 @@
 	c.tick()
 	c.tick()
 	if !c.machine.pass.open {
-		t.Fatal("the pass over ten steps is over after one round of two looks at all workers")
+		t.Fatal("the pass over ten steps ended after one round with a budget for two checks of all workers")
 	}
 	placed := c.starts
 	urgent := c.submit(1, "urgent", makeStep(1, 1000, time.Minute))
 	c.tick()
 	c.run(2 * orderDelay)
 	if c.runningOf(urgent) != 1 {
-		t.Errorf("the urgent task does not run after the round that follows it; %d tasks were placed before", placed)
+		t.Errorf("the urgent task does not run after the next round; %d tasks were placed before", placed)
 	}
 	c.run(time.Second)
 	if c.starts != 11 {
@@ -36,8 +36,8 @@
 }
 
 // manyRounds returns a cluster in which ten urgent steps wait for one more worker
-// than there is. None of that is remembered, and a round has looks for one of
-// them.
+// than there is. They are not remembered as unplaceable, and the budget of a round
+// suffices for one of them.
 func manyRounds(t *testing.T) *cluster {
 	c := newCluster(t, 1, 8)
 	c.options.RoundBudget = 8
@@ -52,9 +52,9 @@
 	return c
 }
 
-// TestEveryStepHasItsTurn: the first of the steps that wait uses up the looks of
-// each round in which it has its turn. A less urgent step that fits has one all
-// the same, since each step has one in a pass.
+// TestEveryStepHasItsTurn checks that a less urgent step that fits has its turn
+// although the first waiting step uses up the budget of each round in which it has
+// its turn: each step has one turn in a pass.
 func TestEveryStepHasItsTurn(t *testing.T) {
 	c := manyRounds(t)
 	last := c.submit(1, "batch", makeStep(1, 1000, time.Minute))
@@ -64,9 +64,10 @@
 	}
 }
 
-// What changed in the middle of a pass was forgotten at its end, also for the
-// steps that had had their turn: room that an end had left lay idle until the
-// next look that comes by time alone, 200 ms later.
+// TestChangeInAnOpenPassBringsTheNext guards against changes during a pass that are
+// forgotten at its end, also for steps that had their turn before: room left by an
+// ended attempt was unused until the next pass that begins by time alone, 200 ms
+// later.
 func TestChangeInAnOpenPassBringsTheNext(t *testing.T) {
 	c := manyRounds(t)
 	for !c.machine.pass.open {
@@ -83,20 +84,19 @@
 	}
 }
 
-// A long-running task failed and was started again 8 s later, on a leader that
-// was slow and a pass that took as long: its step had had its turn, hundreds that
-// fitted nowhere had not, and each round went on where the last one had stopped.
-// The most urgent steps have a turn in every round.
-//
-// What settled it: "attempt ended" of the task at 53.194 and no other line of it
-// for 15 s, while 270 attempts of others were started each second.
+// TestTheMostUrgentStepsHaveATurnInEveryRound guards against rounds that only
+// continue where the previous one stopped. On a slow leader, a long-running task
+// failed after its step had had its turn in a pass of hundreds of steps that fitted
+// nowhere. It was started again 8 s later, at the end of the pass. The log showed
+// "attempt ended" for the task and then nothing for 15 s, while 270 attempts of
+// other tasks were started each second.
 func TestTheMostUrgentStepsHaveATurnInEveryRound(t *testing.T) {
 	c := newCluster(t, 1, 8)
 	c.options.RoundBudget = 32
 	c.replaceLeader()
 	c.run(200 * time.Millisecond)
-	// One of its tasks waits for a ninth worker, so that its step has its turn in
-	// each pass.
+	// One of its tasks waits for a ninth worker, so that the step has a turn in each
+	// pass.
 	s := longRunning(9, 1000)
 	s.MaxPerWorker = 1
 	lasting := c.submit(1, "urgent", s)
--- a/core/jobsched/property_test.go
+++ b/core/jobsched/property_test.go
@@ -16,18 +16,18 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// Other days are played by hand with these flags.
+// Flags that select other days.
 var (
-	faultDays = flag.Int("fault-days", 50, "how many days TestNothingRunsTwiceUnderFaults plays")
-	faultSeed = flag.Int64("fault-seed", 20, "the seed that its days are drawn from")
+	faultDays = flag.Int("fault-days", 50, "the number of days that TestNothingRunsTwiceUnderFaults plays")
+	faultSeed = flag.Int64("fault-seed", 20, "the seed from which TestNothingRunsTwiceUnderFaults draws its days")
 )
 
 // TestNothingRunsTwiceUnderFaults plays random jobs under random faults: lost
-// answers, orders carried out seconds late, workers that crash, are cut off,
-// fail or freeze, outages of the store, and leaders that come and go. The
-// workers check each start: no task runs twice, after it is done, before the
-// steps it follows, beyond its attempts, or where it does not fit. In the end
-// every job is over or canceled.
+// responses, orders executed seconds late, workers that crash, are partitioned, fail
+// or freeze, store outages, and changes of the leader. The workers check each start:
+// no task runs twice, or is started after it is done, before the steps that it
+// depends on, more often than allowed, or where it does not fit. In the end every
+// job must be final.
 func TestNothingRunsTwiceUnderFaults(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = *faultDays
@@ -39,9 +39,9 @@
 	properties.TestingRun(t)
 }
 
-// TestPassesOfManyRounds plays such days with a leader that looks at eight
-// workers for four tasks in a round, so that most passes take several: events
-// come in the middle of them. All jobs must come to their end as well.
+// TestPassesOfManyRounds plays such days with a leader that checks eight workers for
+// four tasks in a round, so that most passes take several rounds and events are
+// handled between them. All jobs must become final as well.
 func TestPassesOfManyRounds(t *testing.T) {
 	const days, budget = 20, 32
 	for seed := range uint64(days) {
@@ -55,7 +55,7 @@
 
 // TestNothingRunsTwiceWithDamagedRecords plays such days on which another writer
 // damages the records of jobs and the roster before leaders are lost, and repairs
-// the records later. What must hold is the same.
+// the records of jobs later. The same invariants must hold.
 func TestNothingRunsTwiceWithDamagedRecords(t *testing.T) {
 	const days = 30
 	for seed := range uint64(days) {
@@ -64,19 +64,19 @@
 }
 
 var (
-	plannedDays = flag.Int("planned-days", 40, "how many days TestNothingRunsTwiceOverPlannedChanges plays")
+	plannedDays = flag.Int("planned-days", 40, "the number of days that TestNothingRunsTwiceOverPlannedChanges plays")
 	plannedFrom = flag.Uint64("planned-from", 0, "the first seed of TestNothingRunsTwiceOverPlannedChanges")
 )
 
-// plannedStream is the stream of random numbers that planned work is drawn from,
-// another one than that of the faults, whose draws it does not shift.
+// plannedStream is the stream of random numbers for planned changes. It is separate
+// from that of the faults, so that it does not shift their draws.
 const plannedStream = 4
 
 // TestNothingRunsTwiceOverPlannedChanges plays such days on which the lead is also
 // handed over as planned, often several times within seconds, and workers are
-// replaced, each after it has said that it leaves. What a leader leaves behind of
-// what may run is then read by the next one, while workers are out of reach,
-// orders are carried out late and the store is away.
+// replaced after they have announced that they leave. The next leader reads the
+// previous one's record of what may be running while workers are unreachable, orders
+// are executed late and the store is unavailable.
 func TestNothingRunsTwiceOverPlannedChanges(t *testing.T) {
 	for seed := range uint64(*plannedDays) {
 		playFaults(t, *plannedFrom+seed, func(c *cluster) {
@@ -86,16 +86,16 @@
 	}
 }
 
-// crashDays is how many days TestNothingRunsTwiceWithCrashingTasks plays.
-var crashDays = flag.Int("crash-days", 40, "how many days TestNothingRunsTwiceWithCrashingTasks plays")
+// crashDays is the number of days that TestNothingRunsTwiceWithCrashingTasks plays.
+var crashDays = flag.Int("crash-days", 40, "the number of days that TestNothingRunsTwiceWithCrashingTasks plays")
 
-// crashStream is the stream of random numbers that crashes are drawn from.
+// crashStream is the stream of random numbers for crashes.
 const crashStream = 6
 
 // TestNothingRunsTwiceWithCrashingTasks plays such days on which tasks of some jobs
-// crash the workers that start them, and workers crash for other reasons. A task
-// that does may be started a few times only, whatever becomes of leaders, answers
-// and the store, and a job of which no task does must not be given up for it.
+// crash the workers that start them, and workers crash for other reasons. A crashing
+// task may be started a few times only, whatever happens to leaders, responses and
+// the store, and a job without crashing tasks must not fail because of crashes.
 func TestNothingRunsTwiceWithCrashingTasks(t *testing.T) {
 	for seed := range uint64(*crashDays) {
 		playFaults(t, seed, func(c *cluster) {
@@ -109,8 +109,8 @@
 	}
 }
 
-// crashAtRandom makes a job that was just handed in one that crashes its workers,
-// or crashes a worker, or does nothing, at random.
+// crashAtRandom, at random, makes the job that was just submitted crash its workers,
+// crashes a worker, or does nothing.
 func (c *cluster) crashAtRandom(id job.ID) {
 	switch c.crashing.IntN(30) {
 	case 0:
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestPlannedSeedsThatOnceFailed plays seeds of such days that showed something,
-// each with the seed of its planned work.
+// TestPlannedSeedsThatOnceFailed plays seeds of such days that found a fault, each
+// with the seed of its planned changes.
 func TestPlannedSeedsThatOnceFailed(t *testing.T) {
 	seeds := []struct{ day, planned uint64 }{
 		// Two leaders gave the same number to two attempts of a task, see
@@ -140,18 +140,20 @@
 	}
 }
 
-// TestSeedsThatOnceFailed plays seeds that showed something.
+// TestSeedsThatOnceFailed plays seeds that found a fault, in the code or in the
+// checks.
 func TestSeedsThatOnceFailed(t *testing.T) {
 	seeds := []uint64{
-		// A gang failed in each of its three attempts with another member, and
-		// its job was given up, as the platform's contract has it. The check
-		// wanted three failures of one task.
+		// A gang failed in each of its three attempts with another member, and its
+		// job failed, as the platform's contract requires. The check expected three
+		// failures of one task.
 		16490044440741563784,
-		// Workers were silent for longer than their leases, with nothing left to
-		// run there; their tasks were started again, and the ends of both counted.
+		// Workers were unreachable for longer than their leases, with nothing left
+		// running there; their tasks were started again, and the ends of both
+		// attempts counted.
 		2299505103737812133,
-		// The leader that started the task again was lost, and the next one knew
-		// nothing of the attempt before.
+		// The leader that had started the task again was lost, and the next one did
+		// not know of the earlier attempt.
 		8764830277618095827,
 		// The same, and the worker of the later attempt was gone too.
 		10932200376124047204,
@@ -161,11 +163,9 @@
 	}
 }
 
-// TestReplayIsDeterministic
-//
-// Symptom: a seed that had shown a fault did not show it again. Events: the
-// machine sends renewals and looks at attempts in the order of a map. Cause: Go
-// iterates over a map in another order each time.
+// TestReplayIsDeterministic guards against decisions that depend on the iteration
+// order of a map, which differs between runs: the machine sent renewals and checked
+// attempts in such an order, and a seed that had found a fault did not reproduce it.
 func TestReplayIsDeterministic(t *testing.T) {
 	notes := func() []Note {
 		c := newCluster(t, 5, 8)
@@ -181,11 +181,11 @@
 		}
 	}
 	if len(first) != len(second) {
-		t.Errorf("%d decisions, then %d", len(first), len(second))
+		t.Errorf("%d decisions in the first run, %d in the second", len(first), len(second))
 	}
 }
 
-// playFaults plays one seed and returns whether nothing was found.
+// playFaults plays one seed and reports whether no fault was found.
 func playFaults(t *testing.T, seed uint64, prepare func(*cluster)) bool {
 	ok := t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 		c := newCluster(t, seed, 8)
@@ -196,7 +196,7 @@
 		c.endFaults()
 		c.run(40 * time.Second)
 		if c.crashing != nil {
-			// With eight workers one task is tried alone at a time.
+			// With eight workers only one isolated trial runs at a time.
 			c.run(80 * time.Second)
 		}
 		for _, id := range ids {
@@ -208,7 +208,7 @@
 	return ok
 }
 
-// faultyDay plays jobs and faults and returns the jobs.
+// faultyDay plays a day of random jobs and faults, and returns the jobs.
 func (c *cluster) faultyDay(rnd *rand.Rand) []job.ID {
 	var ids []job.ID
 	next := 8
@@ -255,8 +255,8 @@
 	return ids
 }
 
-// plannedWork changes the lead as planned, once or several times, or replaces a
-// worker by one with the given number, or does nothing, at random.
+// plannedWork, at random, hands the lead over once or several times, replaces a
+// worker by one with the given number, or does nothing.
 func (c *cluster) plannedWork(number int) {
 	switch c.planned.IntN(8) {
 	case 0, 1:
@@ -278,7 +278,7 @@
 	}
 }
 
-// damage damages or repairs what is stored, at random.
+// damage damages or repairs stored records at random.
 func (c *cluster) damage(ids []job.ID) {
 	switch id := ids[c.recordDamages.IntN(len(ids))]; c.recordDamages.IntN(10) {
 	case 0, 1:
@@ -333,7 +333,7 @@
 	return c.submit(number, queue, steps...)
 }
 
-// describe tells where the tasks of a job are, for a failure's report.
+// describe describes the attempts of a job's tasks for a failure message.
 func (c *cluster) describe(id job.ID) string {
 	j := c.machine.jobs.Get(id)
 	if j == nil {
@@ -342,7 +342,7 @@
 	text := ""
 	for _, o := range j.occurrences {
 		for _, s := range o.steps {
-			text += fmt.Sprintf("step %d left %d blocking %d:", s.number, s.left, s.blocking)
+			text += fmt.Sprintf(" step %d: %d tasks left, %d blocking steps, attempts:", s.number, s.left, s.blocking)
 			for _, task := range s.tasks {
 				for _, a := range task.attempts {
 					text += fmt.Sprintf(" %d@%s phase %d", task.index, a.worker.id, a.phase)
--- a/core/jobsched/restart_test.go
+++ b/core/jobsched/restart_test.go
@@ -7,7 +7,7 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// workerRunning returns the worker on which a task runs.
+// workerRunning returns the worker that runs the task.
 func (c *cluster) workerRunning(key job.TaskKey) *fakeWorker {
 	c.t.Helper()
 	for on := range c.task(key).running {
@@ -17,14 +17,17 @@
 	return nil
 }
 
-// Two leaders gave the same number to two attempts of a task, and it was done
-// twice. The first one had taken over, so that it began with number 17, and was
-// lost before any record of the job was stored; the worker did the task and was
-// cut off. The second one waited until the leases there had ended, stored that
-// attempt 17 is a restart, and started it elsewhere. When the first worker told
-// that attempt 17 was done, its number was not below that of the restart, and the
-// end was acknowledged. The test fails by the cluster's own checks of each start
-// and end, like the next one.
+// TestTwoLeadersNeverUseTheSameNumber guards against two leaders that give the same
+// number to two attempts of a task, so that the task is done twice. The first leader
+// has taken over, so that it starts at number 17, and is lost before any record of
+// the job is stored. The worker completes the task and is partitioned. The second
+// leader waits until the leases there have ended, stores that attempt 17 is a
+// restart, and starts it on another worker. When the first worker reports that
+// attempt 17 is done, its number is not below that of the restart, and the end is
+// acknowledged.
+//
+// The checks of the cluster on each start and end detect the fault, here and in the
+// next test.
 func TestTwoLeadersNeverUseTheSameNumber(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -48,12 +51,13 @@
 	c.run(3 * time.Second)
 }
 
-// A roster could not be read, and a worker that was out of reach had done a task
-// without anybody hearing of it. Once all leases had ended the task was started
-// elsewhere; the end was heard and acknowledged later, and counted beside the
-// second one. The start was not stored first: that something may have been done
-// unheard was taken in only where the bound of a worker on the roster had ended,
-// and the lost roster named none.
+// TestEndsThatALostRosterHid guards against a restart that is not stored first after
+// the roster was lost. The roster cannot be read, and an unreachable worker has done
+// a task without reporting it. Once all leases have ended, the task is started on
+// another worker, and the unreported end is received and acknowledged later, so that
+// both ends count. The possibility that a task was done unreported was considered
+// only for workers on the roster whose lease bound had passed, and the lost roster
+// named none.
 func TestEndsThatALostRosterHid(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
--- a/core/jobsched/restarted_test.go
+++ b/core/jobsched/restarted_test.go
@@ -11,9 +11,9 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// Guards against ends that are passed over, because a worker that has started again
-// under its id numbers them from 1: tasks that were done were started again, and
-// failures did not count.
+// TestEndsOfAWorkerThatStartedAgain guards against ends that are skipped because a
+// worker that has restarted under the same id numbers them from 1: done tasks were
+// started again, and failures did not count.
 func TestEndsOfAWorkerThatStartedAgain(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.keepIDs = true
@@ -37,8 +37,8 @@
 	}
 }
 
-// Guards against tasks that are started without end, each time on a worker that
-// starts again under its id.
+// TestTasksThatCrashWorkersWhichKeepTheirIDs guards against crashing tasks that are
+// started again without end because each crashed worker restarts under the same id.
 func TestTasksThatCrashWorkersWhichKeepTheirIDs(t *testing.T) {
 	for _, after := range crashDelays {
 		t.Run(after.String(), func(t *testing.T) {
@@ -50,7 +50,8 @@
 	}
 }
 
-// Guards against the same over leaders that are lost.
+// TestCrashesOfWorkersWhichKeepTheirIDsCountOverLeaders guards against the same
+// while leaders are lost.
 func TestCrashesOfWorkersWhichKeepTheirIDsCountOverLeaders(t *testing.T) {
 	for _, after := range crashDelays {
 		t.Run(after.String(), func(t *testing.T) {
@@ -63,8 +64,9 @@
 	}
 }
 
-// Guards against a start that was on its way to a worker as it ended, and is carried
-// out by its next incarnation while the task runs elsewhere.
+// TestStartThatReachesTheNextIncarnation guards against a start that is in flight
+// when its worker ends and is executed by the next incarnation while the task runs
+// elsewhere.
 func TestStartThatReachesTheNextIncarnation(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -81,7 +83,7 @@
 			c.delayOrders = 0
 			c.run(30 * time.Second)
 			for _, id := range ids {
-				// Workers end so often here that a job may be given up for it.
+				// Workers crash so often here that a job may fail because of it.
 				if s := c.state(id); s != job.Completed && (s != job.Failed || !c.crashedTwice(id)) {
 					t.Errorf("job %s is %s in the end, want completed", id, s)
 				}
@@ -90,18 +92,18 @@
 	}
 }
 
-// restartStream is the stream of random numbers that restarts under the same id are
-// drawn from.
+// restartStream is the stream of random numbers for restarts under the same id.
 const restartStream = 8
 
 var (
-	restartDays = flag.Int("restart-days", 40, "how many days TestNothingRunsTwiceOnRestartedWorkers plays")
+	restartDays = flag.Int("restart-days", 40, "the number of days that TestNothingRunsTwiceOnRestartedWorkers plays")
 	restartFrom = flag.Uint64("restart-from", 0, "the first seed of TestNothingRunsTwiceOnRestartedWorkers")
 )
 
-// Guards against whatever else goes wrong beside workers that start again under their
-// ids, at once or after a while, behind a cut, and while leaders change: the days of
-// TestNothingRunsTwiceUnderFaults with such restarts.
+// TestNothingRunsTwiceOnRestartedWorkers guards against any other fault caused by
+// workers that restart under the same id. It plays the days of
+// TestNothingRunsTwiceUnderFaults with such restarts: at once or after a while,
+// while workers are partitioned, and while leaders change.
 func TestNothingRunsTwiceOnRestartedWorkers(t *testing.T) {
 	for day := range uint64(*restartDays) {
 		seed := *restartFrom + day
@@ -116,7 +118,7 @@
 	}
 }
 
-// restartAtRandom restarts some workers, or does nothing, at random.
+// restartAtRandom restarts some workers at random, or does nothing.
 func (c *cluster) restartAtRandom() {
 	if c.restarting.IntN(4) > 0 {
 		return
@@ -131,7 +133,7 @@
 	}
 }
 
-// attemptsOn counts the attempts of a job that are on a worker now.
+// attemptsOn counts the current attempts of a job on a worker.
 func (c *cluster) attemptsOn(w *fakeWorker, id job.ID) int {
 	n := 0
 	for key := range w.attempts {
@@ -142,9 +144,9 @@
 	return n
 }
 
-// Guards against damaged entries beside the session of a sound worker: one that leaves
-// its start out, or tells another one, gets the worker no new tasks and takes none of
-// its old ones away.
+// TestEntriesWithAnotherStart guards against damaged entries of a healthy worker
+// that omit its start time or have a different one: the worker must get no new tasks
+// because of them and lose none of its running ones.
 func TestEntriesWithAnotherStart(t *testing.T) {
 	for name, startedMs := range map[string]int64{"left out": 0, "later": 1 << 50, "earlier": 1} {
 		t.Run(name, func(t *testing.T) {
@@ -161,17 +163,17 @@
 			meanwhile := c.submit(2, "urgent", makeStep(8, 1000, 20*time.Second))
 			c.run(2 * time.Second)
 			if n := c.attemptsOn(w, before); n != had || had == 0 {
-				t.Errorf("of %d tasks that ran, %d still do", had, n)
+				t.Errorf("of %d running tasks, %d are still running, want all and at least 1", had, n)
 			}
 			if n := c.attemptsOn(w, meanwhile); n != 0 {
-				t.Errorf("%d tasks were started by a damaged entry", n)
+				t.Errorf("%d tasks were started on a worker with a damaged entry, want 0", n)
 			}
 			w.listedEntry = nil
 			c.run(time.Second)
 			after := c.submit(3, "urgent", makeStep(12, 1000, 20*time.Second))
 			c.run(2 * time.Second)
 			if c.attemptsOn(w, after) == 0 {
-				t.Error("no task is started by the entry that is sound again")
+				t.Error("no task is started on the worker once its entry is repaired")
 			}
 			c.run(25 * time.Second)
 			for _, id := range []job.ID{before, meanwhile, after} {
@@ -183,8 +185,9 @@
 	}
 }
 
-// Guards against entries without a start that look sound to operators, and come on the
-// roster, where workers say when they were started.
+// TestEntryWithoutItsStartIsUnusable guards against entries without a start time
+// that are shown as sound to operators and added to the roster, where workers report
+// their start times.
 func TestEntryWithoutItsStartIsUnusable(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(time.Second)
@@ -197,17 +200,17 @@
 	c.workers["stranger"] = &fakeWorker{c: c, entry: stranger, listed: true, dead: true}
 	c.run(time.Second)
 	if n := c.machine.TakeEntryCounts().Unusable[EntryNoStartTime]; n != 2 {
-		t.Errorf("%d entries are unusable for want of a start, want 2", n)
+		t.Errorf("%d entries are unusable because they have no start time, want 2", n)
 	}
 	for _, e := range c.roster {
 		if e.StartedMs == 0 {
-			t.Errorf("%s is on the roster without a start", e.ID)
+			t.Errorf("%s is on the roster without a start time", e.ID)
 		}
 	}
 }
 
-// Guards against workers that get no tasks because none of them says when it was
-// started.
+// TestNothingRunsTwiceOnWorkersThatNeverSayWhenTheyStarted guards against workers
+// that get no tasks because none of them reports its start time.
 func TestNothingRunsTwiceOnWorkersThatNeverSayWhenTheyStarted(t *testing.T) {
 	const days = 10
 	for seed := range uint64(days) {
@@ -222,9 +225,9 @@
 	}
 }
 
-// Guards against a task that is started again although the next incarnation has carried
-// its start out, and reports it: the leader had not noticed yet that the worker had
-// started again.
+// TestStartThatTheNextIncarnationCarriesOut guards against a task that is started
+// again although the next incarnation has executed its start and reports it: the
+// leader had not yet noticed that the worker had restarted.
 func TestStartThatTheNextIncarnationCarriesOut(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.keepIDs, c.keepNotes, c.restartTime = true, true, 20*time.Millisecond
@@ -250,8 +253,8 @@
 	}
 }
 
-// Guards against a late report of an incarnation that has ended: what it lists runs
-// no more.
+// TestLateReportOfAnIncarnationThatHasEnded guards against a late report of an
+// incarnation that has ended: the attempts in it are no longer running.
 func TestLateReportOfAnIncarnationThatHasEnded(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.keepIDs, c.restartTime = true, 20*time.Millisecond
@@ -269,9 +272,9 @@
 	}
 }
 
-// Guards against tasks that run twice or never after an upgrade: a roster that the
-// version before has written names workers by their ids alone, and some of them have
-// started again since.
+// TestNothingRunsTwiceWithRostersOfAnEarlierVersion guards against tasks that run
+// twice or never after an upgrade: a roster written by the previous version
+// identifies workers by their ids alone, and some of them have restarted since.
 func TestNothingRunsTwiceWithRostersOfAnEarlierVersion(t *testing.T) {
 	const days = 20
 	for seed := range uint64(days) {
@@ -284,11 +287,11 @@
 	}
 }
 
-// TestRestartSeedsThatOnceFailed plays seeds of such days that showed something.
+// TestRestartSeedsThatOnceFailed plays seeds of such days that found a fault.
 func TestRestartSeedsThatOnceFailed(t *testing.T) {
 	seeds := []uint64{
-		// Two incarnations of a worker had sessions, and tasks were started on both, more
-		// than there was room for.
+		// Two incarnations of a worker had sessions, and tasks were started on both,
+		// more than there was room for.
 		1356,
 	}
 	for _, seed := range seeds {
--- a/core/jobsched/roster_test.go
+++ b/core/jobsched/roster_test.go
@@ -10,10 +10,10 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// The roster that is stored says that nothing is started on a worker which was
-// silent. The worker answers again while the store is away. A start there that no
-// roster tells of would be unknown to the next leader, which waits for nothing on
-// that worker, and its task would run twice.
+// TestClosedWorkerGetsNoStartsBeforeARosterSaysSo guards against starts on a worker
+// that the stored roster has as closed. The worker was unreachable and answers again
+// while the store is unavailable. The next leader would not know of a start there
+// and would not wait for the worker, so that the task would run twice.
 func TestClosedWorkerGetsNoStartsBeforeARosterSaysSo(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.workers["w001"].entry.Labels = append(c.workers["w001"].entry.Labels, "b")
@@ -29,7 +29,7 @@
 	id := c.submit(1, "batch", only)
 	c.run(2 * time.Second)
 	if c.starts != 0 {
-		t.Errorf("%d starts on a worker that the stored roster has closed", c.starts)
+		t.Errorf("%d starts on a worker that is closed on the stored roster", c.starts)
 	}
 	c.restoreStore()
 	c.run(2 * time.Second)
@@ -38,11 +38,12 @@
 	}
 }
 
-// The roster that is stored says how long leases last at most on a worker that has
-// not answered a new leader. The worker answers while the store is away. A lease
-// that outlasts that would outlast what the next leader reads, and what runs under
-// it would be started elsewhere as well. Up to there the lease is renewed: the
-// worker is well.
+// TestLeaseIsNotRenewedBeyondWhatTheRosterSays guards against leases that outlast
+// the bound in the stored roster, which it has for workers that have not answered a
+// new leader. The worker answers while the store is unavailable. If its lease were
+// renewed beyond the bound, the next leader would start its tasks elsewhere while
+// they are still running. Up to the bound the lease is renewed, because the worker
+// is healthy.
 func TestLeaseIsNotRenewedBeyondWhatTheRosterSays(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -58,11 +59,11 @@
 	for range 3 {
 		c.run(time.Second)
 		if silent.lease.After(bound) {
-			t.Errorf("the lease outlasts what the roster says by %s", silent.lease.Sub(bound))
+			t.Errorf("the lease outlasts its bound on the roster by %s", silent.lease.Sub(bound))
 		}
 	}
 	if !silent.lease.After(lease) || len(silent.attempts) == 0 {
-		t.Errorf("%d attempts run on a worker that is well, the lease is renewed: %v", len(silent.attempts), silent.lease.After(lease))
+		t.Errorf("%d attempts run on a healthy worker, lease renewed: %v", len(silent.attempts), silent.lease.After(lease))
 	}
 	c.restoreStore()
 	c.run(time.Second)
@@ -71,9 +72,10 @@
 	}
 }
 
-// Tasks were done and their ends neither stored nor acknowledged when the lead was
-// handed over, and the workers that had to tell of them were out of reach. They
-// must not be started again: the ends count once they are heard.
+// TestEndsThatAreNotStoredAreHandedOver guards against tasks that are started again
+// although they are done. Their ends were neither stored nor acknowledged when the
+// lead was handed over, and the workers that keep the ends are unreachable. The ends
+// count once they are received.
 func TestEndsThatAreNotStoredAreHandedOver(t *testing.T) {
 	const tasks = maxCommitEntries + 8
 	c := newCluster(t, 1, 5)
@@ -100,9 +102,11 @@
 	}
 }
 
-// An attempt was given up because its worker had been silent for long, and the
-// lead changed before its task was started again. The next leader must store that
-// start first, as the one before would have: the end of the attempt may still come.
+// TestAttemptsThatWereGivenUpAreHandedOver guards against a restart that is not
+// stored first after a change of the leader. An attempt was declared lost because
+// its worker was unreachable for long, and the leader changes before the task is
+// started again. The next leader must store the restart first, as the previous one
+// would have, because the end of the lost attempt may still be reported.
 func TestAttemptsThatWereGivenUpAreHandedOver(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.run(200 * time.Millisecond)
@@ -113,22 +117,23 @@
 	c.handOver()
 	key := job.TaskKey{Job: id}
 	if !c.machine.task(key).attemptLost {
-		t.Error("the next leader does not know that an attempt was given up")
+		t.Error("the next leader does not know that an attempt was lost")
 	}
 	if len(c.machine.latestIncarnation("w000").lost) != 1 {
-		t.Error("the next leader would take a failure of that attempt for one that is not known")
+		t.Error("the next leader does not know the lost attempt and would not recognize its failure")
 	}
 	if !c.machine.needsRestartRecord(c.machine.task(key)) {
-		t.Error("the next leader would start the task again without storing that first")
+		t.Error("the next leader would start the task again without storing the restart first")
 	}
 }
 
-// The stored roster was older than the move of a task from a closed worker to
-// another. The next leader heard of the later attempt first, and must not stop it
-// for the sake of the earlier one.
+// TestLaterAttemptSupersedesAnInheritedOne guards against a leader that stops a
+// later attempt in favor of an earlier one. The stored roster is older than the move
+// of a task from a closed worker to another, and the next leader receives the report
+// of the later attempt first.
 func TestLaterAttemptSupersedesAnInheritedOne(t *testing.T) {
 	for _, stands := range []bool{true, false} {
-		t.Run(fmt.Sprint("roster stands: ", stands), func(t *testing.T) {
+		t.Run(fmt.Sprint("roster valid: ", stands), func(t *testing.T) {
 			c := newCluster(t, 1, 2)
 			c.run(200 * time.Millisecond)
 			id := c.submit(1, "urgent", longRunning(1, 2000))
@@ -140,7 +145,7 @@
 			c.rosterValid = stands
 			c.replaceLeader()
 			if held := c.machine.unresolved.Has(c.workers["w000"].entry.Incarnation); held == stands {
-				t.Errorf("all that ran on the closed worker is unknown: %v", held)
+				t.Errorf("the attempts on the closed worker are unknown: %v", held)
 			}
 			report := Report{ClockMs: c.clock("w001"), Running: []RunningAttempt{{Key: key, Attempt: 2, Percent: 100}}}
 			c.machine.Handle(c.now, Renewed{Worker: c.workers["w001"].entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: report})
@@ -152,8 +157,9 @@
 	}
 }
 
-// A roster has room for so many attempts. A worker whose attempts are left out is
-// one on which anything may run; to call it closed would let its tasks run twice.
+// TestWorkerWithTooManyAttemptsIsNotClosed guards against a worker that is closed on
+// the roster although it has more attempts than the roster can hold: the tasks of
+// the omitted attempts would run twice.
 func TestWorkerWithTooManyAttemptsIsNotClosed(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -169,9 +175,9 @@
 	}
 }
 
-// Workers that drained and ended all they ran have left, and answer nobody. A
-// leader that knows so does not keep them on the roster until their last lease
-// could have ended.
+// TestDrainedWorkersLeaveTheRosterAtOnce guards against workers that stay on the
+// roster until their last lease could have ended, although the leader knows that
+// they have drained, run nothing any more and have left.
 func TestDrainedWorkersLeaveTheRosterAtOnce(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
@@ -188,8 +194,8 @@
 	}
 }
 
-// Guards against a roster that a daemon of the version before cannot read: it knows
-// workers by their ids alone.
+// TestRosterNamesWorkersByTheirIDs guards against a roster that a daemon of the
+// previous version cannot read: it identifies workers by their ids alone.
 func TestRosterNamesWorkersByTheirIDs(t *testing.T) {
 	line, err := json.Marshal(RosterEntry{WorkerEntry: WorkerEntry{
 		Incarnation: model.Incarnation{ID: "w", StartedMs: 5}, Address: "10.0.0.1:80",
--- a/core/jobsched/session_test.go
+++ b/core/jobsched/session_test.go
@@ -9,9 +9,9 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestSession plays a whole session in virtual time and holds the decisions
-// that are logged to a golden file, in their order and with their reasons: jobs
-// run and are canceled, a task fails for good, a worker is lost, and the leader.
+// TestSession plays a whole session in virtual time and compares the logged
+// decisions, in order and with their reasons, with a golden file: jobs run and are
+// canceled, a job fails, a worker is lost, and the leader is replaced.
 func TestSession(t *testing.T) {
 	c := newCluster(t, 7, 3)
 	c.keepNotes = true
--- a/core/jobsched/silence_test.go
+++ b/core/jobsched/silence_test.go
@@ -7,8 +7,8 @@
 	"github.com/guavarill/guavarill/core/job"
 )
 
-// shortTasks returns a cluster in which four tasks of a second each have run for a
-// moment on each worker, and their job.
+// shortTasks returns a cluster in which four tasks of a second each have been
+// running on each worker for a moment, and their job.
 func shortTasks(t *testing.T, workers int) (*cluster, job.ID) {
 	c := newCluster(t, 1, workers)
 	c.run(200 * time.Millisecond)
@@ -17,15 +17,13 @@
 	return c, id
 }
 
-// TestEndsOfASilentWorkerWithNothingLeftToRun
-//
-// Symptom: tasks were started again after they had been done, and both ends
-// counted. Events: the leader hears nothing from a worker for longer than a
-// lease; the tasks there are done meanwhile, and nothing is left that the end of
-// the lease would end; the leader gives the attempts up and starts the tasks
-// elsewhere; the worker answers again, and its ends are acknowledged. Cause: the
-// leader took the time without an answer for proof that nothing had come of the
-// attempts.
+// TestEndsOfASilentWorkerWithNothingLeftToRun guards against attempts that are
+// declared lost too early, so that their tasks are done twice and both ends count. A
+// worker is unreachable for longer than its lease; the tasks there complete in the
+// meantime, so that the end of the lease ends nothing. If the leader declares the
+// attempts lost and starts the tasks elsewhere, the worker's ends are acknowledged
+// as well once it answers again: time without an answer does not prove that the
+// attempts had no result.
 func TestEndsOfASilentWorkerWithNothingLeftToRun(t *testing.T) {
 	c, id := shortTasks(t, 4)
 	c.workers["w001"].cutOff = true
@@ -40,9 +38,9 @@
 	}
 }
 
-// TestTasksOfAWorkerThatLeftTheListAreStartedElsewhere: a worker is gone for
-// good, and leaves the list with it. Its tasks must not wait as long as those of
-// one that is listed and may come back.
+// TestTasksOfAWorkerThatLeftTheListAreStartedElsewhere checks that the tasks of a
+// worker that has crashed and is no longer listed do not wait as long as those of a
+// listed worker, which may answer again.
 func TestTasksOfAWorkerThatLeftTheListAreStartedElsewhere(t *testing.T) {
 	c, id := shortTasks(t, 4)
 	c.workers["w001"].crash()
@@ -53,29 +51,28 @@
 	}
 }
 
-// TestEndOfAnAttemptThatWasGivenUp
-//
-// Symptom and cause as above, but the worker is silent for longer than anybody
-// can wait. Its task is started elsewhere; the end that the worker tells of in
-// the end must not be acknowledged, with which it would count, and what is
-// acknowledged of other workers goes on.
+// TestEndOfAnAttemptThatWasGivenUp checks the same fault for a worker that is
+// unreachable for longer than any grace period. Its task is started elsewhere. The
+// end that the worker reports later must not be acknowledged, because it would count
+// then, and ends of other workers must still be acknowledged.
 func TestEndOfAnAttemptThatWasGivenUp(t *testing.T) {
 	c, id := shortTasks(t, 2)
 	c.workers["w001"].cutOff = true
 	c.run(25 * time.Second)
 	if s := c.state(id); s != job.Completed {
-		t.Fatalf("state %s while the worker is silent, want completed", s)
+		t.Fatalf("state %s while the worker is unreachable, want completed", s)
 	}
 	c.workers["w001"].cutOff = false
 	c.run(5 * time.Second)
 	if n := len(c.workers["w001"].ended); n == 0 {
-		t.Error("the ends of attempts that were given up are acknowledged")
+		t.Error("the ends of lost attempts are acknowledged")
 	}
 }
 
-// TestEndsBehindALapseAreAcknowledged: an attempt is given up as above, and its
-// end is held back; later the worker's lease ends with something running, and
-// with that what was done before counts for nothing any more.
+// TestEndsBehindALapseAreAcknowledged checks that deferred ends are acknowledged
+// once they are void: an attempt is declared lost as above and its end is not
+// acknowledged. Later the worker's lease ends while an attempt is running, which
+// voids all earlier results there.
 func TestEndsBehindALapseAreAcknowledged(t *testing.T) {
 	c, _ := shortTasks(t, 2)
 	c.workers["w001"].cutOff = true
@@ -89,6 +86,6 @@
 	c.workers["w001"].cutOff = false
 	c.run(3 * time.Second)
 	if n := len(c.workers["w001"].ended); n != 0 {
-		t.Errorf("%d ends are not acknowledged, want none", n)
+		t.Errorf("%d ends are not acknowledged, want 0", n)
 	}
 }
--- a/core/jobsched/starving_test.go
+++ b/core/jobsched/starving_test.go
@@ -7,12 +7,15 @@
 	"github.com/guavarill/guavarill/core/interference"
 )
 
-// Best-effort steps waited for 31 s in a cluster of which most was free: their
-// image was known to disturb the serving tasks, of which a few were on every
-// worker. "step waits ... no room 1, would disturb 47" for all of them, until the
-// last. A step that has waited for long while much is free starts where it
-// disturbs least; throttling looks after the tasks beside it. In a crowded
-// cluster it goes on waiting.
+// TestBestEffortWorkDoesNotWaitForEverBesideServingTasks checks that a best-effort
+// step that has waited for long while much of the cluster is free starts where it
+// disturbs least; throttling then protects the tasks next to it. In a crowded
+// cluster it keeps waiting.
+//
+// Without this rule, best-effort steps waited for 31 s in a mostly free cluster:
+// their image was known to disturb the serving tasks, and each worker had a few of
+// them. Until the end, all of the steps were noted as "step waits ... no room 1,
+// would disturb 47".
 func TestBestEffortWorkDoesNotWaitForEverBesideServingTasks(t *testing.T) {
 	tests := []struct {
 		name    string
@@ -42,7 +45,7 @@
 			}
 			c.run(bestEffortMaxWait + time.Second)
 			if n := c.runningOf(id); n != test.runs {
-				t.Errorf("%d tasks run after some seconds, want %d", n, test.runs)
+				t.Errorf("%d tasks run after the maximum wait, want %d", n, test.runs)
 			}
 		})
 	}
--- a/core/jobsched/takeover_test.go
+++ b/core/jobsched/takeover_test.go
@@ -25,12 +25,11 @@
 	return n
 }
 
-// TestAttemptsSurviveSeveralTakeovers
-//
-// Symptom: tasks ran twice after the second take-over. Events: a leader takes
-// over, adopts attempt 1, and stores that numbers up to 17 may have been used;
-// another takes over from it. Cause: the second took an attempt with so low a
-// number for a stale one and counted it for no task.
+// TestAttemptsSurviveSeveralTakeovers guards against adopted attempts that a later
+// leader takes for stale. A leader takes over, adopts attempt 1, and stores that
+// numbers up to 17 may have been used; then another takes over from it. It
+// considered an attempt with so low a number stale and did not assign it to its
+// task, so that tasks ran twice.
 func TestAttemptsSurviveSeveralTakeovers(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
@@ -45,12 +44,10 @@
 	}
 }
 
-// TestWorkerMissingFromTheListAtATakeover
-//
-// Symptom: tasks ran twice after an outage of the platform's store. Events: the
-// entries of workers lapse with the store; a new leader reads a list that lacks
-// a worker which is well. Cause: it took the list for all there is, and started
-// the worker's tasks elsewhere.
+// TestWorkerMissingFromTheListAtATakeover guards against a leader that takes the
+// list of workers for complete. In an outage of the platform's store the entries of
+// workers expire, and a new leader reads a list that lacks a healthy worker. It
+// started the tasks of that worker elsewhere, so that they ran twice.
 func TestWorkerMissingFromTheListAtATakeover(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
@@ -71,9 +68,9 @@
 	}
 }
 
-// TestWorkerCutOffAtATakeover: a worker cannot be reached when a leader takes
-// over, and runs on until its lease ends. Its tasks must wait that long and
-// start elsewhere then; the others go on at once.
+// TestWorkerCutOffAtATakeover checks the tasks of a worker that is unreachable at a
+// takeover and runs on until its lease ends: they wait until then and start
+// elsewhere, while the other tasks continue.
 func TestWorkerCutOffAtATakeover(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
@@ -87,12 +84,12 @@
 	}
 }
 
-// TestFailingWorkerLeavesQuarantine
-//
-// Symptom: a long-running task had no worker for 13 s although one had room.
-// Events: a worker fails what it starts for a while and is closed; it still runs
-// older long-running tasks. Cause: it was to get one task at a time until one
-// was done, when nothing else ran there; long-running tasks are never done.
+// TestFailingWorkerLeavesQuarantine guards against a worker that stays on probation
+// because it runs long-running tasks. A worker fails its tasks for a while and is
+// quarantined while it still runs older long-running tasks. It was to get one task
+// at a time, with nothing else running there, until one was done, but long-running
+// tasks never complete: a long-running task had no worker for 13 s although one had
+// room.
 func TestFailingWorkerLeavesQuarantine(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -114,10 +111,9 @@
 	}
 }
 
-// TestUrgentTasksPreemptBestEffortWork
-//
-// Symptom: a long-running task waited while smaller best-effort ones kept
-// coming. Cause: whatever room came free went to the first that fitted.
+// TestUrgentTasksPreemptBestEffortWork guards against freed room that always goes to
+// the first task that fits: a long-running task waited while smaller best-effort
+// tasks kept arriving.
 func TestUrgentTasksPreemptBestEffortWork(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -134,8 +130,8 @@
 	}
 }
 
-// TestEndsAreAcknowledgedOnlyWhenStored: while the store is away, ends stay with
-// the workers, and a leader that takes over then finds them there.
+// TestEndsAreAcknowledgedOnlyWhenStored checks that workers keep their ends while
+// the store is unavailable, so that a new leader receives them.
 func TestEndsAreAcknowledgedOnlyWhenStored(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -143,7 +139,7 @@
 	id := c.submit(1, "batch", makeStep(4, 1000, 300*time.Millisecond))
 	c.run(2 * time.Second)
 	if s := c.state(id); s == job.Completed {
-		t.Fatal("shown as completed without the store")
+		t.Fatal("the job is completed while the store is unavailable")
 	}
 	c.storeDown = false
 	c.replaceLeader()
@@ -153,12 +149,10 @@
 	}
 }
 
-// TestFailureIsCountedOnceOverATakeover
-//
-// Symptom: a job was shown as failed although no task had failed so often.
-// Events: a failure is counted and stored; the leader is lost before the worker
-// hears that it need not keep the end; the next leader finds it there. Cause:
-// it counted the same failure again.
+// TestFailureIsCountedOnceOverATakeover guards against a failure that is counted
+// again after a takeover. A failure is counted and stored, and the leader is lost
+// before the worker receives the acknowledgement, so that the end is reported to the
+// next leader too. A job failed although no task had failed often enough.
 func TestFailureIsCountedOnceOverATakeover(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -173,7 +167,7 @@
 		w.failAll = false
 	}
 	for range 4 {
-		// The ends come to each leader, and are stored, before it acknowledges.
+		// Each leader receives the ends, and they are stored, before it acknowledges them.
 		c.replaceLeader()
 		c.machine.Handle(c.now, Renewed{Worker: c.workers["w000"].entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: c.workers["w000"].renew(Renew{})})
 		c.machine.Handle(c.now, Renewed{Worker: c.workers["w001"].entry.Incarnation, SentAt: c.now, Verdict: VerdictDone, Report: c.workers["w001"].renew(Renew{})})
@@ -193,7 +187,7 @@
 	}
 }
 
-// stored returns what is stored of a job's first task.
+// stored returns the stored progress of a job's first task.
 func (c *cluster) stored(id job.ID) job.TaskProgress {
 	p := c.progress[id]
 	if p == nil || len(p.Occurrences) == 0 {
@@ -202,12 +196,10 @@
 	return p.Occurrences[0].Steps[0].Tasks[0]
 }
 
-// TestFailuresAreCountedInAnyOrder
-//
-// Symptom: a task was started again after all its attempts had failed. Events:
-// attempts 1 and 2 fail on two workers while the store is away; the next leader
-// hears of attempt 2 first. Cause: it counted only failures of later attempts
-// than the last it had counted.
+// TestFailuresAreCountedInAnyOrder guards against counting only failures of attempts
+// later than the last counted one. Attempts 1 and 2 fail on two workers while the
+// store is unavailable, and the next leader receives the end of attempt 2 first. The
+// task was started again after all its attempts had failed.
 func TestFailuresAreCountedInAnyOrder(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -224,12 +216,10 @@
 	}
 }
 
-// TestFailureOfALostAttemptCounts
-//
-// Symptom: a task had more attempts than it may. Events: a worker is cut off,
-// its attempt fails there, and is declared lost; the worker comes back and tells
-// of the failure, which is acknowledged. Cause: ends of lost attempts were
-// passed over.
+// TestFailureOfALostAttemptCounts guards against ends of lost attempts that are
+// ignored. A worker is partitioned, its attempt fails there and is declared lost;
+// the worker answers again and reports the failure, which is acknowledged. The task
+// had more attempts than allowed.
 func TestFailureOfALostAttemptCounts(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.run(200 * time.Millisecond)
@@ -249,11 +239,9 @@
 	}
 }
 
-// TestWhatWasLearnedIsTakenOver: a leader learns that one image disturbs
-// another and is lost; the next one must keep them apart from the start.
-//
-// Symptom if broken: after each take-over serving tasks are over their target
-// for about ten seconds.
+// TestWhatWasLearnedIsTakenOver checks that a new leader keeps an image away from
+// the images that it disturbs, as learned by the previous leader. Without this,
+// serving tasks exceed their target for about ten seconds after each takeover.
 func TestWhatWasLearnedIsTakenOver(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.machine.learner.Import(c.now, []interference.Effect{
@@ -273,16 +261,15 @@
 	loudJob, quietJob := c.submit(2, "batch", loud), c.submit(3, "batch", quiet)
 	c.run(time.Second)
 	if c.runningOf(loudJob) != 0 || c.runningOf(quietJob) != 2 {
-		t.Errorf("%d loud and %d quiet tasks run beside serving ones, want 0 and 2",
+		t.Errorf("%d loud and %d quiet tasks run next to serving ones, want 0 and 2",
 			c.runningOf(loudJob), c.runningOf(quietJob))
 	}
 }
 
-// TestFailingJobsDoNotQuarantineWorkers
-//
-// Symptom: a long-running task waited 20 s although workers had room. Events:
-// jobs that can never be done come, each with a task on every worker. Cause:
-// two failures in a row closed a worker, whosever fault they were.
+// TestFailingJobsDoNotQuarantineWorkers guards against workers that are quarantined
+// for the failures of jobs that can never succeed, each with a task on every worker.
+// If two consecutive failures quarantine a worker whatever their cause, long-running
+// tasks wait although workers have room; one waited for 20 s.
 func TestFailingJobsDoNotQuarantineWorkers(t *testing.T) {
 	c := newCluster(t, 1, 4)
 	c.run(200 * time.Millisecond)
@@ -302,20 +289,19 @@
 		}
 	}
 	if quarantined > 1 {
-		t.Errorf("%d of 4 workers are closed", quarantined)
+		t.Errorf("%d of 4 workers are quarantined, want at most 1", quarantined)
 	}
 }
 
-// TestLongRunningTaskPreemptsShortWorkOfItsPriority
-//
-// Symptom: a long-running task waited 20 s on a crowded cluster. Events: short
-// tasks of the same priority keep coming and fill every gap. Cause: only work of
-// a lower priority, or best-effort work, was displaced.
+// TestLongRunningTaskPreemptsShortWorkOfItsPriority guards against a long-running
+// task that waits while short tasks of the same priority keep arriving and fill
+// every gap. If only best-effort work and work of a lower priority is preempted, it
+// waits for 20 s in a crowded cluster.
 func TestLongRunningTaskPreemptsShortWorkOfItsPriority(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	for i := range 60 {
-		// Their ends are spread, so that no two gaps join by themselves.
+		// The ends are spread, so that no two gaps open at the same time.
 		c.submit(1+i, "urgent", makeStep(1, 3000, time.Duration(1500+83*i)*time.Millisecond))
 	}
 	c.run(time.Second)
@@ -326,8 +312,8 @@
 	}
 }
 
-// TestReservedTaskOfACanceledJobDoesNotStart: room is being made for a task when
-// its job is canceled; when the room is there, nothing may start.
+// TestReservedTaskOfACanceledJobDoesNotStart checks that a task whose job is
+// canceled while room is being made for it is not started once the room is free.
 func TestReservedTaskOfACanceledJobDoesNotStart(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.run(200 * time.Millisecond)
@@ -348,12 +334,10 @@
 	}
 }
 
-// TestDeposedLeaderNotifiesItsDaemon
-//
-// Symptom: a daemon that had lost the lead kept its lease in the store, did
-// nothing, and never stood for the lead again. Events: the leader's key is taken
-// away while its lease lives on; another daemon leads; a worker refuses the old
-// one's order. Cause: the machine stopped before it told its daemon.
+// TestDeposedLeaderNotifiesItsDaemon guards against a machine that stops before it
+// notifies its daemon that a worker refused an order because another daemon leads.
+// The leader's key had been deleted while its lease was still valid; the daemon kept
+// the lease, did nothing, and never campaigned for the lead again.
 func TestDeposedLeaderNotifiesItsDaemon(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
@@ -366,20 +350,19 @@
 			deposed = true
 		case Note:
 		default:
-			t.Errorf("%T after the lead was lost", e)
+			t.Errorf("effect %T after the lead was lost", e)
 		}
 	}
 	if !deposed {
-		t.Error("the daemon is not told")
+		t.Error("the daemon is not notified")
 	}
 }
 
-// TestClaimedServingTaskIsCountedOnce
-//
-// Symptom: best-effort work was put beside serving tasks that it disturbs.
-// Events: a worker runs a serving task of a job that the new leader does not
-// know yet; the job comes, and the attempt ends. Cause: its end was taken off
-// the count of serving tasks, to which it had never been added.
+// TestClaimedServingTaskIsCountedOnce guards against a wrong count of serving tasks.
+// A worker runs a serving task of a job that the new leader does not know yet; the
+// job is recovered later, and the attempt ends. The end was subtracted from the
+// count although the attempt had never been added, so that best-effort work was
+// placed next to serving tasks that it disturbs.
 func TestClaimedServingTaskIsCountedOnce(t *testing.T) {
 	c := newCluster(t, 1, 1)
 	c.run(200 * time.Millisecond)
@@ -392,7 +375,7 @@
 	c.machine.Advance(c.now, c.wall)
 	w := c.machine.latestIncarnation("w000")
 	if w.servingTasks != 1 {
-		t.Errorf("%d serving tasks are counted, want the one that is being stopped", w.servingTasks)
+		t.Errorf("%d serving tasks are counted, want 1, which is being stopped", w.servingTasks)
 	}
 	for _, a := range w.attempts.All() {
 		c.machine.endAttempt(a, EndStopped, "")
--- a/core/jobsched/throttle_test.go
+++ b/core/jobsched/throttle_test.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// Best-effort work was slowed from 0.9 of the latency target on, which cost a
-// tenth of what all work is worth, for tails that harm nobody. It is slowed at
-// once when a tail is clearly above its target; when it stays a little above it,
-// within a second or two, well before the four that are allowed; and not below.
+// TestBestEffortWorkIsThrottledAboveTheLatencyTarget checks when best-effort work is
+// throttled: at once if a tail is clearly above its latency target, within a second
+// or two if it stays slightly above it, well before the four seconds that are
+// allowed, and never below it. Throttling from 0.9 of the target on cost a tenth of
+// the value of all work, for tails that harm no one.
 func TestBestEffortWorkIsThrottledAboveTheLatencyTarget(t *testing.T) {
 	tests := []struct {
 		name      string
@@ -17,8 +18,8 @@
 		throttled bool
 	}{
 		{"below", 97, 4 * time.Second, false},
-		{"a little above, at first", 103, 800 * time.Millisecond, false},
-		{"a little above for long", 103, 3 * time.Second, true},
+		{"slightly above, at first", 103, 800 * time.Millisecond, false},
+		{"slightly above for long", 103, 3 * time.Second, true},
 		{"clearly above", 120, 1200 * time.Millisecond, true},
 	}
 	for _, test := range tests {
@@ -41,7 +42,7 @@
 				}
 			}
 			if throttled != test.throttled {
-				t.Errorf("slowed %v after %s at %d%% of the target, want %v", throttled, test.after, test.tail, test.throttled)
+				t.Errorf("throttled: %v after %s at %d%% of the target, want %v", throttled, test.after, test.tail, test.throttled)
 			}
 		})
 	}
--- a/core/jobsched/window_test.go
+++ b/core/jobsched/window_test.go
@@ -5,13 +5,11 @@
 	"time"
 )
 
-// TestStartsInFlightAreBounded
-//
-// Symptom: a leader with an eighth of a core lost the lead every few seconds,
-// with "the store did not renew the lease", though the store was well. Events:
-// wide jobs come at once and hundreds of tasks fit; their orders, the answers and
-// the renewal of the lease wait for the processor together for longer than the
-// lease. Cause: nothing bounded how many starts were on their way.
+// TestStartsInFlightAreBounded guards against unbounded starts in flight. When wide
+// jobs arrive at once and hundreds of tasks fit, their orders, the responses and the
+// renewal of the leader's lease compete for the processor for longer than the lease.
+// A leader with an eighth of a core lost the lead every few seconds, with "the store
+// did not renew the lease", although the store was healthy.
 func TestStartsInFlightAreBounded(t *testing.T) {
 	const bound = 40
 	c := newCluster(t, 1, 120)
@@ -38,7 +36,7 @@
 		most = max(most, starting)
 	}
 	if most == 0 || most > bound {
-		t.Errorf("%d starts on their way at most, want 1 to %d", most, bound)
+		t.Errorf("at most %d starts were in flight, want 1 to %d", most, bound)
 	}
 	c.run(4 * time.Second)
 	if c.starts < 1600 {
