--- a/core/jobsched/busy_test.go
+++ b/core/jobsched/busy_test.go
@@ -148,8 +148,8 @@
 		c.submit(1000+i, "urgent", s)
 	}
 	c.run(5 * time.Second)
-	if c.slow.maxChecks > checkBound {
-		t.Errorf("a step made %d checks of workers, want at most %d", c.slow.maxChecks, checkBound)
+	if c.slow.maxChecks > maxStepChecks {
+		t.Errorf("a step made %d checks of workers, want at most %d", c.slow.maxChecks, maxStepChecks)
 	}
 }
 
@@ -179,8 +179,8 @@
 	c.run(2 * time.Second)
 	c.slow = newSlowLeader(t)
 	c.run(3 * time.Second)
-	if c.slow.maxChecks > checkBound {
-		t.Errorf("a step made %d checks of workers, want at most %d", c.slow.maxChecks, checkBound)
+	if c.slow.maxChecks > maxStepChecks {
+		t.Errorf("a step made %d checks of workers, want at most %d", c.slow.maxChecks, maxStepChecks)
 	}
 }
 
@@ -201,8 +201,8 @@
 	if took := c.now.Sub(canceledAt); took > cancelBound {
 		t.Errorf("the tasks of a canceled job ran on for %s, want at most %s", took, cancelBound)
 	}
-	if c.slow.maxChecks > checkBound {
-		t.Errorf("a step made %d checks of workers, want at most %d", c.slow.maxChecks, checkBound)
+	if c.slow.maxChecks > maxStepChecks {
+		t.Errorf("a step made %d checks of workers, want at most %d", c.slow.maxChecks, maxStepChecks)
 	}
 }
 
@@ -210,6 +210,6 @@
 	// cancelBound is a quarter of the time that the platform allows from a
 	// cancellation to the end of the tasks, since a takeover may happen in between.
 	cancelBound = 1100 * time.Millisecond
-	// checkBound corresponds to 160 ms on such a leader.
-	checkBound = 100_000
+	// maxStepChecks corresponds to 160 ms on such a leader.
+	maxStepChecks = 100_000
 )
