--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -147,9 +147,11 @@
 	epoch      model.Epoch
 	lease      time.Time
 	attempts   map[attemptKey]*fakeAttempt
-	barred     map[job.TaskKey]int
-	ended      []fakeEnd
-	number     int64
+	// barred holds, for each task, the highest attempt number that may not start any
+	// more.
+	barred map[job.TaskKey]int
+	ended  []fakeEnd
+	number int64
 	// failAll makes every attempt fail; freeze stops the progress of attempts.
 	failAll, freeze bool
 	// fault is the fault of its entry.
--- a/core/jobsched/crash_test.go
+++ b/core/jobsched/crash_test.go
@@ -101,9 +101,9 @@
 // the store.
 func TestCrashesCountOverLeaders(t *testing.T) {
 	disturbances := map[string]func(c *cluster){
-		"lost every second":                 func(c *cluster) { c.run(time.Second); c.replaceLeader() },
-		"lost every three seconds":          func(c *cluster) { c.run(3 * time.Second); c.replaceLeader() },
-		"handed over every second":          func(c *cluster) { c.run(time.Second); c.handOver() },
+		"lost each second":                  func(c *cluster) { c.run(time.Second); c.replaceLeader() },
+		"lost each three seconds":           func(c *cluster) { c.run(3 * time.Second); c.replaceLeader() },
+		"handed over each second":           func(c *cluster) { c.run(time.Second); c.handOver() },
 		"lost when the crash is noticed":    loseLeaderAtCrash,
 		"store unavailable for ten seconds": func(c *cluster) { c.storeDown = true; c.run(10 * time.Second); c.restoreStore(); c.run(time.Second) },
 		"all daemons lost, twice": func(c *cluster) {
--- a/core/jobsched/slowleader_test.go
+++ b/core/jobsched/slowleader_test.go
@@ -84,7 +84,7 @@
 //
 // On two such days, up to 18.5 s passed between "job canceled by its caller" and
 // "job canceled", and 27.9 s between "job accepted" and "job taken in", while "state
-// read" took 0.37 s and one worker of 350 was silent.
+// read" took 0.37 s and one worker of 350 was unreachable.
 func TestCancelIsTakenInBesideHundredsOfWaitingSteps(t *testing.T) {
 	for name, step := range map[string]func(i int) job.Step{
 		"steps that fit nowhere": func(i int) job.Step {
--- a/core/jobsched/takeover_test.go
+++ b/core/jobsched/takeover_test.go
@@ -301,7 +301,8 @@
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	for i := range 60 {
-		// The ends are spread, so that no two gaps open at the same time.
+		// The ends are spread, so that the room of several tasks does not become
+		// free at the same time and suffice without preemption.
 		c.submit(1+i, "urgent", makeStep(1, 3000, time.Duration(1500+83*i)*time.Millisecond))
 	}
 	c.run(time.Second)
