--- a/core/jobsched/cluster_test.go
+++ b/core/jobsched/cluster_test.go
@@ -127,11 +127,11 @@
 
 // fakeWorker behaves as the platform's contract requires.
 type fakeWorker struct {
-	c      *cluster
-	entry  WorkerEntry
-	listed bool
-	dead   bool
-	cutOff bool
+	c           *cluster
+	entry       WorkerEntry
+	listed      bool
+	dead        bool
+	partitioned bool
 	// oldCapacity is the capacity before resizedAt.
 	oldCapacity model.Resources
 	resizedAt   time.Time
@@ -497,7 +497,7 @@
 			c.sendEvent(m, resetDelay, func() Event { return event(VerdictUnknown) })
 			return
 		}
-		if left <= 0 || len(w.ended) > 0 && w.ended[len(w.ended)-1].Number > e.AckedEnds || w.dead || w.cutOff || w.successor != nil {
+		if left <= 0 || len(w.ended) > 0 && w.ended[len(w.ended)-1].Number > e.AckedEnds || w.dead || w.partitioned || w.successor != nil {
 			if m == c.machine {
 				c.deliverOrder(e.Order, act, event)
 			}
--- a/core/jobsched/fakeworker_test.go
+++ b/core/jobsched/fakeworker_test.go
@@ -157,7 +157,7 @@
 func (c *cluster) restartUnderSameID(w *fakeWorker) {
 	next := &fakeWorker{
 		c: c, entry: w.entry, listed: true, attempts: make(map[attemptKey]*fakeAttempt), barred: make(map[job.TaskKey]int),
-		clockAhead: otherClock - w.clockAhead, failAll: w.failAll, cutOff: w.cutOff,
+		clockAhead: otherClock - w.clockAhead, failAll: w.failAll, partitioned: w.partitioned,
 	}
 	next.entry.StartedMs = c.wall.UnixMilli()
 	if w.listed {
@@ -182,7 +182,7 @@
 	if w.successor != nil {
 		return w.successor.unreachable()
 	}
-	return w.dead || w.cutOff
+	return w.dead || w.partitioned
 }
 
 // crash ends the worker and everything that runs on it.
--- a/core/jobsched/handover_test.go
+++ b/core/jobsched/handover_test.go
@@ -106,7 +106,7 @@
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "urgent", longRunning(8, 2000))
 	c.run(time.Second)
-	c.workers["w002"].cutOff = true
+	c.workers["w002"].partitioned = true
 	c.replaceLeader()
 	taken := c.now
 	bound := c.machine.earlierLeasesEnd().Sub(taken)
@@ -147,7 +147,7 @@
 	steps := c.submit(2, "batch", makeStep(3, 1000, 300*time.Millisecond), makeStep(3, 1000, 300*time.Millisecond, 0))
 	c.run(100 * time.Millisecond)
 	cut := c.workers["w002"]
-	cut.cutOff = true
+	cut.partitioned = true
 	c.run(100 * time.Millisecond)
 	onCut := len(cut.attempts)
 	waiting := c.submit(3, "batch", makeStep(4, 1000, 300*time.Millisecond))
@@ -160,7 +160,7 @@
 		t.Errorf("a job without attempts on the unreachable worker is %s, want completed", s)
 	}
 	if onCut == 0 {
-		t.Fatal("nothing ran on the worker when it was cut off")
+		t.Fatal("nothing ran on the worker when it was partitioned")
 	}
 	c.run(20 * time.Second)
 	for _, id := range []job.ID{steps, waiting} {
@@ -183,7 +183,7 @@
 			c.run(200 * time.Millisecond)
 			id := c.submit(1, "urgent", longRunning(8, 2000))
 			c.run(time.Second)
-			c.workers["w002"].cutOff = true
+			c.workers["w002"].partitioned = true
 			cut := c.now
 			for c.now.Sub(cut) < 8*time.Second {
 				c.handOver()
--- a/core/jobsched/hold_test.go
+++ b/core/jobsched/hold_test.go
@@ -18,7 +18,7 @@
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "urgent", longRunning(6, 2000))
 	c.run(time.Second)
-	c.workers["w002"].cutOff = true
+	c.workers["w002"].partitioned = true
 	c.replaceLeader()
 	c.run(1500 * time.Millisecond)
 	if n := c.machine.UnansweredWorkers(); n != 1 {
--- a/core/jobsched/inherit_test.go
+++ b/core/jobsched/inherit_test.go
@@ -51,7 +51,7 @@
 	c.machine.latestIncarnation("w001").noStartsUntil = c.now.Add(2 * time.Second)
 	c.run(900 * time.Millisecond)
 	for k := range 2 {
-		c.workerRunning(job.TaskKey{Job: id, Occurrence: k}).cutOff = true
+		c.workerRunning(job.TaskKey{Job: id, Occurrence: k}).partitioned = true
 	}
 	c.run(100 * time.Millisecond)
 	c.handOverAfterCommit()
@@ -70,13 +70,13 @@
 	id := c.submit(1, "batch", makeStep(1, 1000, 600*time.Millisecond))
 	c.run(300 * time.Millisecond)
 	ran := c.workerRunning(job.TaskKey{Job: id})
-	ran.cutOff = true
+	ran.partitioned = true
 	c.run(time.Second)
 	c.damaged[id] = true
 	c.handOver()
 	c.run(25 * time.Second)
 	c.repair(id)
 	c.run(3 * time.Second)
-	ran.cutOff = false
+	ran.partitioned = false
 	c.run(3 * time.Second)
 }
--- a/core/jobsched/lostattempts_test.go
+++ b/core/jobsched/lostattempts_test.go
@@ -26,9 +26,9 @@
 // attempts had no result.
 func TestEndsOfASilentWorkerWithNothingLeftToRun(t *testing.T) {
 	c, id := shortTasks(t, 4)
-	c.workers["w001"].cutOff = true
+	c.workers["w001"].partitioned = true
 	c.run(8 * time.Second)
-	c.workers["w001"].cutOff = false
+	c.workers["w001"].partitioned = false
 	c.run(4 * time.Second)
 	if s := c.state(id); s != job.Completed {
 		t.Errorf("state %s, want completed", s)
@@ -57,12 +57,12 @@
 // then, and ends of other workers must still be acknowledged.
 func TestEndOfAnAttemptThatWasGivenUp(t *testing.T) {
 	c, id := shortTasks(t, 2)
-	c.workers["w001"].cutOff = true
+	c.workers["w001"].partitioned = true
 	c.run(25 * time.Second)
 	if s := c.state(id); s != job.Completed {
 		t.Fatalf("state %s while the worker is unreachable, want completed", s)
 	}
-	c.workers["w001"].cutOff = false
+	c.workers["w001"].partitioned = false
 	c.run(5 * time.Second)
 	if n := len(c.workers["w001"].ended); n == 0 {
 		t.Error("the ends of lost attempts are acknowledged")
@@ -75,15 +75,15 @@
 // voids all earlier results there.
 func TestEndsBehindALapseAreAcknowledged(t *testing.T) {
 	c, _ := shortTasks(t, 2)
-	c.workers["w001"].cutOff = true
+	c.workers["w001"].partitioned = true
 	c.run(25 * time.Second)
-	c.workers["w001"].cutOff = false
+	c.workers["w001"].partitioned = false
 	c.run(time.Second)
 	c.submit(2, "urgent", longRunning(4, 7000))
 	c.run(time.Second)
-	c.workers["w001"].cutOff = true
+	c.workers["w001"].partitioned = true
 	c.run(8 * time.Second)
-	c.workers["w001"].cutOff = false
+	c.workers["w001"].partitioned = false
 	c.run(3 * time.Second)
 	if n := len(c.workers["w001"].ended); n != 0 {
 		t.Errorf("%d ends are not acknowledged, want 0", n)
--- a/core/jobsched/property_test.go
+++ b/core/jobsched/property_test.go
@@ -223,7 +223,7 @@
 			c.addWorker(next)
 			next++
 		case 1:
-			w.cutOff = !w.cutOff
+			w.partitioned = !w.partitioned
 		case 2:
 			w.failAll = !w.failAll
 		case 3:
@@ -304,7 +304,7 @@
 	c.loseAnswers, c.delayOrders = 0, 0
 	c.restoreStore()
 	for _, w := range c.workers {
-		w.cutOff, w.failAll, w.freeze = false, false, false
+		w.partitioned, w.failAll, w.freeze = false, false, false
 		w.listed = !w.dead
 	}
 }
--- a/core/jobsched/restartrecord_test.go
+++ b/core/jobsched/restartrecord_test.go
@@ -45,9 +45,9 @@
 	worker := c.workerRunning(job.TaskKey{Job: id})
 	c.replaceLeader()
 	c.storeDelay = 0
-	worker.cutOff = true
+	worker.partitioned = true
 	c.run(8 * time.Second)
-	worker.cutOff = false
+	worker.partitioned = false
 	c.run(3 * time.Second)
 }
 
@@ -64,11 +64,11 @@
 	id := c.submit(1, "batch", makeStep(1, 1000, 600*time.Millisecond))
 	c.run(300 * time.Millisecond)
 	ran := c.workerRunning(job.TaskKey{Job: id})
-	ran.cutOff = true
+	ran.partitioned = true
 	c.run(time.Second)
 	c.rosterDamaged = true
 	c.replaceLeader()
 	c.run(12 * time.Second)
-	ran.cutOff = false
+	ran.partitioned = false
 	c.run(3 * time.Second)
 }
--- a/core/jobsched/roster_test.go
+++ b/core/jobsched/roster_test.go
@@ -19,10 +19,10 @@
 	c.workers["w001"].entry.Labels = append(c.workers["w001"].entry.Labels, "b")
 	c.run(200 * time.Millisecond)
 	silent := c.workers["w001"]
-	silent.cutOff = true
+	silent.partitioned = true
 	c.run(4 * time.Second)
 	c.storeDown = true
-	silent.cutOff = false
+	silent.partitioned = false
 	c.run(time.Second)
 	only := makeStep(1, 1000, 300*time.Millisecond)
 	only.Label = "b"
@@ -50,11 +50,11 @@
 	c.submit(1, "urgent", longRunning(4, 2000))
 	c.run(time.Second)
 	silent := c.workers["w001"]
-	silent.cutOff = true
+	silent.partitioned = true
 	c.replaceLeader()
 	c.run(1500 * time.Millisecond)
 	c.storeDown = true
-	silent.cutOff = false
+	silent.partitioned = false
 	lease, bound := silent.lease, c.machine.latestIncarnation("w001").leaseBound
 	for range 3 {
 		c.run(time.Second)
@@ -87,14 +87,14 @@
 	c.storeDown = true
 	c.run(time.Second)
 	for _, w := range c.workers {
-		w.cutOff = len(w.ended) > 0
+		w.partitioned = len(w.ended) > 0
 	}
-	c.workers["w004"].cutOff = false
+	c.workers["w004"].partitioned = false
 	c.storeDown = false
 	c.handOver()
 	c.run(3 * time.Second)
 	for _, w := range c.workers {
-		w.cutOff = false
+		w.partitioned = false
 	}
 	c.run(3 * time.Second)
 	if c.starts != tasks {
@@ -112,7 +112,7 @@
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "batch", makeStep(1, 1000, 30*time.Second))
 	c.run(time.Second)
-	c.workers["w000"].cutOff = true
+	c.workers["w000"].partitioned = true
 	c.run(20 * time.Second)
 	c.handOver()
 	key := job.TaskKey{Job: id}
--- a/core/jobsched/session_test.go
+++ b/core/jobsched/session_test.go
@@ -31,7 +31,7 @@
 	play("a job of two steps is submitted", time.Second)
 	serving := c.submit(2, "batch", longRunning(2, 2000))
 	play("a long-running job is submitted", time.Second)
-	c.workers[c.firstWorkerOf(serving)].cutOff = true
+	c.workers[c.firstWorkerOf(serving)].partitioned = true
 	play("a worker of it is cut off", 6*time.Second)
 	c.replaceLeader()
 	play("another daemon takes the lead", 2*time.Second)
--- a/core/jobsched/takeover_test.go
+++ b/core/jobsched/takeover_test.go
@@ -76,7 +76,7 @@
 	c.run(200 * time.Millisecond)
 	id := c.submit(1, "urgent", longRunning(8, 2000))
 	c.run(time.Second)
-	c.workers["w002"].cutOff = true
+	c.workers["w002"].partitioned = true
 	c.replaceLeader()
 	c.run(12 * time.Second)
 	if n := c.runningOf(id); n != 8 {
@@ -227,9 +227,9 @@
 	w.failAll = true
 	id := c.submit(1, "batch", makeStep(1, 1000, time.Second))
 	c.run(500 * time.Millisecond)
-	w.cutOff = true
+	w.partitioned = true
 	c.run(8 * time.Second)
-	w.cutOff, w.failAll = false, false
+	w.partitioned, w.failAll = false, false
 	c.run(100 * time.Millisecond)
 	for len(c.stored(id).Failed) == 0 && c.now.Sub(testEpoch) < 20*time.Second {
 		c.tick()
