--- a/adapter/etcdstore/etcdwire/refusal.go
+++ b/adapter/etcdstore/etcdwire/refusal.go
@@ -6,16 +6,18 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Kinds of refusal by the store that port does not name.
+// Kinds of errors returned by the store that package port does not define.
 const (
-	// KindRefused is a request the store rejects as wrong or not permitted:
-	// sending it again cannot help.
+	// KindRefused is a request that the store rejects as invalid or not
+	// permitted. Retrying it cannot succeed.
 	KindRefused port.StoreErrorKind = "refused by the store"
-	// KindOverloaded is the store's own rate limit.
+	// KindOverloaded is a call that failed because a resource is exhausted, for
+	// example because the store's rate limit or space quota was exceeded.
 	KindOverloaded port.StoreErrorKind = "refused by the store for its load"
 )
 
-// The published texts of the refusals that the packages tell apart.
+// Status texts of the etcd API that this package and its users distinguish or
+// send.
 const (
 	TextEmptyKey        = "etcdserver: key is not provided"
 	TextTooManyOps      = "etcdserver: too many operations in txn request"
@@ -28,7 +30,7 @@
 	TextNoSpace         = "etcdserver: mvcc: database space exceeded"
 )
 
-// Refusal is a gRPC status with which the store answered a call.
+// Refusal is a gRPC error status returned by the store for a call.
 type Refusal struct {
 	Code codes.Code
 	Text string
@@ -37,15 +39,15 @@
 // Error implements error.
 func (r *Refusal) Error() string { return r.Code.String() + ": " + r.Text }
 
-// Sort says what kind of failure a status is and whether it proves that the
-// call changed nothing.
+// Sort returns the kind of failure that the status represents and whether the
+// status proves that the call changed nothing.
 //
-// The proof holds only for statuses that the protocol gives before a proposal
-// or while checking one, never after it was applied. ResourceExhausted is no
-// proof by its code alone: a store over its space quota answers TextNoSpace to
-// a put that it has applied, and the client library uses the same code for an
-// answer too large to read. Taking either for a refusal would make a caller
-// repeat a change that was made.
+// notDone is true only for statuses that the protocol returns before a change
+// is proposed or while the proposal is validated, never after it was applied.
+// The code ResourceExhausted alone proves nothing: a store over its space quota
+// returns TextNoSpace for a put that it has applied, and the gRPC library uses
+// the same code for a response that is too large to read. Treating either as
+// not done would make a caller repeat a change that was made.
 func (r *Refusal) Sort() (kind port.StoreErrorKind, notDone bool) {
 	switch r.Code {
 	case codes.InvalidArgument:
--- a/adapter/etcdstore/etcdwire/translate.go
+++ b/adapter/etcdstore/etcdwire/translate.go
@@ -7,29 +7,31 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// allKeys, as both key and range end, selects every key.
+// allKeys selects every key when it is both the key and the range end.
 const allKeys = "\x00"
 
-// GetRequest reads one key.
+// GetRequest returns the request that reads one key.
 func GetRequest(key string) *etcdv3.RangeRequest {
 	return &etcdv3.RangeRequest{Key: []byte(key)}
 }
 
-// ListRequest reads all keys that begin with prefix.
+// ListRequest returns the request that reads all keys that begin with prefix.
 func ListRequest(prefix string) *etcdv3.RangeRequest {
 	key, end := PrefixRange(prefix)
 	return &etcdv3.RangeRequest{Key: key, RangeEnd: end}
 }
 
-// WatchRequest watches all keys that begin with prefix for changes after the
-// given revision.
+// WatchRequest returns the request that creates a watch on all keys that begin
+// with prefix. The watch reports the changes after the revision after, not
+// those of that revision.
 func WatchRequest(prefix string, after int64) *etcdv3.WatchRequest {
 	key, end := PrefixRange(prefix)
 	create := &etcdv3.WatchCreateRequest{Key: key, RangeEnd: end, StartRevision: after + 1}
 	return &etcdv3.WatchRequest{RequestUnion: &etcdv3.WatchRequest_CreateRequest{CreateRequest: create}}
 }
 
-// PrefixRange gives the key and range end that select a prefix.
+// PrefixRange returns the key and the range end (exclusive) that select all keys
+// that begin with prefix. An empty prefix selects every key.
 func PrefixRange(prefix string) (key, end []byte) {
 	if prefix == "" {
 		return []byte(allKeys), []byte(allKeys)
@@ -44,7 +46,8 @@
 	return []byte(prefix), []byte(allKeys)
 }
 
-// TxnRequest makes all changes if all conditions hold.
+// TxnRequest returns the transaction that makes all changes if all conditions
+// hold, and none otherwise.
 func TxnRequest(conditions []port.Condition, changes []port.Op) *etcdv3.TxnRequest {
 	req := &etcdv3.TxnRequest{
 		Compare: make([]*etcdv3.Compare, len(conditions)),
@@ -81,7 +84,8 @@
 	return &etcdv3.RequestOp{Request: &etcdv3.RequestOp_RequestPut{RequestPut: put}}
 }
 
-// LargestValue is the size in bytes of the largest value put by changes.
+// LargestValue returns the size in bytes of the largest value among changes, or
+// 0 if there is none.
 func LargestValue(changes []port.Op) int {
 	largest := 0
 	for i := range changes {
@@ -90,7 +94,7 @@
 	return largest
 }
 
-// KeyValue translates a stored key; nil is a key that does not exist.
+// KeyValue converts a stored key. It returns the zero KeyValue for nil.
 func KeyValue(kv *etcdv3.KeyValue) port.KeyValue {
 	return port.KeyValue{
 		Key:            string(kv.GetKey()),
@@ -101,7 +105,7 @@
 	}
 }
 
-// KeyValues translates the keys of an answer, in its order.
+// KeyValues converts the keys of a response and keeps their order.
 func KeyValues(kvs []*etcdv3.KeyValue) []port.KeyValue {
 	out := make([]port.KeyValue, len(kvs))
 	for i, kv := range kvs {
@@ -110,8 +114,8 @@
 	return out
 }
 
-// WatchEvent translates one change. The modification revision of a deleted key
-// is the revision of its deletion.
+// WatchEvent converts one change. For a deleted key, the protocol reports the
+// revision of the deletion as the key's modification revision.
 func WatchEvent(ev *etcdv3.Event) port.WatchEvent {
 	return port.WatchEvent{
 		KeyValue: KeyValue(ev.GetKv()),
@@ -120,8 +124,8 @@
 	}
 }
 
-// TTLSeconds is a lease time in the protocol's whole seconds, rounded up, so
-// that a lease never lasts less than was asked for.
+// TTLSeconds returns ttl in whole seconds, the protocol's unit. It rounds up, to
+// at least 1, so that a lease never lasts less than requested.
 func TTLSeconds(ttl time.Duration) int64 {
 	seconds := int64((ttl + time.Second - 1) / time.Second)
 	return max(seconds, 1)
