--- a/adapter/etcdstore/answer_test.go
+++ b/adapter/etcdstore/answer_test.go
@@ -14,7 +14,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// emptyKV answers with empty messages and knows no leases.
+// emptyKV is a server that returns empty messages and has no lease service.
 type emptyKV struct {
 	etcdv3.UnimplementedKVServer
 }
@@ -27,11 +27,9 @@
 	return &etcdv3.TxnResponse{Succeeded: true}, nil
 }
 
-// Symptom: after an answer from something that is not the store, a daemon
-// believes that its commit was made at revision 0.
-// Sequence: a proxy or another service answers a transaction with an empty
-// message.
-// Cause: a call without a status of failure was taken for done.
+// Guards against a commit reported as done at revision 0: a proxy or another
+// service returned an empty message for a transaction, and the adapter took
+// every call without an error status for done.
 func TestAnswersThatMakeNoSense(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/adapter/etcdstore/bench_test.go
+++ b/adapter/etcdstore/bench_test.go
@@ -22,7 +22,8 @@
 	return s
 }
 
-// reportRate adds calls a second, client and stand-in together.
+// reportRate reports calls per second. The time of a call includes that of the
+// stand-in store, which runs in the same process.
 func reportRate(b *testing.B) {
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "calls/s")
 }
--- a/adapter/etcdstore/budgeted.go
+++ b/adapter/etcdstore/budgeted.go
@@ -8,9 +8,9 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// BudgetedStore holds the calls to another store within a budget. A call that
-// is held back fails with StoreThrottled, certainly not done, and a
-// *storebudget.ThrottledError as its cause that says when to come again.
+// BudgetedStore limits the calls to another store to a budget. A call beyond the
+// budget fails with kind StoreThrottled and outcome OutcomeNotDone; its cause is
+// a *storebudget.ThrottledError with the earliest time of a retry.
 type BudgetedStore struct {
 	store port.Store
 	gate  *gate
@@ -18,23 +18,25 @@
 
 var _ port.Store = (*BudgetedStore)(nil)
 
-// Budgeted wraps a store that has no budget of its own. The budget must not be
-// used elsewhere.
+// Budgeted returns a BudgetedStore around a store without a budget. The budget
+// must not be used elsewhere.
 func Budgeted(store port.Store, budget *storebudget.Budget, clock port.Clock) *BudgetedStore {
 	return &BudgetedStore{store: store, gate: newGate(budget, clock)}
 }
 
-// WithRandom replaces the source of jitter, which must be safe for concurrent
-// use, and returns the store.
+// WithRandom replaces the random source of the jitter in retry times and returns
+// b. random must be safe for concurrent use.
 func (b *BudgetedStore) WithRandom(random func() uint64) *BudgetedStore {
 	b.gate.random = random
 	return b
 }
 
-// SetDaemons tells the budget how many daemons share the store.
+// SetDaemons sets the number of daemons that share the store, which the budget
+// depends on.
 func (b *BudgetedStore) SetDaemons(daemons int) { b.gate.setDaemons(daemons) }
 
-// budgeted makes one call within the budget.
+// budgeted runs do if the budget admits the call, and reports its result to the
+// budget.
 func budgeted[T any](ctx context.Context, g *gate, c *call, do func() (T, error)) (T, error) {
 	if err := g.admit(ctx, c); err != nil {
 		var none T
--- a/adapter/etcdstore/call.go
+++ b/adapter/etcdstore/call.go
@@ -8,7 +8,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// call is what the adapter knows of one of its methods.
+// call describes a method of port.Store: its name in errors and metrics, its
+// gRPC method, whether it can change the store, and its default budget class.
 type call struct {
 	name    string
 	method  string
@@ -16,8 +17,9 @@
 	class   storebudget.Class
 }
 
-// The calls. A lease's renewal is sent as a plain call although the method is
-// a stream: on the wire that is a stream of one request and one answer.
+// The calls of port.Store. A lease renewal is sent as a unary call although the
+// gRPC method is a stream: on the wire, a unary call is a stream of one request
+// and one response.
 var (
 	callGet   = &call{name: "Get", method: etcdv3.KV_Range_FullMethodName, class: storebudget.ClassRead}
 	callList  = &call{name: "List", method: etcdv3.KV_Range_FullMethodName, class: storebudget.ClassRead}
@@ -28,7 +30,8 @@
 	callWatch = &call{name: "Watch", method: etcdv3.Watch_Watch_FullMethodName, class: storebudget.ClassWatch}
 )
 
-// lostOutcome is what is known of the call when its answer was lost.
+// lostOutcome returns the outcome of a call that was sent but whose response was
+// lost: unknown for a mutating call, not done for a read.
 func (c *call) lostOutcome() port.Outcome {
 	if c.mutates {
 		return port.OutcomeUnknown
@@ -38,8 +41,8 @@
 
 type classKey struct{}
 
-// WithClass sets the budget's class of the calls made with the context, for
-// example storebudget.ClassPoll for a read that can wait.
+// WithClass returns a context whose calls use the given budget class instead of
+// their default one, for example storebudget.ClassPoll for a read that can wait.
 func WithClass(ctx context.Context, class storebudget.Class) context.Context {
 	return context.WithValue(ctx, classKey{}, class)
 }
@@ -53,8 +56,9 @@
 
 type freshKey struct{}
 
-// WithFreshConnection makes a call open a new connection, which later calls
-// then use. A poll made so finds what a watch on a silent connection missed.
+// WithFreshConnection returns a context whose calls each open a new connection,
+// which later calls then use. A poll with such a context finds the changes that
+// a watch on a silent connection missed.
 func WithFreshConnection(ctx context.Context) context.Context {
 	return context.WithValue(ctx, freshKey{}, true)
 }
--- a/adapter/etcdstore/classify.go
+++ b/adapter/etcdstore/classify.go
@@ -11,7 +11,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// AnswerError is an answer that the protocol does not allow.
+// AnswerError reports a response that violates the protocol, or the reason that
+// the store gave for canceling a watch.
 type AnswerError struct {
 	Reason string
 }
@@ -19,8 +20,8 @@
 // Error implements error.
 func (e *AnswerError) Error() string { return e.Reason }
 
-// classify turns a failed exchange into a StoreError. sent is whether the
-// call's message was handed to a connection.
+// classify converts the error of a failed exchange into a StoreError. sent
+// reports whether the call's message was passed to a connection.
 func classify(ctx context.Context, c *call, err error, sent bool) *port.StoreError {
 	failure := &port.StoreError{Call: c.name, Kind: port.StoreUnavailable, Outcome: c.lostOutcome(), Cause: err}
 	if !sent {
@@ -46,8 +47,9 @@
 	return errors.Is(ctx.Err(), context.Canceled)
 }
 
-// answered is whether err is the store's own word on the call, which shows
-// that the connection works.
+// answered reports whether err is a status returned by the store itself, which
+// proves that the connection works. Statuses that the gRPC library also creates
+// locally prove nothing.
 func answered(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.Canceled, codes.DeadlineExceeded, codes.Unknown, codes.Internal:
@@ -57,8 +59,8 @@
 	}
 }
 
-// badAnswer is a call that succeeded with an answer that makes no sense: what
-// it did is not known.
+// badAnswer returns the error of a call that succeeded with a malformed
+// response. The outcome of a mutating call is then unknown.
 func badAnswer(c *call, reason string) *port.StoreError {
 	return &port.StoreError{
 		Call: c.name, Kind: port.StoreMalformedResponse, Outcome: c.lostOutcome(),
--- a/adapter/etcdstore/connections.go
+++ b/adapter/etcdstore/connections.go
@@ -9,34 +9,38 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// ClosedError says that the Store was closed before the call.
+// ClosedError is the cause of the error of a call made after the Store was
+// closed.
 type ClosedError struct{}
 
 // Error implements error.
 func (ClosedError) Error() string { return "store client is closed" }
 
-// connection is one connection to the store and what is known of it. Its
-// fields are guarded by the mutex of connections.
+// connection is one connection to the store and its state. Its fields are
+// guarded by the mutex of connections.
 type connection struct {
 	cc     *grpc.ClientConn
 	opened time.Time
-	// answered is when a call or watch last heard from the store here.
+	// answered is when a call or a watch last received a response on the
+	// connection.
 	answered time.Time
-	// suspect is true after a timeout without any answer.
+	// suspect is true after a timeout without any response since the call
+	// began. The connection may be silent.
 	suspect bool
+	// retired is true once new calls no longer use the connection.
 	retired bool
-	// users counts the calls and watches that use the connection.
+	// users is the number of calls and watches that use the connection.
 	users int
 }
 
-// connections keeps the connection that new calls use and the retired ones
-// that still have users.
+// connections holds the current connection, which new calls use, and the retired
+// connections that are still in use.
 //
-// A connection can go silent for good while new ones work, because something
-// on its way has lost track of it. One notices that calls run out of time on
-// it and succeed on another. So a timeout moves later calls to a new
-// connection, and an answer there closes the suspected one at once, instead of
-// leaving its watches deaf until a ping fails.
+// A connection can go silent permanently while new ones work, because a
+// middlebox on its path has dropped its state. The sign is that calls time out
+// on it and succeed on another connection. Therefore a timeout moves later calls
+// to a new connection, and a response there closes the suspected connection at
+// once; otherwise its watches would receive nothing until a ping fails.
 type connections struct {
 	open           func() (*grpc.ClientConn, error)
 	clock          port.Clock
@@ -59,7 +63,8 @@
 	}
 }
 
-// acquire gives the current connection, or a new one.
+// acquire returns the current connection, or a new one if there is none or fresh
+// is true. The caller must release it.
 func (cs *connections) acquire(fresh bool) (*connection, error) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -117,8 +122,9 @@
 	_ = c.cc.Close()
 }
 
-// heard notes that the store answered on c. When c is the current connection,
-// the store works and the suspected ones are at fault.
+// heard records a response of the store on c. If c is the current connection,
+// the store works, so heard closes the retired connections that are suspected to
+// be silent.
 func (cs *connections) heard(c *connection) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -135,7 +141,8 @@
 	}
 }
 
-// timedOut notes that a call begun at started ran out of time on c.
+// timedOut records that a call that began at started timed out on c. A response
+// on c since then shows that the connection works, and the timeout is ignored.
 func (cs *connections) timedOut(c *connection, started time.Time) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/adapter/etcdstore/dial.go
+++ b/adapter/etcdstore/dial.go
@@ -11,8 +11,9 @@
 	"google.golang.org/grpc/keepalive"
 )
 
-// The pauses between attempts to connect. The library's own would grow to two
-// minutes, and a daemon would find the store back only that much later.
+// Backoff between attempts to connect. The gRPC library's default grows to two
+// minutes, which would delay a daemon's reconnection after a store outage by as
+// much.
 const (
 	connectPause    = 100 * time.Millisecond
 	maxConnectPause = 2 * time.Second
@@ -20,10 +21,11 @@
 	connectJitter   = 0.2
 )
 
-// passthrough keeps the library from resolving the address.
+// passthrough is the target scheme that keeps the gRPC library from resolving the
+// address.
 const passthrough = "passthrough:///"
 
-// dial makes a connection, which opens at its first call.
+// dial returns a client connection, which connects at its first call.
 func dial(o *Options) (*grpc.ClientConn, error) {
 	return grpc.NewClient(passthrough+o.Endpoint, dialOptions(o)...)
 }
@@ -42,8 +44,9 @@
 		grpc.WithConnectParams(connectParams(o)),
 		grpc.WithKeepaliveParams(pings(o)),
 		grpc.WithStatsHandler(sendObserver{}),
-		// An answer that the library finds too large is lost after the store
-		// has acted on the call. The store bounds its values itself.
+		// The gRPC library would discard a response over its size limit after
+		// the store has executed the call. The store limits the size of its
+		// values itself.
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(math.MaxInt32)),
 	}
 	if o.Dial != nil {
@@ -64,9 +67,10 @@
 	}
 }
 
-// pings finds connections that have gone silent. It leaves connections without
-// calls alone, because servers of this protocol break connections that ping
-// while they carry nothing; those are closed by IdleTime instead.
+// pings returns the keepalive parameters, which detect silent connections.
+// Connections without calls are not pinged, because servers of this protocol
+// close a connection that pings while it has no calls; IdleTime closes them
+// instead.
 func pings(o *Options) keepalive.ClientParameters {
 	return keepalive.ClientParameters{
 		Time:                o.PingTime,
--- a/adapter/etcdstore/gate.go
+++ b/adapter/etcdstore/gate.go
@@ -11,7 +11,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// gate asks a budget before each call. A nil gate lets everything through.
+// gate enforces a budget on calls. A nil gate admits every call.
 type gate struct {
 	clock  port.Clock
 	random func() uint64
@@ -27,7 +27,7 @@
 	return &gate{budget: b, clock: clock, random: rand.Uint64}
 }
 
-// admit refuses a call that the budget holds back.
+// admit returns a StoreThrottled error if the budget does not allow the call now.
 func (g *gate) admit(ctx context.Context, c *call) error {
 	if g == nil {
 		return nil
@@ -45,8 +45,8 @@
 	}
 }
 
-// observe reports the end of a call that was admitted. A call that its own
-// caller gave up says nothing about the store.
+// observe reports the result of an admitted call to the budget. It ignores a
+// call that was canceled by its caller, which shows nothing about the store.
 func (g *gate) observe(ctx context.Context, c *call, err error) {
 	if g == nil {
 		return
--- a/adapter/etcdstore/helper_test.go
+++ b/adapter/etcdstore/helper_test.go
@@ -11,7 +11,7 @@
 	"github.com/guavarill/guavarill/standin/store"
 )
 
-// patience is how long a test waits for something that must happen.
+// patience is the timeout for an event that must happen.
 const patience = 30 * time.Second
 
 func startServer(t testing.TB, o store.Options) (*store.Server, string) {
@@ -35,8 +35,8 @@
 	return s
 }
 
-// connect starts a stand-in and a store whose connection is already open and
-// does not ping.
+// connect starts a stand-in server and returns it with a store whose connection
+// is open and sends no pings.
 func connect(t testing.TB, timeout time.Duration) (*store.Server, *etcdstore.Store) {
 	t.Helper()
 	server, addr := startServer(t, store.Options{})
--- a/adapter/etcdstore/metrics.go
+++ b/adapter/etcdstore/metrics.go
@@ -11,10 +11,10 @@
 const metricsNamespace = "guavarill"
 const metricsSubsystem = "store"
 
-// kindOK is the kind label of a call without an error.
+// kindOK is the value of the kind label for a successful call.
 const kindOK = "ok"
 
-// metrics counts the calls to the store.
+// metrics holds the Prometheus metrics of calls, connections and watches.
 type metrics struct {
 	calls             *prometheus.CounterVec
 	connections       prometheus.Counter
--- a/adapter/etcdstore/options.go
+++ b/adapter/etcdstore/options.go
@@ -14,40 +14,43 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Options sets up a Store. Endpoint is required; other zero fields take their
-// defaults.
+// Options configures a Store. Endpoint is required; other zero fields have the
+// defaults below.
 type Options struct {
 	// Endpoint is the store's address, host:port with a numeric host.
 	Endpoint string
-	// CallTimeout bounds each call, and the opening of a watch.
+	// CallTimeout is the timeout of each call and of the creation of a watch.
 	CallTimeout time.Duration
-	// TLS, when not nil, is used towards the store.
+	// TLS, if not nil, is the TLS configuration of the connections. If it is
+	// nil, connections are not encrypted.
 	TLS *tls.Config
-	// Budget, when not nil, is asked before each call.
+	// Budget, if not nil, limits the rate of calls. A call beyond it fails with
+	// port.StoreThrottled and is not sent.
 	Budget *storebudget.Budget
-	// Clock is asked for the budget's and the connections' times.
+	// Clock provides the time for the budget and for the age of connections.
 	Clock port.Clock
-	// Registerer, when not nil, gets the counters.
+	// Registerer, if not nil, is where the metrics are registered.
 	Registerer prometheus.Registerer
-	// PingTime is how long a connection that carries calls or watches may be
-	// quiet before it is pinged, and PingTimeout how long the answer may take
-	// until the connection is broken. The library allows no PingTime below
-	// ten seconds.
+	// PingTime is how long a connection with calls or watches may receive
+	// nothing before it is pinged. PingTimeout is how long the response to a
+	// ping may take before the connection is closed. The gRPC library raises a
+	// PingTime below ten seconds to ten seconds.
 	PingTime    time.Duration
 	PingTimeout time.Duration
-	// IdleTime is how long a connection without calls and watches is kept. It
-	// is to be below the time after which middleboxes forget a connection.
+	// IdleTime is how long a connection without calls and watches stays open.
+	// It must be below the idle timeout of middleboxes, after which they drop
+	// the state of a connection.
 	IdleTime time.Duration
-	// ReconnectAfter is the least age at which a connection that ran into a
-	// timeout is replaced, so that a slow store is not dialled at each call.
+	// ReconnectAfter is the minimum age of a connection that is replaced after
+	// a timeout. It keeps calls to a slow store from each opening a connection.
 	ReconnectAfter time.Duration
-	// MaxRequestBytes bounds an encoded transaction.
+	// MaxRequestBytes is the maximum size of an encoded transaction, in bytes.
 	MaxRequestBytes int
-	// Dial, when not nil, opens the connections.
+	// Dial, if not nil, opens the connections instead of the default dialer.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// The defaults of Options.
+// Defaults of the fields of Options.
 const (
 	DefaultCallTimeout     = 2 * time.Second
 	DefaultPingTime        = 10 * time.Second
@@ -57,7 +60,7 @@
 	DefaultMaxRequestBytes = 3 << 19
 )
 
-// OptionError is an option that cannot be used.
+// OptionError reports an invalid option.
 type OptionError struct {
 	Option string
 	Reason string
--- a/adapter/etcdstore/property_test.go
+++ b/adapter/etcdstore/property_test.go
@@ -17,7 +17,7 @@
 	"github.com/guavarill/guavarill/standin/store"
 )
 
-// The property test's figures.
+// Parameters of the property test.
 const (
 	propertySeed  = 20260101
 	propertyRuns  = 200
@@ -25,7 +25,7 @@
 	propertyKeys  = 4
 )
 
-// fault is what happens to one transaction.
+// fault is the fault injected into one transaction.
 type fault int
 
 const (
@@ -60,7 +60,7 @@
 	})
 }
 
-// contents is the model: what the store holds, by key.
+// contents is the model of the store: the value of each key.
 type contents map[string]string
 
 func read(server *store.Server) (contents, map[string]int64) {
@@ -88,7 +88,7 @@
 	return []port.Condition{condition}, changes
 }
 
-// after is the contents if the changes are made.
+// after returns the contents with the changes applied.
 func (c contents) after(changes []port.Op) contents {
 	next := maps.Clone(c)
 	for _, op := range changes {
@@ -120,9 +120,10 @@
 	}
 }
 
-// cancelOnceUnanswered gives a call up as soon as it is certain that no answer
-// comes. Waiting for a timeout instead would let a busy machine run into it
-// before the call has arrived.
+// cancelOnceUnanswered cancels a call as soon as the server has withheld its
+// response or swallowed its request, so that no response can arrive. With a
+// timeout instead, a call on a busy machine could time out before it reaches the
+// server.
 func cancelOnceUnanswered(server *store.Server, cancel context.CancelFunc, done <-chan struct{}) <-chan struct{} {
 	settled := make(chan struct{})
 	go func() {
@@ -141,9 +142,10 @@
 	return settled
 }
 
-// recoverFrom ends what is left of a step's fault and opens a connection for
-// the next one. A call that was given up does not make the store leave a
-// silent connection.
+// recoverFrom clears the remaining effects of a step's fault and opens a new
+// connection for the next step. The new connection is necessary because a
+// canceled call, unlike a timeout, does not make the adapter replace a silent
+// connection.
 func recoverFrom(server *store.Server, s *etcdstore.Store) error {
 	server.Up()
 	server.ClearFaults()
@@ -151,11 +153,10 @@
 	return err
 }
 
-// Symptom: a change that was made is made again, or one that was not made is
-// taken as made.
-// Sequence: any transactions, with any of the faults at any of them.
-// Cause: the adapter said that a change was not made when it was, said that it
-// was made when it was not, or sent it twice.
+// Guards against a change that is made twice, or that is missing although it was
+// reported as done. Either happens if the adapter reports a change that was made
+// as not done, reports one that was not made as done, or sends a call twice. The
+// test runs random transactions, each with a random fault.
 func TestOutcomesAreHonest(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
 	parameters.MinSuccessfulTests = propertyRuns
@@ -165,7 +166,7 @@
 	properties.TestingRun(t)
 }
 
-// runSteps returns what went wrong, or an empty string.
+// runSteps returns a description of the first violation, or an empty string.
 func runSteps(steps []step) string {
 	server := store.New(store.Options{})
 	addr, err := server.Start()
@@ -236,8 +237,8 @@
 	return ""
 }
 
-// madeLater looks through all that ever happened for a change that was
-// reported as not made.
+// madeLater searches the store's whole history for a change that was reported as
+// not done, and returns a description of it, or an empty string.
 func madeLater(server *store.Server, refused map[string]bool) string {
 	events, err := server.Local().Watch(context.Background(), "k/", 0)
 	if err != nil {
--- a/adapter/etcdstore/sent.go
+++ b/adapter/etcdstore/sent.go
@@ -7,7 +7,7 @@
 	"google.golang.org/grpc/stats"
 )
 
-// sendRecord tells whether a call's message was handed to a connection.
+// sendRecord records whether a call's message was passed to a connection.
 type sendRecord struct {
 	sent atomic.Bool
 }
@@ -18,15 +18,15 @@
 	return context.WithValue(ctx, sendRecordKey{}, r)
 }
 
-// sendObserver marks a call's record when its message is handed to a
-// connection.
+// sendObserver is a gRPC stats handler that sets a call's sendRecord when its
+// message is passed to a connection.
 //
-// The status of a failed call does not say whether the call went out: refused
-// connections and broken ones both give Unavailable. To take every such status
-// for unknown would make a ledger read back after each refused connection; to
-// take it for not done would repeat changes that were made. The library
-// reports a message here after queueing it and before the call returns, so a
-// call without a report never reached the store.
+// The status of a failed call does not show whether the call was sent: refused
+// connections and broken ones both result in Unavailable. Reporting every such
+// status as unknown would make a ledger read its state back after each refused
+// connection; reporting it as not done would repeat changes that were made. The
+// gRPC library reports a message here after queueing it and before the call
+// returns, so a call without a report never reached the store.
 type sendObserver struct{}
 
 // TagRPC implements stats.Handler.
--- a/adapter/etcdstore/store.go
+++ b/adapter/etcdstore/store.go
@@ -12,8 +12,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Store is the platform's store over the etcd v3 gRPC API. It is safe for
-// concurrent use.
+// Store is a client of the platform's store that uses the etcd v3 gRPC API. It
+// is safe for concurrent use.
 type Store struct {
 	timeout         time.Duration
 	maxRequestBytes int
@@ -25,8 +25,8 @@
 
 var _ port.Store = (*Store)(nil)
 
-// New makes a Store. It opens no connection before the first call. An error is
-// an *OptionError.
+// New returns a Store, which opens no connection before the first call. Any
+// error is an *OptionError.
 func New(o Options) (*Store, error) {
 	o = o.withDefaults()
 	if err := o.check(); err != nil {
@@ -46,14 +46,16 @@
 	}, nil
 }
 
-// Close breaks all connections and with them all watches and calls in flight.
+// Close closes all connections, which ends all watches and fails the calls in
+// flight. Later calls fail with ClosedError as the cause.
 func (s *Store) Close() { s.conns.close() }
 
-// Reconnect makes the next call use a new connection. Calls and watches on the
-// old one go on.
+// Reconnect makes the next call open a new connection. Calls and watches on the
+// old connection continue.
 func (s *Store) Reconnect() { s.conns.reconnect() }
 
-// SetDaemons tells the budget how many daemons share the store.
+// SetDaemons sets the number of daemons that share the store, which the budget
+// depends on.
 func (s *Store) SetDaemons(daemons int) { s.gate.setDaemons(daemons) }
 
 // Get implements port.Store.
@@ -100,12 +102,13 @@
 	return port.TxnResult{Succeeded: resp.GetSucceeded(), Revision: revision}, nil
 }
 
-// noRevision is the fault of an answer without the store's revision. Taken as
-// it is, it would make epochs and watches start over from zero.
+// noRevision is the reason for rejecting a response without the store's
+// revision. Accepting it would restart epochs and watches from revision 0.
 const noRevision = "the answer has no revision"
 
-// tooLarge is checked before sending, because a server may cut a request off
-// with a status that does not prove that nothing was done.
+// tooLarge reports whether a transaction exceeds the size limits. It is checked
+// before sending, because a server may reject an oversized request with a status
+// that does not prove that nothing was done.
 func (s *Store) tooLarge(req *etcdv3.TxnRequest, changes []port.Op) bool {
 	if etcdwire.LargestValue(changes) > port.MaxValueBytes {
 		return true
@@ -113,8 +116,8 @@
 	return proto.Size(req) > s.maxRequestBytes
 }
 
-// GrantLease implements port.Store. The protocol counts whole seconds; ttl is
-// rounded up.
+// GrantLease implements port.Store. It rounds ttl up to whole seconds, the
+// protocol's unit.
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (port.LeaseID, error) {
 	req := &etcdv3.LeaseGrantRequest{TTL: etcdwire.TTLSeconds(ttl)}
 	resp := new(etcdv3.LeaseGrantResponse)
@@ -147,7 +150,8 @@
 	return s.invoke(ctx, callEnd, &etcdv3.LeaseRevokeRequest{ID: int64(id)}, new(etcdv3.LeaseRevokeResponse))
 }
 
-// invoke makes one counted call within the budget.
+// invoke makes one call if the budget admits it, and counts it in the metrics
+// and the budget.
 func (s *Store) invoke(ctx context.Context, c *call, req, resp proto.Message) error {
 	if err := s.gate.admit(ctx, c); err != nil {
 		s.metrics.count(c.name, err)
@@ -159,7 +163,7 @@
 	return err
 }
 
-// exchange sends a request and waits for its answer.
+// exchange sends a request and waits for its response until the call timeout.
 func (s *Store) exchange(ctx context.Context, c *call, req, resp proto.Message) error {
 	conn, err := s.conns.acquire(wantsFresh(ctx))
 	if err != nil {
--- a/adapter/etcdstore/store_test.go
+++ b/adapter/etcdstore/store_test.go
@@ -15,8 +15,8 @@
 	"github.com/guavarill/guavarill/standin/store"
 )
 
-// shortTimeout is for calls that are to run into it, and long enough for the
-// others of the same test.
+// shortTimeout is the timeout in tests whose calls must time out. It is long
+// enough for the other calls of the same test to succeed.
 const shortTimeout = 2 * time.Second
 
 func TestCallsCarryTheContents(t *testing.T) {
@@ -83,9 +83,9 @@
 	}
 }
 
-// Symptom: a slow store makes a change that was reported as failed.
-// Sequence: the call times out; the store goes on with it and makes the change.
-// Cause: a timeout proves nothing.
+// Guards against a change that a slow store makes after it was reported as not
+// done: the call times out, but the store continues to process it. A timeout
+// therefore leaves the outcome unknown.
 func TestSlowChangeIsMadeAfterItsTimeout(t *testing.T) {
 	t.Parallel()
 	server, s := connect(t, shortTimeout)
@@ -146,9 +146,9 @@
 	})
 }
 
-// Symptom: a call's caller is told that nothing was done, and it was.
-// Sequence: the caller gives up while its call is at the store.
-// Cause: giving up was taken for not having sent.
+// Guards against reporting a change that was made as not done: the caller
+// cancels while the store processes the call, and the adapter takes a canceled
+// call for one that was never sent.
 func TestCallGivenUpWhileAtTheStoreIsUnknown(t *testing.T) {
 	server, s := connect(t, patience)
 	server.LoseAnswer(1, store.LossHang)
--- a/adapter/etcdstore/watch.go
+++ b/adapter/etcdstore/watch.go
@@ -13,7 +13,7 @@
 
 type watchStream = grpc.BidiStreamingClient[etcdv3.WatchRequest, etcdv3.WatchResponse]
 
-// watch is one open watch: one stream with one watch on it.
+// watch is one open watch. Each watch has its own gRPC stream.
 type watch struct {
 	store  *Store
 	conn   *connection
@@ -22,8 +22,8 @@
 	events chan port.WatchEvent
 }
 
-// Watch implements port.Store. The channel is closed after the watch's last
-// event: at once when ctx ends, after an event with Err when the watch breaks.
+// Watch implements port.Store. The channel is closed when the watch ends: without
+// a further event if ctx ended, and after an event with Err if the watch failed.
 func (s *Store) Watch(ctx context.Context, prefix string, after int64) (<-chan port.WatchEvent, error) {
 	if err := s.gate.admit(ctx, callWatch); err != nil {
 		s.metrics.count(callWatch.name, err)
@@ -63,7 +63,7 @@
 	return nil, failure
 }
 
-// create asks for the watch and waits until the store has it.
+// create requests the watch and waits until the store confirms it.
 func (w *watch) create(ctx context.Context, prefix string, after int64) error {
 	stream, err := etcdv3.NewWatchClient(w.conn.cc).Watch(ctx)
 	if err != nil {
@@ -101,7 +101,9 @@
 	}
 }
 
-// canceledWatch is the store's own end of a watch.
+// canceledWatch returns the error of a watch that the store canceled: its kind is
+// StoreCompacted if the watch's revision was compacted, otherwise
+// StoreWatchBroken.
 func canceledWatch(resp *etcdv3.WatchResponse) *port.StoreError {
 	failure := &port.StoreError{Call: callWatch.name, Kind: port.StoreWatchBroken, Outcome: port.OutcomeNotDone}
 	if resp.GetCompactRevision() > 0 {
@@ -113,7 +115,7 @@
 	return failure
 }
 
-// run passes events on until the watch ends.
+// run delivers events until the watch ends.
 func (w *watch) run(ctx context.Context) {
 	defer close(w.events)
 	defer w.store.metrics.watches.Dec()
@@ -146,7 +148,7 @@
 	}
 }
 
-// deliver hands over one event; false means that nobody wants it any more.
+// deliver sends one event to the channel. It returns false if ctx ended first.
 func (w *watch) deliver(ctx context.Context, ev port.WatchEvent) bool {
 	select {
 	case w.events <- ev:
--- a/adapter/etcdstore/watch_test.go
+++ b/adapter/etcdstore/watch_test.go
@@ -31,7 +31,7 @@
 	return result.Revision
 }
 
-// wantEnd reads events until the watch's end.
+// wantEnd reads events until the watch ends and checks the kind of its error.
 func wantEnd(t *testing.T, events <-chan port.WatchEvent, kind port.StoreErrorKind) {
 	t.Helper()
 	for {
@@ -118,11 +118,10 @@
 	}
 }
 
-// Symptom: all calls of a daemon time out although the store works, and a
-// watch tells nothing any more.
-// Sequence: something between the two ends loses track of the connection;
-// calls on it go nowhere, nobody closes it.
-// Cause: later calls kept to the silent connection.
+// Guards against a daemon whose calls all time out, and whose watch receives
+// nothing, although the store works: a middlebox drops the state of the
+// connection without closing it, and later calls continue to use the silent
+// connection.
 func TestCallsLeaveSilentConnection(t *testing.T) {
 	t.Parallel()
 	server, s := connect(t, shortTimeout)
@@ -137,9 +136,9 @@
 	wantEnd(t, events, port.StoreWatchBroken)
 }
 
-// Symptom: a daemon follows its configuration no more and does not know it.
-// Sequence: the connection that carries only a watch goes silent.
-// Cause: nothing was sent on it that could have failed to be answered.
+// Guards against a daemon that misses configuration changes without an error: a
+// connection with only a watch goes silent, and nothing is sent on it whose
+// missing response would reveal that.
 func TestPingsFindSilentWatch(t *testing.T) {
 	t.Parallel()
 	server, addr := startServer(t, store.Options{})
@@ -149,9 +148,8 @@
 	wantEnd(t, events, port.StoreWatchBroken)
 }
 
-// Symptom: a poll does not see what a silent watch missed.
-// Sequence: the connection goes silent; a poll is made on it and times out.
-// Cause: the poll was made on the connection that it was to check.
+// Guards against a poll that does not find the changes a silent watch missed: the
+// poll uses the same silent connection as the watch and times out.
 func TestPollOnFreshConnection(t *testing.T) {
 	server, s := connect(t, patience)
 	server.SilenceConnections()
