--- a/adapter/etcdstore/classify.go
+++ b/adapter/etcdstore/classify.go
@@ -35,7 +35,7 @@
 	if !ok {
 		return failure
 	}
-	kind, notDone := (&etcdwire.Refusal{Code: st.Code(), Text: st.Message()}).Sort()
+	kind, notDone := (&etcdwire.Refusal{Code: st.Code(), Text: st.Message()}).Classify()
 	failure.Kind = kind
 	if notDone {
 		failure.Outcome = port.OutcomeNotDone
--- a/adapter/etcdstore/etcdwire/etcdwire_test.go
+++ b/adapter/etcdstore/etcdwire/etcdwire_test.go
@@ -28,7 +28,7 @@
 		{codes.Unknown, "", port.StoreUnavailable, false},
 	}
 	for _, c := range cases {
-		kind, notDone := (&Refusal{Code: c.code, Text: c.text}).Sort()
+		kind, notDone := (&Refusal{Code: c.code, Text: c.text}).Classify()
 		if kind != c.kind || notDone != c.notDone {
 			t.Errorf("%s %q: %q, not done %v", c.code, c.text, kind, notDone)
 		}
--- a/adapter/etcdstore/etcdwire/refusal.go
+++ b/adapter/etcdstore/etcdwire/refusal.go
@@ -39,7 +39,7 @@
 // Error implements error.
 func (r *Refusal) Error() string { return r.Code.String() + ": " + r.Text }
 
-// Sort returns the kind of failure that the status represents and whether the
+// Classify returns the kind of failure that the status represents and whether the
 // status proves that the call changed nothing.
 //
 // notDone is true only for statuses that the protocol returns before a change
@@ -48,7 +48,7 @@
 // returns TextNoSpace for a put that it has applied, and the gRPC library uses
 // the same code for a response that is too large to read. Treating either as
 // not done would make a caller repeat a change that was made.
-func (r *Refusal) Sort() (kind port.StoreErrorKind, notDone bool) {
+func (r *Refusal) Classify() (kind port.StoreErrorKind, notDone bool) {
 	switch r.Code {
 	case codes.InvalidArgument:
 		return invalidArgumentKind(r.Text), true
--- a/standin/store/local.go
+++ b/standin/store/local.go
@@ -91,7 +91,7 @@
 	if !errors.As(err, &refusal) {
 		return err
 	}
-	kind, notDone := refusal.Sort()
+	kind, notDone := refusal.Classify()
 	outcome := port.OutcomeNotDone
 	if c.method.Mutates() && !notDone {
 		outcome = port.OutcomeUnknown
