--- a/adapter/etcdstore/classify.go
+++ b/adapter/etcdstore/classify.go
@@ -11,14 +11,14 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// AnswerError reports a response that violates the protocol, or the reason that
+// ResponseError reports a response that violates the protocol, or the reason that
 // the store gave for canceling a watch.
-type AnswerError struct {
+type ResponseError struct {
 	Reason string
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string { return e.Reason }
+func (e *ResponseError) Error() string { return e.Reason }
 
 // classify converts the error of a failed exchange into a StoreError. sent
 // reports whether the call's message was passed to a connection.
@@ -64,6 +64,6 @@
 func badAnswer(c *call, reason string) *port.StoreError {
 	return &port.StoreError{
 		Call: c.name, Kind: port.StoreMalformedResponse, Outcome: c.lostOutcome(),
-		Cause: &AnswerError{Reason: reason},
+		Cause: &ResponseError{Reason: reason},
 	}
 }
--- a/adapter/etcdstore/watch.go
+++ b/adapter/etcdstore/watch.go
@@ -79,7 +79,7 @@
 		return err
 	}
 	if !resp.GetCreated() {
-		return &AnswerError{Reason: "the first answer does not create the watch"}
+		return &ResponseError{Reason: "the first answer does not create the watch"}
 	}
 	if resp.GetCanceled() {
 		return canceledWatch(resp)
@@ -94,7 +94,7 @@
 	switch failure := err.(type) {
 	case *port.StoreError:
 		return failure
-	case *AnswerError:
+	case *ResponseError:
 		return badAnswer(callWatch, failure.Reason)
 	default:
 		return classify(ctx, callWatch, err, true)
@@ -110,7 +110,7 @@
 		failure.Kind = port.StoreCompacted
 	}
 	if resp.GetCancelReason() != "" {
-		failure.Cause = &AnswerError{Reason: resp.GetCancelReason()}
+		failure.Cause = &ResponseError{Reason: resp.GetCancelReason()}
 	}
 	return failure
 }
