--- a/adapter/etcdstore/answer_test.go
+++ b/adapter/etcdstore/answer_test.go
@@ -30,7 +30,7 @@
 // Guards against a commit reported as done at revision 0: a proxy or another
 // service returned an empty message for a transaction, and the adapter took
 // every call without an error status for done.
-func TestAnswersThatMakeNoSense(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -39,7 +39,7 @@
 	etcdv3.RegisterKVServer(server, emptyKV{})
 	go func() { _ = server.Serve(inner) }()
 	t.Cleanup(server.Stop)
-	s := newStore(t, etcdstore.Options{Endpoint: inner.Addr().String(), CallTimeout: patience})
+	s := newStore(t, etcdstore.Options{Endpoint: inner.Addr().String(), CallTimeout: waitTimeout})
 	ctx := context.Background()
 	_, err = s.Txn(ctx, nil, put("k", "v"))
 	wantFailure(t, err, port.StoreMalformedResponse, port.OutcomeUnknown)
--- a/adapter/etcdstore/budgeted.go
+++ b/adapter/etcdstore/budgeted.go
@@ -74,21 +74,21 @@
 
 // GrantLease implements port.Store.
 func (b *BudgetedStore) GrantLease(ctx context.Context, ttl time.Duration) (port.LeaseID, error) {
-	return budgeted(ctx, b.gate, callGrant, func() (port.LeaseID, error) {
+	return budgeted(ctx, b.gate, callGrantLease, func() (port.LeaseID, error) {
 		return b.store.GrantLease(ctx, ttl)
 	})
 }
 
 // KeepAlive implements port.Store.
 func (b *BudgetedStore) KeepAlive(ctx context.Context, id port.LeaseID) (time.Duration, error) {
-	return budgeted(ctx, b.gate, callRenew, func() (time.Duration, error) {
+	return budgeted(ctx, b.gate, callKeepAlive, func() (time.Duration, error) {
 		return b.store.KeepAlive(ctx, id)
 	})
 }
 
 // RevokeLease implements port.Store.
 func (b *BudgetedStore) RevokeLease(ctx context.Context, id port.LeaseID) error {
-	_, err := budgeted(ctx, b.gate, callEnd, func() (struct{}, error) {
+	_, err := budgeted(ctx, b.gate, callRevokeLease, func() (struct{}, error) {
 		return struct{}{}, b.store.RevokeLease(ctx, id)
 	})
 	return err
--- a/adapter/etcdstore/budgeted_test.go
+++ b/adapter/etcdstore/budgeted_test.go
@@ -93,7 +93,7 @@
 func TestStoreKeepsToTheBudgetOfItsOptions(t *testing.T) {
 	server, addr := startServer(t, store.Options{})
 	budget := storebudget.New(time.Now(), storebudget.Options{Daemons: 1000, StoreReads: 1, MinReads: 0.001})
-	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: patience, Budget: budget})
+	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: waitTimeout, Budget: budget})
 	poll := etcdstore.WithClass(context.Background(), storebudget.ClassPoll)
 	var err error
 	sent := 0
--- a/adapter/etcdstore/call.go
+++ b/adapter/etcdstore/call.go
@@ -21,18 +21,18 @@
 // gRPC method is a stream: on the wire, a unary call is a stream of one request
 // and one response.
 var (
-	callGet   = &call{name: "Get", method: etcdv3.KV_Range_FullMethodName, class: storebudget.ClassRead}
-	callList  = &call{name: "List", method: etcdv3.KV_Range_FullMethodName, class: storebudget.ClassRead}
-	callTxn   = &call{name: "Txn", method: etcdv3.KV_Txn_FullMethodName, mutates: true, class: storebudget.ClassCommit}
-	callGrant = &call{name: "GrantLease", method: etcdv3.Lease_LeaseGrant_FullMethodName, mutates: true, class: storebudget.ClassLease}
-	callRenew = &call{name: "KeepAlive", method: etcdv3.Lease_LeaseKeepAlive_FullMethodName, mutates: true, class: storebudget.ClassLease}
-	callEnd   = &call{name: "RevokeLease", method: etcdv3.Lease_LeaseRevoke_FullMethodName, mutates: true, class: storebudget.ClassLease}
-	callWatch = &call{name: "Watch", method: etcdv3.Watch_Watch_FullMethodName, class: storebudget.ClassWatch}
+	callGet         = &call{name: "Get", method: etcdv3.KV_Range_FullMethodName, class: storebudget.ClassRead}
+	callList        = &call{name: "List", method: etcdv3.KV_Range_FullMethodName, class: storebudget.ClassRead}
+	callTxn         = &call{name: "Txn", method: etcdv3.KV_Txn_FullMethodName, mutates: true, class: storebudget.ClassCommit}
+	callGrantLease  = &call{name: "GrantLease", method: etcdv3.Lease_LeaseGrant_FullMethodName, mutates: true, class: storebudget.ClassLease}
+	callKeepAlive   = &call{name: "KeepAlive", method: etcdv3.Lease_LeaseKeepAlive_FullMethodName, mutates: true, class: storebudget.ClassLease}
+	callRevokeLease = &call{name: "RevokeLease", method: etcdv3.Lease_LeaseRevoke_FullMethodName, mutates: true, class: storebudget.ClassLease}
+	callWatch       = &call{name: "Watch", method: etcdv3.Watch_Watch_FullMethodName, class: storebudget.ClassWatch}
 )
 
-// lostOutcome returns the outcome of a call that was sent but whose response was
+// outcomeWithoutResponse returns the outcome of a call that was sent but whose response was
 // lost: unknown for a mutating call, not done for a read.
-func (c *call) lostOutcome() port.Outcome {
+func (c *call) outcomeWithoutResponse() port.Outcome {
 	if c.mutates {
 		return port.OutcomeUnknown
 	}
@@ -63,7 +63,7 @@
 	return context.WithValue(ctx, freshKey{}, true)
 }
 
-func wantsFresh(ctx context.Context) bool {
+func wantsFreshConnection(ctx context.Context) bool {
 	fresh, _ := ctx.Value(freshKey{}).(bool)
 	return fresh
 }
--- a/adapter/etcdstore/classify.go
+++ b/adapter/etcdstore/classify.go
@@ -23,7 +23,7 @@
 // classify converts the error of a failed exchange into a StoreError. sent
 // reports whether the call's message was passed to a connection.
 func classify(ctx context.Context, c *call, err error, sent bool) *port.StoreError {
-	failure := &port.StoreError{Call: c.name, Kind: port.StoreUnavailable, Outcome: c.lostOutcome(), Cause: err}
+	failure := &port.StoreError{Call: c.name, Kind: port.StoreUnavailable, Outcome: c.outcomeWithoutResponse(), Cause: err}
 	if !sent {
 		failure.Outcome = port.OutcomeNotDone
 	}
@@ -47,10 +47,10 @@
 	return errors.Is(ctx.Err(), context.Canceled)
 }
 
-// answered reports whether err is a status returned by the store itself, which
+// isStoreResponse reports whether err is a status returned by the store itself, which
 // proves that the connection works. Statuses that the gRPC library also creates
 // locally prove nothing.
-func answered(err error) bool {
+func isStoreResponse(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.Canceled, codes.DeadlineExceeded, codes.Unknown, codes.Internal:
 		return false
@@ -59,11 +59,11 @@
 	}
 }
 
-// badAnswer returns the error of a call that succeeded with a malformed
+// malformedResponse returns the error of a call that succeeded with a malformed
 // response. The outcome of a mutating call is then unknown.
-func badAnswer(c *call, reason string) *port.StoreError {
+func malformedResponse(c *call, reason string) *port.StoreError {
 	return &port.StoreError{
-		Call: c.name, Kind: port.StoreMalformedResponse, Outcome: c.lostOutcome(),
+		Call: c.name, Kind: port.StoreMalformedResponse, Outcome: c.outcomeWithoutResponse(),
 		Cause: &ResponseError{Reason: reason},
 	}
 }
--- a/adapter/etcdstore/connections.go
+++ b/adapter/etcdstore/connections.go
@@ -21,9 +21,9 @@
 type connection struct {
 	cc     *grpc.ClientConn
 	opened time.Time
-	// answered is when a call or a watch last received a response on the
+	// lastResponse is when a call or a watch last received a response on the
 	// connection.
-	answered time.Time
+	lastResponse time.Time
 	// suspect is true after a timeout without any response since the call
 	// began. The connection may be silent.
 	suspect bool
@@ -122,13 +122,13 @@
 	_ = c.cc.Close()
 }
 
-// heard records a response of the store on c. If c is the current connection,
-// the store works, so heard closes the retired connections that are suspected to
+// recordResponse records a response of the store on c. If c is the current connection,
+// the store works, so recordResponse closes the retired connections that are suspected to
 // be silent.
-func (cs *connections) heard(c *connection) {
+func (cs *connections) recordResponse(c *connection) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	c.answered = cs.clock.Now()
+	c.lastResponse = cs.clock.Now()
 	c.suspect = false
 	if c != cs.current || len(cs.retired) == 0 {
 		return
@@ -141,12 +141,12 @@
 	}
 }
 
-// timedOut records that a call that began at started timed out on c. A response
+// recordTimeout records that a call that began at started timed out on c. A response
 // on c since then shows that the connection works, and the timeout is ignored.
-func (cs *connections) timedOut(c *connection, started time.Time) {
+func (cs *connections) recordTimeout(c *connection, started time.Time) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
-	if c.answered.After(started) {
+	if c.lastResponse.After(started) {
 		return
 	}
 	c.suspect = true
--- a/adapter/etcdstore/dial.go
+++ b/adapter/etcdstore/dial.go
@@ -15,19 +15,19 @@
 // minutes, which would delay a daemon's reconnection after a store outage by as
 // much.
 const (
-	connectPause    = 100 * time.Millisecond
-	maxConnectPause = 2 * time.Second
-	connectGrowth   = 1.6
-	connectJitter   = 0.2
+	connectBaseDelay  = 100 * time.Millisecond
+	connectMaxDelay   = 2 * time.Second
+	connectMultiplier = 1.6
+	connectJitter     = 0.2
 )
 
-// passthrough is the target scheme that keeps the gRPC library from resolving the
+// passthroughScheme is the target scheme that keeps the gRPC library from resolving the
 // address.
-const passthrough = "passthrough:///"
+const passthroughScheme = "passthrough:///"
 
 // dial returns a client connection, which connects at its first call.
 func dial(o *Options) (*grpc.ClientConn, error) {
-	return grpc.NewClient(passthrough+o.Endpoint, dialOptions(o)...)
+	return grpc.NewClient(passthroughScheme+o.Endpoint, dialOptions(o)...)
 }
 
 func dialOptions(o *Options) []grpc.DialOption {
@@ -42,8 +42,8 @@
 		grpc.WithNoProxy(),
 		grpc.WithIdleTimeout(o.IdleTime),
 		grpc.WithConnectParams(connectParams(o)),
-		grpc.WithKeepaliveParams(pings(o)),
-		grpc.WithStatsHandler(sendObserver{}),
+		grpc.WithKeepaliveParams(keepaliveParams(o)),
+		grpc.WithStatsHandler(sendStatsHandler{}),
 		// The gRPC library would discard a response over its size limit after
 		// the store has executed the call. The store limits the size of its
 		// values itself.
@@ -58,20 +58,20 @@
 func connectParams(o *Options) grpc.ConnectParams {
 	return grpc.ConnectParams{
 		Backoff: backoff.Config{
-			BaseDelay:  connectPause,
-			Multiplier: connectGrowth,
+			BaseDelay:  connectBaseDelay,
+			Multiplier: connectMultiplier,
 			Jitter:     connectJitter,
-			MaxDelay:   maxConnectPause,
+			MaxDelay:   connectMaxDelay,
 		},
 		MinConnectTimeout: o.CallTimeout,
 	}
 }
 
-// pings returns the keepalive parameters, which detect silent connections.
+// keepaliveParams returns the keepalive parameters, which detect silent connections.
 // Connections without calls are not pinged, because servers of this protocol
-// close a connection that pings while it has no calls; IdleTime closes them
+// close a connection that keepaliveParams while it has no calls; IdleTime closes them
 // instead.
-func pings(o *Options) keepalive.ClientParameters {
+func keepaliveParams(o *Options) keepalive.ClientParameters {
 	return keepalive.ClientParameters{
 		Time:                o.PingTime,
 		Timeout:             o.PingTimeout,
--- a/adapter/etcdstore/helper_test.go
+++ b/adapter/etcdstore/helper_test.go
@@ -11,8 +11,8 @@
 	"github.com/guavarill/guavarill/standin/store"
 )
 
-// patience is the timeout for an event that must happen.
-const patience = 30 * time.Second
+// waitTimeout is the timeout for an event that must happen.
+const waitTimeout = 30 * time.Second
 
 func startServer(t testing.TB, o store.Options) (*store.Server, string) {
 	t.Helper()
@@ -52,7 +52,7 @@
 
 func await(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	poll := time.NewTicker(5 * time.Millisecond)
 	defer poll.Stop()
 	for !holds() {
@@ -72,7 +72,7 @@
 			t.Fatal("the watch ended without an event")
 		}
 		return ev
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("no event came")
 	}
 	return port.WatchEvent{}
--- a/adapter/etcdstore/property_test.go
+++ b/adapter/etcdstore/property_test.go
@@ -142,11 +142,11 @@
 	return settled
 }
 
-// recoverFrom clears the remaining effects of a step's fault and opens a new
+// clearFault clears the remaining effects of a step's fault and opens a new
 // connection for the next step. The new connection is necessary because a
 // canceled call, unlike a timeout, does not make the adapter replace a silent
 // connection.
-func recoverFrom(server *store.Server, s *etcdstore.Store) error {
+func clearFault(server *store.Server, s *etcdstore.Store) error {
 	server.Up()
 	server.ClearFaults()
 	_, err := s.Get(etcdstore.WithFreshConnection(context.Background()), "k/")
@@ -157,7 +157,7 @@
 // reported as done. Either happens if the adapter reports a change that was made
 // as not done, reports one that was not made as done, or sends a call twice. The
 // test runs random transactions, each with a random fault.
-func TestOutcomesAreHonest(t *testing.T) {
+func TestReportedOutcomesAreCorrect(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(propertySeed)
 	parameters.MinSuccessfulTests = propertyRuns
 	parameters.MaxSize = propertySteps
@@ -175,13 +175,13 @@
 	}
 	defer server.Close()
 	s, err := etcdstore.New(etcdstore.Options{
-		Endpoint: addr, CallTimeout: patience, ReconnectAfter: time.Nanosecond,
+		Endpoint: addr, CallTimeout: waitTimeout, ReconnectAfter: time.Nanosecond,
 	})
 	if err != nil {
 		return err.Error()
 	}
 	defer s.Close()
-	if err := recoverFrom(server, s); err != nil {
+	if err := clearFault(server, s); err != nil {
 		return err.Error()
 	}
 	refused := make(map[string]bool)
@@ -190,7 +190,7 @@
 			return fmt.Sprintf("step %d %+v: %s", n, st, wrong)
 		}
 	}
-	return madeLater(server, refused)
+	return findUnexpectedChange(server, refused)
 }
 
 func runStep(server *store.Server, s *etcdstore.Store, n int, st step, refused map[string]bool) string {
@@ -203,7 +203,7 @@
 	result, err := s.Txn(ctx, conditions, changes)
 	cancel()
 	<-settled
-	if err := recoverFrom(server, s); err != nil {
+	if err := clearFault(server, s); err != nil {
 		return "no recovery: " + err.Error()
 	}
 	if calls := server.Calls(store.MethodTxn); calls > 1 {
@@ -237,9 +237,9 @@
 	return ""
 }
 
-// madeLater searches the store's whole history for a change that was reported as
+// findUnexpectedChange searches the store's whole history for a change that was reported as
 // not done, and returns a description of it, or an empty string.
-func madeLater(server *store.Server, refused map[string]bool) string {
+func findUnexpectedChange(server *store.Server, refused map[string]bool) string {
 	events, err := server.Local().Watch(context.Background(), "k/", 0)
 	if err != nil {
 		return err.Error()
--- a/adapter/etcdstore/sent.go
+++ b/adapter/etcdstore/sent.go
@@ -18,7 +18,7 @@
 	return context.WithValue(ctx, sendRecordKey{}, r)
 }
 
-// sendObserver is a gRPC stats handler that sets a call's sendRecord when its
+// sendStatsHandler is a gRPC stats handler that sets a call's sendRecord when its
 // message is passed to a connection.
 //
 // The status of a failed call does not show whether the call was sent: refused
@@ -27,13 +27,13 @@
 // connection; reporting it as not done would repeat changes that were made. The
 // gRPC library reports a message here after queueing it and before the call
 // returns, so a call without a report never reached the store.
-type sendObserver struct{}
+type sendStatsHandler struct{}
 
 // TagRPC implements stats.Handler.
-func (sendObserver) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
+func (sendStatsHandler) TagRPC(ctx context.Context, _ *stats.RPCTagInfo) context.Context { return ctx }
 
 // HandleRPC implements stats.Handler.
-func (sendObserver) HandleRPC(ctx context.Context, s stats.RPCStats) {
+func (sendStatsHandler) HandleRPC(ctx context.Context, s stats.RPCStats) {
 	if _, ok := s.(*stats.OutPayload); !ok {
 		return
 	}
@@ -43,7 +43,9 @@
 }
 
 // TagConn implements stats.Handler.
-func (sendObserver) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context { return ctx }
+func (sendStatsHandler) TagConn(ctx context.Context, _ *stats.ConnTagInfo) context.Context {
+	return ctx
+}
 
 // HandleConn implements stats.Handler.
-func (sendObserver) HandleConn(context.Context, stats.ConnStats) {}
+func (sendStatsHandler) HandleConn(context.Context, stats.ConnStats) {}
--- a/adapter/etcdstore/store.go
+++ b/adapter/etcdstore/store.go
@@ -78,7 +78,7 @@
 	}
 	revision := resp.GetHeader().GetRevision()
 	if revision <= 0 {
-		return nil, 0, badAnswer(callList, noRevision)
+		return nil, 0, malformedResponse(callList, missingRevision)
 	}
 	return etcdwire.KeyValues(resp.GetKvs()), revision, nil
 }
@@ -97,14 +97,14 @@
 	}
 	revision := resp.GetHeader().GetRevision()
 	if revision <= 0 {
-		return port.TxnResult{}, badAnswer(callTxn, noRevision)
+		return port.TxnResult{}, malformedResponse(callTxn, missingRevision)
 	}
 	return port.TxnResult{Succeeded: resp.GetSucceeded(), Revision: revision}, nil
 }
 
-// noRevision is the reason for rejecting a response without the store's
+// missingRevision is the reason for rejecting a response without the store's
 // revision. Accepting it would restart epochs and watches from revision 0.
-const noRevision = "the answer has no revision"
+const missingRevision = "the answer has no revision"
 
 // tooLarge reports whether a transaction exceeds the size limits. It is checked
 // before sending, because a server may reject an oversized request with a status
@@ -121,11 +121,11 @@
 func (s *Store) GrantLease(ctx context.Context, ttl time.Duration) (port.LeaseID, error) {
 	req := &etcdv3.LeaseGrantRequest{TTL: etcdwire.TTLSeconds(ttl)}
 	resp := new(etcdv3.LeaseGrantResponse)
-	if err := s.invoke(ctx, callGrant, req, resp); err != nil {
+	if err := s.invoke(ctx, callGrantLease, req, resp); err != nil {
 		return 0, err
 	}
 	if resp.GetID() == 0 || resp.GetTTL() < req.GetTTL() {
-		return 0, badAnswer(callGrant, "the lease granted is shorter than asked for")
+		return 0, malformedResponse(callGrantLease, "the lease granted is shorter than asked for")
 	}
 	return port.LeaseID(resp.GetID()), nil
 }
@@ -133,21 +133,21 @@
 // KeepAlive implements port.Store.
 func (s *Store) KeepAlive(ctx context.Context, id port.LeaseID) (time.Duration, error) {
 	resp := new(etcdv3.LeaseKeepAliveResponse)
-	if err := s.invoke(ctx, callRenew, &etcdv3.LeaseKeepAliveRequest{ID: int64(id)}, resp); err != nil {
+	if err := s.invoke(ctx, callKeepAlive, &etcdv3.LeaseKeepAliveRequest{ID: int64(id)}, resp); err != nil {
 		return 0, err
 	}
 	if resp.GetID() != int64(id) {
-		return 0, badAnswer(callRenew, "the answer is about another lease")
+		return 0, malformedResponse(callKeepAlive, "the answer is about another lease")
 	}
 	if resp.GetTTL() <= 0 {
-		return 0, &port.StoreError{Call: callRenew.name, Kind: port.StoreLeaseNotFound, Outcome: port.OutcomeNotDone}
+		return 0, &port.StoreError{Call: callKeepAlive.name, Kind: port.StoreLeaseNotFound, Outcome: port.OutcomeNotDone}
 	}
 	return time.Duration(resp.GetTTL()) * time.Second, nil
 }
 
 // RevokeLease implements port.Store.
 func (s *Store) RevokeLease(ctx context.Context, id port.LeaseID) error {
-	return s.invoke(ctx, callEnd, &etcdv3.LeaseRevokeRequest{ID: int64(id)}, new(etcdv3.LeaseRevokeResponse))
+	return s.invoke(ctx, callRevokeLease, &etcdv3.LeaseRevokeRequest{ID: int64(id)}, new(etcdv3.LeaseRevokeResponse))
 }
 
 // invoke makes one call if the budget admits it, and counts it in the metrics
@@ -165,7 +165,7 @@
 
 // exchange sends a request and waits for its response until the call timeout.
 func (s *Store) exchange(ctx context.Context, c *call, req, resp proto.Message) error {
-	conn, err := s.conns.acquire(wantsFresh(ctx))
+	conn, err := s.conns.acquire(wantsFreshConnection(ctx))
 	if err != nil {
 		return classify(ctx, c, err, false)
 	}
@@ -175,10 +175,10 @@
 	record := new(sendRecord)
 	started := s.clock.Now()
 	err = conn.cc.Invoke(withSendRecord(callCtx, record), c.method, req, resp, grpc.StaticMethod())
-	if err == nil || answered(err) {
-		s.conns.heard(conn)
+	if err == nil || isStoreResponse(err) {
+		s.conns.recordResponse(conn)
 	} else if ctx.Err() == nil && callCtx.Err() != nil {
-		s.conns.timedOut(conn, started)
+		s.conns.recordTimeout(conn, started)
 	}
 	if err == nil {
 		return nil
--- a/adapter/etcdstore/store_test.go
+++ b/adapter/etcdstore/store_test.go
@@ -20,7 +20,7 @@
 const shortTimeout = 2 * time.Second
 
 func TestCallsCarryTheContents(t *testing.T) {
-	_, s := connect(t, patience)
+	_, s := connect(t, waitTimeout)
 	ctx := context.Background()
 	lease, err := s.GrantLease(ctx, 1500*time.Millisecond)
 	if err != nil {
@@ -120,7 +120,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			server, s := connect(t, patience)
+			server, s := connect(t, waitTimeout)
 			_, err := s.Txn(c.ctx, nil, c.changes)
 			wantFailure(t, err, c.kind, port.OutcomeNotDone)
 			if server.Revision() != 1 {
@@ -150,7 +150,7 @@
 // cancels while the store processes the call, and the adapter takes a canceled
 // call for one that was never sent.
 func TestCallGivenUpWhileAtTheStoreIsUnknown(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	server.LoseAnswer(1, store.LossHang)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -166,7 +166,7 @@
 
 func TestStoreRefusesForItsLoad(t *testing.T) {
 	server, addr := startServer(t, store.Options{WritesPerSecond: 1, Clock: store.NewManualClock(time.Now())})
-	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: patience})
+	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: waitTimeout})
 	if _, err := s.Txn(context.Background(), nil, put("k", "v")); err != nil {
 		t.Fatal(err)
 	}
@@ -178,7 +178,7 @@
 }
 
 func TestLeaseThatLapsedIsGone(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	ctx := context.Background()
 	id, err := s.GrantLease(ctx, time.Minute)
 	if err != nil {
--- a/adapter/etcdstore/watch.go
+++ b/adapter/etcdstore/watch.go
@@ -41,7 +41,7 @@
 }
 
 func (s *Store) openWatch(ctx context.Context, prefix string, after int64) (*watch, error) {
-	conn, err := s.conns.acquire(wantsFresh(ctx))
+	conn, err := s.conns.acquire(wantsFreshConnection(ctx))
 	if err != nil {
 		return nil, classify(ctx, callWatch, err, false)
 	}
@@ -51,15 +51,15 @@
 	timer := time.AfterFunc(s.timeout, cancel)
 	err = w.create(streamCtx, prefix, after)
 	if timer.Stop() && err == nil {
-		s.conns.heard(conn)
+		s.conns.recordResponse(conn)
 		return w, nil
 	}
 	timedOut := streamCtx.Err() != nil && ctx.Err() == nil
 	failure := openFailure(ctx, err, timedOut)
 	if timedOut {
-		s.conns.timedOut(conn, started)
+		s.conns.recordTimeout(conn, started)
 	}
-	w.end()
+	w.close()
 	return nil, failure
 }
 
@@ -82,7 +82,7 @@
 		return &ResponseError{Reason: "the first answer does not create the watch"}
 	}
 	if resp.GetCanceled() {
-		return canceledWatch(resp)
+		return watchCancelError(resp)
 	}
 	return nil
 }
@@ -95,16 +95,16 @@
 	case *port.StoreError:
 		return failure
 	case *ResponseError:
-		return badAnswer(callWatch, failure.Reason)
+		return malformedResponse(callWatch, failure.Reason)
 	default:
 		return classify(ctx, callWatch, err, true)
 	}
 }
 
-// canceledWatch returns the error of a watch that the store canceled: its kind is
+// watchCancelError returns the error of a watch that the store canceled: its kind is
 // StoreCompacted if the watch's revision was compacted, otherwise
 // StoreWatchBroken.
-func canceledWatch(resp *etcdv3.WatchResponse) *port.StoreError {
+func watchCancelError(resp *etcdv3.WatchResponse) *port.StoreError {
 	failure := &port.StoreError{Call: callWatch.name, Kind: port.StoreWatchBroken, Outcome: port.OutcomeNotDone}
 	if resp.GetCompactRevision() > 0 {
 		failure.Kind = port.StoreCompacted
@@ -119,7 +119,7 @@
 func (w *watch) run(ctx context.Context) {
 	defer close(w.events)
 	defer w.store.metrics.watches.Dec()
-	defer w.end()
+	defer w.close()
 	failure := w.receive(ctx)
 	if ctx.Err() != nil {
 		return
@@ -136,9 +136,9 @@
 				Call: callWatch.name, Kind: port.StoreWatchBroken, Outcome: port.OutcomeNotDone, Cause: err,
 			}
 		}
-		w.store.conns.heard(w.conn)
+		w.store.conns.recordResponse(w.conn)
 		if resp.GetCanceled() {
-			return canceledWatch(resp)
+			return watchCancelError(resp)
 		}
 		for _, ev := range resp.GetEvents() {
 			if !w.deliver(ctx, etcdwire.WatchEvent(ev)) {
@@ -158,7 +158,7 @@
 	}
 }
 
-func (w *watch) end() {
+func (w *watch) close() {
 	w.cancel()
 	w.store.conns.release(w.conn)
 }
--- a/adapter/etcdstore/watch_test.go
+++ b/adapter/etcdstore/watch_test.go
@@ -47,7 +47,7 @@
 }
 
 func TestWatchTellsChangesAfterItsRevision(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	first := mustPut(t, s, "a/1", "one")
 	mustPut(t, s, "a/2", "two")
 	mustPut(t, s, "b/1", "other")
@@ -67,7 +67,7 @@
 }
 
 func TestWatchEndsQuietlyWithItsContext(t *testing.T) {
-	_, s := connect(t, patience)
+	_, s := connect(t, waitTimeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	events, err := s.Watch(ctx, "a/", 0)
 	if err != nil {
@@ -79,13 +79,13 @@
 		if open {
 			t.Errorf("event %+v after the context ended", ev)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the watch did not end")
 	}
 }
 
 func TestWatchFromCompactedRevision(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	first := mustPut(t, s, "a/1", "one")
 	last := mustPut(t, s, "a/1", "two")
 	server.Compact(last)
@@ -93,14 +93,14 @@
 }
 
 func TestWatchEndsWhenItsConnectionBreaks(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	events := openWatch(t, s, "a/", 0)
 	server.BreakConnections()
 	wantEnd(t, events, port.StoreWatchBroken)
 }
 
 func TestFrozenWatchTellsAllOnceThawed(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	events := openWatch(t, s, "a/", 0)
 	server.FreezeWatches()
 	mustPut(t, s, "a/1", "one")
@@ -142,7 +142,7 @@
 func TestPingsFindSilentWatch(t *testing.T) {
 	t.Parallel()
 	server, addr := startServer(t, store.Options{})
-	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: patience, PingTimeout: time.Second})
+	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: waitTimeout, PingTimeout: time.Second})
 	events := openWatch(t, s, "a/", 0)
 	server.SilenceConnections()
 	wantEnd(t, events, port.StoreWatchBroken)
@@ -151,7 +151,7 @@
 // Guards against a poll that does not find the changes a silent watch missed: the
 // poll uses the same silent connection as the watch and times out.
 func TestPollOnFreshConnection(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	server.SilenceConnections()
 	ctx := etcdstore.WithFreshConnection(context.Background())
 	if _, err := s.Get(ctx, "a/1"); err != nil {
@@ -164,7 +164,7 @@
 }
 
 func TestClosedStoreMakesNoCalls(t *testing.T) {
-	_, s := connect(t, patience)
+	_, s := connect(t, waitTimeout)
 	s.Close()
 	_, err := s.Get(context.Background(), "k")
 	wantFailure(t, err, port.StoreUnavailable, port.OutcomeNotDone)
