--- a/adapter/etcdstore/budgeted.go
+++ b/adapter/etcdstore/budgeted.go
@@ -42,9 +42,9 @@
 		var none T
 		return none, err
 	}
-	answer, err := do()
+	result, err := do()
 	g.observe(ctx, c, err)
-	return answer, err
+	return result, err
 }
 
 // Get implements port.Store.
--- a/adapter/etcdstore/budgeted_test.go
+++ b/adapter/etcdstore/budgeted_test.go
@@ -30,7 +30,7 @@
 	return throttled.RetryAt
 }
 
-func TestBudgetHoldsCallsBack(t *testing.T) {
+func TestBudgetThrottlesCalls(t *testing.T) {
 	server, clock, s := newBudgeted(storebudget.Options{Daemons: 300})
 	ctx := context.Background()
 	var err error
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestPollsGiveWayToReads(t *testing.T) {
+func TestPollsAreThrottledBeforeReads(t *testing.T) {
 	_, _, s := newBudgeted(storebudget.Options{Daemons: 1000, StoreReads: 1})
 	poll := etcdstore.WithClass(context.Background(), storebudget.ClassPoll)
 	var err error
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestFailuresCloseTheLane(t *testing.T) {
+func TestFailureThrottlesCallsUntilAProbeSucceeds(t *testing.T) {
 	server, clock, s := newBudgeted(storebudget.Options{Daemons: 7})
 	ctx := context.Background()
 	server.Down()
--- a/adapter/etcdstore/store_test.go
+++ b/adapter/etcdstore/store_test.go
@@ -19,7 +19,7 @@
 // enough for the other calls of the same test to succeed.
 const shortTimeout = 2 * time.Second
 
-func TestCallsCarryTheContents(t *testing.T) {
+func TestCallsReadAndWriteTheContents(t *testing.T) {
 	_, s := connect(t, waitTimeout)
 	ctx := context.Background()
 	lease, err := s.GrantLease(ctx, 1500*time.Millisecond)
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestLostAnswersLeaveChangesUnknown(t *testing.T) {
+func TestLostResponsesLeaveOutcomesUnknown(t *testing.T) {
 	faults := []struct {
 		name    string
 		arm     func(*store.Server)
@@ -149,7 +149,7 @@
 // Guards against reporting a change that was made as not done: the caller
 // cancels while the store processes the call, and the adapter takes a canceled
 // call for one that was never sent.
-func TestCallGivenUpWhileAtTheStoreIsUnknown(t *testing.T) {
+func TestCallCanceledInFlightIsUnknown(t *testing.T) {
 	server, s := connect(t, waitTimeout)
 	server.LoseAnswer(1, store.LossHang)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -164,7 +164,7 @@
 	wantFailure(t, <-failed, port.StoreCallCanceled, port.OutcomeUnknown)
 }
 
-func TestStoreRefusesForItsLoad(t *testing.T) {
+func TestRateLimitOfTheStoreIsReported(t *testing.T) {
 	server, addr := startServer(t, store.Options{WritesPerSecond: 1, Clock: store.NewManualClock(time.Now())})
 	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: waitTimeout})
 	if _, err := s.Txn(context.Background(), nil, put("k", "v")); err != nil {
@@ -177,7 +177,7 @@
 	}
 }
 
-func TestLeaseThatLapsedIsGone(t *testing.T) {
+func TestExpiredLeaseIsNotFound(t *testing.T) {
 	server, s := connect(t, waitTimeout)
 	ctx := context.Background()
 	id, err := s.GrantLease(ctx, time.Minute)
--- a/adapter/etcdstore/watch_test.go
+++ b/adapter/etcdstore/watch_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestWatchTellsChangesAfterItsRevision(t *testing.T) {
+func TestWatchReportsChangesAfterItsRevision(t *testing.T) {
 	server, s := connect(t, waitTimeout)
 	first := mustPut(t, s, "a/1", "one")
 	mustPut(t, s, "a/2", "two")
@@ -99,7 +99,7 @@
 	wantEnd(t, events, port.StoreWatchBroken)
 }
 
-func TestFrozenWatchTellsAllOnceThawed(t *testing.T) {
+func TestFrozenWatchReportsAllEventsOnceThawed(t *testing.T) {
 	server, s := connect(t, waitTimeout)
 	events := openWatch(t, s, "a/", 0)
 	server.FreezeWatches()
