--- a/adapter/etcdstore/budgeted_test.go
+++ b/adapter/etcdstore/budgeted_test.go
@@ -25,7 +25,7 @@
 	wantFailure(t, err, port.StoreThrottled, port.OutcomeNotDone)
 	var throttled *storebudget.ThrottledError
 	if !errors.As(err, &throttled) {
-		t.Fatalf("cause of %v does not say when to come again", err)
+		t.Fatalf("cause of %v is not a ThrottledError", err)
 	}
 	return throttled.RetryAt
 }
@@ -40,14 +40,14 @@
 	}
 	at := retryAt(t, err)
 	if n := server.Calls(store.MethodTxn); n != sent-1 {
-		t.Errorf("%d calls reached the store, %d were let through", n, sent-1)
+		t.Errorf("%d calls reached the store, %d were admitted", n, sent-1)
 	}
 	if _, err := s.GrantLease(ctx, time.Minute); err != nil {
 		t.Errorf("lease after commits: %v", err)
 	}
 	clock.Advance(at.Sub(clock.Now()) + 2*time.Second)
 	if _, err := s.Txn(ctx, nil, put("k", "v")); err != nil {
-		t.Errorf("commit at its time: %v", err)
+		t.Errorf("commit after its retry time: %v", err)
 	}
 }
 
@@ -104,6 +104,6 @@
 	_, err = s.Watch(poll, "k", 0)
 	retryAt(t, err)
 	if n := server.Calls(store.MethodRange); n != sent-1 {
-		t.Errorf("%d calls reached the store, %d were let through", n, sent-1)
+		t.Errorf("%d calls reached the store, %d were admitted", n, sent-1)
 	}
 }
--- a/adapter/etcdstore/helper_test.go
+++ b/adapter/etcdstore/helper_test.go
@@ -43,7 +43,7 @@
 	s := newStore(t, etcdstore.Options{
 		Endpoint: addr, CallTimeout: timeout, ReconnectAfter: time.Nanosecond, PingTime: time.Hour,
 	})
-	await(t, "the first answer", func() bool {
+	await(t, "the first response", func() bool {
 		_, err := s.Get(context.Background(), "warm")
 		return err == nil
 	})
@@ -59,7 +59,7 @@
 		select {
 		case <-poll.C:
 		case <-deadline:
-			t.Fatalf("%s did not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -73,7 +73,7 @@
 		}
 		return ev
 	case <-time.After(waitTimeout):
-		t.Fatal("no event came")
+		t.Fatal("timed out waiting for an event")
 	}
 	return port.WatchEvent{}
 }
@@ -86,7 +86,7 @@
 	t.Helper()
 	var failure *port.StoreError
 	if !errors.As(err, &failure) {
-		t.Fatalf("error %v is no StoreError", err)
+		t.Fatalf("error %v is not a StoreError", err)
 	}
 	if failure.Kind != kind || failure.Outcome != outcome {
 		t.Errorf("got %q (%v), want %q (%v)", failure.Kind, failure, kind, outcome)
--- a/adapter/etcdstore/property_test.go
+++ b/adapter/etcdstore/property_test.go
@@ -204,7 +204,7 @@
 	cancel()
 	<-settled
 	if err := clearFault(server, s); err != nil {
-		return "no recovery: " + err.Error()
+		return "clear the fault: " + err.Error()
 	}
 	if calls := server.Calls(store.MethodTxn); calls > 1 {
 		return fmt.Sprintf("%d calls", calls)
@@ -217,22 +217,22 @@
 	}
 	if err == nil {
 		if result.Succeeded == st.stale || result.Succeeded != changed {
-			return fmt.Sprintf("said succeeded %v, changed %v", result.Succeeded, changed)
+			return fmt.Sprintf("result says succeeded %v, but changed is %v", result.Succeeded, changed)
 		}
 		return ""
 	}
 	var failure *port.StoreError
 	if !errors.As(err, &failure) {
-		return "error without a type: " + err.Error()
+		return "error is not a StoreError: " + err.Error()
 	}
 	if failure.Outcome == port.OutcomeNotDone {
 		refused[string(changes[0].Value)] = true
 		if changed {
-			return "made although " + err.Error()
+			return "change was made, but the call failed with: " + err.Error()
 		}
 	}
 	if failure.Outcome == port.OutcomeDone {
-		return "done and failed: " + err.Error()
+		return "error with outcome done: " + err.Error()
 	}
 	return ""
 }
@@ -248,7 +248,7 @@
 		select {
 		case ev := <-events:
 			if !ev.Deleted && refused[string(ev.KeyValue.Value)] {
-				return fmt.Sprintf("%q was made after all", ev.KeyValue.Value)
+				return fmt.Sprintf("change to %q was reported as not done, but was made", ev.KeyValue.Value)
 			}
 		default:
 			return ""
--- a/adapter/etcdstore/store_test.go
+++ b/adapter/etcdstore/store_test.go
@@ -49,7 +49,7 @@
 		t.Error(err)
 	}
 	if kv, err := s.Get(ctx, "a/2"); err != nil || kv.ModRevision != 0 || kv.Key != "a/2" {
-		t.Errorf("key of an ended lease: %+v, %v", kv, err)
+		t.Errorf("key of a revoked lease: %+v, %v", kv, err)
 	}
 }
 
@@ -60,8 +60,8 @@
 		kind    port.StoreErrorKind
 		changed bool
 	}{
-		{"answer lost with the connection", func(s *store.Server) { s.LoseAnswer(1, store.LossBreak) }, port.StoreUnavailable, true},
-		{"answer never sent", func(s *store.Server) { s.LoseAnswer(1, store.LossHang) }, port.StoreTimeout, true},
+		{"response lost with the connection", func(s *store.Server) { s.LoseAnswer(1, store.LossBreak) }, port.StoreUnavailable, true},
+		{"response never sent", func(s *store.Server) { s.LoseAnswer(1, store.LossHang) }, port.StoreTimeout, true},
 		{"request lost with the connection", func(s *store.Server) { s.DropBefore(1, store.LossBreak) }, port.StoreUnavailable, false},
 		{"request never handled", func(s *store.Server) { s.DropBefore(1, store.LossHang) }, port.StoreTimeout, false},
 	}
@@ -124,7 +124,7 @@
 			_, err := s.Txn(c.ctx, nil, c.changes)
 			wantFailure(t, err, c.kind, port.OutcomeNotDone)
 			if server.Revision() != 1 {
-				t.Error("something was changed")
+				t.Error("the store was changed")
 			}
 			if n := server.Calls(store.MethodTxn); n != c.calls {
 				t.Errorf("%d calls reached the store, want %d", n, c.calls)
@@ -140,7 +140,7 @@
 	_, err := s.Txn(context.Background(), nil, put("k", "v"))
 	wantFailure(t, err, port.StoreUnavailable, port.OutcomeNotDone)
 	server.Up()
-	await(t, "the store's return", func() bool {
+	await(t, "the store to be available again", func() bool {
 		_, err := s.Txn(context.Background(), nil, put("k", "v"))
 		return err == nil
 	})
@@ -173,7 +173,7 @@
 	_, err := s.Txn(context.Background(), nil, put("k", "w"))
 	wantFailure(t, err, etcdwire.KindOverloaded, port.OutcomeNotDone)
 	if server.Revision() != 2 {
-		t.Error("the refused change was made")
+		t.Error("the rejected change was made")
 	}
 }
 
@@ -228,6 +228,6 @@
 
 func TestOptionsAreChecked(t *testing.T) {
 	if _, err := etcdstore.New(etcdstore.Options{Endpoint: "nowhere"}); err == nil {
-		t.Error("an endpoint without a port was taken")
+		t.Error("an endpoint without a port was accepted")
 	}
 }
--- a/adapter/etcdstore/watch_test.go
+++ b/adapter/etcdstore/watch_test.go
@@ -42,7 +42,7 @@
 		}
 	}
 	if _, open := <-events; open {
-		t.Error("something followed the end of the watch")
+		t.Error("the watch sent an event after its error")
 	}
 }
 
@@ -107,7 +107,7 @@
 	mustPut(t, s, "a/1", "two")
 	select {
 	case ev := <-events:
-		t.Fatalf("frozen watch told %+v", ev)
+		t.Fatalf("frozen watch sent event %+v", ev)
 	default:
 	}
 	server.ThawWatches()
@@ -129,7 +129,7 @@
 	server.SilenceConnections()
 	_, err := s.Txn(context.Background(), nil, put("a/1", "one"))
 	wantFailure(t, err, port.StoreTimeout, port.OutcomeUnknown)
-	await(t, "an answer on a new connection", func() bool {
+	await(t, "a response on a new connection", func() bool {
 		_, err := s.Get(context.Background(), "a/1")
 		return err == nil
 	})
