--- a/adapter/etcdstore/call.go
+++ b/adapter/etcdstore/call.go
@@ -30,8 +30,8 @@
 	callWatch       = &call{name: "Watch", method: etcdv3.Watch_Watch_FullMethodName, class: storebudget.ClassWatch}
 )
 
-// outcomeWithoutResponse returns the outcome of a call that was sent but whose response was
-// lost: unknown for a mutating call, not done for a read.
+// outcomeWithoutResponse returns the outcome of a call that was sent but whose
+// response was lost: unknown for a mutating call, not done for a read.
 func (c *call) outcomeWithoutResponse() port.Outcome {
 	if c.mutates {
 		return port.OutcomeUnknown
--- a/adapter/etcdstore/classify.go
+++ b/adapter/etcdstore/classify.go
@@ -47,9 +47,9 @@
 	return errors.Is(ctx.Err(), context.Canceled)
 }
 
-// isStoreResponse reports whether err is a status returned by the store itself, which
-// proves that the connection works. Statuses that the gRPC library also creates
-// locally prove nothing.
+// isStoreResponse reports whether err is a status returned by the store itself,
+// which proves that the connection works. Statuses that the gRPC library also
+// creates locally prove nothing.
 func isStoreResponse(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.Canceled, codes.DeadlineExceeded, codes.Unknown, codes.Internal:
--- a/adapter/etcdstore/connections.go
+++ b/adapter/etcdstore/connections.go
@@ -122,9 +122,9 @@
 	_ = c.cc.Close()
 }
 
-// recordResponse records a response of the store on c. If c is the current connection,
-// the store works, so recordResponse closes the retired connections that are suspected to
-// be silent.
+// recordResponse records a response of the store on c. If c is the current
+// connection, the store works, so recordResponse closes the retired connections
+// that are suspected to be silent.
 func (cs *connections) recordResponse(c *connection) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -141,8 +141,9 @@
 	}
 }
 
-// recordTimeout records that a call that began at started timed out on c. A response
-// on c since then shows that the connection works, and the timeout is ignored.
+// recordTimeout records that a call that began at started timed out on c. It
+// ignores the timeout if c has received a response since then, which shows that
+// the connection works.
 func (cs *connections) recordTimeout(c *connection, started time.Time) {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/adapter/etcdstore/dial.go
+++ b/adapter/etcdstore/dial.go
@@ -21,8 +21,8 @@
 	connectJitter     = 0.2
 )
 
-// passthroughScheme is the target scheme that keeps the gRPC library from resolving the
-// address.
+// passthroughScheme is the target scheme that keeps the gRPC library from
+// resolving the address.
 const passthroughScheme = "passthrough:///"
 
 // dial returns a client connection, which connects at its first call.
@@ -67,10 +67,10 @@
 	}
 }
 
-// keepaliveParams returns the keepalive parameters, which detect silent connections.
-// Connections without calls are not pinged, because servers of this protocol
-// close a connection that keepaliveParams while it has no calls; IdleTime closes them
-// instead.
+// keepaliveParams returns the parameters of the pings that detect silent
+// connections. Connections without calls are not pinged, because servers of this
+// protocol close a connection that pings while it has no calls; IdleTime closes
+// them instead.
 func keepaliveParams(o *Options) keepalive.ClientParameters {
 	return keepalive.ClientParameters{
 		Time:                o.PingTime,
--- a/adapter/etcdstore/gate.go
+++ b/adapter/etcdstore/gate.go
@@ -69,6 +69,8 @@
 	g.budget.SetDaemons(g.clock.Now(), daemons)
 }
 
+// resultOf returns the result that the budget records for a call that returned
+// err. known is false if the call shows nothing about the store.
 func resultOf(err error) (result storebudget.Result, known bool) {
 	var failure *port.StoreError
 	if !errors.As(err, &failure) {
--- a/adapter/etcdstore/property_test.go
+++ b/adapter/etcdstore/property_test.go
@@ -237,8 +237,8 @@
 	return ""
 }
 
-// findUnexpectedChange searches the store's whole history for a change that was reported as
-// not done, and returns a description of it, or an empty string.
+// findUnexpectedChange searches the store's whole history for a change that was
+// reported as not done, and returns a description of it, or an empty string.
 func findUnexpectedChange(server *store.Server, refused map[string]bool) string {
 	events, err := server.Local().Watch(context.Background(), "k/", 0)
 	if err != nil {
--- a/adapter/etcdstore/watch.go
+++ b/adapter/etcdstore/watch.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// watchCancelError returns the error of a watch that the store canceled: its kind is
-// StoreCompacted if the watch's revision was compacted, otherwise
+// watchCancelError returns the error of a watch that the store canceled: its kind
+// is StoreCompacted if the watch's revision was compacted, otherwise
 // StoreWatchBroken.
 func watchCancelError(resp *etcdv3.WatchResponse) *port.StoreError {
 	failure := &port.StoreError{Call: callWatch.name, Kind: port.StoreWatchBroken, Outcome: port.OutcomeNotDone}
