--- a/adapter/httptarget/conn.go
+++ b/adapter/httptarget/conn.go
@@ -14,24 +14,24 @@
 	"github.com/guavarill/guavarill/core/fate"
 )
 
-// phase is where a connection stands between exchanges.
+// phase is the state of a connection with regard to its exchange.
 type phase uint8
 
 const (
-	// phaseIdle: no exchange; the reader holds nothing of the last answer.
+	// phaseIdle: no exchange; the reader holds no bytes of the last response.
 	phaseIdle phase = iota
-	// phaseArmed: an exchange has the connection and has written nothing.
+	// phaseArmed: an exchange owns the connection and has written nothing.
 	phaseArmed
-	// phaseSent: a byte of the request was, or is being, written.
+	// phaseSent: a byte of the request was written or is being written.
 	phaseSent
-	// phaseEnded: the answer is whole; the reader may hold bytes after it.
+	// phaseEnded: the response is whole; the reader may hold bytes after it.
 	phaseEnded
-	// phaseSealed: nothing more is written.
+	// phaseSealed: no more writes are allowed.
 	phaseSealed
 )
 
-// conn is a connection to a target under an http.ClientConn, with the account
-// of the exchange on it.
+// conn is a connection to a target, used by an http.ClientConn. It records what
+// was sent and received in the current exchange.
 type conn struct {
 	net.Conn
 	raw    syscall.RawConn
@@ -39,7 +39,7 @@
 	client *http.ClientConn
 	closed atomic.Bool
 
-	// Of the exchange, set by net/http's writer.
+	// Set by net/http's writer during the exchange.
 	wroteHead, wroteAll atomic.Bool
 
 	mu    sync.Mutex
@@ -47,29 +47,30 @@
 	// started is whether a write of the exchange may have handed bytes to the
 	// network.
 	started bool
-	// parked is whether the reader found the socket empty and waits for more.
+	// parked is whether the reader found the socket empty and waits for data.
 	parked   bool
 	deadline time.Time
-	// written and received count the exchange's bytes; cut is whether its
-	// reader met the end of the connection.
+	// written and received count the bytes of the exchange; cut is whether a
+	// read of the connection failed or reached its end.
 	written, received int64
 	cut               bool
 	peeked            [1]byte
 
-	// Of the reader, which is one goroutine at a time.
+	// Used only by the reader, which is one goroutine at a time.
 	onReadable func(fd uintptr) bool
 	asked      bool
 	dropped    bool
 	looked     [1]byte
 
-	// proven is when the last whole answer came, or the connection was made.
-	// It belongs to the exchange, and between exchanges to the pool. It is not
-	// when the connection came back to the pool, which may be later: what was
-	// lost in between would count as trusted.
+	// proven is when the last whole response arrived, or when the connection
+	// was made. The exchange owns it, and the pool does between exchanges. It
+	// is not the time of the return to the pool, which may be later: a
+	// connection lost in between would still be trusted.
 	proven time.Time
 }
 
-// arm begins an exchange that must not be sent after deadline.
+// arm begins an exchange whose request must not be sent after deadline. A zero
+// deadline sets no limit.
 func (c *conn) arm(deadline time.Time) {
 	c.wroteHead.Store(false)
 	c.wroteAll.Store(false)
@@ -95,13 +96,15 @@
 	defer c.mu.Unlock()
 	c.written += int64(n)
 	if err != nil && c.written == 0 {
-		// The kernel took nothing: the request was not sent, and is not.
+		// The kernel accepted no byte, so the request was not sent; sealing
+		// keeps it from being sent later.
 		c.phase = phaseSealed
 		c.started = false
 	}
 	return n, err
 }
 
+// beginWrite checks whether the exchange may write, and records its first write.
 func (c *conn) beginWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -121,10 +124,11 @@
 	return nil
 }
 
-// fitToSend takes the last look before a request is written.
+// fitToSend returns an error if the deadline has passed, or if the socket has
+// unsolicited input or was closed by the target.
 func (c *conn) fitToSend() error {
-	// A process that was paused since the engine's own look at the clock must
-	// not send what its caller, and the homes of the id, have given up.
+	// If the process was paused after the engine checked the deadline, the
+	// caller and the homes of the request id may have given the request up.
 	if !c.deadline.IsZero() && !time.Now().Before(c.deadline) {
 		return faultPastDeadline
 	}
@@ -135,8 +139,9 @@
 	return found
 }
 
-// arrived returns nil when nothing waits to be read from the socket, else what
-// does. It takes nothing.
+// arrived returns nil if the socket has no pending input. Otherwise it returns
+// faultUnsolicited for data, faultClosedByPeer for the end of the stream, or the
+// error of the socket. It consumes nothing; b is its scratch buffer.
 func arrived(fd uintptr, b []byte) error {
 	for {
 		n, _, err := unix.Recvfrom(int(fd), b, unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -155,8 +160,8 @@
 }
 
 // Read implements net.Conn. It waits for the socket to become readable without
-// taking anything from it, and only then looks whether an exchange is there to
-// take it: bytes that arrive outside one must not be kept for the next.
+// consuming anything, and only then checks whether an exchange is in flight:
+// bytes that arrive outside an exchange must not be kept for the next one.
 func (c *conn) Read(p []byte) (int, error) {
 	if err := c.raw.Read(c.onReadable); err != nil {
 		return 0, err
@@ -175,20 +180,20 @@
 	return n, err
 }
 
-// readable is called whenever the socket may have something to read, and ends
-// the wait by returning true.
+// readable is called whenever the socket may have input. It returns true to end
+// the wait.
 func (c *conn) readable(fd uintptr) bool {
 	ready := arrived(fd, c.looked[:]) != nil
 	if c.look(ready) && !c.pool.put(c) {
-		// Closing it here would wait for this very call to return.
+		// Closing the connection here would deadlock: Close waits for this call.
 		c.dropped = true
 		return true
 	}
 	return ready
 }
 
-// look notes what the reader found, and reports whether the connection is now
-// free for another exchange.
+// look records whether the reader found input, and reports whether the
+// connection has become free for another exchange.
 func (c *conn) look(ready bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -204,7 +209,8 @@
 	return true
 }
 
-// unasked says what became readable outside an exchange.
+// unasked reads the input that arrived outside an exchange and returns the error
+// for it.
 func (c *conn) unasked() error {
 	n, err := c.Conn.Read(c.looked[:])
 	switch {
@@ -216,15 +222,17 @@
 	return io.EOF
 }
 
-// finish ends an exchange whose answer is whole. The connection goes back to
-// the pool once its reader waits at an empty socket: net/http asks the network
-// for more only when it holds nothing of its own.
+// finish ends an exchange whose response is whole. The connection returns to the
+// pool once its reader waits at an empty socket, because net/http reads from the
+// network only when its own buffer is empty.
 func (c *conn) finish() {
 	if c.ended() && !c.pool.put(c) {
 		c.close()
 	}
 }
 
+// ended records the end of an exchange, and reports whether the connection can
+// return to the pool at once.
 func (c *conn) ended() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -240,8 +248,8 @@
 	return true
 }
 
-// seal ends an exchange without an answer and returns how much of the request
-// was handed to the network. After it nothing more is.
+// seal ends an exchange without a response and prevents further writes. It
+// returns how much of the request may have been sent.
 func (c *conn) seal() fate.Sent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,19 +269,20 @@
 	return c.received
 }
 
-// wasCut tells a connection that ended from an answer that makes no sense.
+// wasCut reports whether a read of the connection failed or reached its end,
+// which distinguishes a truncated response from a malformed one.
 func (c *conn) wasCut() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.cut
 }
 
-// close ends the connection and the goroutines that serve it.
+// close closes the connection and stops the goroutines that serve it.
 func (c *conn) close() {
 	if c.client != nil {
-		c.client.Close() //nolint:errcheck // there is nothing left to lose
+		c.client.Close() //nolint:errcheck // the connection is discarded
 	}
-	c.Close() //nolint:errcheck // there is nothing left to lose
+	c.Close() //nolint:errcheck // the connection is discarded
 }
 
 // Close implements net.Conn.
--- a/adapter/httptarget/conn_test.go
+++ b/adapter/httptarget/conn_test.go
@@ -10,7 +10,7 @@
 	"github.com/guavarill/guavarill/core/fate"
 )
 
-// wire is a conn without net/http on it, and its other end.
+// wire is a conn without net/http on top, together with its peer.
 type wire struct {
 	t    *testing.T
 	c    *conn
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close() //nolint:errcheck // the connection stands
+	defer l.Close() //nolint:errcheck // the connection is already established
 	target := New(Options{})
 	t.Cleanup(target.Close)
 	target.Limit(l.Addr().String(), 1)
@@ -80,7 +80,7 @@
 	w.t.Helper()
 	for limit := time.Now().Add(20 * time.Second); !holds(); {
 		if time.Now().After(limit) {
-			w.t.Fatalf("never: %s", what)
+			w.t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
@@ -91,9 +91,9 @@
 	return w.c.parked
 }
 
-// Symptom: a caller receives what followed another's answer. Cause: the
-// connection is used again while its reader may still hold that. It shows that
-// it holds nothing by asking for more.
+// Guards against a caller receiving the bytes after another caller's response,
+// which happens if a connection is reused while its reader still holds them. A
+// reader that asks for more input holds none.
 func TestPooledOnceReaderAsksForMore(t *testing.T) {
 	w := newWire(t)
 	w.exchange("answer")
@@ -118,7 +118,7 @@
 	}
 }
 
-// Bytes that come between two exchanges are not taken as an answer, whether
+// Bytes that arrive between two exchanges are not taken as a response, whether
 // the reader or the next writer finds them first.
 func TestUnaskedBytesEndTheConnection(t *testing.T) {
 	w := newWire(t)
@@ -151,10 +151,9 @@
 	}
 }
 
-// Symptom: a request that was told not run is sent after all. Events: an
-// exchange is given up before its writer has run. Cause: the writer runs
-// later. And the reverse: what was written counts as sent, however often and
-// late it is asked.
+// Guards against sending a request that was reported as not run, which happens
+// if an exchange is given up before its writer runs and the writer then runs.
+// Conversely, a request that was written counts as sent in every later call.
 func TestSealDecidesOnce(t *testing.T) {
 	w := newWire(t)
 	w.c.arm(time.Time{})
@@ -175,8 +174,8 @@
 	}
 }
 
-// Symptom: an entry that was paused sends a request that its caller and the
-// homes of its id have given up.
+// Guards against an entry that was paused sending a request that its caller and
+// the homes of its id have given up.
 func TestNothingIsSentPastTheDeadline(t *testing.T) {
 	w := newWire(t)
 	w.c.arm(time.Now().Add(-time.Millisecond))
--- a/adapter/httptarget/connection_test.go
+++ b/adapter/httptarget/connection_test.go
@@ -25,15 +25,15 @@
 		select {
 		case <-tick.C:
 		case <-limit:
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// Symptom: a caller receives the answer to another's request. Events: a target
-// sends more after an answer than it declared, in the same segment; the next
-// request goes over the same connection. Cause: the rest of the buffer was
-// read as the answer to it.
+// Guards against a caller receiving the response to another caller's request. A
+// target sends more bytes than its response declares, in the same segment, and
+// the next request uses the same connection: the rest of the buffer was read as
+// the response to it.
 func TestExtraAnswerReachesNobody(t *testing.T) {
 	instance := newInstance(t, target.Options{Plan: func(id string, _ *http.Request) target.Fault {
 		if id[0] == 'e' {
@@ -52,8 +52,8 @@
 	}
 }
 
-// Symptom and cause as above, but the stray answer comes while the connection
-// lies unused, before and while the next request is begun.
+// Guards against the same failure when the stray response arrives while the
+// connection is idle, before and during the start of the next request.
 func TestStrayAnswerReachesNobody(t *testing.T) {
 	instance := newInstance(t, target.Options{})
 	client := newClient(t, httptarget.Options{})
@@ -66,10 +66,9 @@
 	}
 }
 
-// Symptom: requests fail whenever a target closes its idle connections.
-// Events: a connection is closed by the target while it lies in the pool; the
-// next request, which must not run twice, is given it. Cause: the end of the
-// stream is noticed only after the request was written.
+// Guards against requests that fail whenever a target closes idle connections. A
+// non-idempotent request gets a pooled connection that the target has closed,
+// and the end of the stream is noticed only after the request was written.
 func TestClosedIdleConnectionIsNoFailure(t *testing.T) {
 	instance := newInstance(t, target.Options{})
 	client := newClient(t, httptarget.Options{})
@@ -85,9 +84,9 @@
 	}
 }
 
-// Symptom: an idempotent request is run twice although its caller allowed one
-// attempt. Events: a pooled connection breaks before the answer's first byte.
-// Cause: net/http's Transport sends such requests again by itself.
+// Guards against running an idempotent request twice although its caller allowed
+// one attempt: when a pooled connection breaks before the first byte of the
+// response, net/http's Transport retries such requests by itself.
 func TestBrokenPooledConnectionIsNotRetried(t *testing.T) {
 	instance := newInstance(t, target.Options{})
 	client := newClient(t, httptarget.Options{})
@@ -102,14 +101,14 @@
 	call.Method = http.MethodGet
 	call.Idempotent = true
 	if _, err := client.Do(within(t), instance.Address(), call); err == nil {
-		t.Fatal("answered")
+		t.Fatal("got a response, want an error")
 	}
 	if got := instance.Runs("r"); got != 1 {
 		t.Errorf("ran %d times, want 1", got)
 	}
 }
 
-// Symptom: a target has more connections than all entries may have to it.
+// Guards against opening more connections to a target than its limit allows.
 func TestConnectionsStayWithinShare(t *testing.T) {
 	const share = 3
 	instance := newInstance(t, target.Options{Work: time.Millisecond})
@@ -130,12 +129,12 @@
 		t.Errorf("%d connections at once, want at most %d", got, share)
 	}
 	client.Limit(instance.Address(), 0)
-	eventually(t, "no connection is left", func() bool { return instance.Connections() == 0 })
+	eventually(t, "all connections are closed", func() bool { return instance.Connections() == 0 })
 }
 
-// Symptom: an answer that comes late reaches another caller. Events: an
-// exchange is given up at its deadline, the target answers after that, and the
-// next request is sent.
+// Guards against a late response reaching another caller: an exchange is given
+// up at its deadline, the target responds after that, and the next request is
+// sent.
 func TestLateAnswerReachesNobody(t *testing.T) {
 	instance := newInstance(t, target.Options{})
 	client := newClient(t, httptarget.Options{ConnectionWait: patience})
@@ -144,7 +143,7 @@
 		instance.SetFault(target.Fault{Delay: 10 * time.Millisecond})
 		short, cancel := context.WithTimeout(context.Background(), 2*time.Millisecond)
 		if _, err := client.Do(short, instance.Address(), newCall("late", "x")); err == nil {
-			t.Log("the late answer was in time")
+			t.Log("the late response was in time")
 		}
 		cancel()
 		call := newCall(fmt.Sprintf("next%d", i), "x")
@@ -153,10 +152,10 @@
 	}
 }
 
-// Symptom: a healthy target is left out, or requests hang one after the other
-// until their deadlines. Events: what lies between loses track of all open
-// connections; new ones work. Cause: the target is blamed for its connections,
-// and the other old ones are used on.
+// Guards against excluding a healthy target, and against requests that hang one
+// after the other until their deadlines. A middlebox loses its state for all open
+// connections while new ones work; the fault was attributed to the target, and
+// the other old connections stayed in use.
 func TestSilentConnectionsAreDropped(t *testing.T) {
 	const pooled = 4
 	instance := newInstance(t, target.Options{Work: 20 * time.Millisecond})
@@ -185,7 +184,7 @@
 	if got := client.Open(instance.Address()); got != 1 {
 		t.Errorf("%d connections are open, want the new one alone", got)
 	}
-	// Not even a request that is never given up meets an old connection.
+	// Requests that are never given up must not get an old connection either.
 	for i := range pooled {
 		next := newCall(fmt.Sprintf("next%d", i), "x")
 		resp, err := client.Do(within(t), instance.Address(), next)
@@ -196,8 +195,8 @@
 	}
 }
 
-// A request that must not run twice stays with its silent connection to the
-// deadline, and the target is not blamed for it.
+// A request that must not run twice stays on its silent connection until its
+// context ends, and the failure is attributed to the connection only.
 func TestSilenceWithoutRepeat(t *testing.T) {
 	instance := newInstance(t, target.Options{})
 	client := newClient(t, httptarget.Options{})
@@ -212,7 +211,7 @@
 	call.SilenceAfter = 10 * time.Millisecond
 	call.Silent = func(proven bool) bool {
 		if !proven {
-			t.Error("the target was not proven")
+			t.Error("the target did not answer the probe")
 		}
 		cancel()
 		return false
@@ -224,7 +223,7 @@
 	}
 }
 
-// Connections that lie unused are closed before anything between forgets them.
+// Idle connections are closed before a middlebox drops its state for them.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	instance := newInstance(t, target.Options{})
 	client := newClient(t, httptarget.Options{IdleMax: 20 * time.Millisecond})
@@ -235,7 +234,7 @@
 	eventually(t, "the idle connection is closed", func() bool { return instance.Connections() == 0 })
 }
 
-// What goes over the wire is what the caller sent.
+// The path, query and headers reach the target as the caller sent them.
 func TestRequestPassesUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	instance := newInstance(t, target.Options{Plan: func(_ string, r *http.Request) target.Fault {
@@ -252,12 +251,12 @@
 	checkAnswer(t, resp, err, call)
 	r := <-seen
 	if got := r.RequestURI; got != "/a%2Fb//c?q=1&q=%20" {
-		t.Errorf("got target %q", got)
+		t.Errorf("got request URI %q", got)
 	}
 	if got := r.Header["X-Own"]; len(got) != 2 {
 		t.Errorf("got header %q", got)
 	}
 	if got := r.Header.Get(traffic.HeaderTimeout); got == "" {
-		t.Error("the target is not told how long the entry waits")
+		t.Error("the request has no timeout header")
 	}
 }
--- a/adapter/httptarget/dial.go
+++ b/adapter/httptarget/dial.go
@@ -11,7 +11,8 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// dial makes the connection that take counted in.
+// dial opens the connection that take has already counted in p.open. On failure
+// it gives the place back.
 func (p *pool) dial(ctx context.Context) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.t.o.ConnectTimeout)
 	defer cancel()
@@ -40,7 +41,7 @@
 		err = setUserTimeout(raw, p.t.o.UserTimeout)
 	}
 	if err != nil {
-		nc.Close() //nolint:errcheck // the first error says more
+		nc.Close() //nolint:errcheck // the first error is the cause
 		return nil, err
 	}
 	c := &conn{Conn: nc, raw: raw, pool: p, proven: time.Now()}
@@ -48,8 +49,8 @@
 	return c, nil
 }
 
-// connectError sorts what kept an exchange from having a connection. Nothing
-// was sent.
+// connectError converts an error of acquiring a connection into an
+// ExchangeError with its reason. Nothing of the request was sent.
 func connectError(ctx context.Context, address string, err error) *traffic.ExchangeError {
 	x := &traffic.ExchangeError{
 		Address: address,
--- a/adapter/httptarget/errors.go
+++ b/adapter/httptarget/errors.go
@@ -1,10 +1,10 @@
 package httptarget
 
-// Fault is what this package itself finds wrong with a connection or an
-// answer. It implements error.
+// Fault is an error that this package itself detects in a request, a
+// connection or a response.
 type Fault string
 
-// The faults.
+// The values of Fault.
 const (
 	faultNoShare      Fault = "no connections to this target are allowed"
 	faultNoneFree     Fault = "all connections to the target are in use"
--- a/adapter/httptarget/exchange.go
+++ b/adapter/httptarget/exchange.go
@@ -15,8 +15,8 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// maxDrainBytes is how much of a refusal's body is read to keep the
-// connection.
+// maxDrainBytes is how many bytes of a body that is not needed, such as that of
+// a refusal, are read to keep the connection usable.
 const maxDrainBytes = 4 << 10
 
 // exchange is one request on one connection.
@@ -24,15 +24,15 @@
 	t    *Target
 	c    *conn
 	call *traffic.Call
-	// used is whether the connection has carried an exchange before.
+	// used is whether the connection came from the pool rather than being new.
 	used    bool
 	watch   *watch
 	trace   httptrace.ClientTrace
 	started time.Time
 }
 
-// run carries the exchange out. The connection is back in the pool or closed
-// afterwards.
+// run performs the exchange and takes over the connection: a usable one returns
+// to the pool once its reader is idle, any other is closed.
 func (x *exchange) run(ctx context.Context) (*traffic.Response, *traffic.ExchangeError) {
 	x.started = time.Now()
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, x.fail(ctx, err, x.pointBeforeHead())
 	}
-	defer resp.Body.Close() //nolint:errcheck // what was read decides
+	defer resp.Body.Close() //nolint:errcheck // errors of the body show when it is read
 	if x.notStarted(resp) {
 		return nil, x.refused(resp)
 	}
@@ -69,8 +69,8 @@
 	}, nil
 }
 
-// request builds the message. Its body has no GetBody, so that net/http could
-// not send it a second time even if it tried.
+// request builds the HTTP request. It sets no GetBody, so net/http cannot replay
+// the body for a retry of its own.
 func (x *exchange) request(ctx context.Context) (*http.Request, error) {
 	path, err := url.PathUnescape(x.call.Path)
 	if err != nil {
@@ -94,8 +94,9 @@
 	return req.WithContext(httptrace.WithClientTrace(ctx, &x.trace)), nil
 }
 
-// header returns the call's headers with those that tell the target of the
-// request. The call's own are shared, not changed.
+// header returns the call's headers together with the request id and the time
+// left until the deadline. The value slices are shared with the call, whose own
+// map is not changed.
 func (x *exchange) header(ctx context.Context) http.Header {
 	h := make(http.Header, len(x.call.Header)+3)
 	for name, values := range x.call.Header {
@@ -107,18 +108,21 @@
 		h[traffic.HeaderTimeout] = []string{strconv.FormatInt(left, 10) + "ms"}
 	}
 	if _, ok := h["User-Agent"]; !ok {
-		// Keeps net/http from naming itself.
+		// A nil value keeps net/http from adding its own User-Agent.
 		h["User-Agent"] = nil
 	}
 	return h
 }
 
-// notStarted reports the target's own word that it did not start the request.
+// notStarted reports whether the target stated in its response that it did not
+// start the request.
 func (x *exchange) notStarted(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusServiceUnavailable &&
 		resp.Header.Get(traffic.HeaderNotStarted) == traffic.HeaderTrue
 }
 
+// refused returns the error for a request that the target did not start. The
+// connection is kept if the body of the refusal ends within maxDrainBytes.
 func (x *exchange) refused(resp *http.Response) *traffic.ExchangeError {
 	if _, err := readWhole(resp, maxDrainBytes); err == nil && checkFraming(resp.Request, resp) == nil {
 		x.c.finish()
@@ -136,7 +140,8 @@
 	}
 }
 
-// retryAfter reads the header in its form of seconds.
+// retryAfter returns the Retry-After header if it is a number of seconds, and 0
+// otherwise.
 func retryAfter(h http.Header) time.Duration {
 	seconds, err := strconv.Atoi(h.Get("Retry-After"))
 	if err != nil || seconds < 0 {
@@ -145,7 +150,8 @@
 	return time.Duration(seconds) * time.Second
 }
 
-// checkFraming refuses answers whose end cannot be known.
+// checkFraming returns an error if the end of the response's body cannot be
+// determined, or if the target switched protocols.
 func checkFraming(req *http.Request, resp *http.Response) error {
 	switch {
 	case resp.StatusCode < http.StatusOK:
@@ -158,7 +164,8 @@
 	return nil
 }
 
-// readWhole reads the body to its declared end.
+// readWhole reads the body to its declared end. It returns faultTooLarge if the
+// body has more than bound bytes.
 func readWhole(resp *http.Response, bound int64) ([]byte, error) {
 	if resp.ContentLength > bound {
 		return nil, faultTooLarge
@@ -179,8 +186,8 @@
 	return body, nil
 }
 
-// readDeclared reads a body of known length, and its end, which frees the
-// connection.
+// readDeclared reads a body of declared length. It also reads the end of the
+// body, without which net/http does not release the connection.
 func readDeclared(resp *http.Response) ([]byte, error) {
 	body := make([]byte, resp.ContentLength)
 	if _, err := io.ReadFull(resp.Body, body); err != nil {
@@ -196,7 +203,8 @@
 	return body, nil
 }
 
-// pointBeforeHead is how far an exchange got whose head did not come whole.
+// pointBeforeHead returns the stage that the exchange reached when the head of
+// its response did not arrive whole.
 func (x *exchange) pointBeforeHead() fate.Stage {
 	switch {
 	case x.c.receivedBytes() > 0:
@@ -209,8 +217,8 @@
 	return fate.SendingHead
 }
 
-// fail ends the exchange and its connection, on which a late answer must find
-// nobody.
+// fail ends the exchange and closes its connection, so that a late response
+// cannot reach another exchange.
 func (x *exchange) fail(ctx context.Context, err error, point fate.Stage) *traffic.ExchangeError {
 	sent := x.c.seal()
 	cut := x.c.wasCut()
--- a/adapter/httptarget/fate_test.go
+++ b/adapter/httptarget/fate_test.go
@@ -68,12 +68,12 @@
 		t.Fatalf("request %s: %v", call.ID, err)
 	}
 	if want := target.Answer(call.ID, call.Body); !bytes.Equal(resp.Body, want) {
-		t.Fatalf("request %s: got answer %q, want %q", call.ID, resp.Body, want)
+		t.Fatalf("request %s: got response %q, want %q", call.ID, resp.Body, want)
 	}
 }
 
-// Each way in which the target can break an exchange, over real sockets: how
-// far it got, what became of the request, and whether the stand-in ran it.
+// Covers each way in which a target can break an exchange, over real sockets:
+// the stage reached, the fate of the request, and whether the stand-in ran it.
 func TestFateAtEveryPoint(t *testing.T) {
 	tests := []struct {
 		kind   target.Kind
@@ -118,8 +118,8 @@
 	}
 }
 
-// Points that the stand-in has no part in: there is nobody to connect to, or
-// the request cannot be begun.
+// Covers the stages before a connection exists: no connection is allowed, or
+// the target's address refuses connections.
 func TestFateBeforeConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -132,7 +132,7 @@
 	_, err = client.Do(within(t), address, newCall("r", "x"))
 	x := exchangeError(t, err)
 	if x.Point != fate.BeforeConnect || x.Fate() != fate.NotRun || x.Reason != fate.ReasonNoConnection {
-		t.Errorf("without a share: got %v", err)
+		t.Errorf("without an allowed connection: got %v", err)
 	}
 	client.Limit(address, 1)
 	_, err = client.Do(within(t), address, newCall("r", "x"))
@@ -142,10 +142,9 @@
 	}
 }
 
-// Symptom: a caller that goes away while its request is being sent is told
-// nothing, but the request is counted as not run and its id released. Events:
-// the target stops reading in the middle of a large body; the caller leaves.
-// Cause: a part that was sent was taken for nothing sent.
+// Guards against counting a partly sent request as not run and releasing its id.
+// The target stops reading in the middle of a large body and the caller cancels;
+// the part already sent was treated as nothing sent.
 func TestCallerGoneWhileSending(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -158,7 +157,7 @@
 		if err != nil {
 			return
 		}
-		// The head has come, and the body fills the buffers.
+		// The first bytes have arrived, and the body fills the buffers.
 		io.ReadFull(conn, make([]byte, 64)) //nolint:errcheck // only a signal
 		leave()
 		<-ctx.Done()
@@ -172,7 +171,8 @@
 	}
 }
 
-// The deadline or the caller ends an exchange whose answer does not come.
+// An exchange without a response ends at its deadline; a call whose context is
+// already cancelled sends nothing.
 func TestGivenUpWhileWaiting(t *testing.T) {
 	instance := newInstance(t, target.Options{})
 	instance.SetFault(target.Fault{Kind: target.Hang})
--- a/adapter/httptarget/options.go
+++ b/adapter/httptarget/options.go
@@ -27,31 +27,34 @@
 type Options struct {
 	// ConnectTimeout bounds one attempt to connect.
 	ConnectTimeout time.Duration
-	// ConnectionWait is how long an exchange waits for a connection when its
-	// target's share is in use.
+	// ConnectionWait is how long an exchange waits for a connection when all
+	// connections allowed to its target are in use.
 	ConnectionWait time.Duration
-	// IdleMax is how long a connection may lie unused. It must be shorter than
-	// the time after which anything between forgets a quiet connection.
+	// IdleMax is how long a connection may stay idle. It must be shorter than
+	// the time after which a middlebox on the path drops its state for an idle
+	// connection.
 	IdleMax time.Duration
-	// ProvenWithin is how recent a connection's last answer must be for a
-	// non-idempotent request to go over it rather than over a new one.
+	// ProvenWithin is the greatest age of a connection's last whole response, or
+	// of the connection if it has had none, at which a non-idempotent request
+	// may reuse it. Otherwise a new connection is made.
 	ProvenWithin time.Duration
-	// SilenceAfter is how long a target may say nothing on a pooled connection
-	// before it is asked over a new one, when the call does not say.
+	// SilenceAfter is how long an exchange on a pooled connection may go without
+	// a response before the target is probed over a new one. It applies to
+	// calls that set no value of their own.
 	SilenceAfter time.Duration
-	// ProbeTimeout bounds that question.
+	// ProbeTimeout bounds one probe, including the wait for its connection.
 	ProbeTimeout time.Duration
 	// UserTimeout is how long written bytes may stay unacknowledged before the
-	// kernel ends the connection.
+	// kernel closes the connection (Linux only).
 	UserTimeout time.Duration
-	// KeepAliveIdle, KeepAliveEvery and KeepAliveCount set TCP's keepalive.
+	// KeepAliveIdle, KeepAliveEvery and KeepAliveCount configure TCP keepalive.
 	KeepAliveIdle  time.Duration
 	KeepAliveEvery time.Duration
 	KeepAliveCount int
-	// MaxHeadBytes and MaxBodyBytes bound an answer.
+	// MaxHeadBytes and MaxBodyBytes bound the head and the body of a response.
 	MaxHeadBytes int64
 	MaxBodyBytes int64
-	// Registerer takes the metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; if it is nil, they stay unregistered.
 	Registerer prometheus.Registerer
 }
 
--- a/adapter/httptarget/pool.go
+++ b/adapter/httptarget/pool.go
@@ -7,34 +7,36 @@
 	"time"
 )
 
-// pool is the connections to one address.
+// pool holds the connections to one address.
 type pool struct {
 	t       *Target
 	address string
 
 	mu    sync.Mutex
 	limit int
-	// open counts connections that stand or are being made.
+	// open counts connections that are established or being made.
 	open int
-	// idle holds unused connections, the one that came back last at the end.
+	// idle holds unused connections in the order in which they were returned,
+	// the latest last.
 	idle []*conn
-	// waiting are exchanges that wait for a connection, first come first. Each
-	// channel takes one conn, or nil when there is room to make one.
+	// waiting is the FIFO queue of exchanges that wait for a connection. Each
+	// channel receives one value: a conn, or nil when the exchange is to try
+	// again, since there may be room to make one.
 	waiting []chan *conn
-	// distrust is when a silence was found: connections last proven before it
-	// are not used again.
+	// distrust is the time before which proofs no longer count: connections
+	// last proven before it are not used again.
 	distrust time.Time
 	probe    *probe
 }
 
-// wanted is what an exchange asks of its connection.
+// wanted describes which connections an exchange accepts.
 type wanted struct {
 	fresh         bool
 	nonIdempotent bool
 }
 
-// acquire returns a connection, an idle one or a new one, and whether it was
-// used before.
+// acquire returns an idle or a new connection, and whether it came from the
+// pool. It waits up to ConnectionWait when all connections are in use.
 func (p *pool) acquire(ctx context.Context, w wanted) (*conn, bool, error) {
 	var timeout <-chan time.Time
 	for {
@@ -64,8 +66,9 @@
 	}
 }
 
-// take returns an idle connection, or true when the caller is to make one, or
-// a channel to wait on.
+// take returns an idle connection, or true if the caller is to dial a new one,
+// or a channel to wait on. In the second case the new connection is already
+// counted in p.open.
 func (p *pool) take(w wanted) (*conn, bool, chan *conn, error) {
 	var stale []*conn
 	defer func() { closeAll(stale) }()
@@ -80,7 +83,7 @@
 		return c, false, nil, nil
 	}
 	if p.open-len(stale) >= p.limit && len(p.idle) > 0 {
-		// The oldest makes room for a new one.
+		// Close the oldest idle connection to make room for a new one.
 		stale = append(stale, p.idle[0])
 		p.idle = p.idle[1:]
 	}
@@ -93,7 +96,8 @@
 	return nil, false, turn, nil
 }
 
-// newestLocked takes the idle connection that was proven last, if it will do.
+// newestLocked removes and returns the idle connection that was returned last,
+// or nil if there is none that meets w.
 func (p *pool) newestLocked(now time.Time, w wanted) *conn {
 	n := len(p.idle)
 	if n == 0 || w.fresh {
@@ -107,8 +111,8 @@
 	return c
 }
 
-// await waits for a turn. Neither a connection nor an error means that there
-// may be room to make one.
+// await waits for a value on turn. If it returns neither a connection nor an
+// error, there may be room to make a connection.
 func (p *pool) await(ctx context.Context, turn chan *conn, timeout <-chan time.Time) (*conn, error) {
 	var err error
 	select {
@@ -123,9 +127,9 @@
 	return nil, err
 }
 
-// leave gives up a turn, and passes on what came at the same moment: a
-// connection kept by an exchange that is over would count against the limit
-// for good.
+// leave removes turn from the queue. If a connection was delivered to it at the
+// same moment, leave passes it on: a connection kept by an exchange that has
+// ended would count against the limit permanently.
 func (p *pool) leave(turn chan *conn) {
 	p.mu.Lock()
 	if i := slices.Index(p.waiting, turn); i >= 0 {
@@ -145,8 +149,9 @@
 	p.wakeLocked()
 }
 
-// put takes back a connection after a whole answer. False: it is not wanted
-// any more and must be closed.
+// put returns a connection to the pool after a whole response, or hands it to
+// the first waiting exchange. It returns false if the connection must be closed
+// because it is closed already, above the limit or no longer trusted.
 func (p *pool) put(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -163,7 +168,7 @@
 	return true
 }
 
-// closed counts a connection out.
+// closed removes a closed connection from the pool and from the count.
 func (p *pool) closed(c *conn) {
 	p.mu.Lock()
 	p.open--
@@ -174,7 +179,8 @@
 	p.mu.Unlock()
 }
 
-// wakeLocked lets the first waiter make a connection, if there is room.
+// wakeLocked wakes the first waiting exchange if there is room for a connection,
+// or if the limit is 0 and waiting is of no use.
 func (p *pool) wakeLocked() {
 	if len(p.waiting) == 0 || p.open >= p.limit && p.limit > 0 {
 		return
@@ -184,8 +190,8 @@
 	turn <- nil
 }
 
-// pruneLocked takes out the idle connections that were unused for too long, or
-// that a silence put in doubt; the caller closes them.
+// pruneLocked removes and returns the idle connections that were last proven
+// more than IdleMax ago or before distrust. The caller closes them.
 func (p *pool) pruneLocked(now time.Time) []*conn {
 	var stale []*conn
 	kept := p.idle[:0]
@@ -212,8 +218,8 @@
 	closeAll(stale)
 }
 
-// setLimit changes the most connections that may be open, and returns those
-// that the caller is to close.
+// setLimit sets the maximum number of open connections. It returns the idle
+// connections above it, which the caller closes.
 func (p *pool) setLimit(limit int) []*conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -230,14 +236,14 @@
 	return excess
 }
 
-// unused reports whether the pool can be dropped.
+// unused reports whether the pool has no connections and allows none.
 func (p *pool) unused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.limit == 0 && p.open == 0
 }
 
-// dialFailed counts out a connection that could not be made.
+// dialFailed removes a connection that could not be made from the count.
 func (p *pool) dialFailed() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/adapter/httptarget/silence.go
+++ b/adapter/httptarget/silence.go
@@ -8,18 +8,19 @@
 	"time"
 )
 
-// watch looks after one exchange that waits for its answer.
+// watch monitors one exchange that waits for its response.
 type watch struct {
 	timer *time.Timer
 	over  atomic.Bool
-	// blame is whether the target answered elsewhere meanwhile.
+	// blame is whether the target answered a probe while the exchange was
+	// silent, so that the connection and not the target is at fault.
 	blame atomic.Bool
 }
 
-// watchSilence asks the target over a new connection when the exchange stays
-// without an answer; an exchange that has a new connection already needs no
-// other. Whether to give it up is for the caller to say: only a request that
-// may be sent again gains by it.
+// watchSilence probes the target over a new connection if the exchange has no
+// response after the call's SilenceAfter. An exchange that itself uses a new
+// connection needs no probe. The call's Silent function decides whether to give
+// the exchange up, because that helps only a request that may be sent again.
 func (t *Target) watchSilence(x *exchange, giveUp context.CancelCauseFunc) *watch {
 	after := x.call.SilenceAfter
 	if after == 0 {
@@ -30,6 +31,7 @@
 	return w
 }
 
+// silent runs when the exchange has been without a response for SilenceAfter.
 func (w *watch) silent(x *exchange, giveUp context.CancelCauseFunc) {
 	if w.heard(x) {
 		return
@@ -47,7 +49,8 @@
 	}
 }
 
-// heard reports that the answer began, or the exchange ended.
+// heard reports whether bytes of a response have arrived or the exchange has
+// ended.
 func (w *watch) heard(x *exchange) bool { return w.over.Load() || x.c.receivedBytes() > 0 }
 
 func (w *watch) stop() {
@@ -60,15 +63,17 @@
 
 func (w *watch) connectionToBlame() bool { return w != nil && w.blame.Load() }
 
-// probe is a question to a target that several exchanges may wait for.
+// probe is one check of whether a target answers. Several exchanges may wait for
+// its result.
 type probe struct {
 	done chan struct{}
 	// proven is set before done is closed.
 	proven bool
 }
 
-// ask finds out whether the target answers on a new connection. If it does,
-// the connections last proven before since are dropped.
+// ask reports whether the target answers over a new connection. If it does, the
+// connections last proven before since are dropped. Concurrent calls share one
+// probe.
 func (p *pool) ask(since time.Time) (proven bool) {
 	pr, mine := p.joinProbe()
 	if !mine {
@@ -109,8 +114,9 @@
 	return true
 }
 
-// doubt drops the connections that were last proven before since, and those in
-// use as soon as they are free, unless they bring an answer.
+// doubt drops the idle connections that were last proven before since. A
+// connection in use is dropped when its exchange ends without a response; a
+// whole response proves it anew.
 func (p *pool) doubt(since time.Time) {
 	p.mu.Lock()
 	if since.After(p.distrust) {
@@ -121,8 +127,8 @@
 	closeAll(stale)
 }
 
-// greet asks the target for any answer at all. OPTIONS * names no resource and
-// has no effect (RFC 9110, section 9.3.7).
+// greet sends a probe and returns nil if the target sends any whole response
+// with a body of at most maxDrainBytes. OPTIONS * names no resource and has no effect (RFC 9110, section 9.3.7).
 func (c *conn) greet(ctx context.Context) error {
 	deadline, _ := ctx.Deadline()
 	c.arm(deadline)
@@ -137,7 +143,7 @@
 	}
 	resp, err := c.client.RoundTrip(req.WithContext(ctx))
 	if err == nil {
-		defer resp.Body.Close() //nolint:errcheck // what was read decides
+		defer resp.Body.Close() //nolint:errcheck // errors of the body show when it is read
 		_, err = readWhole(resp, maxDrainBytes)
 	}
 	if err != nil {
--- a/adapter/httptarget/sockopt_linux.go
+++ b/adapter/httptarget/sockopt_linux.go
@@ -7,9 +7,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUserTimeout has the kernel end a connection whose written bytes stay
-// unacknowledged for timeout. Without it a request written to a peer that is
-// gone is retransmitted for many minutes.
+// setUserTimeout makes the kernel close a connection whose written bytes stay
+// unacknowledged for timeout. Without it, the kernel retransmits a request to an
+// unreachable peer for many minutes.
 func setUserTimeout(raw syscall.RawConn, timeout time.Duration) error {
 	var set error
 	err := raw.Control(func(fd uintptr) {
--- a/adapter/httptarget/sockopt_other.go
+++ b/adapter/httptarget/sockopt_other.go
@@ -7,6 +7,6 @@
 	"time"
 )
 
-// setUserTimeout does nothing where the system has no such option; keepalive
-// then finds a peer that is gone.
+// setUserTimeout does nothing on systems without TCP_USER_TIMEOUT, where only
+// keepalive detects an unreachable peer.
 func setUserTimeout(syscall.RawConn, time.Duration) error { return nil }
--- a/adapter/httptarget/target.go
+++ b/adapter/httptarget/target.go
@@ -13,11 +13,11 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// pruneEvery is the part of IdleMax after which idle connections are looked
-// at.
+// pruneEvery is the number of times in one IdleMax that the pools are checked
+// for idle connections to close.
 const pruneEvery = 4
 
-// Target reaches targets over HTTP/1.1. It is safe for concurrent use.
+// Target sends requests to targets over HTTP/1.1. It is safe for concurrent use.
 type Target struct {
 	o         Options
 	dialer    net.Dialer
@@ -32,7 +32,8 @@
 	once    sync.Once
 }
 
-// New returns a Target without connections. Close ends it.
+// New returns a Target without connections. The caller must call Close to release
+// its connections and stop its goroutine.
 func New(o Options) *Target {
 	o = o.withDefaults()
 	t := &Target{
@@ -69,7 +70,7 @@
 	}
 }
 
-// dialedKey is the context key under which a connection that stands is handed
+// dialedKey is the context key under which an established connection is passed
 // to net/http.
 type dialedKey struct{}
 
@@ -110,8 +111,8 @@
 	return p.open
 }
 
-// Close closes the idle connections and lets no more be made. Exchanges that
-// are under way finish.
+// Close closes the idle connections and prevents new ones. Exchanges in flight
+// finish.
 func (t *Target) Close() {
 	t.once.Do(func() { close(t.stop) })
 	t.stopped.Wait()
@@ -153,9 +154,10 @@
 	}
 }
 
-// Do implements traffic.Target. A connection from the pool that turns out to
-// be closed before anything was written is replaced, which is safe for any
-// request, and happens whenever a target closes idle connections.
+// Do implements traffic.Target. If a pooled connection turns out to be unusable
+// before any byte of the request was written, Do retries over a new connection.
+// This is safe for any request, and is needed because targets close idle
+// connections.
 func (t *Target) Do(ctx context.Context, address string, call *traffic.Call) (*traffic.Response, error) {
 	p, ok := t.pool(address)
 	if !ok {
