--- a/adapter/callerapi/answer.go
+++ b/adapter/callerapi/answer.go
@@ -23,8 +23,8 @@
 	RequestID        string      `json:"requestId,omitempty"`
 }
 
-// writeAnswer passes a target's answer on. Its length is declared, so that a
-// caller can tell a connection that breaks half way from a whole answer.
+// writeAnswer forwards a target's response. It declares the length, so that a
+// caller can distinguish a connection that breaks midway from a whole response.
 func writeAnswer(c echo.Context, resp *traffic.Response) error {
 	h := c.Response().Header()
 	for name, values := range passedHeader(resp.Header) {
@@ -40,8 +40,8 @@
 	if len(resp.Body) == 0 {
 		return nil
 	}
-	// A caller that has gone away is the only failure, and has no use for an
-	// error.
+	// The write fails only if the caller has disconnected, and then no error can
+	// reach it.
 	_, _ = c.Response().Write(resp.Body)
 	return nil
 }
@@ -50,7 +50,8 @@
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// handleError answers what did not end in a target's answer.
+// handleError writes the error response to a request that got no response from a
+// target. It does nothing if a response has already begun.
 func (s *Server) handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -64,7 +65,7 @@
 	if f.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.RetryAfter.Seconds()))))
 	}
-	// As above: a caller that has gone away has no use for an error.
+	// The write fails only if the caller has disconnected.
 	_ = c.JSON(statusOf(f), errorBody{
 		Fate:             f.Fate.String(),
 		Reason:           f.Reason,
@@ -74,13 +75,13 @@
 	})
 }
 
-// fromRouter types the errors of echo itself, none of which came as far as a
-// target.
+// fromRouter converts an untyped error into a fate.Error. Errors of echo itself
+// occur before a target is called, so their fate is NotRun.
 func fromRouter(err error) *fate.Error {
 	f := &fate.Error{Fate: fate.NotRun, Reason: fate.ReasonInternal, Cause: err}
 	var h *echo.HTTPError
 	if !errors.As(err, &h) {
-		// A failure of the handler itself: what it had sent is not known.
+		// The handler itself failed, possibly after the request was sent.
 		f.Fate = fate.Unknown
 		return f
 	}
@@ -98,8 +99,8 @@
 	return f.Cause.Error()
 }
 
-// statusOf returns the HTTP status of an error, as the package comment lists
-// them.
+// statusOf returns the HTTP status of an error. The package comment lists the
+// statuses.
 func statusOf(f *fate.Error) int {
 	if f.Fate == fate.Unknown {
 		return statusOfUnknown(f)
--- a/adapter/callerapi/call.go
+++ b/adapter/callerapi/call.go
@@ -15,13 +15,13 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// maxRequestIDBytes bounds a request id, which homes hash and logs may carry.
+// maxRequestIDBytes bounds a request id, which homes hash and logs may contain.
 const maxRequestIDBytes = 128
 
 func (s *Server) call(c echo.Context) error {
 	if s.stopping.Load() {
-		// Callers then open no further request on a connection that Shutdown
-		// would close under it.
+		// Keeps the caller from sending another request on a connection that
+		// Shutdown is about to close.
 		c.Response().Header().Set("Connection", "close")
 	}
 	req, err := s.readRequest(c)
@@ -35,8 +35,8 @@
 	return writeAnswer(c, resp)
 }
 
-// readRequest takes the request in whole before anything is done for it, so
-// that a caller that stops sending half way costs no target anything.
+// readRequest reads the whole request before it is processed, so that a caller
+// that stops sending midway uses no capacity of a target.
 func (s *Server) readRequest(c echo.Context) (*traffic.Request, error) {
 	r := c.Request()
 	req := &traffic.Request{
@@ -78,8 +78,8 @@
 	return body, nil
 }
 
-// readOptions takes the caller's headers over. One that cannot be read refuses
-// the request: a guess at idempotence could run it twice.
+// readOptions sets the fields of req from the caller's headers. An invalid header
+// rejects the request: a wrong default for idempotence could run it twice.
 func readOptions(req *traffic.Request, h http.Header) error {
 	if len(req.ID) > maxRequestIDBytes {
 		return invalidHeader(req, traffic.HeaderRequestID)
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// HeaderError is a header of the caller that cannot be read.
+// HeaderError reports a header of the caller whose value is invalid.
 type HeaderError struct{ Name string }
 
 // Error implements error.
@@ -120,7 +120,8 @@
 	return refusal(req, fate.ReasonInvalidRequest, &HeaderError{Name: name})
 }
 
-// refusal is the error of a request that never came to the engine.
+// refusal returns the error for a request that was rejected before it reached
+// the engine.
 func refusal(req *traffic.Request, reason fate.Reason, cause error) *fate.Error {
 	return &fate.Error{Fate: fate.NotRun, Reason: reason, Service: req.Service, RequestID: req.ID, Cause: cause}
 }
@@ -129,7 +130,8 @@
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
-// targetPath returns what follows the call segment, as the caller wrote it.
+// targetPath returns the path after the call segment, escaped as the caller sent
+// it, or "/" if there is none.
 func targetPath(r *http.Request) string {
 	const segments = 4 // of /v1/services/{service}/call
 	path := r.URL.EscapedPath()
--- a/adapter/callerapi/callerapi_test.go
+++ b/adapter/callerapi/callerapi_test.go
@@ -27,7 +27,7 @@
 
 const patience = 20 * time.Second
 
-// fakeEngine answers with what it was given and keeps what it was asked.
+// fakeEngine returns a fixed result and records the request.
 type fakeEngine struct {
 	resp    *traffic.Response
 	err     error
@@ -58,7 +58,7 @@
 	return w
 }
 
-// The statuses that the package comment promises.
+// Errors are mapped to the statuses that the package comment lists.
 func TestStatusOfErrors(t *testing.T) {
 	tests := []struct {
 		err    *fate.Error
@@ -96,7 +96,8 @@
 	}
 }
 
-// An error that is not typed gives no account of what was sent.
+// An untyped error does not say whether the request was sent, so its fate is
+// unknown.
 func TestUntypedErrorIsUnknown(t *testing.T) {
 	w := serve(&fakeEngine{err: io.ErrUnexpectedEOF}, callerapi.Options{}, httptest.NewRequest("POST", "/v1/services/s/call", nil))
 	if w.Code != http.StatusBadGateway || w.Header().Get("Guavarill-Fate") != "unknown" {
@@ -139,7 +140,7 @@
 	}
 }
 
-// What cannot be understood is refused before anything is sent.
+// An invalid request is rejected before anything is sent to a target.
 func TestInvalidRequests(t *testing.T) {
 	tests := []struct {
 		name, value string
@@ -179,7 +180,7 @@
 	}
 }
 
-// entry is a whole entry on a socket, with one instance behind it.
+// entry is a complete entry that listens on a socket and has one target.
 type entry struct {
 	api      *callerapi.Server
 	url      string
@@ -250,8 +251,8 @@
 	}
 }
 
-// Symptom: a caller takes a part of an answer for the whole. Events: the
-// target breaks in the middle of the body.
+// Guards against a caller taking part of a response for the whole when the target
+// fails in the middle of the body.
 func TestShortAnswerIsNoSuccess(t *testing.T) {
 	e := newEntry(t, callerapi.Options{})
 	for _, kind := range []target.Kind{target.ShortBody, target.ShortChunks, target.ResetMidBody, target.Unbounded} {
@@ -263,8 +264,8 @@
 	}
 }
 
-// Symptom: a request is cut off by a planned stop. Events: a request is in
-// flight when the stop begins, and another comes before the balancer noticed.
+// Guards against a planned stop aborting requests: one is in flight when the stop
+// begins, and another arrives before the load balancer has detected the stop.
 func TestStopCutsNothingOff(t *testing.T) {
 	e := newEntry(t, callerapi.Options{BalancerNotice: 200 * time.Millisecond})
 	for range 10 {
@@ -292,7 +293,7 @@
 	waitNotReady(t, e.url)
 	resp, _ := e.post(t, "after", "x")
 	if resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("before the balancer noticed: got %d, close %t", resp.StatusCode, resp.Close)
+		t.Errorf("before the load balancer detected the stop: got %d, close %t", resp.StatusCode, resp.Close)
 	}
 	close(answer)
 	if err := <-stopped; err != nil {
@@ -316,11 +317,11 @@
 			return
 		}
 	}
-	t.Fatal("readiness was never withdrawn")
+	t.Fatal("timed out waiting until readiness is withdrawn")
 }
 
-// Symptom: callers that send slowly or not at all take up the entry. Events: a
-// connection is opened and its head, or its body, never ends.
+// Guards against callers that send slowly or not at all exhausting the entry: a
+// connection is opened, and the head or the body of its request never ends.
 func TestSlowCallersAreCutOff(t *testing.T) {
 	e := newEntry(t, callerapi.Options{ReadHeaderTimeout: 50 * time.Millisecond, ReadTimeout: 100 * time.Millisecond})
 	for _, start := range []string{
@@ -345,10 +346,10 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// Symptom: long requests fail as if their callers had gone away. Events: an
-// answer takes longer than callers may take to send. Cause: the server's
-// deadline for reading ends its watch for a caller that leaves, unless net/http
-// lifts it, on which the entry relies.
+// Guards against long requests failing as if their callers had disconnected. The
+// response takes longer than ReadTimeout, and the server's read deadline would
+// end its detection of disconnected callers. The entry relies on net/http to
+// lift that deadline.
 func TestLongAnswerOutlivesReadTimeout(t *testing.T) {
 	e := newEntry(t, callerapi.Options{ReadTimeout: 50 * time.Millisecond})
 	e.instance.SetFault(target.Fault{Delay: 300 * time.Millisecond})
--- a/adapter/callerapi/doc.go
+++ b/adapter/callerapi/doc.go
@@ -1,17 +1,17 @@
-// Package callerapi is the HTTP interface of an entry towards callers.
+// Package callerapi implements the HTTP interface of an entry for callers.
 //
 //	ANY /v1/services/{service}/call[/path]   a request to the service
 //	GET /healthz                             200 while the process runs
 //	GET /readyz                              200 while the entry takes requests, else 503
 //
-// What follows "call" and the query go to the target unchanged, as do the
-// method, the body and the headers, except those that belong to one connection
-// and those that begin with Guavarill-. The headers that callers may set:
+// The path after "call", the query, the method and the body are forwarded to the
+// target unchanged, and so are the headers, except hop-by-hop headers and those
+// that begin with Guavarill-. Callers may set these headers:
 //
-//	Guavarill-Request-Id   names the request; a UUIDv7 is best, since an entry
-//	                       that has just started can tell that it is new
+//	Guavarill-Request-Id   the id of the request; a UUIDv7 is best, because an
+//	                       entry that has just started can recognize it as new
 //	Guavarill-Idempotent   true or false; GET, HEAD and OPTIONS are idempotent
-//	                       unless told otherwise, all else is not
+//	                       by default, all other methods are not
 //	Guavarill-Timeout      how long the caller waits, e.g. 500ms
 //	Guavarill-Priority     low, normal, high or urgent
 //
@@ -31,10 +31,10 @@
 // The JSON of an error is {"fate","reason","detail","retryAfterMillis",
 // "requestId"}; its reasons are the constants of package fate.
 //
-// The answer of a target is held until it is whole, and only then is the
-// caller's begun: a target that breaks in the middle becomes a 502 with a
-// typed body, never a short success. The price is memory, at most the bound of
-// an answer for each slot in use, and the time until the last byte before the
-// first is passed on; a service that streams without end cannot be reached
-// through an entry.
+// A target's response is buffered until it is whole, and only then does the
+// response to the caller begin. A target that fails midway therefore yields a
+// 502 with a typed body, never a truncated success. The cost is memory, at most
+// the size limit of a response for each slot in use, and latency, as the first
+// byte is forwarded only after the last has arrived. A service that streams
+// without end cannot be used through an entry.
 package callerapi
--- a/adapter/callerapi/entry_bench_test.go
+++ b/adapter/callerapi/entry_bench_test.go
@@ -22,8 +22,8 @@
 )
 
 // The benchmarks send the same requests to a stand-in directly and through an
-// entry; what the entry adds is the difference. Everything runs in one
-// process, so processor time and allocations are differences too.
+// entry; the difference is the cost of the entry. Everything runs in one process,
+// so the processor time and allocations of the entry are also differences.
 const (
 	benchInstances = 4
 	benchSlots     = 64
@@ -66,8 +66,8 @@
 	return "http://" + l.Addr().String() + "/v1/services/s/call/orders"
 }
 
-// load sends b.N requests from callers goroutines and reports their latency
-// and the processor time of each.
+// load sends b.N requests from the given number of goroutines. It reports the
+// latency, the processor time for each request and the rate.
 func load(b *testing.B, callers int, urlOf func(i int) string) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: callers}}
 	defer client.CloseIdleConnections()
--- a/adapter/callerapi/header.go
+++ b/adapter/callerapi/header.go
@@ -7,8 +7,9 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, section
-// 7.6.1). Content-Length and Expect are the framing's own.
+// hopHeaders are the headers that are not forwarded: hop-by-hop headers (RFC
+// 9110, section 7.6.1), and Content-Length and Expect, which concern the framing
+// of a message.
 var hopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -23,9 +24,11 @@
 	"Expect":              true,
 }
 
+// ownPrefix begins the headers that are reserved for the entry and the targets.
 const ownPrefix = "Guavarill-"
 
-// passedHeader returns the headers that go on to the other side.
+// passedHeader returns the headers of h that are forwarded. The value slices are
+// shared with h.
 func passedHeader(h http.Header) http.Header {
 	named := connectionTokens(h)
 	passed := make(http.Header, len(h))
@@ -38,8 +41,8 @@
 	return passed
 }
 
-// connectionTokens returns the headers that Connection declares to be of this
-// connection alone.
+// connectionTokens returns the header names that the Connection header lists as
+// hop-by-hop.
 func connectionTokens(h http.Header) map[string]bool {
 	values := h["Connection"]
 	if len(values) == 0 {
@@ -54,7 +57,8 @@
 	return named
 }
 
-// setOwn sets the headers that every response carries.
+// setOwn sets the fate and, unless it is empty, the request id, which every
+// response contains.
 func setOwn(h http.Header, fateName, id string) {
 	h[traffic.HeaderFate] = []string{fateName}
 	if id != "" {
--- a/adapter/callerapi/options.go
+++ b/adapter/callerapi/options.go
@@ -21,7 +21,7 @@
 	DefaultBalancerNotice    = 5 * time.Second
 )
 
-// Engine is what the interface asks of package traffic.
+// Engine is the part of traffic.Engine that a Server uses.
 type Engine interface {
 	Do(ctx context.Context, req *traffic.Request) (*traffic.Response, error)
 	Drain(ctx context.Context) error
@@ -34,18 +34,20 @@
 	// MaxBodyBytes and MaxHeaderBytes bound a request.
 	MaxBodyBytes   int64
 	MaxHeaderBytes int
-	// ReadHeaderTimeout and ReadTimeout bound how slowly a caller may send,
-	// WriteTimeout how slowly it may take its answer, counted from the end of
-	// its request's head; it must exceed the longest timeout of a service.
+	// ReadHeaderTimeout and ReadTimeout bound the time in which a caller sends
+	// the head of a request and the whole request. WriteTimeout bounds the
+	// time from the end of the request's head to the end of the response; it
+	// must exceed the longest timeout of a service.
 	ReadHeaderTimeout time.Duration
 	ReadTimeout       time.Duration
 	WriteTimeout      time.Duration
-	// IdleTimeout is how long a caller's connection may lie unused.
+	// IdleTimeout is how long a caller's connection may stay idle.
 	IdleTimeout time.Duration
-	// BalancerNotice is how long a planned stop keeps accepting after readiness
-	// was withdrawn: longer than the platform's balancer takes to notice.
+	// BalancerNotice is how long a planned stop keeps accepting requests after
+	// readiness was withdrawn. It must be longer than the platform's load
+	// balancer takes to detect that.
 	BalancerNotice time.Duration
-	// Log takes changes of state; nil discards them.
+	// Log receives changes of state; if it is nil, they are discarded.
 	Log logrus.FieldLogger
 }
 
--- a/adapter/callerapi/server.go
+++ b/adapter/callerapi/server.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Server is the HTTP interface towards callers.
+// Server serves the HTTP interface for callers.
 type Server struct {
 	o        Options
 	echo     *echo.Echo
@@ -22,7 +22,7 @@
 	stopping atomic.Bool
 }
 
-// New returns a server that does not listen yet.
+// New returns a Server that does not listen yet.
 func New(o Options) *Server {
 	o = o.withDefaults()
 	s := &Server{o: o, echo: echo.New()}
@@ -40,21 +40,21 @@
 		WriteTimeout:      o.WriteTimeout,
 		IdleTimeout:       o.IdleTimeout,
 		MaxHeaderBytes:    o.MaxHeaderBytes,
-		// What callers do wrong on their connections is theirs to log.
+		// Faults of callers on their connections are not logged here.
 		ErrorLog: stdlog.New(io.Discard, "", 0),
 	}
 	return s
 }
 
-// Handler returns the interface as a handler, for tests and for daemons that
-// add routes of their own.
+// Handler returns the HTTP handler, for tests and for daemons that add routes of
+// their own.
 func (s *Server) Handler() http.Handler { return s.echo }
 
 // Echo returns the router, so that a daemon can add routes before Serve.
 func (s *Server) Echo() *echo.Echo { return s.echo }
 
-// Serve accepts callers' connections until Stop. It returns nil after a
-// planned stop.
+// Serve accepts callers' connections until Stop or Close, after which it returns
+// nil. Any other end is a ServeError.
 func (s *Server) Serve(l net.Listener) error {
 	err := s.server.Serve(l)
 	if errors.Is(err, http.ErrServerClosed) {
@@ -63,11 +63,11 @@
 	return &ServeError{Address: l.Addr().String(), Cause: err}
 }
 
-// Stop is the planned stop. Readiness is withdrawn first, while requests are
-// still taken, for as long as the balancer needs to notice; then no more
-// connections are accepted, idle ones are closed, and the requests in flight
-// end. When ctx ends before that, Stop returns what is left as an error and
-// cuts nothing off: to close is then the caller's decision.
+// Stop performs a planned stop. It withdraws readiness and keeps accepting
+// requests for BalancerNotice, so that the load balancer can detect it. Then it
+// accepts no more connections, closes idle ones and waits for the requests in
+// flight. If ctx ends first, Stop returns an error and leaves the remaining
+// requests running; the caller decides whether to call Close.
 func (s *Server) Stop(ctx context.Context) error {
 	if !s.stopping.Swap(true) {
 		s.o.Log.WithField("notice", s.o.BalancerNotice).Info("readiness withdrawn")
@@ -84,11 +84,12 @@
 	return s.o.Engine.Drain(ctx)
 }
 
-// Close cuts everything off. It is for tests and for the end of a stop that
-// took too long.
+// Close closes all connections at once, without waiting for requests in flight.
+// It is for tests and for a planned stop that takes too long.
 func (s *Server) Close() error { return s.server.Close() }
 
-// ServeError is a listener that failed, or a stop that did not end in time.
+// ServeError reports a listener that failed, or a stop that did not finish in
+// time.
 type ServeError struct {
 	Address string
 	Cause   error
