--- a/adapter/httptarget/conn.go
+++ b/adapter/httptarget/conn.go
@@ -50,17 +50,17 @@
 	// parked is whether the reader found the socket empty and waits for data.
 	parked   bool
 	deadline time.Time
-	// written and received count the bytes of the exchange; cut is whether a
-	// read of the connection failed or reached its end.
+	// written and received count the bytes of the exchange; readFailed is
+	// whether a read of the connection failed or reached its end.
 	written, received int64
-	cut               bool
-	peeked            [1]byte
+	readFailed               bool
+	writePeek            [1]byte
 
 	// Used only by the reader, which is one goroutine at a time.
 	onReadable func(fd uintptr) bool
-	asked      bool
+	solicited      bool
 	dropped    bool
-	looked     [1]byte
+	readPeek     [1]byte
 
 	// proven is when the last whole response arrived, or when the connection
 	// was made. The exchange owns it, and the pool does between exchanges. It
@@ -83,7 +83,7 @@
 	c.started = false
 	c.written = 0
 	c.received = 0
-	c.cut = false
+	c.readFailed = false
 }
 
 // Write implements net.Conn.
@@ -115,7 +115,7 @@
 	default:
 		return faultSealed
 	}
-	if err := c.fitToSend(); err != nil {
+	if err := c.checkBeforeSend(); err != nil {
 		c.phase = phaseSealed
 		return err
 	}
@@ -124,25 +124,26 @@
 	return nil
 }
 
-// fitToSend returns an error if the deadline has passed, or if the socket has
-// unsolicited input or was closed by the target.
-func (c *conn) fitToSend() error {
+// checkBeforeSend returns an error if the deadline has passed, or if the socket
+// has unsolicited input or was closed by the target.
+func (c *conn) checkBeforeSend() error {
 	// If the process was paused after the engine checked the deadline, the
 	// caller and the homes of the request id may have given the request up.
 	if !c.deadline.IsZero() && !time.Now().Before(c.deadline) {
 		return faultPastDeadline
 	}
 	var found error
-	if err := c.raw.Control(func(fd uintptr) { found = arrived(fd, c.peeked[:]) }); err != nil {
+	if err := c.raw.Control(func(fd uintptr) { found = pendingInput(fd, c.writePeek[:]) }); err != nil {
 		return err
 	}
 	return found
 }
 
-// arrived returns nil if the socket has no pending input. Otherwise it returns
-// faultUnsolicited for data, faultClosedByPeer for the end of the stream, or the
-// error of the socket. It consumes nothing; b is its scratch buffer.
-func arrived(fd uintptr, b []byte) error {
+// pendingInput returns nil if the socket has no pending input. Otherwise it
+// returns faultUnsolicited for data, faultClosedByPeer for the end of the
+// stream, or the error of the socket. It consumes nothing; b is its scratch
+// buffer.
+func pendingInput(fd uintptr, b []byte) error {
 	for {
 		n, _, err := unix.Recvfrom(int(fd), b, unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
@@ -169,22 +170,22 @@
 	if c.dropped {
 		return 0, faultDropped
 	}
-	if !c.asked {
-		return 0, c.unasked()
+	if !c.solicited {
+		return 0, c.unsolicitedError()
 	}
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.received += int64(n)
-	c.cut = c.cut || err != nil
+	c.readFailed = c.readFailed || err != nil
 	return n, err
 }
 
 // readable is called whenever the socket may have input. It returns true to end
 // the wait.
 func (c *conn) readable(fd uintptr) bool {
-	ready := arrived(fd, c.looked[:]) != nil
-	if c.look(ready) && !c.pool.put(c) {
+	ready := pendingInput(fd, c.readPeek[:]) != nil
+	if c.updateParked(ready) && !c.pool.release(c) {
 		// Closing the connection here would deadlock: Close waits for this call.
 		c.dropped = true
 		return true
@@ -192,14 +193,14 @@
 	return ready
 }
 
-// look records whether the reader found input, and reports whether the
+// updateParked records whether the reader found input, and reports whether the
 // connection has become free for another exchange.
-func (c *conn) look(ready bool) bool {
+func (c *conn) updateParked(ready bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.parked = !ready
 	if ready {
-		c.asked = c.phase == phaseSent
+		c.solicited = c.phase == phaseSent
 		return false
 	}
 	if c.phase != phaseEnded {
@@ -209,10 +210,10 @@
 	return true
 }
 
-// unasked reads the input that arrived outside an exchange and returns the error
-// for it.
-func (c *conn) unasked() error {
-	n, err := c.Conn.Read(c.looked[:])
+// unsolicitedError reads the input that arrived outside an exchange and returns
+// the error for it.
+func (c *conn) unsolicitedError() error {
+	n, err := c.Conn.Read(c.readPeek[:])
 	switch {
 	case n > 0:
 		return faultUnsolicited
@@ -226,14 +227,14 @@
 // pool once its reader waits at an empty socket, because net/http reads from the
 // network only when its own buffer is empty.
 func (c *conn) finish() {
-	if c.ended() && !c.pool.put(c) {
+	if c.endExchange() && !c.pool.release(c) {
 		c.close()
 	}
 }
 
-// ended records the end of an exchange, and reports whether the connection can
-// return to the pool at once.
-func (c *conn) ended() bool {
+// endExchange records the end of an exchange, and reports whether the
+// connection can return to the pool at once.
+func (c *conn) endExchange() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != phaseSent {
@@ -269,12 +270,12 @@
 	return c.received
 }
 
-// wasCut reports whether a read of the connection failed or reached its end,
-// which distinguishes a truncated response from a malformed one.
-func (c *conn) wasCut() bool {
+// hasReadFailed reports whether a read of the connection failed or reached its
+// end, which distinguishes a truncated response from a malformed one.
+func (c *conn) hasReadFailed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cut
+	return c.readFailed
 }
 
 // close closes the connection and stops the goroutines that serve it.
@@ -291,6 +292,6 @@
 		return nil
 	}
 	err := c.Conn.Close()
-	c.pool.closed(c)
+	c.pool.removeClosed(c)
 	return err
 }
--- a/adapter/httptarget/conn_test.go
+++ b/adapter/httptarget/conn_test.go
@@ -10,14 +10,14 @@
 	"github.com/guavarill/guavarill/core/fate"
 )
 
-// wire is a conn without net/http on top, together with its peer.
-type wire struct {
+// testConn is a conn without net/http on top, together with its peer.
+type testConn struct {
 	t    *testing.T
 	c    *conn
 	peer net.Conn
 }
 
-func newWire(t *testing.T) *wire {
+func newTestConn(t *testing.T) *testConn {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -41,10 +41,10 @@
 		c.close()
 		peer.Close() //nolint:errcheck // the test is over
 	})
-	return &wire{t: t, c: c, peer: peer}
+	return &testConn{t: t, c: c, peer: peer}
 }
 
-func (w *wire) exchange(answer string) {
+func (w *testConn) exchange(answer string) {
 	w.t.Helper()
 	w.c.arm(time.Time{})
 	if _, err := io.WriteString(w.c, "request"); err != nil {
@@ -58,14 +58,14 @@
 	}
 }
 
-func (w *wire) pooled() bool {
+func (w *testConn) pooled() bool {
 	w.c.pool.mu.Lock()
 	defer w.c.pool.mu.Unlock()
 	return len(w.c.pool.idle) == 1
 }
 
 // read begins a read and returns once it waits at the empty socket.
-func (w *wire) read() chan error {
+func (w *testConn) read() chan error {
 	w.t.Helper()
 	result := make(chan error, 1)
 	go func() {
@@ -76,7 +76,7 @@
 	return result
 }
 
-func (w *wire) await(what string, holds func() bool) {
+func (w *testConn) await(what string, holds func() bool) {
 	w.t.Helper()
 	for limit := time.Now().Add(20 * time.Second); !holds(); {
 		if time.Now().After(limit) {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (w *wire) parked() bool {
+func (w *testConn) parked() bool {
 	w.c.mu.Lock()
 	defer w.c.mu.Unlock()
 	return w.c.parked
@@ -95,7 +95,7 @@
 // which happens if a connection is reused while its reader still holds them. A
 // reader that asks for more input holds none.
 func TestPooledOnceReaderAsksForMore(t *testing.T) {
-	w := newWire(t)
+	w := newTestConn(t)
 	w.exchange("answer")
 	w.c.finish()
 	if w.pooled() {
@@ -106,7 +106,7 @@
 }
 
 func TestPooledAtOnceWhenReaderWaits(t *testing.T) {
-	w := newWire(t)
+	w := newTestConn(t)
 	w.exchange("answer")
 	w.read()
 	if w.pooled() {
@@ -121,7 +121,7 @@
 // Bytes that arrive between two exchanges are not taken as a response, whether
 // the reader or the next writer finds them first.
 func TestUnaskedBytesEndTheConnection(t *testing.T) {
-	w := newWire(t)
+	w := newTestConn(t)
 	w.exchange("answer")
 	w.c.finish()
 	result := w.read()
@@ -130,7 +130,7 @@
 		t.Errorf("reader: got %v", err)
 	}
 
-	w = newWire(t)
+	w = newTestConn(t)
 	io.WriteString(w.peer, "stray") //nolint:errcheck // the write shows it
 	w.awaitBytes()
 	w.c.arm(time.Time{})
@@ -142,10 +142,10 @@
 	}
 }
 
-func (w *wire) awaitBytes() {
+func (w *testConn) awaitBytes() {
 	w.t.Helper()
 	w.peer.(*net.TCPConn).CloseWrite() //nolint:errcheck // the wait below shows it
-	err := w.c.raw.Read(func(fd uintptr) bool { return arrived(fd, make([]byte, 1)) != nil })
+	err := w.c.raw.Read(func(fd uintptr) bool { return pendingInput(fd, make([]byte, 1)) != nil })
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -155,7 +155,7 @@
 // if an exchange is given up before its writer runs and the writer then runs.
 // Conversely, a request that was written counts as sent in every later call.
 func TestSealDecidesOnce(t *testing.T) {
-	w := newWire(t)
+	w := newTestConn(t)
 	w.c.arm(time.Time{})
 	if got := w.c.seal(); got != fate.SentNothing {
 		t.Errorf("before the write: %s sent", got)
@@ -164,7 +164,7 @@
 		t.Errorf("after the seal: got %v", err)
 	}
 
-	w = newWire(t)
+	w = newTestConn(t)
 	w.c.arm(time.Time{})
 	io.WriteString(w.c, "request") //nolint:errcheck // what counts is that it may have been sent
 	for range 2 {
@@ -177,7 +177,7 @@
 // Guards against an entry that was paused sending a request that its caller and
 // the homes of its id have given up.
 func TestNothingIsSentPastTheDeadline(t *testing.T) {
-	w := newWire(t)
+	w := newTestConn(t)
 	w.c.arm(time.Now().Add(-time.Millisecond))
 	if _, err := io.WriteString(w.c, "request"); !errors.Is(err, faultPastDeadline) {
 		t.Errorf("got %v", err)
--- a/adapter/httptarget/connection_test.go
+++ b/adapter/httptarget/connection_test.go
@@ -14,7 +14,7 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-const strayAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
+const strayResponse = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
 
 func eventually(t *testing.T, what string, holds func() bool) {
 	t.Helper()
@@ -46,8 +46,8 @@
 	for i := range 300 {
 		for _, id := range []string{fmt.Sprintf("e%d", i), fmt.Sprintf("n%d", i)} {
 			call := newCall(id, "x")
-			resp, err := client.Do(within(t), instance.Address(), call)
-			checkAnswer(t, resp, err, call)
+			resp, err := client.Do(testContext(t), instance.Address(), call)
+			checkResponse(t, resp, err, call)
 		}
 	}
 }
@@ -60,9 +60,9 @@
 	client.Limit(instance.Address(), 2)
 	for i := range 300 {
 		call := newCall(fmt.Sprintf("r%d", i), "x")
-		resp, err := client.Do(within(t), instance.Address(), call)
-		checkAnswer(t, resp, err, call)
-		instance.SendAll([]byte(strayAnswer))
+		resp, err := client.Do(testContext(t), instance.Address(), call)
+		checkResponse(t, resp, err, call)
+		instance.SendAll([]byte(strayResponse))
 	}
 }
 
@@ -75,8 +75,8 @@
 	client.Limit(instance.Address(), 2)
 	for i := range 200 {
 		call := newCall(fmt.Sprintf("r%d", i), "x")
-		resp, err := client.Do(within(t), instance.Address(), call)
-		checkAnswer(t, resp, err, call)
+		resp, err := client.Do(testContext(t), instance.Address(), call)
+		checkResponse(t, resp, err, call)
 		if got := instance.Runs(call.ID); got != 1 {
 			t.Fatalf("%s ran %d times", call.ID, got)
 		}
@@ -93,14 +93,14 @@
 	client.Limit(instance.Address(), 2)
 	call := newCall("warm", "")
 	call.Method = http.MethodGet
-	resp, err := client.Do(within(t), instance.Address(), call)
-	checkAnswer(t, resp, err, call)
+	resp, err := client.Do(testContext(t), instance.Address(), call)
+	checkResponse(t, resp, err, call)
 	eventually(t, "the connection is pooled", func() bool { return client.Open(instance.Address()) == 1 })
 	instance.SetFault(target.Fault{Kind: target.ResetBeforeHead})
 	call = newCall("r", "")
 	call.Method = http.MethodGet
 	call.Idempotent = true
-	if _, err := client.Do(within(t), instance.Address(), call); err == nil {
+	if _, err := client.Do(testContext(t), instance.Address(), call); err == nil {
 		t.Fatal("got a response, want an error")
 	}
 	if got := instance.Runs("r"); got != 1 {
@@ -119,8 +119,8 @@
 		wg.Go(func() {
 			for i := range 20 {
 				call := newCall(fmt.Sprintf("%d-%d", w, i), "x")
-				resp, err := client.Do(within(t), instance.Address(), call)
-				checkAnswer(t, resp, err, call)
+				resp, err := client.Do(testContext(t), instance.Address(), call)
+				checkResponse(t, resp, err, call)
 			}
 		})
 	}
@@ -147,8 +147,8 @@
 		}
 		cancel()
 		call := newCall(fmt.Sprintf("next%d", i), "x")
-		resp, err := client.Do(within(t), instance.Address(), call)
-		checkAnswer(t, resp, err, call)
+		resp, err := client.Do(testContext(t), instance.Address(), call)
+		checkResponse(t, resp, err, call)
 	}
 }
 
@@ -165,8 +165,8 @@
 	for i := range pooled {
 		wg.Go(func() {
 			call := newCall(fmt.Sprintf("warm%d", i), "x")
-			resp, err := client.Do(within(t), instance.Address(), call)
-			checkAnswer(t, resp, err, call)
+			resp, err := client.Do(testContext(t), instance.Address(), call)
+			checkResponse(t, resp, err, call)
 		})
 	}
 	wg.Wait()
@@ -176,7 +176,7 @@
 	call.Idempotent = true
 	call.SilenceAfter = 50 * time.Millisecond
 	call.Silent = func(proven bool) bool { return proven }
-	_, err := client.Do(within(t), instance.Address(), call)
+	_, err := client.Do(testContext(t), instance.Address(), call)
 	x := exchangeError(t, err)
 	if !x.ConnectionOnly || x.Reason != fate.ReasonTargetSilent || x.Fate() != fate.Unknown {
 		t.Fatalf("got %v, connection only %t", err, x.ConnectionOnly)
@@ -187,8 +187,8 @@
 	// Requests that are never given up must not get an old connection either.
 	for i := range pooled {
 		next := newCall(fmt.Sprintf("next%d", i), "x")
-		resp, err := client.Do(within(t), instance.Address(), next)
-		checkAnswer(t, resp, err, next)
+		resp, err := client.Do(testContext(t), instance.Address(), next)
+		checkResponse(t, resp, err, next)
 	}
 	if got := instance.Accepted(); got > 2*pooled {
 		t.Errorf("%d connections were made", got)
@@ -202,10 +202,10 @@
 	client := newClient(t, httptarget.Options{})
 	client.Limit(instance.Address(), 2)
 	warm := newCall("warm", "x")
-	resp, err := client.Do(within(t), instance.Address(), warm)
-	checkAnswer(t, resp, err, warm)
+	resp, err := client.Do(testContext(t), instance.Address(), warm)
+	checkResponse(t, resp, err, warm)
 	instance.Silence()
-	ctx, cancel := context.WithCancel(within(t))
+	ctx, cancel := context.WithCancel(testContext(t))
 	defer cancel()
 	call := newCall("r", "x")
 	call.SilenceAfter = 10 * time.Millisecond
@@ -229,8 +229,8 @@
 	client := newClient(t, httptarget.Options{IdleMax: 20 * time.Millisecond})
 	client.Limit(instance.Address(), 2)
 	call := newCall("r", "x")
-	resp, err := client.Do(within(t), instance.Address(), call)
-	checkAnswer(t, resp, err, call)
+	resp, err := client.Do(testContext(t), instance.Address(), call)
+	checkResponse(t, resp, err, call)
 	eventually(t, "the idle connection is closed", func() bool { return instance.Connections() == 0 })
 }
 
@@ -247,8 +247,8 @@
 	call.Path = "/a%2Fb//c"
 	call.Query = "q=1&q=%20"
 	call.Header = http.Header{"X-Own": {"1", "2"}}
-	resp, err := client.Do(within(t), instance.Address(), call)
-	checkAnswer(t, resp, err, call)
+	resp, err := client.Do(testContext(t), instance.Address(), call)
+	checkResponse(t, resp, err, call)
 	r := <-seen
 	if got := r.RequestURI; got != "/a%2Fb//c?q=1&q=%20" {
 		t.Errorf("got request URI %q", got)
--- a/adapter/httptarget/exchange.go
+++ b/adapter/httptarget/exchange.go
@@ -26,7 +26,7 @@
 	call *traffic.Call
 	// used is whether the connection came from the pool rather than being new.
 	used    bool
-	watch   *watch
+	watch   *silenceWatch
 	trace   httptrace.ClientTrace
 	started time.Time
 }
@@ -50,8 +50,8 @@
 		return nil, x.fail(ctx, err, x.pointBeforeHead())
 	}
 	defer resp.Body.Close() //nolint:errcheck // errors of the body show when it is read
-	if x.notStarted(resp) {
-		return nil, x.refused(resp)
+	if x.isNotStarted(resp) {
+		return nil, x.refusal(resp)
 	}
 	if err := checkFraming(req, resp); err != nil {
 		return nil, x.fail(ctx, err, fate.ReadingBody)
@@ -114,16 +114,16 @@
 	return h
 }
 
-// notStarted reports whether the target stated in its response that it did not
+// isNotStarted reports whether the target stated in its response that it did not
 // start the request.
-func (x *exchange) notStarted(resp *http.Response) bool {
+func (x *exchange) isNotStarted(resp *http.Response) bool {
 	return resp.StatusCode == http.StatusServiceUnavailable &&
 		resp.Header.Get(traffic.HeaderNotStarted) == traffic.HeaderTrue
 }
 
-// refused returns the error for a request that the target did not start. The
+// refusal returns the error for a request that the target did not start. The
 // connection is kept if the body of the refusal ends within maxDrainBytes.
-func (x *exchange) refused(resp *http.Response) *traffic.ExchangeError {
+func (x *exchange) refusal(resp *http.Response) *traffic.ExchangeError {
 	if _, err := readWhole(resp, maxDrainBytes); err == nil && checkFraming(resp.Request, resp) == nil {
 		x.c.finish()
 	} else {
@@ -221,7 +221,7 @@
 // cannot reach another exchange.
 func (x *exchange) fail(ctx context.Context, err error, point fate.Stage) *traffic.ExchangeError {
 	sent := x.c.seal()
-	cut := x.c.wasCut()
+	cut := x.c.hasReadFailed()
 	x.c.close()
 	if sent == fate.SentNothing && point != fate.BeforeConnect {
 		point = fate.SendingHead
@@ -233,7 +233,7 @@
 		Reason:  x.reason(ctx, err, point, cut),
 		Cause:   err,
 	}
-	if x.watch.connectionToBlame() && point == fate.AwaitingHead {
+	if x.watch.isConnectionAtFault() && point == fate.AwaitingHead {
 		failure.ConnectionOnly = true
 	}
 	return failure
--- a/adapter/httptarget/fate_test.go
+++ b/adapter/httptarget/fate_test.go
@@ -46,7 +46,7 @@
 	}}
 }
 
-func within(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	t.Cleanup(cancel)
@@ -62,7 +62,7 @@
 	return x
 }
 
-func checkAnswer(t *testing.T, resp *traffic.Response, err error, call *traffic.Call) {
+func checkResponse(t *testing.T, resp *traffic.Response, err error, call *traffic.Call) {
 	t.Helper()
 	if err != nil {
 		t.Fatalf("request %s: %v", call.ID, err)
@@ -102,10 +102,10 @@
 			instance := newInstance(t, target.Options{})
 			client.Limit(instance.Address(), 4)
 			warm := newCall("warm", "x")
-			resp, err := client.Do(within(t), instance.Address(), warm)
-			checkAnswer(t, resp, err, warm)
+			resp, err := client.Do(testContext(t), instance.Address(), warm)
+			checkResponse(t, resp, err, warm)
 			instance.SetFault(target.Fault{Kind: test.kind})
-			_, err = client.Do(within(t), instance.Address(), newCall("r", "body"))
+			_, err = client.Do(testContext(t), instance.Address(), newCall("r", "body"))
 			x := exchangeError(t, err)
 			if x.Point != test.point || x.Fate() != test.fate || x.Reason != test.reason {
 				t.Errorf("got %s, %s, %s; want %s, %s, %s (%v)",
@@ -129,13 +129,13 @@
 	l.Close() //nolint:errcheck // the address is free from here
 	client := newClient(t, httptarget.Options{})
 
-	_, err = client.Do(within(t), address, newCall("r", "x"))
+	_, err = client.Do(testContext(t), address, newCall("r", "x"))
 	x := exchangeError(t, err)
 	if x.Point != fate.BeforeConnect || x.Fate() != fate.NotRun || x.Reason != fate.ReasonNoConnection {
 		t.Errorf("without an allowed connection: got %v", err)
 	}
 	client.Limit(address, 1)
-	_, err = client.Do(within(t), address, newCall("r", "x"))
+	_, err = client.Do(testContext(t), address, newCall("r", "x"))
 	x = exchangeError(t, err)
 	if x.Point != fate.Connecting || x.Fate() != fate.NotRun || x.Reason != fate.ReasonConnectRefused {
 		t.Errorf("refused: got %v", err)
@@ -151,7 +151,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close() //nolint:errcheck // the test is over
-	ctx, leave := context.WithCancel(within(t))
+	ctx, leave := context.WithCancel(testContext(t))
 	go func() {
 		conn, err := l.Accept()
 		if err != nil {
--- a/adapter/httptarget/pool.go
+++ b/adapter/httptarget/pool.go
@@ -23,21 +23,21 @@
 	// channel receives one value: a conn, or nil when the exchange is to try
 	// again, since there may be room to make one.
 	waiting []chan *conn
-	// distrust is the time before which proofs no longer count: connections
+	// trustSince is the time from which proofs count: connections
 	// last proven before it are not used again.
-	distrust time.Time
+	trustSince time.Time
 	probe    *probe
 }
 
-// wanted describes which connections an exchange accepts.
-type wanted struct {
+// connRequirements describes which connections an exchange accepts.
+type connRequirements struct {
 	fresh         bool
 	nonIdempotent bool
 }
 
 // acquire returns an idle or a new connection, and whether it came from the
 // pool. It waits up to ConnectionWait when all connections are in use.
-func (p *pool) acquire(ctx context.Context, w wanted) (*conn, bool, error) {
+func (p *pool) acquire(ctx context.Context, w connRequirements) (*conn, bool, error) {
 	var timeout <-chan time.Time
 	for {
 		c, dial, turn, err := p.take(w)
@@ -69,7 +69,7 @@
 // take returns an idle connection, or true if the caller is to dial a new one,
 // or a channel to wait on. In the second case the new connection is already
 // counted in p.open.
-func (p *pool) take(w wanted) (*conn, bool, chan *conn, error) {
+func (p *pool) take(w connRequirements) (*conn, bool, chan *conn, error) {
 	var stale []*conn
 	defer func() { closeAll(stale) }()
 	p.mu.Lock()
@@ -79,7 +79,7 @@
 	}
 	now := time.Now()
 	stale = p.pruneLocked(now)
-	if c := p.newestLocked(now, w); c != nil {
+	if c := p.takeNewestLocked(now, w); c != nil {
 		return c, false, nil, nil
 	}
 	if p.open-len(stale) >= p.limit && len(p.idle) > 0 {
@@ -96,9 +96,9 @@
 	return nil, false, turn, nil
 }
 
-// newestLocked removes and returns the idle connection that was returned last,
-// or nil if there is none that meets w.
-func (p *pool) newestLocked(now time.Time, w wanted) *conn {
+// takeNewestLocked removes and returns the idle connection that was returned
+// last, or nil if there is none that meets w.
+func (p *pool) takeNewestLocked(now time.Time, w connRequirements) *conn {
 	n := len(p.idle)
 	if n == 0 || w.fresh {
 		return nil
@@ -123,14 +123,14 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	}
-	p.leave(turn)
+	p.abandonTurn(turn)
 	return nil, err
 }
 
-// leave removes turn from the queue. If a connection was delivered to it at the
-// same moment, leave passes it on: a connection kept by an exchange that has
-// ended would count against the limit permanently.
-func (p *pool) leave(turn chan *conn) {
+// abandonTurn removes turn from the queue. If a connection was delivered to it
+// at the same moment, abandonTurn passes it on: a connection kept by an
+// exchange that has ended would count against the limit permanently.
+func (p *pool) abandonTurn(turn chan *conn) {
 	p.mu.Lock()
 	if i := slices.Index(p.waiting, turn); i >= 0 {
 		p.waiting = slices.Delete(p.waiting, i, i+1)
@@ -139,7 +139,7 @@
 	}
 	p.mu.Unlock()
 	if c := <-turn; c != nil {
-		if !p.put(c) {
+		if !p.release(c) {
 			c.close()
 		}
 		return
@@ -149,13 +149,13 @@
 	p.wakeLocked()
 }
 
-// put returns a connection to the pool after a whole response, or hands it to
+// release returns a connection to the pool after a whole response, or hands it to
 // the first waiting exchange. It returns false if the connection must be closed
 // because it is closed already, above the limit or no longer trusted.
-func (p *pool) put(c *conn) bool {
+func (p *pool) release(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if c.closed.Load() || p.open > p.limit || c.proven.Before(p.distrust) {
+	if c.closed.Load() || p.open > p.limit || c.proven.Before(p.trustSince) {
 		return false
 	}
 	if len(p.waiting) > 0 {
@@ -168,8 +168,8 @@
 	return true
 }
 
-// closed removes a closed connection from the pool and from the count.
-func (p *pool) closed(c *conn) {
+// removeClosed removes a closed connection from the pool and from the count.
+func (p *pool) removeClosed(c *conn) {
 	p.mu.Lock()
 	p.open--
 	if i := slices.Index(p.idle, c); i >= 0 {
@@ -191,7 +191,7 @@
 }
 
 // pruneLocked removes and returns the idle connections that were last proven
-// more than IdleMax ago or before distrust. The caller closes them.
+// more than IdleMax ago or before trustSince. The caller closes them.
 func (p *pool) pruneLocked(now time.Time) []*conn {
 	var stale []*conn
 	kept := p.idle[:0]
@@ -208,7 +208,7 @@
 }
 
 func (p *pool) staleLocked(now time.Time, c *conn) bool {
-	return now.Sub(c.proven) > p.t.o.IdleMax || c.proven.Before(p.distrust)
+	return now.Sub(c.proven) > p.t.o.IdleMax || c.proven.Before(p.trustSince)
 }
 
 func (p *pool) prune(now time.Time) {
@@ -236,8 +236,8 @@
 	return excess
 }
 
-// unused reports whether the pool has no connections and allows none.
-func (p *pool) unused() bool {
+// isUnused reports whether the pool has no connections and allows none.
+func (p *pool) isUnused() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.limit == 0 && p.open == 0
--- a/adapter/httptarget/silence.go
+++ b/adapter/httptarget/silence.go
@@ -8,52 +8,54 @@
 	"time"
 )
 
-// watch monitors one exchange that waits for its response.
-type watch struct {
+// silenceWatch monitors one exchange that waits for its response.
+type silenceWatch struct {
 	timer *time.Timer
 	over  atomic.Bool
-	// blame is whether the target answered a probe while the exchange was
-	// silent, so that the connection and not the target is at fault.
-	blame atomic.Bool
+	// connectionAtFault is whether the target answered a probe while the
+	// exchange was silent, so that the connection and not the target is at
+	// fault.
+	connectionAtFault atomic.Bool
 }
 
 // watchSilence probes the target over a new connection if the exchange has no
 // response after the call's SilenceAfter. An exchange that itself uses a new
 // connection needs no probe. The call's Silent function decides whether to give
 // the exchange up, because that helps only a request that may be sent again.
-func (t *Target) watchSilence(x *exchange, giveUp context.CancelCauseFunc) *watch {
+func (t *Target) watchSilence(x *exchange, giveUp context.CancelCauseFunc) *silenceWatch {
 	after := x.call.SilenceAfter
 	if after == 0 {
 		after = t.o.SilenceAfter
 	}
-	w := &watch{}
-	w.timer = time.AfterFunc(after, func() { w.silent(x, giveUp) })
+	w := &silenceWatch{}
+	w.timer = time.AfterFunc(after, func() { w.handleSilence(x, giveUp) })
 	return w
 }
 
-// silent runs when the exchange has been without a response for SilenceAfter.
-func (w *watch) silent(x *exchange, giveUp context.CancelCauseFunc) {
-	if w.heard(x) {
+// handleSilence runs when the exchange has been without a response for
+// SilenceAfter.
+func (w *silenceWatch) handleSilence(x *exchange, giveUp context.CancelCauseFunc) {
+	if w.hasResponse(x) {
 		return
 	}
-	proven := x.used && x.c.pool.ask(x.started)
-	if w.heard(x) {
+	proven := x.used && x.c.pool.probeTarget(x.started)
+	if w.hasResponse(x) {
 		return
 	}
 	if proven {
 		x.t.metrics.silences.Inc()
-		w.blame.Store(true)
+		w.connectionAtFault.Store(true)
 	}
 	if x.call.Silent != nil && x.call.Silent(proven) {
 		giveUp(faultSilent)
 	}
 }
 
-// heard reports whether bytes of a response have arrived or the exchange has
-// ended.
-func (w *watch) heard(x *exchange) bool { return w.over.Load() || x.c.receivedBytes() > 0 }
+// hasResponse reports whether bytes of a response have arrived or the exchange
+// has ended.
+func (w *silenceWatch) hasResponse(x *exchange) bool { return w.over.Load() || x.c.receivedBytes() > 0 }
 
-func (w *watch) stop() {
+func (w *silenceWatch) stop() {
 	if w == nil {
 		return
 	}
@@ -61,7 +63,7 @@
 	w.timer.Stop()
 }
 
-func (w *watch) connectionToBlame() bool { return w != nil && w.blame.Load() }
+func (w *silenceWatch) isConnectionAtFault() bool { return w != nil && w.connectionAtFault.Load() }
 
 // probe is one check of whether a target answers. Several exchanges may wait for
 // its result.
@@ -71,10 +73,10 @@
 	proven bool
 }
 
-// ask reports whether the target answers over a new connection. If it does, the
-// connections last proven before since are dropped. Concurrent calls share one
-// probe.
-func (p *pool) ask(since time.Time) (proven bool) {
+// probeTarget reports whether the target answers over a new connection. If it
+// does, the connections last proven before since are dropped. Concurrent calls
+// share one probe.
+func (p *pool) probeTarget(since time.Time) (proven bool) {
 	pr, mine := p.joinProbe()
 	if !mine {
 		<-pr.done
@@ -101,35 +103,36 @@
 func (p *pool) runProbe(since time.Time) (proven bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), p.t.o.ProbeTimeout)
 	defer cancel()
-	c, _, err := p.acquire(ctx, wanted{fresh: true})
+	c, _, err := p.acquire(ctx, connRequirements{fresh: true})
 	if err == nil {
-		err = c.greet(ctx)
+		err = c.sendProbe(ctx)
 	}
 	if err != nil {
 		p.t.metrics.probes.WithLabelValues(resultFailed).Inc()
 		return false
 	}
 	p.t.metrics.probes.WithLabelValues(resultDone).Inc()
-	p.doubt(since)
+	p.distrustBefore(since)
 	return true
 }
 
-// doubt drops the idle connections that were last proven before since. A
+// distrustBefore drops the idle connections that were last proven before since. A
 // connection in use is dropped when its exchange ends without a response; a
 // whole response proves it anew.
-func (p *pool) doubt(since time.Time) {
+func (p *pool) distrustBefore(since time.Time) {
 	p.mu.Lock()
-	if since.After(p.distrust) {
-		p.distrust = since
+	if since.After(p.trustSince) {
+		p.trustSince = since
 	}
 	stale := p.pruneLocked(time.Now())
 	p.mu.Unlock()
 	closeAll(stale)
 }
 
-// greet sends a probe and returns nil if the target sends any whole response
-// with a body of at most maxDrainBytes. OPTIONS * names no resource and has no effect (RFC 9110, section 9.3.7).
-func (c *conn) greet(ctx context.Context) error {
+// sendProbe sends a probe and returns nil if the target sends any whole
+// response with a body of at most maxDrainBytes. OPTIONS * names no resource
+// and has no effect (RFC 9110, section 9.3.7).
+func (c *conn) sendProbe(ctx context.Context) error {
 	deadline, _ := ctx.Deadline()
 	c.arm(deadline)
 	req := &http.Request{
--- a/adapter/httptarget/target.go
+++ b/adapter/httptarget/target.go
@@ -148,7 +148,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for address, p := range t.pools {
-		if p.unused() {
+		if p.isUnused() {
 			delete(t.pools, address)
 		}
 	}
@@ -166,9 +166,9 @@
 		}
 	}
 	if !call.TrustSince.IsZero() {
-		p.doubt(call.TrustSince)
+		p.distrustBefore(call.TrustSince)
 	}
-	w := wanted{fresh: call.Fresh, nonIdempotent: !call.Idempotent}
+	w := connRequirements{fresh: call.Fresh, nonIdempotent: !call.Idempotent}
 	for {
 		c, used, err := p.acquire(ctx, w)
 		if err != nil {
