--- a/adapter/httptarget/conn.go
+++ b/adapter/httptarget/conn.go
@@ -53,14 +53,14 @@
 	// written and received count the bytes of the exchange; readFailed is
 	// whether a read of the connection failed or reached its end.
 	written, received int64
-	readFailed               bool
-	writePeek            [1]byte
+	readFailed        bool
+	writePeek         [1]byte
 
 	// Used only by the reader, which is one goroutine at a time.
 	onReadable func(fd uintptr) bool
-	solicited      bool
+	solicited  bool
 	dropped    bool
-	readPeek     [1]byte
+	readPeek   [1]byte
 
 	// proven is when the last whole response arrived, or when the connection
 	// was made. The exchange owns it, and the pool does between exchanges. It
--- a/adapter/httptarget/pool.go
+++ b/adapter/httptarget/pool.go
@@ -26,7 +26,7 @@
 	// trustSince is the time from which proofs count: connections
 	// last proven before it are not used again.
 	trustSince time.Time
-	probe    *probe
+	probe      *probe
 }
 
 // connRequirements describes which connections an exchange accepts.
