--- a/adapter/callerapi/call.go
+++ b/adapter/callerapi/call.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	return writeAnswer(c, resp)
+	return writeResponse(c, resp)
 }
 
 // readRequest reads the whole request before it is processed, so that a caller
@@ -45,8 +45,8 @@
 		Method:     r.Method,
 		Path:       targetPath(r),
 		Query:      r.URL.RawQuery,
-		Header:     passedHeader(r.Header),
-		Idempotent: idempotentMethod(r.Method),
+		Header:     forwardedHeader(r.Header),
+		Idempotent: isIdempotentMethod(r.Method),
 		Priority:   model.PriorityNormal,
 	}
 	if err := readOptions(req, r.Header); err != nil {
@@ -126,7 +126,7 @@
 	return &fate.Error{Fate: fate.NotRun, Reason: reason, Service: req.Service, RequestID: req.ID, Cause: cause}
 }
 
-func idempotentMethod(method string) bool {
+func isIdempotentMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
 
--- a/adapter/callerapi/callerapi_test.go
+++ b/adapter/callerapi/callerapi_test.go
@@ -32,11 +32,11 @@
 	resp    *traffic.Response
 	err     error
 	serving error
-	asked   *traffic.Request
+	request *traffic.Request
 }
 
 func (e *fakeEngine) Do(_ context.Context, req *traffic.Request) (*traffic.Response, error) {
-	e.asked = req
+	e.request = req
 	return e.resp, e.err
 }
 
@@ -125,7 +125,7 @@
 		Header: http.Header{"X-Own": {"1"}}, Body: []byte("body"),
 		Idempotent: true, Priority: model.PriorityUrgent, Timeout: 500 * time.Millisecond,
 	}
-	if diff := cmp.Diff(want, e.asked); diff != "" {
+	if diff := cmp.Diff(want, e.request); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -134,8 +134,8 @@
 	for method, idempotent := range map[string]bool{"GET": true, "HEAD": true, "POST": false, "PUT": false, "DELETE": false} {
 		e := &fakeEngine{resp: &traffic.Response{Status: 200}}
 		serve(e, callerapi.Options{}, httptest.NewRequest(method, "/v1/services/s/call", nil))
-		if e.asked.Idempotent != idempotent || e.asked.Path != "/" || e.asked.Priority != model.PriorityNormal {
-			t.Errorf("%s: got %+v", method, e.asked)
+		if e.request.Idempotent != idempotent || e.request.Path != "/" || e.request.Priority != model.PriorityNormal {
+			t.Errorf("%s: got %+v", method, e.request)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 		r := httptest.NewRequest("POST", "/v1/services/s/call", strings.NewReader("too large"))
 		r.Header.Set(test.name, test.value)
 		w := serve(e, callerapi.Options{MaxBodyBytes: 8}, r)
-		if w.Code != test.status || w.Header().Get("Guavarill-Fate") != "not-run" || e.asked != nil {
+		if w.Code != test.status || w.Header().Get("Guavarill-Fate") != "not-run" || e.request != nil {
 			t.Errorf("%s: %s: got %d, %v", test.name, test.value, w.Code, w.Header())
 		}
 	}
--- a/adapter/callerapi/header.go
+++ b/adapter/callerapi/header.go
@@ -24,16 +24,17 @@
 	"Expect":              true,
 }
 
-// ownPrefix begins the headers that are reserved for the entry and the targets.
-const ownPrefix = "Guavarill-"
+// reservedPrefix begins the headers that are reserved for the entry and its
+// targets.
+const reservedPrefix = "Guavarill-"
 
-// passedHeader returns the headers of h that are forwarded. The value slices are
-// shared with h.
-func passedHeader(h http.Header) http.Header {
+// forwardedHeader returns the headers of h that are forwarded. The value slices
+// are shared with h.
+func forwardedHeader(h http.Header) http.Header {
 	named := connectionTokens(h)
 	passed := make(http.Header, len(h))
 	for name, values := range h {
-		if hopHeaders[name] || named[name] || strings.HasPrefix(name, ownPrefix) {
+		if hopHeaders[name] || named[name] || strings.HasPrefix(name, reservedPrefix) {
 			continue
 		}
 		passed[name] = values
@@ -57,9 +58,9 @@
 	return named
 }
 
-// setOwn sets the fate and, unless it is empty, the request id, which every
-// response contains.
-func setOwn(h http.Header, fateName, id string) {
+// setFateHeaders sets the fate and, unless it is empty, the request id, which
+// every response contains.
+func setFateHeaders(h http.Header, fateName, id string) {
 	h[traffic.HeaderFate] = []string{fateName}
 	if id != "" {
 		h[traffic.HeaderRequestID] = []string{id}
--- a/adapter/callerapi/answer.go
+++ b/adapter/callerapi/response.go
@@ -23,15 +23,15 @@
 	RequestID        string      `json:"requestId,omitempty"`
 }
 
-// writeAnswer forwards a target's response. It declares the length, so that a
+// writeResponse forwards a target's response. It declares the length, so that a
 // caller can distinguish a connection that breaks midway from a whole response.
-func writeAnswer(c echo.Context, resp *traffic.Response) error {
+func writeResponse(c echo.Context, resp *traffic.Response) error {
 	h := c.Response().Header()
-	for name, values := range passedHeader(resp.Header) {
+	for name, values := range forwardedHeader(resp.Header) {
 		h[name] = values
 	}
-	setOwn(h, fate.Answered.String(), resp.RequestID)
-	if bodyAllowed(c.Request().Method, resp.Status) {
+	setFateHeaders(h, fate.Answered.String(), resp.RequestID)
+	if isBodyAllowed(c.Request().Method, resp.Status) {
 		h["Content-Length"] = []string{strconv.Itoa(len(resp.Body))}
 	} else if declared := resp.Header["Content-Length"]; c.Request().Method == http.MethodHead && declared != nil {
 		h["Content-Length"] = declared
@@ -46,7 +46,7 @@
 	return nil
 }
 
-func bodyAllowed(method string, status int) bool {
+func isBodyAllowed(method string, status int) bool {
 	return method != http.MethodHead && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
@@ -58,10 +58,10 @@
 	}
 	var f *fate.Error
 	if !errors.As(err, &f) {
-		f = fromRouter(err)
+		f = typedError(err)
 	}
 	h := c.Response().Header()
-	setOwn(h, f.Fate.String(), f.RequestID)
+	setFateHeaders(h, f.Fate.String(), f.RequestID)
 	if f.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(f.RetryAfter.Seconds()))))
 	}
@@ -75,9 +75,9 @@
 	})
 }
 
-// fromRouter converts an untyped error into a fate.Error. Errors of echo itself
+// typedError converts an untyped error into a fate.Error. Errors of echo itself
 // occur before a target is called, so their fate is NotRun.
-func fromRouter(err error) *fate.Error {
+func typedError(err error) *fate.Error {
 	f := &fate.Error{Fate: fate.NotRun, Reason: fate.ReasonInternal, Cause: err}
 	var h *echo.HTTPError
 	if !errors.As(err, &h) {
