--- a/adapter/httptarget/conn.go
+++ b/adapter/httptarget/conn.go
@@ -281,9 +281,9 @@
 // close closes the connection and stops the goroutines that serve it.
 func (c *conn) close() {
 	if c.client != nil {
-		c.client.Close() //nolint:errcheck // the connection is discarded
+		c.client.Close() //nolint:errcheck // there is nothing left to lose
 	}
-	c.Close() //nolint:errcheck // the connection is discarded
+	c.Close() //nolint:errcheck // there is nothing left to lose
 }
 
 // Close implements net.Conn.
--- a/adapter/httptarget/conn_test.go
+++ b/adapter/httptarget/conn_test.go
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close() //nolint:errcheck // the connection is already established
+	defer l.Close() //nolint:errcheck // the connection stands
 	target := New(Options{})
 	t.Cleanup(target.Close)
 	target.Limit(l.Addr().String(), 1)
--- a/adapter/httptarget/dial.go
+++ b/adapter/httptarget/dial.go
@@ -41,7 +41,7 @@
 		err = setUserTimeout(raw, p.t.o.UserTimeout)
 	}
 	if err != nil {
-		nc.Close() //nolint:errcheck // the first error is the cause
+		nc.Close() //nolint:errcheck // the first error says more
 		return nil, err
 	}
 	c := &conn{Conn: nc, raw: raw, pool: p, proven: time.Now()}
--- a/adapter/httptarget/exchange.go
+++ b/adapter/httptarget/exchange.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		return nil, x.fail(ctx, err, x.pointBeforeHead())
 	}
-	defer resp.Body.Close() //nolint:errcheck // errors of the body show when it is read
+	defer resp.Body.Close() //nolint:errcheck // what was read decides
 	if x.isNotStarted(resp) {
 		return nil, x.refusal(resp)
 	}
--- a/adapter/httptarget/silence.go
+++ b/adapter/httptarget/silence.go
@@ -146,7 +146,7 @@
 	}
 	resp, err := c.client.RoundTrip(req.WithContext(ctx))
 	if err == nil {
-		defer resp.Body.Close() //nolint:errcheck // errors of the body show when it is read
+		defer resp.Body.Close() //nolint:errcheck // what was read decides
 		_, err = readWhole(resp, maxDrainBytes)
 	}
 	if err != nil {
