--- a/core/manifest/canonical.go
+++ b/core/manifest/canonical.go
@@ -10,10 +10,10 @@
 	"strings"
 )
 
-// LoadError is a canonical document that cannot be read, because it was cut
-// short, changed, or written by a version that knows more fields.
+// LoadError reports a canonical document that cannot be decoded because it was
+// truncated, damaged, or written by a version with more fields.
 type LoadError struct {
-	// Part is what was being read: a manifest, a workload, a team.
+	// Part names the failed part: "manifest", "workload" or "team".
 	Part  string
 	Cause error
 }
@@ -24,17 +24,18 @@
 // Unwrap returns the cause.
 func (e *LoadError) Unwrap() error { return e.Cause }
 
-// Canonical returns the manifest as JSON, always the same bytes for the same
+// Canonical returns the manifest as JSON, always as the same bytes for the same
 // declaration. The manifest must be normalised, as Parse and Load return it.
 func (m *Manifest) Canonical() []byte { return marshal(m) }
 
-// Canonical returns the workload as JSON, as it stands in the manifest's.
+// Canonical returns the workload as JSON, as in the canonical manifest.
 func (w *Workload) Canonical() []byte { return marshal(w) }
 
-// Canonical returns the team as JSON, as it stands in the manifest's.
+// Canonical returns the team as JSON, as in the canonical manifest.
 func (t *Team) Canonical() []byte { return marshal(t) }
 
-// marshal cannot fail: the types hold nothing but text, numbers and booleans.
+// marshal encodes a declaration. It cannot fail, because the types hold only
+// strings, numbers and booleans.
 func marshal(v any) []byte {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -43,7 +44,7 @@
 	return data
 }
 
-// Load reads what Manifest.Canonical wrote. An error is a *LoadError.
+// Load decodes the output of Manifest.Canonical. The error is a *LoadError.
 func Load(document []byte) (*Manifest, error) {
 	m := &Manifest{}
 	if err := loadStrict(document, m); err != nil {
@@ -53,7 +54,8 @@
 	return m, nil
 }
 
-// LoadWorkload reads what Workload.Canonical wrote. An error is a *LoadError.
+// LoadWorkload decodes the output of Workload.Canonical. The error is a
+// *LoadError.
 func LoadWorkload(document []byte) (*Workload, error) {
 	w := &Workload{}
 	if err := loadStrict(document, w); err != nil {
@@ -63,7 +65,7 @@
 	return w, nil
 }
 
-// LoadTeam reads what Team.Canonical wrote. An error is a *LoadError.
+// LoadTeam decodes the output of Team.Canonical. The error is a *LoadError.
 func LoadTeam(document []byte) (*Team, error) {
 	t := &Team{}
 	if err := loadStrict(document, t); err != nil {
@@ -72,9 +74,9 @@
 	return t, nil
 }
 
-// loadStrict refuses fields that it does not know. During an upgrade an older
-// daemon would otherwise drop a newer one's field without a sign, hash the
-// rest and believe itself up to date.
+// loadStrict rejects unknown fields. During an upgrade an older daemon would
+// otherwise silently drop a field of a newer one, hash the rest and consider its
+// configuration up to date.
 func loadStrict(document []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(document))
 	dec.DisallowUnknownFields()
@@ -91,8 +93,8 @@
 
 func (*trailingError) Error() string { return "text after the end" }
 
-// normalise gives equal declarations the same form. It copies the slices, so
-// that a caller's manifest keeps its order.
+// normalise gives equal declarations the same form. It copies the slices of teams
+// and workloads, so that those of the caller keep their order.
 func (m *Manifest) normalise() {
 	m.Teams = append(make([]Team, 0, len(m.Teams)), m.Teams...)
 	m.Workloads = append(make([]Workload, 0, len(m.Workloads)), m.Workloads...)
@@ -112,8 +114,8 @@
 }
 
 // Normalised returns a normalised copy of m, for manifests that were built in
-// code and not by Parse. Nothing in it is shared with m except what both only
-// read.
+// code and not by Parse. The copy shares only data with m that is never modified,
+// such as quotas and arguments.
 func (m *Manifest) Normalised() *Manifest {
 	c := *m
 	c.normalise()
--- a/core/manifest/check.go
+++ b/core/manifest/check.go
@@ -10,8 +10,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Check reports what Parse would refuse in m, for manifests that were built in
-// code. An error is an *InvalidError.
+// Check applies the checks of Parse to a manifest that was built in code. The
+// error is an *InvalidError.
 func (m *Manifest) Check() error {
 	found := &problems{}
 	m.check(found)
@@ -54,8 +54,8 @@
 	return teams
 }
 
-// checkDocument refuses a normalised manifest that the store could not hold or
-// daemons could not send each other.
+// checkDocument rejects a normalised manifest that is too large to be stored, or
+// to be sent between daemons.
 func (m *Manifest) checkDocument() error {
 	document := m.Canonical()
 	records := 0
@@ -66,7 +66,7 @@
 		return tooLarge(fmt.Sprintf("%d bytes when encoded; at most %d", size, MaxDocumentBytes))
 	}
 	if len(document)+records <= MaxStoredBytes {
-		return nil // compressed it is no larger, but for what EnvelopeBytes covers
+		return nil // EnvelopeBytes covers what compression can add
 	}
 	if size := len(Compress(document)) + records; size > MaxStoredBytes {
 		return tooLarge(fmt.Sprintf("%d bytes in the store; at most %d", size, MaxStoredBytes))
@@ -78,7 +78,7 @@
 	return &InvalidError{Problems: []Problem{{Reason: ReasonTooLarge, Detail: detail}}}
 }
 
-// workloadCheck checks one workload.
+// workloadCheck checks one workload and records its problems.
 type workloadCheck struct {
 	problems *problems
 	path     string
@@ -162,7 +162,7 @@
 
 func (c *workloadCheck) checkService() {
 	checkRange(c.problems, c.at("slots"), int64(c.w.Slots), 1, maxSlots)
-	// An exchange takes a connection of its own, so slots beyond the
+	// Each request uses a connection of its own, so slots in excess of the
 	// connections could never be used.
 	checkRange(c.problems, c.at("connections"), int64(c.w.Connections), int64(max(c.w.Slots, 1)), maxConnections)
 	checkRange(c.problems, c.at("maxQueue"), int64(c.w.MaxQueue), 0, maxQueue)
@@ -179,8 +179,8 @@
 	c.refuse("timeout", c.w.Timeout != 0)
 }
 
-// refuse notes a field that was given although the workload's kind has no use
-// for it.
+// refuse records a problem if a field is given that does not apply to the kind of
+// the workload.
 func (c *workloadCheck) refuse(field string, given bool) {
 	if given {
 		c.problems.add(c.at(field), ReasonMisplaced, string(c.w.Kind))
@@ -216,9 +216,9 @@
 	}
 }
 
-// checkName takes lower-case letters, digits and hyphens, with no hyphen at
-// either end. Names become parts of store keys and of task names: a slash or
-// an @ in one would make two different tasks share a key.
+// checkName accepts names of lower-case letters, digits and hyphens that neither
+// begin nor end with a hyphen. Names become parts of store keys and of task names:
+// a slash or an @ in a name could give two different tasks the same key.
 func checkName(p *problems, path, name string) {
 	switch {
 	case name == "":
@@ -230,8 +230,9 @@
 	}
 }
 
-// ValidName reports whether a name can stand in keys of the store and in logs:
-// lower case letters, digits and inner dashes.
+// ValidName reports whether a name can be used in store keys and in logs, that is
+// whether it has only lower-case letters, digits and inner hyphens. It does not
+// check the length.
 func ValidName(name string) bool {
 	for i := range len(name) {
 		c := name[i]
--- a/core/manifest/compress.go
+++ b/core/manifest/compress.go
@@ -7,9 +7,9 @@
 	"io"
 )
 
-// TooLongError is a compressed value that is longer than it may be. A few
-// kilobytes can decompress to gigabytes, which would end the daemon that reads
-// them, and every other one after it.
+// TooLongError reports a compressed value that decompresses to more than MaxBytes.
+// A few kilobytes can decompress to gigabytes, which would exhaust the memory of
+// the daemon that reads them, and then of every other daemon.
 type TooLongError struct{ MaxBytes int }
 
 // Error implements error.
@@ -17,33 +17,34 @@
 	return fmt.Sprintf("decompressed value is larger than %d bytes", e.MaxBytes)
 }
 
-// Compress returns data as one gzip member, always the same bytes for the same
-// data: the header names neither time nor file. Members can be joined;
-// Decompress returns their contents joined. At most a few bytes for each 16 KiB
-// are added to data that does not compress.
+// Compress returns data as one gzip member, always as the same bytes for the same
+// data: the header holds neither a time nor a file name. Members can be
+// concatenated; Decompress returns their concatenated contents. Data that does not
+// compress grows by at most a few bytes for each 16 KiB.
 //
-// It is the fastest level, as daemons compress on their control loop.
+// It uses the fastest level, because daemons compress on their control loop.
 func Compress(data []byte) []byte {
 	var out bytes.Buffer
 	w, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 	if err != nil {
 		panic(&LoadError{Part: "compression level", Cause: err})
 	}
-	// A bytes.Buffer takes every write.
+	// Writes to a bytes.Buffer never fail.
 	_, _ = w.Write(data)
 	_ = w.Close()
 	return out.Bytes()
 }
 
-// IsCompressed tells what Compress wrote from an encoded message, in which the
-// first byte would be a field of a kind that does not exist.
+// IsCompressed reports whether value begins with the gzip magic number, as the
+// output of Compress does. An encoded protobuf message never begins with it, as
+// its first byte would be a field tag with an invalid wire type.
 func IsCompressed(value []byte) bool {
 	return len(value) >= 2 && value[0] == 0x1f && value[1] == 0x8b
 }
 
-// Decompress reads what Compress wrote and checks its sums. An error is a
-// *TooLongError for more than most bytes, or one of package gzip or io for a
-// value that is damaged or cut short.
+// Decompress decompresses the output of Compress and verifies its checksums. The
+// error is a *TooLongError if the result has more than most bytes, or an error of
+// package gzip or io if the value is damaged or truncated.
 func Decompress(value []byte, most int) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(value))
 	if err != nil {
--- a/core/manifest/doc.go
+++ b/core/manifest/doc.go
@@ -1,18 +1,18 @@
-// Package manifest reads, checks and writes the operators' declaration of what
-// should run.
+// Package manifest parses, validates and encodes manifests. A manifest is the
+// operators' declaration of the teams and workloads of a cluster.
 //
-// Parse takes YAML or JSON and is strict: a field it does not know, a field
-// given twice, a value of another type, a duration without a unit or a size
-// that no worker could hold refuses the whole manifest, and every problem is
-// listed with its path. Nothing is guessed, because a manifest that is half
-// understood would start the wrong work.
+// Parse reads YAML or JSON and is strict: an unknown field, a repeated field, a
+// value of the wrong type, a duration without a unit or a size larger than any
+// worker makes it reject the whole manifest. Every problem is listed with its
+// path. Nothing is guessed, because a partly understood manifest would start the
+// wrong tasks.
 //
 // A parsed manifest is normalised: teams and workloads are sorted by name, an
-// absent priority is "normal" and an absent class is the workload's name.
-// Canonical writes that form as JSON, always the same bytes for the same
-// declaration; it is what the store keeps and what daemons compare. Load reads
-// it back. Load does not apply the limits of Parse: a manifest that was
-// accepted stays readable by a later version with tighter limits.
+// absent priority becomes "normal" and an absent class becomes the name of the
+// workload. Canonical encodes this form as JSON, always as the same bytes for the
+// same declaration. The store keeps these bytes, and daemons compare them. Load
+// decodes them without the limits of Parse, so that a manifest that was accepted
+// remains readable by a later version with tighter limits.
 //
-// HomeShard and TasksOf deal a workload's tasks over shards.
+// HomeShard and TasksOf distribute the tasks of a workload over shards.
 package manifest
--- a/core/manifest/duration.go
+++ b/core/manifest/duration.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Duration is a length of time, written as text with a unit: "500ms", "2h".
+// Duration is a time.Duration that is encoded as text with a unit: "500ms", "2h".
 type Duration time.Duration
 
 // String returns d as time.Duration formats it.
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalJSON writes d as text with units.
+// MarshalJSON encodes d as text with units.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(d.String())
 }
 
-// UnmarshalJSON reads what MarshalJSON wrote. The error is a
+// UnmarshalJSON decodes the output of MarshalJSON. The error is a
 // *json.UnmarshalTypeError or the one of time.ParseDuration.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
--- a/core/manifest/limits.go
+++ b/core/manifest/limits.go
@@ -7,48 +7,48 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// MaxNameBytes bounds the names of clusters, teams, workloads and classes,
+// MaxNameBytes limits the names of clusters, teams, workloads and classes,
 // which become parts of store keys and metric labels.
 const MaxNameBytes = 63
 
-// MaxTextBytes bounds the text given to Parse. It is larger than what can be
-// accepted, as YAML with comments is longer than its canonical form.
+// MaxTextBytes limits the input of Parse. It is larger than the largest acceptable
+// manifest, because YAML with comments is longer than its canonical form.
 const MaxTextBytes = 4 << 20
 
-// The store keeps an accepted manifest in one compressed value: the canonical
-// document, and beside it a record for each workload and a bounded list of names
-// no longer in use. Two bounds hold. What counts for the store is the stored
-// size; what counts for daemons is the encoded one, which they hold in memory
-// and send each other whole, in one message, when they are far behind.
+// An accepted manifest is stored as one compressed value: the canonical document,
+// a record for each workload, and a limited list of names that are no longer in
+// use. Two limits apply. The store limits the compressed size. Daemons limit the
+// encoded size, because they hold the encoded form in memory and send it whole,
+// in one message, to a peer with a revision older than their history.
 const (
-	// MaxEncodedBytes bounds the encoded configuration before it is compressed.
-	// It has to fit a message between daemons together with what else is in it.
-	// Beyond that, a daemon that is far behind could not be helped by others,
-	// and the failing exchanges would make both look unreachable.
+	// MaxEncodedBytes limits the encoded configuration before compression. It
+	// has to fit into one message between daemons together with the other
+	// contents of the message. A larger one could not be sent to a daemon with an
+	// old revision, and the failing exchanges would make both daemons appear
+	// unreachable.
 	MaxEncodedBytes = 3 << 20
-	// EnvelopeBytes is kept free for the list of retired names, for what
-	// identifies the acceptance, and for what compression adds at worst.
+	// EnvelopeBytes is reserved for the list of retired names, for the revision
+	// and the writers, and for the bytes that compression adds in the worst case.
 	EnvelopeBytes = 64 << 10
-	// WorkloadEnvelopeBytes is the most that the record of one workload takes
-	// beside its name.
+	// WorkloadEnvelopeBytes is the maximum encoded size of the record of one
+	// workload, without the workload's name.
 	WorkloadEnvelopeBytes = 40
-	// MaxDocumentBytes bounds the canonical document together with the records
+	// MaxDocumentBytes limits the sum of the canonical document and the records
 	// of its workloads, before compression.
 	MaxDocumentBytes = MaxEncodedBytes - EnvelopeBytes
-	// MaxStoredBytes bounds the compressed document together with the records,
+	// MaxStoredBytes limits the sum of the compressed document and the records,
 	// which are counted as if they did not compress.
 	MaxStoredBytes = port.MaxValueBytes - EnvelopeBytes
 )
 
-// maxTaskSize is larger than any worker; a task above it can never run.
+// maxTaskSize is larger than any worker; a larger task could never run.
 var maxTaskSize = model.Resources{
 	MilliCPU:     1024 * 1000,
 	MemoryMB:     16 << 20,
 	Accelerators: 64,
 }
 
-// maxQuota bounds a team's quota so that sums of quotas stay far from
-// overflowing.
+// maxQuota limits the quota of a team, so that sums of quotas cannot overflow.
 var maxQuota = model.Resources{
 	MilliCPU:     1 << 40,
 	MemoryMB:     1 << 40,
--- a/core/manifest/manifest.go
+++ b/core/manifest/manifest.go
@@ -6,18 +6,18 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Manifest is the whole of what should run in one cluster.
+// Manifest declares everything that should run in one cluster.
 type Manifest struct {
 	Cluster   string     `json:"cluster"`
 	Teams     []Team     `json:"teams"`
 	Workloads []Workload `json:"workloads"`
 }
 
-// Team owns workloads and bounds what they may hold together.
+// Team owns workloads and limits the resources that they use together.
 type Team struct {
 	Name string `json:"name"`
-	// Quota is the most that the team's running tasks may hold in sum; nil is
-	// no limit. A quota that does not mention accelerators allows none.
+	// Quota is the maximum sum of the resources of the team's running tasks; nil
+	// means no limit. A quota that omits accelerators allows none.
 	Quota *model.Resources `json:"quota,omitempty"`
 }
 
@@ -26,49 +26,52 @@
 	Name string     `json:"name"`
 	Team string     `json:"team"`
 	Kind model.Kind `json:"kind"`
-	// Class groups workloads that disturb others, and are disturbed, alike.
+	// Class groups workloads with the same interference behaviour: they slow
+	// others down, and are slowed down by them, to the same degree.
 	Class string `json:"class"`
 	// Priority is low, normal, high or urgent.
 	Priority string `json:"priority"`
-	// Size is what one task is expected to use.
+	// Size is the resources that one task is expected to use.
 	Size model.Resources `json:"size"`
-	// Tasks is how many instances a service has, or how many tasks a batch job
-	// consists of.
+	// Tasks is the number of instances of a service, or the number of tasks of a
+	// batch job.
 	Tasks int `json:"tasks"`
 
-	// Slots is how many requests one instance of a service serves at a time,
-	// and Connections how many connections it accepts over all entries.
+	// Slots is the number of requests that one instance of a service handles
+	// concurrently. Connections is the number of connections that it accepts in
+	// total from all entries, the daemons that send it requests.
 	Slots       int `json:"slots,omitempty"`
 	Connections int `json:"connections,omitempty"`
-	// MaxQueue bounds an entry's queue of requests for a service; 0 is the
-	// entry's own default.
+	// MaxQueue limits the queue of requests for a service in one entry; 0 selects
+	// the default of the entry.
 	MaxQueue int `json:"maxQueue,omitempty"`
-	// Timeout is the deadline of a request that brings none; 0 is the entry's
-	// own default.
+	// Timeout applies to requests that set none of their own; 0 selects the
+	// default of the entry.
 	Timeout Duration `json:"timeout,omitempty"`
 
-	// RunTime is how long a batch task is expected to run; 0 is unknown.
+	// RunTime is the expected run time of a batch task; 0 means unknown.
 	RunTime Duration `json:"runTime,omitempty"`
-	// LongRunning marks batch tasks that lose much when they are evicted.
+	// LongRunning marks batch tasks that lose much work if they are evicted.
 	LongRunning bool `json:"longRunning,omitempty"`
 
-	// MaxAttempts is how often a failing task is tried; 0 is the scheduler's
-	// own default.
+	// MaxAttempts is the maximum number of attempts of a failing task; 0 selects
+	// the default of the scheduler.
 	MaxAttempts int `json:"maxAttempts,omitempty"`
-	// Spread is what tasks are spread over: SpreadZone, SpreadRack or nothing.
+	// Spread is the failure domain over which tasks are spread: SpreadZone,
+	// SpreadRack, or empty for none.
 	Spread string `json:"spread,omitempty"`
-	// Args are handed to each task.
+	// Args are the arguments passed to each task.
 	Args []string `json:"args,omitempty"`
 }
 
-// What tasks can be spread over.
+// The values of Workload.Spread.
 const (
 	SpreadZone = "zone"
 	SpreadRack = "rack"
 )
 
-// PriorityValue returns the workload's priority; one that is absent or unknown
-// is normal.
+// PriorityValue returns the priority of the workload, and the normal one if it is
+// absent or unknown.
 func (w *Workload) PriorityValue() model.Priority {
 	if p, ok := model.ParsePriority(w.Priority); ok {
 		return p
@@ -76,11 +79,11 @@
 	return model.PriorityNormal
 }
 
-// IsService reports whether the workload answers callers.
+// IsService reports whether the workload is a service.
 func (w *Workload) IsService() bool { return w.Kind == model.KindService }
 
-// Equal reports whether two normalised declarations say the same.
+// Equal reports whether two normalised declarations are equal.
 func (w *Workload) Equal(o *Workload) bool { return reflect.DeepEqual(w, o) }
 
-// Equal reports whether two declarations say the same.
+// Equal reports whether two declarations are equal.
 func (t *Team) Equal(o *Team) bool { return reflect.DeepEqual(t, o) }
--- a/core/manifest/manifest_test.go
+++ b/core/manifest/manifest_test.go
@@ -57,9 +57,9 @@
 	goldie.New(t).Assert(t, "wrong", out.Bytes())
 }
 
-// Symptom: a release removes half of the work that should run.
-// Sequence: a pipeline joins two manifests with a line ---; the text parses.
-// Cause: YAML readers stop at the end of the first document.
+// A second YAML document must be rejected. A pipeline joins two manifests with a
+// line ---, and the decoder stops at the end of the first document, so the release
+// would remove the workloads of the second.
 func TestSecondDocumentIsRefused(t *testing.T) {
 	for _, text := range []string{
 		small + "---\n" + small,
@@ -89,10 +89,10 @@
 	}
 }
 
-// Symptom: an accepted manifest can't be written or sent on, for good.
-// Sequence: workloads are added release by release until a limit: that of the
-// store, by declarations that do not compress, or that of what daemons send.
-// Cause: the limits being checked on the text, or on one of the two sizes.
+// A manifest that is too large to be stored, or to be sent between daemons, must
+// be rejected. Workloads are added until a limit is reached: that of the stored
+// size, with declarations that do not compress, or that of the encoded size.
+// Checking the size of the text, or only one of the two sizes, is not enough.
 func TestManifestBeyondTheStoreIsRefused(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -125,8 +125,8 @@
 	}
 }
 
-// declaringMany returns a manifest of n workloads, each with an argument of
-// random text.
+// declaringMany returns a manifest of n workloads. Each generated one has an
+// argument of argBytes random characters, or none if argBytes is 0.
 func declaringMany(t *testing.T, n, argBytes int) *manifest.Manifest {
 	m := parse(t, small)
 	random := rand.New(rand.NewPCG(1, 2))
@@ -196,7 +196,7 @@
 				}
 			}
 			if len(seen) != int(c.tasks) {
-				t.Errorf("%s: %d of %d tasks dealt over %d shards", name, len(seen), c.tasks, c.shards)
+				t.Errorf("%s: %d of %d tasks assigned to %d shards", name, len(seen), c.tasks, c.shards)
 			}
 		}
 	}
@@ -221,7 +221,7 @@
 		}
 		again, err := manifest.Parse(m.Canonical())
 		if err != nil {
-			t.Fatalf("canonical form refused: %v", err)
+			t.Fatalf("canonical form rejected: %v", err)
 		}
 		if !bytes.Equal(m.Canonical(), again.Canonical()) {
 			t.Fatal("canonical form changes when read again")
--- a/core/manifest/parse.go
+++ b/core/manifest/parse.go
@@ -12,8 +12,8 @@
 
 const defaultPriority = "normal"
 
-// Parse reads a manifest from YAML or JSON and checks it. An error is an
-// *InvalidError that lists every problem.
+// Parse reads a manifest from YAML or JSON, checks it and normalises it. The error
+// is an *InvalidError that lists every problem.
 func Parse(data []byte) (*Manifest, error) {
 	found := &problems{}
 	tree, ok := parseTree(found, data)
@@ -32,8 +32,8 @@
 	return m, nil
 }
 
-// parseTree turns the text into JSON values. It returns false when there is
-// nothing to read further.
+// parseTree decodes the text into JSON values. It returns false if the text cannot
+// be decoded.
 func parseTree(found *problems, data []byte) (any, bool) {
 	if len(data) > MaxTextBytes {
 		found.add("", ReasonTooLarge, fmt.Sprintf("%d bytes of text; at most %d", len(data), MaxTextBytes))
@@ -45,9 +45,9 @@
 	}
 	converted, err := yaml.YAMLToJSONStrict(data)
 	if err != nil {
-		// Strict reading adds one check to plain reading: repeated fields. So
-		// what plain reading takes has that problem alone, and the rest of it
-		// can still be looked at.
+		// Strict mode adds a single check to plain mode: repeated fields. Text
+		// that plain mode accepts has only this problem, and its other fields
+		// can still be checked.
 		var plainErr error
 		if converted, plainErr = yaml.YAMLToJSON(data); plainErr != nil {
 			found.add("", ReasonSyntax, plainErr.Error())
@@ -70,10 +70,11 @@
 	documentEnd   = []byte("...")
 )
 
-// hasManyDocuments finds a second YAML document. The YAML reader stops at the
-// end of the first one without a sign, so two manifests joined by a build
-// pipeline would be accepted as the first alone and remove all work of the
-// second. YAML allows neither mark at the beginning of a line within a document.
+// hasManyDocuments reports whether the text has a second YAML document. The YAML
+// decoder silently stops at the end of the first one, so if a build pipeline
+// joined two manifests, only the first would be accepted, and all workloads of the
+// second would be removed. YAML allows neither marker at the beginning of a line
+// within a document.
 func hasManyDocuments(data []byte) bool {
 	content := false
 	for line := range bytes.Lines(data) {
--- a/core/manifest/problem.go
+++ b/core/manifest/problem.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// Reason says what is wrong with one place of a manifest.
+// Reason is the kind of a problem in a manifest.
 type Reason string
 
-// The reasons for which a manifest is refused.
+// The reasons for which a manifest is rejected.
 const (
 	// ReasonSyntax: the text is neither YAML nor JSON.
 	ReasonSyntax Reason = "not valid YAML or JSON"
-	// ReasonManyDocuments: the text holds several YAML documents, of which
-	// only one could be taken.
+	// ReasonManyDocuments: the text has several YAML documents, of which the
+	// decoder would read only the first.
 	ReasonManyDocuments Reason = "several documents"
 	ReasonUnknownField  Reason = "unknown field"
 	ReasonRepeatedField Reason = "field given twice"
 	ReasonMissing       Reason = "missing"
 	ReasonWrongType     Reason = "wrong type"
-	// ReasonBadUnit: a duration without a unit, or with one that is unknown.
+	// ReasonBadUnit: a duration without a unit or with an unknown one.
 	ReasonBadUnit Reason = "not a duration with a unit"
-	// ReasonTooFine: a duration that is not whole milliseconds, which is what
-	// the protocols carry.
+	// ReasonTooFine: a duration that is not a whole number of milliseconds, which
+	// is the resolution of the protocols.
 	ReasonTooFine      Reason = "not whole milliseconds"
 	ReasonNegative     Reason = "negative"
 	ReasonTooSmall     Reason = "too small"
@@ -32,28 +32,28 @@
 	ReasonDuplicate    Reason = "name used twice"
 	ReasonUnknownTeam  Reason = "no such team"
 	ReasonUnknownValue Reason = "not one of the allowed values"
-	// ReasonMisplaced: a field that means nothing for this kind of workload.
+	// ReasonMisplaced: a field that does not apply to this kind of workload.
 	ReasonMisplaced Reason = "does not apply to this kind of workload"
 	// ReasonOverQuota: one task alone is larger than its team's quota.
 	ReasonOverQuota Reason = "one task exceeds the team's quota"
-	// ReasonOtherCluster: the manifest names a cluster other than the one that
-	// it was sent to.
+	// ReasonOtherCluster: the manifest names a different cluster from the one to
+	// which it was sent.
 	ReasonOtherCluster Reason = "belongs to another cluster"
-	// ReasonUnknownWorkload: a name that no accepted workload has.
+	// ReasonUnknownWorkload: no accepted workload has this name.
 	ReasonUnknownWorkload Reason = "no such workload"
 )
 
-// Problem is one thing that is wrong with a manifest.
+// Problem is one problem of a manifest.
 type Problem struct {
-	// Path leads to the place, such as workloads[3].timeout; it is empty for
+	// Path is the path of the field, such as workloads[3].timeout; it is empty for
 	// the manifest as a whole.
 	Path   string `json:"path"`
 	Reason Reason `json:"reason"`
-	// Detail is the offending value or what would be allowed.
+	// Detail is the rejected value or the allowed values, or both.
 	Detail string `json:"detail,omitempty"`
 }
 
-// String formats the problem on one line.
+// String returns the problem as one line of text.
 func (p Problem) String() string {
 	text := string(p.Reason)
 	if p.Path != "" {
@@ -65,7 +65,7 @@
 	return text
 }
 
-// InvalidError refuses a manifest and lists every problem found.
+// InvalidError rejects a manifest and lists every problem found.
 type InvalidError struct {
 	Problems []Problem
 }
--- a/core/manifest/reader.go
+++ b/core/manifest/reader.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-// problems gathers what is wrong, once for each path.
+// problems collects the problems of a manifest, at most one per path.
 type problems struct {
 	list []Problem
 	seen map[string]bool
 }
 
-// add records a problem unless its path, or one that it lies within, has one
-// already: what could not be read must not also be called missing.
+// add records a problem unless its path, or a path that contains it, already has
+// one: a value that could not be read must not also be reported as missing.
 func (p *problems) add(path string, reason Reason, detail string) {
 	if p.covered(path) {
 		return
@@ -45,7 +45,7 @@
 	return &InvalidError{Problems: p.list}
 }
 
-// object reads the fields of one JSON object and notes which were asked for.
+// object reads the fields of one JSON object and records which fields are known.
 type object struct {
 	problems *problems
 	path     string
@@ -53,8 +53,8 @@
 	known    map[string]bool
 }
 
-// newObject reads value as an object; when it is none, that is a problem and
-// every field reads as absent.
+// newObject returns a reader of value. If value is not an object, a problem is
+// recorded and every field is absent.
 func newObject(p *problems, path string, value any) *object {
 	fields, ok := value.(map[string]any)
 	if !ok {
@@ -76,7 +76,7 @@
 	return value, ok
 }
 
-// require notes fields that are absent.
+// require records a problem for each of the fields that is absent.
 func (o *object) require(fields ...string) {
 	for _, field := range fields {
 		if _, ok := o.fields[field]; !ok {
@@ -85,7 +85,8 @@
 	}
 }
 
-// refuseUnknown notes fields that were never asked for, in order of name.
+// refuseUnknown records a problem for each field that was never read, in order of
+// name.
 func (o *object) refuseUnknown() {
 	var unknown []string
 	for field := range o.fields {
@@ -99,8 +100,8 @@
 	}
 }
 
-// readAs reads a field as a T. It reports false and returns the zero T for a
-// field that is absent, and for one of another type, which is a problem.
+// readAs reads a field as a T. It returns the zero T and false if the field is
+// absent or of another type, and records a problem for the latter.
 func readAs[T any](o *object, field, want string) (T, bool) {
 	var none T
 	value, ok := o.get(field)
@@ -153,7 +154,7 @@
 	return Duration(d)
 }
 
-// list reads a field as a list; one that is absent is empty.
+// list reads a field as a list; an absent field is an empty list.
 func (o *object) list(field string) []any {
 	list, _ := readAs[[]any](o, field, "a list")
 	return list
--- a/core/manifest/shards.go
+++ b/core/manifest/shards.go
@@ -8,9 +8,10 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// HomeShard returns the shard to which the task with the given index belongs,
-// of the shards 0 to shards-1: the workload's name chooses where to begin, and
-// its tasks follow in turn. With no shards it is shard 0.
+// HomeShard returns the shard, from 0 to shards-1, to which the task with the
+// given index belongs. A hash of the workload's name selects the shard of the
+// first task, and the following tasks are assigned round-robin. If shards is 0,
+// it returns shard 0.
 func HomeShard(workload string, index uint32, shards uint32) model.ShardID {
 	if shards == 0 {
 		return 0
@@ -19,7 +20,8 @@
 }
 
 // TasksOf yields, in increasing order, the indices below tasks whose HomeShard
-// is shard. The cost is that of the indices yielded, not of tasks.
+// is shard. Its cost is proportional to the number of indices yielded, not to
+// tasks.
 func TasksOf(w string, tasks, shards uint32, shard model.ShardID) iter.Seq[uint32] {
 	return func(yield func(uint32) bool) {
 		if uint32(shard) >= shards {
@@ -35,8 +37,9 @@
 	}
 }
 
-// firstShard is reduced before an index is added, so that the sum cannot wrap
-// around and deal tasks differently from how TasksOf lists them.
+// firstShard returns the shard of the task with index 0. The hash is reduced
+// modulo shards before an index is added, so that the sum in HomeShard cannot
+// overflow and assign tasks differently from TasksOf.
 func firstShard(workload string, shards uint32) uint64 {
 	return xxhash.Sum64String(workload) % uint64(shards)
 }
