--- a/core/config/accept_test.go
+++ b/core/config/accept_test.go
@@ -259,7 +259,7 @@
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
-	var long *manifest.TooLongError
+	var long *manifest.TooLargeError
 	if _, err := manifest.Decompress(value, 10); !errors.As(err, &long) || long.MaxBytes != 10 {
 		t.Error(err)
 	}
--- a/core/manifest/check.go
+++ b/core/manifest/check.go
@@ -60,7 +60,7 @@
 	document := m.Canonical()
 	records := 0
 	for i := range m.Workloads {
-		records += len(m.Workloads[i].Name) + WorkloadEnvelopeBytes
+		records += len(m.Workloads[i].Name) + MaxRecordBytes
 	}
 	if size := len(document) + records; size > MaxDocumentBytes {
 		return tooLarge(fmt.Sprintf("%d bytes when encoded; at most %d", size, MaxDocumentBytes))
@@ -183,7 +183,7 @@
 // the workload.
 func (c *workloadCheck) refuse(field string, given bool) {
 	if given {
-		c.problems.add(c.at(field), ReasonMisplaced, string(c.w.Kind))
+		c.problems.add(c.at(field), ReasonNotApplicable, string(c.w.Kind))
 	}
 }
 
@@ -210,7 +210,7 @@
 	case length < 0:
 		p.add(path, ReasonNegative, d.String())
 	case length%time.Millisecond != 0:
-		p.add(path, ReasonTooFine, d.String())
+		p.add(path, ReasonNotWholeMilliseconds, d.String())
 	case length > most:
 		p.add(path, ReasonTooLarge, fmt.Sprintf("%s; at most %s", d, most))
 	}
--- a/core/manifest/compress.go
+++ b/core/manifest/compress.go
@@ -7,13 +7,13 @@
 	"io"
 )
 
-// TooLongError reports a compressed value that decompresses to more than MaxBytes.
+// TooLargeError reports a compressed value that decompresses to more than MaxBytes.
 // A few kilobytes can decompress to gigabytes, which would exhaust the memory of
 // the daemon that reads them, and then of every other daemon.
-type TooLongError struct{ MaxBytes int }
+type TooLargeError struct{ MaxBytes int }
 
 // Error implements error.
-func (e *TooLongError) Error() string {
+func (e *TooLargeError) Error() string {
 	return fmt.Sprintf("decompressed value is larger than %d bytes", e.MaxBytes)
 }
 
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if len(data) > most {
-		return nil, &TooLongError{MaxBytes: most}
+		return nil, &TooLargeError{MaxBytes: most}
 	}
 	return data, nil
 }
--- a/core/manifest/limits.go
+++ b/core/manifest/limits.go
@@ -27,18 +27,18 @@
 	// old revision, and the failing exchanges would make both daemons appear
 	// unreachable.
 	MaxEncodedBytes = 3 << 20
-	// EnvelopeBytes is reserved for the list of retired names, for the revision
+	// ReservedBytes is reserved for the list of retired names, for the revision
 	// and the writers, and for the bytes that compression adds in the worst case.
-	EnvelopeBytes = 64 << 10
-	// WorkloadEnvelopeBytes is the maximum encoded size of the record of one
+	ReservedBytes = 64 << 10
+	// MaxRecordBytes is the maximum encoded size of the record of one
 	// workload, without the workload's name.
-	WorkloadEnvelopeBytes = 40
+	MaxRecordBytes = 40
 	// MaxDocumentBytes limits the sum of the canonical document and the records
 	// of its workloads, before compression.
-	MaxDocumentBytes = MaxEncodedBytes - EnvelopeBytes
+	MaxDocumentBytes = MaxEncodedBytes - ReservedBytes
 	// MaxStoredBytes limits the sum of the compressed document and the records,
 	// which are counted as if they did not compress.
-	MaxStoredBytes = port.MaxValueBytes - EnvelopeBytes
+	MaxStoredBytes = port.MaxValueBytes - ReservedBytes
 )
 
 // maxTaskSize is larger than any worker; a larger task could never run.
--- a/core/manifest/problem.go
+++ b/core/manifest/problem.go
@@ -21,19 +21,19 @@
 	ReasonWrongType     Reason = "wrong type"
 	// ReasonBadUnit: a duration without a unit or with an unknown one.
 	ReasonBadUnit Reason = "not a duration with a unit"
-	// ReasonTooFine: a duration that is not a whole number of milliseconds, which
+	// ReasonNotWholeMilliseconds: a duration that is not a whole number of milliseconds, which
 	// is the resolution of the protocols.
-	ReasonTooFine      Reason = "not whole milliseconds"
-	ReasonNegative     Reason = "negative"
-	ReasonTooSmall     Reason = "too small"
-	ReasonTooLarge     Reason = "too large"
-	ReasonBadName      Reason = "not a name of lower-case letters, digits and inner hyphens"
-	ReasonBadText      Reason = "not printable text"
-	ReasonDuplicate    Reason = "name used twice"
-	ReasonUnknownTeam  Reason = "no such team"
-	ReasonUnknownValue Reason = "not one of the allowed values"
-	// ReasonMisplaced: a field that does not apply to this kind of workload.
-	ReasonMisplaced Reason = "does not apply to this kind of workload"
+	ReasonNotWholeMilliseconds Reason = "not whole milliseconds"
+	ReasonNegative             Reason = "negative"
+	ReasonTooSmall             Reason = "too small"
+	ReasonTooLarge             Reason = "too large"
+	ReasonBadName              Reason = "not a name of lower-case letters, digits and inner hyphens"
+	ReasonBadText              Reason = "not printable text"
+	ReasonDuplicate            Reason = "name used twice"
+	ReasonUnknownTeam          Reason = "no such team"
+	ReasonUnknownValue         Reason = "not one of the allowed values"
+	// ReasonNotApplicable: a field that does not apply to this kind of workload.
+	ReasonNotApplicable Reason = "does not apply to this kind of workload"
 	// ReasonOverQuota: one task alone is larger than its team's quota.
 	ReasonOverQuota Reason = "one task exceeds the team's quota"
 	// ReasonOtherCluster: the manifest names a different cluster from the one to
