--- a/core/manifest/canonical.go
+++ b/core/manifest/canonical.go
@@ -47,7 +47,7 @@
 // Load decodes the output of Manifest.Canonical. The error is a *LoadError.
 func Load(document []byte) (*Manifest, error) {
 	m := &Manifest{}
-	if err := loadStrict(document, m); err != nil {
+	if err := decodeStrict(document, m); err != nil {
 		return nil, &LoadError{Part: "manifest", Cause: err}
 	}
 	m.normalise()
@@ -58,7 +58,7 @@
 // *LoadError.
 func LoadWorkload(document []byte) (*Workload, error) {
 	w := &Workload{}
-	if err := loadStrict(document, w); err != nil {
+	if err := decodeStrict(document, w); err != nil {
 		return nil, &LoadError{Part: "workload", Cause: err}
 	}
 	w.normalise()
@@ -68,16 +68,16 @@
 // LoadTeam decodes the output of Team.Canonical. The error is a *LoadError.
 func LoadTeam(document []byte) (*Team, error) {
 	t := &Team{}
-	if err := loadStrict(document, t); err != nil {
+	if err := decodeStrict(document, t); err != nil {
 		return nil, &LoadError{Part: "team", Cause: err}
 	}
 	return t, nil
 }
 
-// loadStrict rejects unknown fields. During an upgrade an older daemon would
+// decodeStrict rejects unknown fields. During an upgrade an older daemon would
 // otherwise silently drop a field of a newer one, hash the rest and consider its
 // configuration up to date.
-func loadStrict(document []byte, into any) error {
+func decodeStrict(document []byte, into any) error {
 	dec := json.NewDecoder(bytes.NewReader(document))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
--- a/core/manifest/check.go
+++ b/core/manifest/check.go
@@ -167,21 +167,21 @@
 	checkRange(c.problems, c.at("connections"), int64(c.w.Connections), int64(max(c.w.Slots, 1)), maxConnections)
 	checkRange(c.problems, c.at("maxQueue"), int64(c.w.MaxQueue), 0, maxQueue)
 	checkDuration(c.problems, c.at("timeout"), c.w.Timeout, maxTimeout)
-	c.refuse("runTime", c.w.RunTime != 0)
-	c.refuse("longRunning", c.w.LongRunning)
+	c.rejectInapplicable("runTime", c.w.RunTime != 0)
+	c.rejectInapplicable("longRunning", c.w.LongRunning)
 }
 
 func (c *workloadCheck) checkBatch() {
 	checkDuration(c.problems, c.at("runTime"), c.w.RunTime, maxRunTime)
-	c.refuse("slots", c.w.Slots != 0)
-	c.refuse("connections", c.w.Connections != 0)
-	c.refuse("maxQueue", c.w.MaxQueue != 0)
-	c.refuse("timeout", c.w.Timeout != 0)
+	c.rejectInapplicable("slots", c.w.Slots != 0)
+	c.rejectInapplicable("connections", c.w.Connections != 0)
+	c.rejectInapplicable("maxQueue", c.w.MaxQueue != 0)
+	c.rejectInapplicable("timeout", c.w.Timeout != 0)
 }
 
-// refuse records a problem if a field is given that does not apply to the kind of
+// rejectInapplicable records a problem if a field is given that does not apply to the kind of
 // the workload.
-func (c *workloadCheck) refuse(field string, given bool) {
+func (c *workloadCheck) rejectInapplicable(field string, given bool) {
 	if given {
 		c.problems.add(c.at(field), ReasonNotApplicable, string(c.w.Kind))
 	}
--- a/core/manifest/manifest_test.go
+++ b/core/manifest/manifest_test.go
@@ -74,7 +74,7 @@
 	parse(t, "# comment\n%YAML 1.1\n---\n"+small)
 }
 
-func TestTextAsAWhole(t *testing.T) {
+func TestProblemsOfTheWholeText(t *testing.T) {
 	for text, want := range map[string]manifest.Reason{
 		"cluster: [":                 manifest.ReasonSyntax,
 		small + "cluster: d\n":       manifest.ReasonRepeatedField,
@@ -103,7 +103,7 @@
 		{"stored", 200, 8 << 10, "in the store"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := declaringMany(t, c.count, c.argBytes)
+			m := manifestWithWorkloads(t, c.count, c.argBytes)
 			fits := func(n int) bool {
 				part := *m
 				part.Workloads = m.Workloads[:n]
@@ -125,9 +125,9 @@
 	}
 }
 
-// declaringMany returns a manifest of n workloads. Each generated one has an
+// manifestWithWorkloads returns a manifest of n workloads. Each generated one has an
 // argument of argBytes random characters, or none if argBytes is 0.
-func declaringMany(t *testing.T, n, argBytes int) *manifest.Manifest {
+func manifestWithWorkloads(t *testing.T, n, argBytes int) *manifest.Manifest {
 	m := parse(t, small)
 	random := rand.New(rand.NewPCG(1, 2))
 	for len(m.Workloads) < n {
@@ -164,7 +164,7 @@
 	goldie.New(t).Assert(t, "canonical", m.Canonical())
 }
 
-func TestLoadRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestLoadRejectsInvalidDocuments(t *testing.T) {
 	document := parse(t, small).Canonical()
 	for _, bad := range [][]byte{
 		bytes.Replace(document, []byte(`"cluster"`), []byte(`"newField":1,"cluster"`), 1),
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestTasksAreDealtOnce(t *testing.T) {
+func TestTasksAreAssignedOnce(t *testing.T) {
 	for _, c := range []struct{ tasks, shards uint32 }{{0, 3}, {1, 1}, {7, 3}, {2, 5}, {1000, 7}, {50, 220}} {
 		for _, name := range []string{"order-service", "a", "zz-9"} {
 			seen := make(map[uint32]model.ShardID)
--- a/core/manifest/parse.go
+++ b/core/manifest/parse.go
@@ -79,9 +79,9 @@
 	content := false
 	for line := range bytes.Lines(data) {
 		switch {
-		case content && isMark(line, documentStart), content && isMark(line, documentEnd):
+		case content && isMarker(line, documentStart), content && isMarker(line, documentEnd):
 			return true
-		case isMark(line, documentStart):
+		case isMarker(line, documentStart):
 			content = content || len(bytes.TrimSpace(line[len(documentStart):])) > 0
 		case isContent(line):
 			content = true
@@ -90,7 +90,7 @@
 	return false
 }
 
-func isMark(line, mark []byte) bool {
+func isMarker(line, mark []byte) bool {
 	rest, ok := bytes.CutPrefix(line, mark)
 	return ok && (len(rest) == 0 || bytes.IndexByte([]byte(" \t\r\n"), rest[0]) >= 0)
 }
@@ -110,7 +110,7 @@
 	for i, value := range o.list("workloads") {
 		m.Workloads = append(m.Workloads, readWorkload(p, elementPath("workloads", i), value))
 	}
-	o.refuseUnknown()
+	o.reportUnknownFields()
 	return m
 }
 
@@ -122,7 +122,7 @@
 		resources := readResources(p, o.at("quota"), quota)
 		t.Quota = &resources
 	}
-	o.refuseUnknown()
+	o.reportUnknownFields()
 	return t
 }
 
@@ -134,7 +134,7 @@
 		MemoryMB:     o.integer("memoryMB"),
 		Accelerators: o.integer("accelerators"),
 	}
-	o.refuseUnknown()
+	o.reportUnknownFields()
 	return r
 }
 
@@ -164,6 +164,6 @@
 	if w.IsService() {
 		o.require("slots", "connections")
 	}
-	o.refuseUnknown()
+	o.reportUnknownFields()
 	return w
 }
--- a/core/manifest/reader.go
+++ b/core/manifest/reader.go
@@ -18,7 +18,7 @@
 // add records a problem unless its path, or a path that contains it, already has
 // one: a value that could not be read must not also be reported as missing.
 func (p *problems) add(path string, reason Reason, detail string) {
-	if p.covered(path) {
+	if p.hasProblem(path) {
 		return
 	}
 	if p.seen == nil {
@@ -28,7 +28,7 @@
 	p.list = append(p.list, Problem{Path: path, Reason: reason, Detail: detail})
 }
 
-func (p *problems) covered(path string) bool {
+func (p *problems) hasProblem(path string) bool {
 	for path != "" {
 		if p.seen[path] {
 			return true
@@ -45,8 +45,8 @@
 	return &InvalidError{Problems: p.list}
 }
 
-// object reads the fields of one JSON object and records which fields are known.
-type object struct {
+// objectReader reads the fields of one JSON objectReader and records which fields are known.
+type objectReader struct {
 	problems *problems
 	path     string
 	fields   map[string]any
@@ -55,29 +55,29 @@
 
 // newObject returns a reader of value. If value is not an object, a problem is
 // recorded and every field is absent.
-func newObject(p *problems, path string, value any) *object {
+func newObject(p *problems, path string, value any) *objectReader {
 	fields, ok := value.(map[string]any)
 	if !ok {
 		p.add(path, ReasonWrongType, "want an object, have "+typeName(value))
 	}
-	return &object{problems: p, path: path, fields: fields, known: make(map[string]bool)}
+	return &objectReader{problems: p, path: path, fields: fields, known: make(map[string]bool)}
 }
 
-func (o *object) at(field string) string {
+func (o *objectReader) at(field string) string {
 	if o.path == "" {
 		return field
 	}
 	return o.path + "." + field
 }
 
-func (o *object) get(field string) (any, bool) {
+func (o *objectReader) get(field string) (any, bool) {
 	o.known[field] = true
 	value, ok := o.fields[field]
 	return value, ok
 }
 
 // require records a problem for each of the fields that is absent.
-func (o *object) require(fields ...string) {
+func (o *objectReader) require(fields ...string) {
 	for _, field := range fields {
 		if _, ok := o.fields[field]; !ok {
 			o.problems.add(o.at(field), ReasonMissing, "")
@@ -85,9 +85,9 @@
 	}
 }
 
-// refuseUnknown records a problem for each field that was never read, in order of
+// reportUnknownFields records a problem for each field that was never read, in order of
 // name.
-func (o *object) refuseUnknown() {
+func (o *objectReader) reportUnknownFields() {
 	var unknown []string
 	for field := range o.fields {
 		if !o.known[field] {
@@ -102,7 +102,7 @@
 
 // readAs reads a field as a T. It returns the zero T and false if the field is
 // absent or of another type, and records a problem for the latter.
-func readAs[T any](o *object, field, want string) (T, bool) {
+func readAs[T any](o *objectReader, field, want string) (T, bool) {
 	var none T
 	value, ok := o.get(field)
 	if !ok {
@@ -115,17 +115,17 @@
 	return read, ok
 }
 
-func (o *object) text(field string) string {
+func (o *objectReader) text(field string) string {
 	text, _ := readAs[string](o, field, "text")
 	return text
 }
 
-func (o *object) boolean(field string) bool {
+func (o *objectReader) boolean(field string) bool {
 	b, _ := readAs[bool](o, field, "true or false")
 	return b
 }
 
-func (o *object) integer(field string) int64 {
+func (o *objectReader) integer(field string) int64 {
 	number, ok := readAs[json.Number](o, field, "a whole number without a unit")
 	if !ok {
 		return 0
@@ -137,7 +137,7 @@
 	return n
 }
 
-func (o *object) duration(field string) Duration {
+func (o *objectReader) duration(field string) Duration {
 	value, ok := o.get(field)
 	if !ok {
 		return 0
@@ -155,12 +155,12 @@
 }
 
 // list reads a field as a list; an absent field is an empty list.
-func (o *object) list(field string) []any {
+func (o *objectReader) list(field string) []any {
 	list, _ := readAs[[]any](o, field, "a list")
 	return list
 }
 
-func (o *object) texts(field string) []string {
+func (o *objectReader) texts(field string) []string {
 	values := o.list(field)
 	if len(values) == 0 {
 		return nil
