--- a/core/manifest/check.go
+++ b/core/manifest/check.go
@@ -66,7 +66,7 @@
 		return tooLarge(fmt.Sprintf("%d bytes when encoded; at most %d", size, MaxDocumentBytes))
 	}
 	if len(document)+records <= MaxStoredBytes {
-		return nil // EnvelopeBytes covers what compression can add
+		return nil // ReservedBytes covers what compression can add
 	}
 	if size := len(Compress(document)) + records; size > MaxStoredBytes {
 		return tooLarge(fmt.Sprintf("%d bytes in the store; at most %d", size, MaxStoredBytes))
--- a/core/manifest/compress.go
+++ b/core/manifest/compress.go
@@ -43,7 +43,7 @@
 }
 
 // Decompress decompresses the output of Compress and verifies its checksums. The
-// error is a *TooLongError if the result has more than most bytes, or an error of
+// error is a *TooLargeError if the result has more than most bytes, or an error of
 // package gzip or io if the value is damaged or truncated.
 func Decompress(value []byte, most int) ([]byte, error) {
 	r, err := gzip.NewReader(bytes.NewReader(value))
