--- a/core/config/helpers_test.go
+++ b/core/config/helpers_test.go
@@ -45,8 +45,8 @@
 	return next, diff
 }
 
-// diffConfigs returns the difference between two configurations, or an empty string.
-// It ignores the writers, which deltas do not include.
+// diffConfigs returns the difference between two configurations, or an empty
+// string. It ignores the writers, which deltas do not include.
 func diffConfigs(a, b *Accepted) string {
 	ea, eb := a.Encode(), b.Encode()
 	ea.Writer, eb.Writer = "", ""
--- a/core/config/history.go
+++ b/core/config/history.go
@@ -56,8 +56,8 @@
 	h.entries = slices.Delete(h.entries, 0, excess)
 }
 
-// changedAfter returns the sorted subjects that changed after base. The second result
-// is false if the history does not reach back to base.
+// changedAfter returns the sorted subjects that changed after base. The second
+// result is false if the history does not reach back to base.
 func (h *history) changedAfter(base model.Revision) ([]string, bool) {
 	if base < h.since {
 		return nil, false
--- a/core/config/state.go
+++ b/core/config/state.go
@@ -95,9 +95,9 @@
 // have the newest revision, no later exchange would repair it.
 //
 // The error says why a delta was not usable: a *DecodeError or a *HashError. A
-// *HashError together with DeltaAlreadyInstalled means that the sender holds a different
-// configuration under the same revision; only the store can tell which of the
-// two is right.
+// *HashError together with DeltaAlreadyInstalled means that the sender holds a
+// different configuration under the same revision; only the store can tell which
+// of the two is right.
 func (s *State) ApplyDelta(d *peerv1.ConfigDelta) (DeltaResult, error) {
 	revision := model.Revision(d.GetRevision())
 	if revision <= s.Revision() {
--- a/core/config/state_test.go
+++ b/core/config/state_test.go
@@ -141,8 +141,8 @@
 	foreignDelta
 )
 
-// applyAndCheck applies the message to the receiver and compares the result with the
-// condition. It returns a description of the fault, or an empty string.
+// applyAndCheck applies the message to the receiver and compares the result with
+// the condition. It returns a description of the fault, or an empty string.
 func (c deltaCondition) applyAndCheck(s *State, d *peerv1.ConfigDelta, before *Accepted) string {
 	result, err := s.ApplyDelta(d)
 	switch {
--- a/core/manifest/check.go
+++ b/core/manifest/check.go
@@ -179,8 +179,8 @@
 	c.rejectInapplicable("timeout", c.w.Timeout != 0)
 }
 
-// rejectInapplicable records a problem if a field is given that does not apply to the kind of
-// the workload.
+// rejectInapplicable records a problem if a field is given that does not apply to
+// the kind of the workload.
 func (c *workloadCheck) rejectInapplicable(field string, given bool) {
 	if given {
 		c.problems.add(c.at(field), ReasonNotApplicable, string(c.w.Kind))
--- a/core/manifest/manifest_test.go
+++ b/core/manifest/manifest_test.go
@@ -125,8 +125,8 @@
 	}
 }
 
-// manifestWithWorkloads returns a manifest of n workloads. Each generated one has an
-// argument of argBytes random characters, or none if argBytes is 0.
+// manifestWithWorkloads returns a manifest of n workloads. Each generated one has
+// an argument of argBytes random characters, or none if argBytes is 0.
 func manifestWithWorkloads(t *testing.T, n, argBytes int) *manifest.Manifest {
 	m := parse(t, small)
 	random := rand.New(rand.NewPCG(1, 2))
--- a/core/manifest/parse.go
+++ b/core/manifest/parse.go
@@ -32,8 +32,8 @@
 	return m, nil
 }
 
-// parseTree decodes the text into JSON values. It returns false if the text cannot
-// be decoded.
+// parseTree decodes the text into JSON values. It returns false if the text is too
+// long, has several documents or cannot be decoded.
 func parseTree(found *problems, data []byte) (any, bool) {
 	if len(data) > MaxTextBytes {
 		found.add("", ReasonTooLarge, fmt.Sprintf("%d bytes of text; at most %d", len(data), MaxTextBytes))
--- a/core/manifest/problem.go
+++ b/core/manifest/problem.go
@@ -21,8 +21,8 @@
 	ReasonWrongType     Reason = "wrong type"
 	// ReasonBadUnit: a duration without a unit or with an unknown one.
 	ReasonBadUnit Reason = "not a duration with a unit"
-	// ReasonNotWholeMilliseconds: a duration that is not a whole number of milliseconds, which
-	// is the resolution of the protocols.
+	// ReasonNotWholeMilliseconds: a duration that is not a whole number of
+	// milliseconds, which is the resolution of the protocols.
 	ReasonNotWholeMilliseconds Reason = "not whole milliseconds"
 	ReasonNegative             Reason = "negative"
 	ReasonTooSmall             Reason = "too small"
--- a/core/manifest/reader.go
+++ b/core/manifest/reader.go
@@ -45,7 +45,8 @@
 	return &InvalidError{Problems: p.list}
 }
 
-// objectReader reads the fields of one JSON objectReader and records which fields are known.
+// objectReader reads the fields of one JSON object and records which fields are
+// known.
 type objectReader struct {
 	problems *problems
 	path     string
@@ -85,8 +86,8 @@
 	}
 }
 
-// reportUnknownFields records a problem for each field that was never read, in order of
-// name.
+// reportUnknownFields records a problem for each field that was never read, in
+// order of name.
 func (o *objectReader) reportUnknownFields() {
 	var unknown []string
 	for field := range o.fields {
