--- a/adapter/grpcrelay/relay_test.go
+++ b/adapter/grpcrelay/relay_test.go
@@ -14,7 +14,8 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// fakeWorkers answers every order; while held is set, none returns.
+// fakeWorkers returns a fixed verdict for every order. If held is set, orders block
+// until it is closed.
 type fakeWorkers struct {
 	orders atomic.Int64
 	held   chan struct{}
@@ -52,15 +53,15 @@
 	return jobsched.VerdictFenced
 }
 
-// startCarrier serves a carrier and returns its address and its end.
-func startCarrier(t *testing.T, workers port.TaskWorkers) (string, func()) {
+// startRelay starts a relay and returns its address and a function that stops it.
+func startRelay(t *testing.T, workers port.TaskWorkers) (string, func()) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := NewServer()
-	NewCarrier(server, workers)
+	NewRelayServer(server, workers)
 	go func() {
 		if err := server.Serve(l); err != nil {
 			t.Error(err)
@@ -73,16 +74,16 @@
 func awaitHealthy(t *testing.T, r *Router, want bool) {
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if (r.carrier("w") != nil) == want {
+		if (r.pickLink("w") != nil) == want {
 			return
 		}
 	}
-	t.Fatalf("carrier healthy: want %v", want)
+	t.Fatalf("relay did not become healthy=%v", want)
 }
 
-func TestOrdersAreCarried(t *testing.T) {
+func TestOrdersAreRelayed(t *testing.T) {
 	own, far := &fakeWorkers{}, &fakeWorkers{}
-	address, _ := startCarrier(t, far)
+	address, _ := startRelay(t, far)
 	r := NewRouter(own)
 	r.SetRelays([]jobservice.Relay{{Address: address, Weight: 1}})
 	defer r.SetRelays(nil)
@@ -104,18 +105,15 @@
 		t.Errorf("throttle: %s", verdict)
 	}
 	if own.orders.Load() != 0 {
-		t.Error("the leader sent orders itself")
+		t.Error("the leader sent orders directly")
 	}
 }
 
-// TestOrderAtALostCarrierIsUncertain
-//
-// Symptom if broken: a task runs twice. Events: a carrier takes a start and is
-// lost before it tells the outcome. Cause it guards against: the start is taken
-// for not sent.
+// Guards against a task that runs twice: a relay receives a start and is lost before it
+// sends the outcome, and the leader treats the start as not sent.
 func TestOrderAtALostCarrierIsUncertain(t *testing.T) {
 	far := &fakeWorkers{held: make(chan struct{})}
-	address, stop := startCarrier(t, far)
+	address, stop := startRelay(t, far)
 	own := &fakeWorkers{}
 	r := NewRouter(own)
 	r.SetRelays([]jobservice.Relay{{Address: address, Weight: 1}})
@@ -136,21 +134,21 @@
 	close(far.held)
 	awaitHealthy(t, r, false)
 	if verdict := r.Stop(context.Background(), jobsched.Stop{}); verdict != jobsched.VerdictNotSent || own.orders.Load() != 0 {
-		t.Errorf("as the carrier is lost: %s, %d orders of its own, want not sent", verdict, own.orders.Load())
+		t.Errorf("just after the relay was lost: verdict %s, %d direct orders, want not sent", verdict, own.orders.Load())
 	}
-	time.Sleep(ownAfter)
+	time.Sleep(directAfter)
 	if verdict := r.Stop(context.Background(), jobsched.Stop{}); verdict != jobsched.VerdictDone || own.orders.Load() != 1 {
-		t.Errorf("without carriers for long: %s, %d orders of its own", verdict, own.orders.Load())
+		t.Errorf("after directAfter without a relay: verdict %s, %d direct orders, want done and 1", verdict, own.orders.Load())
 	}
 }
 
-// TestCarriersAreUsedByTheirWeight: a carrier with four times the processors
-// carries for about four times the workers, and one that goes moves only its own.
-func TestCarriersAreUsedByTheirWeight(t *testing.T) {
+// Guards against relays that are used without regard to their weight: a relay with four
+// times the processors gets about four times the workers.
+func TestRelaysAreUsedByWeight(t *testing.T) {
 	heavy := 0
 	for i := range 1000 {
 		worker := model.WorkerID([]byte{byte('a' + i%26), byte('a' + i/26%26), byte('a' + i/676)})
-		if rendezvous("x:1", worker, 4) > rendezvous("y:1", worker, 1) {
+		if rendezvousScore("x:1", worker, 4) > rendezvousScore("y:1", worker, 1) {
 			heavy++
 		}
 	}
@@ -159,16 +157,13 @@
 	}
 }
 
-// TestACarrierThatLeavesAnswersWhatItHas
-//
-// Symptom: with each planned stop of a daemon, the workers that it carried for
-// were noted as silent, and tasks whose start was on its way were barred and
-// started elsewhere. Events: the daemon leaves the members and goes on serving;
-// the leader closes its stream. Cause: all orders that waited for an outcome
-// were given up with the stream.
+// Guards against lost outcomes at the planned stop of a daemon. The daemon leaves the
+// members and continues to serve, but the leader closed its stream and gave up all
+// orders pending on it. The workers of that relay then counted as silent, and tasks
+// with a start in flight were barred and started elsewhere.
 func TestACarrierThatLeavesAnswersWhatItHas(t *testing.T) {
 	workers := &fakeWorkers{held: make(chan struct{})}
-	address, _ := startCarrier(t, workers)
+	address, _ := startRelay(t, workers)
 	own := &fakeWorkers{}
 	r := NewRouter(own)
 	defer r.SetRelays(nil)
@@ -185,27 +180,27 @@
 	}
 	r.SetRelays(nil)
 	if v := r.Stop(context.Background(), jobsched.Stop{Order: jobsched.Order{Worker: model.Incarnation{ID: "w"}}}); v != jobsched.VerdictDone {
-		t.Errorf("an order after it left: %s", v)
+		t.Errorf("order after the relay left: %s", v)
 	}
 	if own.orders.Load() != 1 {
-		t.Error("an order was given to a carrier that had left")
+		t.Error("an order was sent to a relay that had left")
 	}
 	close(workers.held)
 	if v := <-verdict; v != jobsched.VerdictNoRoom {
-		t.Errorf("an order that it had: %s, want its outcome", v)
+		t.Errorf("pending order of the relay that left: %s, want its outcome", v)
 	}
 }
 
-// Guards against acknowledgements by a carrier of the version before, which would send
-// them to whichever incarnation of the worker is there.
-func TestAcknowledgementsForCarriersOfAnEarlierVersion(t *testing.T) {
+// Guards against acknowledgements through a relay of the previous version, which would
+// send them to any incarnation of the worker.
+func TestAcknowledgementsForRelaysOfAnEarlierVersion(t *testing.T) {
 	for startedMs, want := range map[int64]int64{0: 57, 5: 0} {
 		o := encodeRenew(jobsched.Renew{Order: jobsched.Order{Worker: model.Incarnation{ID: "w", StartedMs: startedMs}}, AckedEnds: 57})
 		if got := o.GetRenew().AckedEnds; got != want {
-			t.Errorf("started at %d: %d in the field that it knows, want %d", startedMs, got, want)
+			t.Errorf("started at %d: AckedEnds %d, which the previous version reads, want %d", startedMs, got, want)
 		}
 		if r := decodeRenew(o, o.GetRenew()); r.AckedEnds != 57 || r.Worker.StartedMs != startedMs {
-			t.Errorf("started at %d: read as %+v", startedMs, r)
+			t.Errorf("started at %d: decoded as %+v", startedMs, r)
 		}
 	}
 }
--- a/core/config/hash.go
+++ b/core/config/hash.go
@@ -6,7 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Domains keep equal fields of different kinds of record from hashing alike.
+// The domain is the first byte of each hashed record, so that records of
+// different kinds with equal fields have different hashes.
 const (
 	domainHeader byte = iota + 1
 	domainTeam
@@ -16,16 +17,17 @@
 
 func digestOf(declaration []byte) uint64 { return xxhash.Sum64(declaration) }
 
-// hashAccepted sums the hashes of all records, so that it needs no order and
-// costs a few machine words a workload: declarations enter by the digest that
-// was taken when they were read.
+// hashAccepted returns the sum of the hashes of all records. A sum does not
+// depend on the order of the records. Declarations are hashed by the digest that
+// was computed when they were read, so only a few machine words are hashed per
+// workload.
 func hashAccepted(a *Accepted) uint64 {
 	sum := hashRecord(domainHeader, a.Manifest.Cluster, uint64(a.Revision), a.GenerationFloor)
 	for name, t := range a.teams {
 		sum += hashRecord(domainTeam, name, t.digest)
 	}
 	for name, w := range a.Workloads {
-		sum += hashRecord(domainWorkload, name, w.Generation, uint64(w.Shards), uint64(w.Changed), flag(w.Cancelled), w.digest)
+		sum += hashRecord(domainWorkload, name, w.Generation, uint64(w.Shards), uint64(w.Changed), boolToUint64(w.Cancelled), w.digest)
 	}
 	for name, r := range a.Retired {
 		sum += hashRecord(domainRetired, name, r.Generation, uint64(r.Changed))
@@ -44,7 +46,7 @@
 	return xxhash.Sum64(buf)
 }
 
-func flag(b bool) uint64 {
+func boolToUint64(b bool) uint64 {
 	if b {
 		return 1
 	}
--- a/core/config/state_test.go
+++ b/core/config/state_test.go
@@ -16,20 +16,20 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// chain is a succession of configurations with, for each, a state that went
-// through all of them in turn.
+// chain is a sequence of configurations. For each of them it has a State that
+// installed all configurations up to it.
 type chain struct {
 	accepted []*Accepted
 	states   []*State
 }
 
-// newChain makes one configuration of each edit that changes anything.
+// newChain makes one configuration for each edit that has an effect.
 func newChain(t testing.TB, edits []uint16) *chain {
-	m := declaring(map[string]int{"w-0": 1, "w-1": 1, "w-2": 1})
+	m := manifestWith(map[string]int{"w-0": 1, "w-1": 1, "w-2": 1})
 	a, _ := mustAccept(t, nil, m)
 	c := &chain{accepted: []*Accepted{a}}
 	for _, edit := range edits {
-		next := edited(t, a, m, edit)
+		next := applyEdit(t, a, m, edit)
 		if next != a {
 			c.accepted = append(c.accepted, next)
 		}
@@ -45,7 +45,7 @@
 	return c
 }
 
-func edited(t testing.TB, a *Accepted, m *manifest.Manifest, edit uint16) *Accepted {
+func applyEdit(t testing.TB, a *Accepted, m *manifest.Manifest, edit uint16) *Accepted {
 	name := fmt.Sprintf("w-%d", edit/8%8)
 	switch edit % 8 {
 	case 0:
@@ -63,7 +63,7 @@
 	case 3, 4:
 		m.Workloads = without(m.Workloads, name)
 	default:
-		added := declaring(map[string]int{name: int(edit%5) + 1}).Workloads
+		added := manifestWith(map[string]int{name: int(edit%5) + 1}).Workloads
 		m.Workloads = append(without(m.Workloads, name), added...)
 	}
 	next, _ := mustAccept(t, a, m)
@@ -82,14 +82,14 @@
 
 func (c *chain) pick(code uint16) int { return int(code) % len(c.accepted) }
 
-// delta returns what a daemon at one revision sends to a peer at another.
+// delta returns the delta that a daemon at revision to sends to a peer at base.
 func (c *chain) delta(to, base uint16) *peerv1.ConfigDelta {
 	return c.states[c.pick(to)].DeltaSince(c.accepted[c.pick(base)].Revision)
 }
 
 func (c *chain) whole(to uint16) *peerv1.ConfigDelta { return c.states[c.pick(to)].DeltaSince(0) }
 
-// damaged returns a delta that does not lead to its hash.
+// damaged returns a copy of d whose result does not match its hash.
 func damaged(d *peerv1.ConfigDelta, how uint16) *peerv1.ConfigDelta {
 	d = proto.CloneOf(d)
 	if len(d.GetChanges()) == 0 {
@@ -109,60 +109,60 @@
 	return d
 }
 
-// deliver returns the message that the code asks for; nil stands for a read of
-// the store.
-func (c *chain) deliver(fork *chain, code []uint16) (*peerv1.ConfigDelta, condition) {
+// message returns the message that code selects, and its condition. A nil message
+// stands for a read of the store.
+func (c *chain) message(fork *chain, code []uint16) (*peerv1.ConfigDelta, deltaCondition) {
 	to, base := code[1], code[2]
 	switch code[0] % 6 {
 	case 0, 1:
-		return c.delta(to, base), sound
+		return c.delta(to, base), intactDelta
 	case 2:
-		return c.whole(to), sound
+		return c.whole(to), intactDelta
 	case 3:
 		if d := c.delta(to, base); d != nil {
-			return damaged(d, code[3]), unusable
+			return damaged(d, code[3]), damagedDelta
 		}
 	case 4:
 		if d := proto.CloneOf(c.delta(to, base)); d != nil {
 			d.Changes = fork.delta(to, base).GetChanges()
-			return d, doubtful
+			return d, foreignDelta
 		}
 	}
-	return nil, sound
+	return nil, intactDelta
 }
 
-// condition is what is known of a message.
-type condition int
+// deltaCondition classifies a message by the result to expect from it.
+type deltaCondition int
 
 const (
-	sound condition = iota
-	unusable
-	// doubtful: its changes come from another history but may happen to fit.
-	doubtful
+	intactDelta deltaCondition = iota
+	damagedDelta
+	// foreignDelta: the changes come from another history but may happen to apply.
+	foreignDelta
 )
 
-// judge hands the message to the receiver and compares the result with the
-// message's condition.
-func (c condition) judge(s *State, d *peerv1.ConfigDelta, before *Accepted) string {
+// applyAndCheck applies the message to the receiver and compares the result with
+// the condition. It returns a description of the fault, or an empty string.
+func (c deltaCondition) applyAndCheck(s *State, d *peerv1.ConfigDelta, before *Accepted) string {
 	result, err := s.ApplyDelta(d)
 	switch {
-	case result == DeltaInstalled && c == unusable:
+	case result == DeltaInstalled && c == damagedDelta:
 		return "a damaged delta was installed"
-	case result == DeltaNeedWhole && c == sound && before != nil:
-		return fmt.Sprintf("a sound delta was not usable: %v", err)
+	case result == DeltaWholeNeeded && c == intactDelta && before != nil:
+		return fmt.Sprintf("an intact delta was not usable: %v", err)
 	case result != DeltaInstalled && s.Current() != before:
-		return "state changed by a delta that was not installed"
+		return "a delta that was not installed changed the state"
 	}
 	return ""
 }
 
-// TestAnyDeliveryEndsAtTheNewest hands a daemon deltas, wholes, duplicates, old
-// and damaged messages and reads of the store in any order.
+// TestAnyDeliveryEndsAtTheNewest applies deltas, whole configurations,
+// duplicates, old and damaged messages and reads of the store in random order.
 func TestAnyDeliveryEndsAtTheNewest(t *testing.T) {
 	parameters := gopter.DefaultTestParametersWithSeed(20260301)
 	parameters.MinSuccessfulTests = 400
 	properties := gopter.NewProperties(parameters)
-	properties.Property("never lower, never mixed, ends at the newest", prop.ForAll(
+	properties.Property("the revision never falls, configurations never mix, and the newest is reached", prop.ForAll(
 		func(edits, forkEdits, codes []uint16) string {
 			return runDelivery(t, newChain(t, edits), newChain(t, forkEdits), codes)
 		},
@@ -177,10 +177,10 @@
 	s := NewState()
 	for ; len(codes) >= 4; codes = codes[4:] {
 		before := s.Current()
-		delta, cond := c.deliver(fork, codes)
+		delta, cond := c.message(fork, codes)
 		if delta == nil {
-			s.InstallStored(reread(t, c.accepted[c.pick(codes[1])]))
-		} else if fault := cond.judge(s, delta, before); fault != "" {
+			s.InstallStored(roundTrip(t, c.accepted[c.pick(codes[1])]))
+		} else if fault := cond.applyAndCheck(s, delta, before); fault != "" {
 			return fault
 		}
 		if s.Revision() < revisionOf(before) {
@@ -199,21 +199,22 @@
 		return ""
 	}
 	want := c.accepted[s.Revision()-1]
-	if d := differ(want, s.Current()); d != "" {
+	if d := diffConfigs(want, s.Current()); d != "" {
 		return "mixed configuration: " + d
 	}
 	if want.Hash() != s.Current().Hash() {
-		return "same configuration, other hash"
+		return "same configuration, but different hash"
 	}
 	return ""
 }
 
-// finish lets the receiver catch up from its revision, and from the whole when
-// it asks for that.
+// finish sends the receiver a delta from its revision, and the whole
+// configuration if the delta is not usable, and checks that it reached the newest
+// revision.
 func (c *chain) finish(s *State) string {
 	newest := uint16(len(c.accepted) - 1)
 	if d := c.states[newest].DeltaSince(s.Revision()); d != nil {
-		if result, _ := s.ApplyDelta(d); result == DeltaNeedWhole {
+		if result, _ := s.ApplyDelta(d); result == DeltaWholeNeeded {
 			_, _ = s.ApplyDelta(c.whole(newest))
 		}
 	}
@@ -223,13 +224,13 @@
 	return c.check(s)
 }
 
-// Symptom: a daemon runs a mixture of two configurations and never notices.
-// Sequence: a delta loses a change on its way; its revision is the newest.
-// Cause: trusting the revision without comparing the outcome.
+// A daemon must not run a mixture of two configurations. A delta to the newest
+// revision loses one change in transit; only the hash of the result shows it, as
+// the revision is right.
 func TestDamagedDeltaAsksForTheWhole(t *testing.T) {
 	c := newChain(t, []uint16{5, 14, 23, 6})
 	sender, s := c.states[len(c.states)-1], NewState()
-	if result, _ := s.ApplyDelta(sender.DeltaSince(1)); result != DeltaNeedWhole {
+	if result, _ := s.ApplyDelta(sender.DeltaSince(1)); result != DeltaWholeNeeded {
 		t.Errorf("empty state: %s", result)
 	}
 	s.InstallStored(c.accepted[0])
@@ -237,12 +238,12 @@
 	d.Changes = d.Changes[1:]
 	result, err := s.ApplyDelta(d)
 	var mismatch *HashError
-	if result != DeltaNeedWhole || !errors.As(err, &mismatch) || s.Current() != c.accepted[0] {
+	if result != DeltaWholeNeeded || !errors.As(err, &mismatch) || s.Current() != c.accepted[0] {
 		t.Errorf("%s, %v", result, err)
 	}
 	whole := proto.CloneOf(sender.DeltaSince(0))
 	whole.Whole.Workloads[0].Generation++
-	if result, err = s.ApplyDelta(whole); result != DeltaNeedWhole || !errors.As(err, &mismatch) {
+	if result, err = s.ApplyDelta(whole); result != DeltaWholeNeeded || !errors.As(err, &mismatch) {
 		t.Errorf("damaged whole: %s, %v", result, err)
 	}
 	if result, err = s.ApplyDelta(sender.DeltaSince(0)); result != DeltaInstalled || err != nil {
@@ -250,8 +251,8 @@
 	}
 	other := proto.CloneOf(sender.DeltaSince(0))
 	other.Hash++
-	if result, err = s.ApplyDelta(other); result != DeltaAlready || !errors.As(err, &mismatch) {
-		t.Errorf("other content under the same revision: %s, %v", result, err)
+	if result, err = s.ApplyDelta(other); result != DeltaAlreadyInstalled || !errors.As(err, &mismatch) {
+		t.Errorf("different content under the same revision: %s, %v", result, err)
 	}
 }
 
@@ -266,17 +267,17 @@
 
 func TestHistoryIsBounded(t *testing.T) {
 	s := NewState()
-	a, _ := mustAccept(t, nil, declaring(map[string]int{"a": 1, "b": 1, "c": 1, "d": 1}))
+	a, _ := mustAccept(t, nil, manifestWith(map[string]int{"a": 1, "b": 1, "c": 1, "d": 1}))
 	s.InstallStored(a)
 	for i := range MaxHistory + 10 {
-		a, _ = mustAccept(t, a, declaring(map[string]int{"a": i%2 + 2, "b": 1, "c": 1, "d": 1}))
+		a, _ = mustAccept(t, a, manifestWith(map[string]int{"a": i%2 + 2, "b": 1, "c": 1, "d": 1}))
 		s.InstallStored(a)
 	}
 	if n := len(s.history.entries); n > MaxHistory {
 		t.Errorf("%d entries", n)
 	}
 	if d := s.DeltaSince(5); d.GetBaseRevision() != 0 {
-		t.Error("a delta was made from a revision whose changes are forgotten")
+		t.Error("a delta was made from a revision older than the history")
 	}
 	base := a.Revision - MaxHistory/2
 	if d := s.DeltaSince(base); d.GetBaseRevision() != uint64(base) || len(d.GetChanges()) != 1 {
@@ -284,7 +285,7 @@
 	}
 }
 
-func TestCancellationsTravelWithoutDeclarations(t *testing.T) {
+func TestCancellationDeltasOmitDeclarations(t *testing.T) {
 	tasks := make(map[string]int)
 	var names []string
 	for i := range 100 {
@@ -292,7 +293,7 @@
 		tasks[names[i]] = 1
 	}
 	tasks["kept"] = 1
-	a, _ := mustAccept(t, nil, declaring(tasks))
+	a, _ := mustAccept(t, nil, manifestWith(tasks))
 	s, peer := NewState(), NewState()
 	s.InstallStored(a)
 	peer.InstallStored(a)
@@ -300,12 +301,12 @@
 	s.InstallStored(a)
 	d := s.DeltaSince(1)
 	if size := proto.Size(d) / len(names); size > 20 {
-		t.Errorf("%d bytes a cancellation", size)
+		t.Errorf("%d bytes per cancellation", size)
 	}
 	if strings.Contains(d.String(), "milliCPU") {
 		t.Error("a declaration was sent")
 	}
-	if result, err := peer.ApplyDelta(d); result != DeltaInstalled || differ(a, peer.Current()) != "" {
+	if result, err := peer.ApplyDelta(d); result != DeltaInstalled || diffConfigs(a, peer.Current()) != "" {
 		t.Error(result, err)
 	}
 }
--- a/core/jobsched/entry_test.go
+++ b/core/jobsched/entry_test.go
@@ -17,10 +17,10 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// unnamedService is a service that the configuration of a cluster lacks.
+// unnamedService is a service that is not in the configuration of a cluster.
 const unnamedService = "elsewhere"
 
-// add adds an entry with a fault as the platform's list brings it.
+// add adds an entry with a fault, in the form that the platform's list yields.
 func (l *WorkersListed) add(e WorkerEntry, fault EntryFault) {
 	switch fault {
 	case EntryValid:
@@ -33,17 +33,17 @@
 	}
 }
 
-// damages draws damaged entries.
-type damages struct{ rnd *rand.Rand }
+// entryDamage draws damaged entries.
+type entryDamage struct{ rnd *rand.Rand }
 
-// any returns any fault.
-func (d *damages) any() EntryFault {
+// randomFault returns a random fault.
+func (d *entryDamage) randomFault() EntryFault {
 	faults := EntryFaults()
 	return faults[d.rnd.IntN(len(faults))]
 }
 
-// addStrangers adds damaged entries that name no worker there ever was.
-func (d *damages) addStrangers(l *WorkersListed) {
+// addUnknownWorkers adds damaged entries of workers that never existed.
+func (d *entryDamage) addUnknownWorkers(l *WorkersListed) {
 	for i := range 5 {
 		if d.rnd.IntN(3) == 0 {
 			continue
@@ -52,22 +52,22 @@
 		l.add(WorkerEntry{
 			Incarnation: model.Incarnation{ID: id}, Address: string(id), Rack: rackOfWorker(0), Labels: []string{"a", "r0"}, Draining: d.rnd.IntN(2) == 0,
 			Capacity: model.Resources{MilliCPU: 16000, MemoryMB: 64000},
-		}, d.any())
+		}, d.randomFault())
 	}
 }
 
-// tellsOfAnEntry reports whether a note tells of an entry and no more.
-func tellsOfAnEntry(n Note) bool {
+// isEntryNote reports whether a note concerns only an entry.
+func isEntryNote(n Note) bool {
 	return slices.Contains([]string{
 		joblog.MessageEntryUnusable, joblog.MessageEntryRepaired, joblog.MessageEntryGone,
 	}, n.Decision)
 }
 
-// entryNotes returns what was noted of entries since the last call.
+// entryNotes returns the notes on entries since the last call.
 func (c *cluster) entryNotes() []string {
 	var lines []string
 	for _, n := range c.notes {
-		if tellsOfAnEntry(n) {
+		if isEntryNote(n) {
 			lines = append(lines, sessionLine(n))
 		}
 	}
@@ -75,27 +75,25 @@
 	return lines
 }
 
-// eachDamage runs a test with a fault that the decoder finds, and with one that
-// the configuration brings about.
-func eachDamage(t *testing.T, test func(t *testing.T, fault EntryFault)) {
+// forEachFault runs a test with a fault that the decoder detects, and with one that
+// depends on the configuration.
+func forEachFault(t *testing.T, test func(t *testing.T, fault EntryFault)) {
 	for _, fault := range []EntryFault{EntryUnreadable, EntryUnnamedService} {
 		t.Run(fault.String(), func(t *testing.T) { test(t, fault) })
 	}
 }
 
-// TestTakeoverDoesNotWaitForDamagedEntries
-//
-// Symptom: a leader that took over started nothing for seven seconds. Events:
-// somebody leaves an entry of a service that nobody configured, with an address
-// where nobody answers; a leader lists it, and the daemon that leads next asks
-// there. Cause: whatever was listed came on the roster.
+// TestTakeoverDoesNotWaitForDamagedEntries guards against damaged entries that are
+// added to the roster. If an entry of a service that is not configured has an
+// address where no worker answers and is on the roster, the next leader waits for
+// that worker: it started nothing for seven seconds.
 func TestTakeoverDoesNotWaitForDamagedEntries(t *testing.T) {
-	eachDamage(t, func(t *testing.T, fault EntryFault) {
+	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 4)
 		c.addWorker(9)
 		c.workers["w009"].dead = true
 		c.workers["w009"].fault = fault
-		c.lead()
+		c.replaceLeader()
 		c.run(time.Second)
 		for _, e := range c.roster {
 			if e.ID == "w009" {
@@ -103,19 +101,19 @@
 			}
 		}
 		id := c.submit(1, "urgent", longRunning(4, 2000))
-		c.lead()
+		c.replaceLeader()
 		c.run(time.Second)
 		if n := c.runningOf(id); n != 4 {
-			t.Errorf("%d tasks run a second after the take-over, want 4", n)
+			t.Errorf("%d tasks run a second after the takeover, want 4", n)
 		}
 	})
 }
 
-// TestDamagedEntryOfAKnownWorker: the entry of a worker with running tasks is
-// damaged for longer than any lease. Its tasks go on, nothing new goes there,
-// and once the entry is good again it is used as before.
+// TestDamagedEntryOfAKnownWorker checks that the tasks of a worker continue while
+// its entry is damaged for longer than any lease, that nothing new is started there,
+// and that the worker is used as before once its entry is repaired.
 func TestDamagedEntryOfAKnownWorker(t *testing.T) {
-	eachDamage(t, func(t *testing.T, fault EntryFault) {
+	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 2)
 		c.run(200 * time.Millisecond)
 		spread := longRunning(4, 2000)
@@ -136,7 +134,7 @@
 		w.fault = EntryValid
 		c.run(time.Second)
 		if n := c.runningOf(wide); n != 8 {
-			t.Errorf("%d tasks run once the entry is good again, want 8", n)
+			t.Errorf("%d tasks run once the entry is repaired, want 8", n)
 		}
 		if c.starts != 12 {
 			t.Errorf("%d starts, want 12", c.starts)
@@ -144,10 +142,10 @@
 	})
 }
 
-// TestDrainingWorkerWithADamagedEntry: a worker says that it leaves, and its
-// entry is damaged then. It must not be used again.
+// TestDrainingWorkerWithADamagedEntry checks that a draining worker whose entry is
+// damaged afterwards gets no tasks again.
 func TestDrainingWorkerWithADamagedEntry(t *testing.T) {
-	eachDamage(t, func(t *testing.T, fault EntryFault) {
+	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 2)
 		c.run(200 * time.Millisecond)
 		id := c.submit(1, "urgent", longRunning(2, 10000))
@@ -155,13 +153,13 @@
 		w := c.workers["w000"]
 		w.entry.Draining = true
 		c.run(time.Second)
-		// The damaged entry does not say any more that the worker leaves.
+		// The damaged entry no longer has the worker as draining.
 		w.entry.Draining = false
 		w.fault = fault
 		c.submit(2, "urgent", longRunning(4, 1000))
 		c.run(5 * time.Second)
 		if len(w.attempts) != 0 {
-			t.Errorf("%d tasks run on a worker that leaves, want none", len(w.attempts))
+			t.Errorf("%d tasks run on a draining worker, want 0", len(w.attempts))
 		}
 		if n := c.runningOf(id); n != 1 {
 			t.Errorf("%d tasks run on the other worker, want 1", n)
@@ -169,10 +167,11 @@
 	})
 }
 
-// TestSilentWorkerWithADamagedEntry: a worker is lost while its entry is damaged.
-// It is given up as one without an entry.
+// TestSilentWorkerWithADamagedEntry checks that a worker that crashes while its
+// entry is damaged is forgotten like one without an entry, and its tasks start
+// elsewhere.
 func TestSilentWorkerWithADamagedEntry(t *testing.T) {
-	eachDamage(t, func(t *testing.T, fault EntryFault) {
+	forEachFault(t, func(t *testing.T, fault EntryFault) {
 		c := newCluster(t, 1, 3)
 		c.run(200 * time.Millisecond)
 		id := c.submit(1, "urgent", longRunning(6, 2000))
@@ -186,14 +185,15 @@
 			t.Errorf("%d tasks run, want 6", n)
 		}
 		if c.machine.latestIncarnation("w000") != nil {
-			t.Error("a worker that is gone is still known")
+			t.Error("a crashed worker is still known to the machine")
 		}
 	})
 }
 
-// TestServiceOfAGoneQueue: a queue leaves the configuration with its service.
-// The jobs that it took still run there, and its entries are good as long.
-func TestServiceOfAGoneQueue(t *testing.T) {
+// TestServiceOfARemovedQueue checks that the jobs of a queue that is removed from
+// the configuration together with its service still run on the workers of that
+// service, whose entries stay usable for as long.
+func TestServiceOfARemovedQueue(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	c.submit(1, "urgent", makeStep(1, 1000, time.Second), makeStep(1, 1000, time.Second, 0))
@@ -204,13 +204,13 @@
 	c.machine.Handle(c.now, ConfigChanged{Config: &next})
 	c.run(4 * time.Second)
 	if state := c.progress["0000000000000001"].State; !state.Final() {
-		t.Errorf("the job of a queue that has gone is %s", state)
+		t.Errorf("the job of a removed queue is %s", state)
 	}
 }
 
-// TestSightOfDamagedEntries: an entry that turns unusable is told once, and once
-// when it is good again or gone.
-func TestSightOfDamagedEntries(t *testing.T) {
+// TestDamagedEntriesAreNotedOnce checks that an entry is noted once when it becomes
+// unusable, and once when it is repaired or gone.
+func TestDamagedEntriesAreNotedOnce(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.keepNotes = true
 	c.run(time.Second)
@@ -230,11 +230,10 @@
 	}
 }
 
-// TestFloodOfDamagedEntries
-//
-// Symptom it guards against: the leader's log and memory fill up. Events: a
-// writer leaves ten thousand damaged entries, other ones in each list, and
-// damages that of a worker among them. Cause: each entry is followed and told.
+// TestFloodOfDamagedEntries guards against a flood of damaged entries that fills the
+// leader's log and memory because each entry is tracked and noted. A writer leaves
+// ten thousand damaged entries, different ones in each list, and damages that of a
+// known worker as well.
 func TestFloodOfDamagedEntries(t *testing.T) {
 	const flood, lists = 10000, 20
 	c := newCluster(t, 1, 2)
@@ -250,40 +249,40 @@
 	}
 	c.machine.Advance(c.now, c.wall)
 	c.machine.TakeEntryCounts()
-	strangers, told := 0, 0
+	unknownNotes, workerNotes := 0, 0
 	for number := range lists {
 		c.now = c.now.Add(100 * time.Millisecond)
 		c.machine.Handle(c.now, list(number))
 		for _, e := range c.machine.Advance(c.now, c.wall) {
 			n, ok := e.(Note)
 			switch {
-			case !ok || !tellsOfAnEntry(n):
+			case !ok || !isEntryNote(n):
 			case n.Worker.ID == "w001":
-				told++
+				workerNotes++
 			default:
-				strangers++
+				unknownNotes++
 			}
 		}
 		if n := c.machine.entries.tracked.Len(); n != maxTrackedUnknown+1 {
-			t.Errorf("%d entries are followed, want %d", n, maxTrackedUnknown+1)
+			t.Errorf("%d entries are tracked, want %d", n, maxTrackedUnknown+1)
 		}
 	}
-	if strangers != unknownNotesPerWindow || told != 1 {
-		t.Errorf("%d notes on strangers and %d on a worker, want %d and 1", strangers, told, unknownNotesPerWindow)
+	if unknownNotes != unknownNotesPerWindow || workerNotes != 1 {
+		t.Errorf("%d notes on unknown workers and %d on a known worker, want %d and 1", unknownNotes, workerNotes, unknownNotesPerWindow)
 	}
 	counts := c.machine.TakeEntryCounts()
 	if counts.Unusable[EntryUnreadable] != flood || counts.Unusable[EntryNoLabels] != 1 {
 		t.Errorf("counted: %v", counts.Unusable)
 	}
-	if turned, gone := counts.Changes[EntryBecameUnusable], counts.Changes[EntryGone]; turned != lists*maxTrackedUnknown+1 || gone != (lists-1)*maxTrackedUnknown {
-		t.Errorf("%d turned unusable and %d are gone", turned, gone)
+	if unusable, gone := counts.Changes[EntryBecameUnusable], counts.Changes[EntryGone]; unusable != lists*maxTrackedUnknown+1 || gone != (lists-1)*maxTrackedUnknown {
+		t.Errorf("%d entries became unusable and %d are gone", unusable, gone)
 	}
 }
 
 // TestDecidesAsWithoutDamagedEntries plays random days under faults, once with
-// entries that are missing now and then, and once with damaged ones in their
-// place and more of them that name nobody. All decisions must be the same, in
-// their order and with their reasons.
+// entries that are missing at times, and once with damaged entries in their place
+// and more of them for unknown workers. All decisions must be the same, in the same
+// order and with the same reasons.
 func TestDecidesAsWithoutDamagedEntries(t *testing.T) {
 	parameters := gopter.DefaultTestParameters()
 	parameters.MinSuccessfulTests = 10
@@ -291,7 +290,7 @@
 	properties := gopter.NewProperties(parameters)
 	properties.Property("decisions", prop.ForAllNoShrink(func(seed uint64) bool {
 		without := decisions(t, seed, nil)
-		with := decisions(t, seed, &damages{rand.New(rand.NewPCG(seed, 3))})
+		with := decisions(t, seed, &entryDamage{rand.New(rand.NewPCG(seed, 3))})
 		if slices.Equal(without, with) {
 			return true
 		}
@@ -301,7 +300,7 @@
 	properties.TestingRun(t)
 }
 
-// firstDifference tells where two lists of decisions part.
+// firstDifference describes where two lists of decisions differ first.
 func firstDifference(without, with []Note) string {
 	for i := range min(len(without), len(with)) {
 		if without[i] != with[i] {
@@ -311,12 +310,12 @@
 	return fmt.Sprintf("%d decisions without, %d with", len(without), len(with))
 }
 
-// decisions plays a day and returns what was decided.
-func decisions(t *testing.T, seed uint64, d *damages) []Note {
+// decisions plays a day and returns the decisions.
+func decisions(t *testing.T, seed uint64, d *entryDamage) []Note {
 	c := newCluster(t, seed, 8)
 	c.keepNotes = true
 	c.damages = d
 	c.loseAnswers, c.delayOrders = 0.03, 0.03
 	c.faultyDay(rand.New(rand.NewPCG(seed, 2)))
-	return slices.DeleteFunc(c.notes, tellsOfAnEntry)
+	return slices.DeleteFunc(c.notes, isEntryNote)
 }
--- a/core/jobsched/inspect_test.go
+++ b/core/jobsched/inspect_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestInspectSaysWhyAStepWaits(t *testing.T) {
+func TestInspectReportsWhyAStepWaits(t *testing.T) {
 	c := newCluster(t, 1, 2)
 	c.run(200 * time.Millisecond)
 	first := makeStep(2, 1000, time.Second)
@@ -30,7 +30,7 @@
 		t.Errorf("waiting job: %+v", view)
 	}
 	if _, known := c.machine.Inspect("ffffffffffffffff"); known {
-		t.Error("a job that was never accepted is known")
+		t.Error("a job that was never accepted is known to the machine")
 	}
 	if list := c.machine.List(1); len(list) != 1 || list[0].ID != running {
 		t.Errorf("list: %+v", list)
--- a/core/manifest/check.go
+++ b/core/manifest/check.go
@@ -10,8 +10,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Check reports what Parse would refuse in m, for manifests that were built in
-// code. An error is an *InvalidError.
+// Check applies the checks of Parse to a manifest that was built in code. The
+// error is an *InvalidError.
 func (m *Manifest) Check() error {
 	found := &problems{}
 	m.check(found)
@@ -54,19 +54,19 @@
 	return teams
 }
 
-// checkDocument refuses a normalised manifest that the store could not hold or
-// daemons could not send each other.
+// checkDocument rejects a normalised manifest that is too large to be stored, or
+// to be sent between daemons.
 func (m *Manifest) checkDocument() error {
 	document := m.Canonical()
 	records := 0
 	for i := range m.Workloads {
-		records += len(m.Workloads[i].Name) + WorkloadEnvelopeBytes
+		records += len(m.Workloads[i].Name) + MaxRecordBytes
 	}
 	if size := len(document) + records; size > MaxDocumentBytes {
 		return tooLarge(fmt.Sprintf("%d bytes when encoded; at most %d", size, MaxDocumentBytes))
 	}
 	if len(document)+records <= MaxStoredBytes {
-		return nil // compressed it is no larger, but for what EnvelopeBytes covers
+		return nil // ReservedBytes covers what compression can add
 	}
 	if size := len(Compress(document)) + records; size > MaxStoredBytes {
 		return tooLarge(fmt.Sprintf("%d bytes in the store; at most %d", size, MaxStoredBytes))
@@ -78,7 +78,7 @@
 	return &InvalidError{Problems: []Problem{{Reason: ReasonTooLarge, Detail: detail}}}
 }
 
-// workloadCheck checks one workload.
+// workloadCheck checks one workload and records its problems.
 type workloadCheck struct {
 	problems *problems
 	path     string
@@ -162,28 +162,28 @@
 
 func (c *workloadCheck) checkService() {
 	checkRange(c.problems, c.at("slots"), int64(c.w.Slots), 1, maxSlots)
-	// An exchange takes a connection of its own, so slots beyond the
+	// Each request uses a connection of its own, so slots in excess of the
 	// connections could never be used.
 	checkRange(c.problems, c.at("connections"), int64(c.w.Connections), int64(max(c.w.Slots, 1)), maxConnections)
 	checkRange(c.problems, c.at("maxQueue"), int64(c.w.MaxQueue), 0, maxQueue)
 	checkDuration(c.problems, c.at("timeout"), c.w.Timeout, maxTimeout)
-	c.refuse("runTime", c.w.RunTime != 0)
-	c.refuse("longRunning", c.w.LongRunning)
+	c.rejectInapplicable("runTime", c.w.RunTime != 0)
+	c.rejectInapplicable("longRunning", c.w.LongRunning)
 }
 
 func (c *workloadCheck) checkBatch() {
 	checkDuration(c.problems, c.at("runTime"), c.w.RunTime, maxRunTime)
-	c.refuse("slots", c.w.Slots != 0)
-	c.refuse("connections", c.w.Connections != 0)
-	c.refuse("maxQueue", c.w.MaxQueue != 0)
-	c.refuse("timeout", c.w.Timeout != 0)
+	c.rejectInapplicable("slots", c.w.Slots != 0)
+	c.rejectInapplicable("connections", c.w.Connections != 0)
+	c.rejectInapplicable("maxQueue", c.w.MaxQueue != 0)
+	c.rejectInapplicable("timeout", c.w.Timeout != 0)
 }
 
-// refuse notes a field that was given although the workload's kind has no use
-// for it.
-func (c *workloadCheck) refuse(field string, given bool) {
+// rejectInapplicable records a problem if a field is given that does not apply to
+// the kind of the workload.
+func (c *workloadCheck) rejectInapplicable(field string, given bool) {
 	if given {
-		c.problems.add(c.at(field), ReasonMisplaced, string(c.w.Kind))
+		c.problems.add(c.at(field), ReasonNotApplicable, string(c.w.Kind))
 	}
 }
 
@@ -210,15 +210,15 @@
 	case length < 0:
 		p.add(path, ReasonNegative, d.String())
 	case length%time.Millisecond != 0:
-		p.add(path, ReasonTooFine, d.String())
+		p.add(path, ReasonNotWholeMilliseconds, d.String())
 	case length > most:
 		p.add(path, ReasonTooLarge, fmt.Sprintf("%s; at most %s", d, most))
 	}
 }
 
-// checkName takes lower-case letters, digits and hyphens, with no hyphen at
-// either end. Names become parts of store keys and of task names: a slash or
-// an @ in one would make two different tasks share a key.
+// checkName accepts names of lower-case letters, digits and hyphens that neither
+// begin nor end with a hyphen. Names become parts of store keys and of task names:
+// a slash or an @ in a name could give two different tasks the same key.
 func checkName(p *problems, path, name string) {
 	switch {
 	case name == "":
@@ -230,8 +230,9 @@
 	}
 }
 
-// ValidName reports whether a name can stand in keys of the store and in logs:
-// lower case letters, digits and inner dashes.
+// ValidName reports whether a name can be used in store keys and in logs, that is
+// whether it has only lower-case letters, digits and inner hyphens. It does not
+// check the length.
 func ValidName(name string) bool {
 	for i := range len(name) {
 		c := name[i]
--- a/core/manifest/parse.go
+++ b/core/manifest/parse.go
@@ -12,8 +12,8 @@
 
 const defaultPriority = "normal"
 
-// Parse reads a manifest from YAML or JSON and checks it. An error is an
-// *InvalidError that lists every problem.
+// Parse reads a manifest from YAML or JSON, checks it and normalises it. The error
+// is an *InvalidError that lists every problem.
 func Parse(data []byte) (*Manifest, error) {
 	found := &problems{}
 	tree, ok := parseTree(found, data)
@@ -32,8 +32,8 @@
 	return m, nil
 }
 
-// parseTree turns the text into JSON values. It returns false when there is
-// nothing to read further.
+// parseTree decodes the text into JSON values. It returns false if the text is too
+// long, has several documents or cannot be decoded.
 func parseTree(found *problems, data []byte) (any, bool) {
 	if len(data) > MaxTextBytes {
 		found.add("", ReasonTooLarge, fmt.Sprintf("%d bytes of text; at most %d", len(data), MaxTextBytes))
@@ -45,9 +45,9 @@
 	}
 	converted, err := yaml.YAMLToJSONStrict(data)
 	if err != nil {
-		// Strict reading adds one check to plain reading: repeated fields. So
-		// what plain reading takes has that problem alone, and the rest of it
-		// can still be looked at.
+		// Strict mode adds a single check to plain mode: repeated fields. Text
+		// that plain mode accepts has only this problem, and its other fields
+		// can still be checked.
 		var plainErr error
 		if converted, plainErr = yaml.YAMLToJSON(data); plainErr != nil {
 			found.add("", ReasonSyntax, plainErr.Error())
@@ -70,17 +70,18 @@
 	documentEnd   = []byte("...")
 )
 
-// hasManyDocuments finds a second YAML document. The YAML reader stops at the
-// end of the first one without a sign, so two manifests joined by a build
-// pipeline would be accepted as the first alone and remove all work of the
-// second. YAML allows neither mark at the beginning of a line within a document.
+// hasManyDocuments reports whether the text has a second YAML document. The YAML
+// decoder silently stops at the end of the first one, so if a build pipeline
+// joined two manifests, only the first would be accepted, and all workloads of the
+// second would be removed. YAML allows neither marker at the beginning of a line
+// within a document.
 func hasManyDocuments(data []byte) bool {
 	content := false
 	for line := range bytes.Lines(data) {
 		switch {
-		case content && isMark(line, documentStart), content && isMark(line, documentEnd):
+		case content && isMarker(line, documentStart), content && isMarker(line, documentEnd):
 			return true
-		case isMark(line, documentStart):
+		case isMarker(line, documentStart):
 			content = content || len(bytes.TrimSpace(line[len(documentStart):])) > 0
 		case isContent(line):
 			content = true
@@ -89,7 +90,7 @@
 	return false
 }
 
-func isMark(line, mark []byte) bool {
+func isMarker(line, mark []byte) bool {
 	rest, ok := bytes.CutPrefix(line, mark)
 	return ok && (len(rest) == 0 || bytes.IndexByte([]byte(" \t\r\n"), rest[0]) >= 0)
 }
@@ -109,7 +110,7 @@
 	for i, value := range o.list("workloads") {
 		m.Workloads = append(m.Workloads, readWorkload(p, elementPath("workloads", i), value))
 	}
-	o.refuseUnknown()
+	o.reportUnknownFields()
 	return m
 }
 
@@ -121,7 +122,7 @@
 		resources := readResources(p, o.at("quota"), quota)
 		t.Quota = &resources
 	}
-	o.refuseUnknown()
+	o.reportUnknownFields()
 	return t
 }
 
@@ -133,7 +134,7 @@
 		MemoryMB:     o.integer("memoryMB"),
 		Accelerators: o.integer("accelerators"),
 	}
-	o.refuseUnknown()
+	o.reportUnknownFields()
 	return r
 }
 
@@ -163,6 +164,6 @@
 	if w.IsService() {
 		o.require("slots", "connections")
 	}
-	o.refuseUnknown()
+	o.reportUnknownFields()
 	return w
 }
