--- a/adapter/httptarget/conn.go
+++ b/adapter/httptarget/conn.go
@@ -14,24 +14,24 @@
 	"github.com/guavarill/guavarill/core/fate"
 )
 
-// phase is where a connection stands between exchanges.
+// phase is the state of a connection with regard to its exchange.
 type phase uint8
 
 const (
-	// phaseIdle: no exchange; the reader holds nothing of the last answer.
+	// phaseIdle: no exchange; the reader holds no bytes of the last response.
 	phaseIdle phase = iota
-	// phaseArmed: an exchange has the connection and has written nothing.
+	// phaseArmed: an exchange owns the connection and has written nothing.
 	phaseArmed
-	// phaseSent: a byte of the request was, or is being, written.
+	// phaseSent: a byte of the request was written or is being written.
 	phaseSent
-	// phaseEnded: the answer is whole; the reader may hold bytes after it.
+	// phaseEnded: the response is whole; the reader may hold bytes after it.
 	phaseEnded
-	// phaseSealed: nothing more is written.
+	// phaseSealed: no more writes are allowed.
 	phaseSealed
 )
 
-// conn is a connection to a target under an http.ClientConn, with the account
-// of the exchange on it.
+// conn is a connection to a target, used by an http.ClientConn. It records what
+// was sent and received in the current exchange.
 type conn struct {
 	net.Conn
 	raw    syscall.RawConn
@@ -39,7 +39,7 @@
 	client *http.ClientConn
 	closed atomic.Bool
 
-	// Of the exchange, set by net/http's writer.
+	// Set by net/http's writer during the exchange.
 	wroteHead, wroteAll atomic.Bool
 
 	mu    sync.Mutex
@@ -47,29 +47,30 @@
 	// started is whether a write of the exchange may have handed bytes to the
 	// network.
 	started bool
-	// parked is whether the reader found the socket empty and waits for more.
+	// parked is whether the reader found the socket empty and waits for data.
 	parked   bool
 	deadline time.Time
-	// written and received count the exchange's bytes; cut is whether its
-	// reader met the end of the connection.
+	// written and received count the bytes of the exchange; readFailed is
+	// whether a read of the connection failed or reached its end.
 	written, received int64
-	cut               bool
-	peeked            [1]byte
+	readFailed        bool
+	writePeek         [1]byte
 
-	// Of the reader, which is one goroutine at a time.
+	// Used only by the reader, which is one goroutine at a time.
 	onReadable func(fd uintptr) bool
-	asked      bool
+	solicited  bool
 	dropped    bool
-	looked     [1]byte
+	readPeek   [1]byte
 
-	// proven is when the last whole answer came, or the connection was made.
-	// It belongs to the exchange, and between exchanges to the pool. It is not
-	// when the connection came back to the pool, which may be later: what was
-	// lost in between would count as trusted.
+	// proven is when the last whole response arrived, or when the connection
+	// was made. The exchange owns it, and the pool does between exchanges. It
+	// is not the time of the return to the pool, which may be later: a
+	// connection lost in between would still be trusted.
 	proven time.Time
 }
 
-// arm begins an exchange that must not be sent after deadline.
+// arm begins an exchange whose request must not be sent after deadline. A zero
+// deadline sets no limit.
 func (c *conn) arm(deadline time.Time) {
 	c.wroteHead.Store(false)
 	c.wroteAll.Store(false)
@@ -82,7 +83,7 @@
 	c.started = false
 	c.written = 0
 	c.received = 0
-	c.cut = false
+	c.readFailed = false
 }
 
 // Write implements net.Conn.
@@ -95,13 +96,15 @@
 	defer c.mu.Unlock()
 	c.written += int64(n)
 	if err != nil && c.written == 0 {
-		// The kernel took nothing: the request was not sent, and is not.
+		// The kernel accepted no byte, so the request was not sent; sealing
+		// keeps it from being sent later.
 		c.phase = phaseSealed
 		c.started = false
 	}
 	return n, err
 }
 
+// beginWrite checks whether the exchange may write, and records its first write.
 func (c *conn) beginWrite() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -112,7 +115,7 @@
 	default:
 		return faultSealed
 	}
-	if err := c.fitToSend(); err != nil {
+	if err := c.checkBeforeSend(); err != nil {
 		c.phase = phaseSealed
 		return err
 	}
@@ -121,23 +124,26 @@
 	return nil
 }
 
-// fitToSend takes the last look before a request is written.
-func (c *conn) fitToSend() error {
-	// A process that was paused since the engine's own look at the clock must
-	// not send what its caller, and the homes of the id, have given up.
+// checkBeforeSend returns an error if the deadline has passed, or if the socket
+// has unsolicited input or was closed by the target.
+func (c *conn) checkBeforeSend() error {
+	// If the process was paused after the engine checked the deadline, the
+	// caller and the homes of the request id may have given the request up.
 	if !c.deadline.IsZero() && !time.Now().Before(c.deadline) {
 		return faultPastDeadline
 	}
 	var found error
-	if err := c.raw.Control(func(fd uintptr) { found = arrived(fd, c.peeked[:]) }); err != nil {
+	if err := c.raw.Control(func(fd uintptr) { found = pendingInput(fd, c.writePeek[:]) }); err != nil {
 		return err
 	}
 	return found
 }
 
-// arrived returns nil when nothing waits to be read from the socket, else what
-// does. It takes nothing.
-func arrived(fd uintptr, b []byte) error {
+// pendingInput returns nil if the socket has no pending input. Otherwise it
+// returns faultUnsolicited for data, faultClosedByPeer for the end of the
+// stream, or the error of the socket. It consumes nothing; b is its scratch
+// buffer.
+func pendingInput(fd uintptr, b []byte) error {
 	for {
 		n, _, err := unix.Recvfrom(int(fd), b, unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		switch {
@@ -155,8 +161,8 @@
 }
 
 // Read implements net.Conn. It waits for the socket to become readable without
-// taking anything from it, and only then looks whether an exchange is there to
-// take it: bytes that arrive outside one must not be kept for the next.
+// consuming anything, and only then checks whether an exchange is in flight:
+// bytes that arrive outside an exchange must not be kept for the next one.
 func (c *conn) Read(p []byte) (int, error) {
 	if err := c.raw.Read(c.onReadable); err != nil {
 		return 0, err
@@ -164,37 +170,37 @@
 	if c.dropped {
 		return 0, faultDropped
 	}
-	if !c.asked {
-		return 0, c.unasked()
+	if !c.solicited {
+		return 0, c.unsolicitedError()
 	}
 	n, err := c.Conn.Read(p)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.received += int64(n)
-	c.cut = c.cut || err != nil
+	c.readFailed = c.readFailed || err != nil
 	return n, err
 }
 
-// readable is called whenever the socket may have something to read, and ends
-// the wait by returning true.
+// readable is called whenever the socket may have input. It returns true to end
+// the wait.
 func (c *conn) readable(fd uintptr) bool {
-	ready := arrived(fd, c.looked[:]) != nil
-	if c.look(ready) && !c.pool.put(c) {
-		// Closing it here would wait for this very call to return.
+	ready := pendingInput(fd, c.readPeek[:]) != nil
+	if c.updateParked(ready) && !c.pool.release(c) {
+		// Closing the connection here would deadlock: Close waits for this call.
 		c.dropped = true
 		return true
 	}
 	return ready
 }
 
-// look notes what the reader found, and reports whether the connection is now
-// free for another exchange.
-func (c *conn) look(ready bool) bool {
+// updateParked records whether the reader found input, and reports whether the
+// connection has become free for another exchange.
+func (c *conn) updateParked(ready bool) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.parked = !ready
 	if ready {
-		c.asked = c.phase == phaseSent
+		c.solicited = c.phase == phaseSent
 		return false
 	}
 	if c.phase != phaseEnded {
@@ -204,9 +210,10 @@
 	return true
 }
 
-// unasked says what became readable outside an exchange.
-func (c *conn) unasked() error {
-	n, err := c.Conn.Read(c.looked[:])
+// unsolicitedError reads the input that arrived outside an exchange and returns
+// the error for it.
+func (c *conn) unsolicitedError() error {
+	n, err := c.Conn.Read(c.readPeek[:])
 	switch {
 	case n > 0:
 		return faultUnsolicited
@@ -216,16 +223,18 @@
 	return io.EOF
 }
 
-// finish ends an exchange whose answer is whole. The connection goes back to
-// the pool once its reader waits at an empty socket: net/http asks the network
-// for more only when it holds nothing of its own.
+// finish ends an exchange whose response is whole. The connection returns to the
+// pool once its reader waits at an empty socket, because net/http reads from the
+// network only when its own buffer is empty.
 func (c *conn) finish() {
-	if c.ended() && !c.pool.put(c) {
+	if c.endExchange() && !c.pool.release(c) {
 		c.close()
 	}
 }
 
-func (c *conn) ended() bool {
+// endExchange records the end of an exchange, and reports whether the
+// connection can return to the pool at once.
+func (c *conn) endExchange() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase != phaseSent {
@@ -240,8 +249,8 @@
 	return true
 }
 
-// seal ends an exchange without an answer and returns how much of the request
-// was handed to the network. After it nothing more is.
+// seal ends an exchange without a response and prevents further writes. It
+// returns how much of the request may have been sent.
 func (c *conn) seal() fate.Sent {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -261,14 +270,15 @@
 	return c.received
 }
 
-// wasCut tells a connection that ended from an answer that makes no sense.
-func (c *conn) wasCut() bool {
+// hasReadFailed reports whether a read of the connection failed or reached its
+// end, which distinguishes a truncated response from a malformed one.
+func (c *conn) hasReadFailed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.cut
+	return c.readFailed
 }
 
-// close ends the connection and the goroutines that serve it.
+// close closes the connection and stops the goroutines that serve it.
 func (c *conn) close() {
 	if c.client != nil {
 		c.client.Close() //nolint:errcheck // there is nothing left to lose
@@ -282,6 +292,6 @@
 		return nil
 	}
 	err := c.Conn.Close()
-	c.pool.closed(c)
+	c.pool.removeClosed(c)
 	return err
 }
