--- a/adapter/httpvms/client.go
+++ b/adapter/httpvms/client.go
@@ -18,31 +18,32 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// The defaults of Options. 8 MiB holds some 30,000 VMs.
+// The default values of Options. A body of 8 MiB holds about 30,000 VMs.
 const (
 	DefaultTimeout   = 5 * time.Second
 	DefaultMaxBytes  = 8 << 20
 	DefaultFullEvery = 5 * time.Minute
 )
 
-// Options configure a Client. Zero fields but URL take their defaults.
+// Options configures a Client. Every field except URL has a default that
+// replaces its zero value.
 type Options struct {
-	// URL is where the list is read.
+	// URL is the address of the list.
 	URL string
-	// Timeout bounds one read, connecting included.
+	// Timeout limits one read of the list, including connection setup.
 	Timeout time.Duration
-	// MaxBytes bounds the answer's body, after it is decompressed.
+	// MaxBytes limits the size of the response body after decompression.
 	MaxBytes int64
-	// FullEvery is the time after which the list is read whole although the
-	// platform may call it unchanged.
+	// FullEvery is the age of the cached list from which on the next request is
+	// unconditional, even if the platform would report the list as unchanged.
 	FullEvery time.Duration
-	// Clock tells when that time has passed; nil is the machine's.
+	// Clock measures the age of the cached list; nil means the system clock.
 	Clock port.Clock
-	// TLS is used for https; nil means the system's defaults.
+	// TLS configures https connections; nil means the defaults of crypto/tls.
 	TLS *tls.Config
 }
 
-// Client reads the list. It is safe for concurrent use.
+// Client reads the list of VMs. It is safe for concurrent use.
 type Client struct {
 	o    Options
 	http *http.Client
@@ -51,8 +52,8 @@
 	kept *list
 }
 
-// list is a whole list that was found valid, under the tag that the platform
-// gave it. It is never changed.
+// list is a complete, valid list with the ETag that the platform sent with it.
+// It is immutable.
 type list struct {
 	vms    []model.VM
 	etag   string
@@ -61,11 +62,11 @@
 
 var _ port.VMList = (*Client)(nil)
 
-// New returns a Client. Each read makes a new connection: reads are seconds
-// apart, and a kept connection that something between the ends has forgotten
-// would make the list look down for as long as it is kept.
+// New returns a Client. Each read opens a new connection: reads are seconds
+// apart, and if a middlebox dropped the state of a reused connection, the list
+// would appear to be down for as long as the connection stayed in the pool.
 //
-// The transport asks for gzip and decompresses by itself.
+// The transport requests gzip and decompresses transparently.
 func New(o Options) *Client {
 	o.Timeout = cmp.Or(o.Timeout, DefaultTimeout)
 	o.MaxBytes = cmp.Or(o.MaxBytes, DefaultMaxBytes)
@@ -82,10 +83,10 @@
 	}
 }
 
-// List reads the list. An error is a *port.VMListError whose cause is a
+// List returns the current VMs. An error is a *port.VMListError whose cause is a
 // *StatusError, *TagError, *TooLargeError, *DecodeError, *InvalidVMError or a
-// failure of the exchange. VMs of roles that guavarill does not know are left
-// out. The caller may change what it gets.
+// failure of the HTTP exchange. VMs whose role is neither worker nor entry are
+// omitted. The caller may modify the returned slice.
 func (c *Client) List(ctx context.Context) ([]model.VM, error) {
 	current, err := c.read(ctx)
 	if err != nil {
@@ -94,8 +95,8 @@
 	return slices.Clone(current.vms), nil
 }
 
-// read returns the list as it is, which is the one kept when the platform says
-// that it did not change.
+// read returns the current list: the cached one if the platform reports it as
+// unchanged, otherwise the one in the response.
 func (c *Client) read(ctx context.Context) (*list, error) {
 	asked := c.known()
 	resp, err := c.ask(ctx, asked)
@@ -122,12 +123,13 @@
 	return next, nil
 }
 
-// known returns the list to ask for changes of, or nil to ask for all of it.
+// known returns the cached list whose ETag makes the next request conditional,
+// or nil if the next request must be unconditional.
 //
-// Tags go wrong: one made of a time in seconds stays the same when the list
-// changes twice in a second, and one from a cache may be another list's. The
-// daemon would then hold an old list until the next change and not notice, so
-// the list is read whole now and then.
+// ETags are not fully reliable: one derived from a time in seconds stays the
+// same when the list changes twice within a second, and a cache may send one
+// that belongs to another list. The daemon would then use a stale list until the
+// next change without noticing, so the list is fetched whole every FullEvery.
 func (c *Client) known() *list {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -143,7 +145,8 @@
 	c.kept = l
 }
 
-// ask sends one request, for the changes since known unless that is nil.
+// ask sends one request. It is conditional on the ETag of known unless known is
+// nil.
 func (c *Client) ask(ctx context.Context, known *list) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.o.URL, nil)
 	if err != nil {
@@ -160,8 +163,9 @@
 	return resp, nil
 }
 
-// unchanged takes the answer that the list asked about is the current one. An
-// answer about another tag is about another list; then the next read is whole.
+// unchanged handles a 304 response and returns asked. If the response has the
+// ETag of another list, unchanged clears the cache, so that the next request is
+// unconditional, and returns a *TagError.
 func (c *Client) unchanged(asked *list, resp *http.Response) (*list, error) {
 	got := resp.Header.Get("ETag")
 	if got == "" || opaque(got) == opaque(asked.etag) {
@@ -171,11 +175,12 @@
 	return nil, &TagError{Asked: asked.etag, Got: got}
 }
 
-// opaque strips the mark of a weak tag, which does not count in this comparison.
+// opaque returns etag without the prefix of a weak ETag. If-None-Match uses weak
+// comparison, which ignores the prefix.
 func opaque(etag string) string { return strings.TrimPrefix(etag, "W/") }
 
-// body reads the whole body, or fails: a list that was cut short would make
-// live VMs look gone.
+// body returns the whole response body. It fails if the body is truncated or
+// larger than MaxBytes: live VMs would appear to be gone in a truncated list.
 func (c *Client) body(resp *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.o.MaxBytes+1))
 	if err != nil {
@@ -187,7 +192,7 @@
 	return body, nil
 }
 
-// decode reads and checks the list.
+// decode parses and validates the list. It omits VMs of unknown roles.
 func decode(body []byte) ([]model.VM, error) {
 	var lines []model.VM
 	if err := json.Unmarshal(body, &lines); err != nil {
@@ -211,7 +216,8 @@
 	return vms, nil
 }
 
-// problem returns what is wrong with vm, or "".
+// problem returns why vm is invalid, or "" if it is valid. seen holds the IDs of
+// the preceding VMs.
 func problem(vm model.VM, seen map[model.WorkerID]bool) InvalidReason {
 	size := vm.Capacity
 	switch {
--- a/adapter/httpvms/client_test.go
+++ b/adapter/httpvms/client_test.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// Symptom: live VMs look gone, or a VM is taken for another one.
-// Events: the list is down, silent, cut short, not JSON, too large, or
-// contradicts itself.
-// Cause: a part of a bad answer was taken for the whole list.
+// Guards against live VMs appearing to be gone, or one VM being mistaken for
+// another. This happens if part of a bad response is used as the whole list: the
+// response has an error status, is truncated, is not JSON, is too large or
+// has invalid or duplicate entries.
 func TestBadAnswersAreErrors(t *testing.T) {
 	line := `{"id":"w1","role":"worker","state":"live","rack":"r1","address":"a:1"}`
 	cases := []struct {
@@ -89,9 +89,8 @@
 	}
 }
 
-// Symptom: the reader of the list waits for ever.
-// Events: the list accepts the connection and says nothing.
-// Cause: a read without a timeout.
+// Guards against a read without a timeout, which blocks forever when the platform
+// accepts the connection and sends nothing.
 func TestSilentListTimesOut(t *testing.T) {
 	list := vmlist.New(port.SystemClock{}, 0)
 	list.SetFaults(vmlist.Faults{Silent: true})
@@ -104,8 +103,9 @@
 	}
 }
 
-// TestUnchangedListIsNotSent reads through changes, lag, faults and a platform
-// without tags, and compares each answer with what the platform shows.
+// TestUnchangedListIsNotSent reads the list across changes, propagation delay,
+// faults and a platform without ETags. It compares each result with the list that
+// the platform serves, and checks which reads end in a 304.
 func TestUnchangedListIsNotSent(t *testing.T) {
 	clock := &clock{now: time.Unix(1000, 0)}
 	list := vmlist.New(clock, 10*time.Second)
@@ -142,8 +142,8 @@
 		if (err == nil) != (step.want != nil) || !cmp.Equal(got, step.want) {
 			t.Fatalf("%s: %v, %v", step.name, got, err)
 		}
-		if told := list.Unchanged() > before; told != step.unchanged {
-			t.Errorf("%s: told unchanged %v", step.name, told)
+		if unchanged := list.Unchanged() > before; unchanged != step.unchanged {
+			t.Errorf("%s: platform reported unchanged %v", step.name, unchanged)
 		}
 		for i := range got {
 			got[i] = model.VM{ID: "changed by the caller"}
@@ -151,9 +151,8 @@
 	}
 }
 
-// Symptom: a VM that is gone stays in the list for good.
-// Events: the list changes and its tag does not.
-// Cause: believing tags for ever.
+// Guards against a VM that is gone staying in the list forever. This happens if
+// the list changes, its ETag does not, and every request is conditional.
 func TestWrongTagIsFoundOut(t *testing.T) {
 	clock := &clock{now: time.Unix(1000, 0)}
 	list := vmlist.New(clock, 0)
@@ -172,11 +171,10 @@
 	}
 }
 
-// Symptom: live VMs look gone although the list's tag is the current one.
-// Events: an answer with a new tag is not whole or not valid, and the platform
-// calls the list of that tag unchanged afterwards; or it answers 304 about a
-// list that was not asked about.
-// Cause: a tag kept without the list that it belongs to.
+// Guards against live VMs appearing to be gone although the cached ETag is the
+// current one. This happens if an ETag is cached without the list it belongs to:
+// a response with a new ETag is truncated or invalid and the platform reports
+// that ETag as unchanged afterwards, or a 304 has an ETag that was not requested.
 func TestOnlyWholeListsAreKept(t *testing.T) {
 	line := `{"id":"w1","role":"worker","state":"live","rack":"r1","address":"a:1"}`
 	zipped := func(text string) string {
--- a/adapter/httpvms/doc.go
+++ b/adapter/httpvms/doc.go
@@ -1,7 +1,7 @@
 // Package httpvms implements port.VMList by reading the platform's list as a
 // JSON array of VMs over HTTP.
 //
-// A platform that gives the list an ETag is asked only for a changed list and
-// may answer 304; one that gives none is asked for all of it each time. Answers
-// may be compressed by gzip.
+// If the platform sends an ETag with the list, later requests are conditional
+// (If-None-Match) and the platform may respond with 304. Without an ETag, every
+// request fetches the whole list. Responses may be compressed with gzip.
 package httpvms
--- a/adapter/httpvms/errors.go
+++ b/adapter/httpvms/errors.go
@@ -6,15 +6,15 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// StatusError is an answer with a status other than 200, or 304 where no change
-// was asked for.
+// StatusError reports a response with a status other than 200, including a 304
+// in response to an unconditional request.
 type StatusError struct{ Status int }
 
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("status %d", e.Status) }
 
-// TagError is an answer that says of another list than the one asked about that
-// it did not change.
+// TagError reports a 304 response whose ETag differs from the one in the
+// request, so that it describes a different version of the list.
 type TagError struct{ Asked, Got string }
 
 // Error implements error.
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("asked about list %s, which answer calls %s", e.Asked, e.Got)
 }
 
-// TooLargeError is an answer whose body is larger than the bound.
+// TooLargeError reports a response body larger than MaxBytes bytes.
 type TooLargeError struct{ MaxBytes int64 }
 
 // Error implements error.
@@ -30,7 +30,7 @@
 	return fmt.Sprintf("body is larger than %d bytes", e.MaxBytes)
 }
 
-// DecodeError is a body that is not a JSON array of VMs.
+// DecodeError reports a response body that is not a JSON array of VMs.
 type DecodeError struct{ Cause error }
 
 // Error implements error.
@@ -39,13 +39,13 @@
 // Unwrap returns the cause.
 func (e *DecodeError) Unwrap() error { return e.Cause }
 
-// NotAnArrayError is a body of null where an array belongs.
+// NotAnArrayError reports a response body of null instead of an array.
 type NotAnArrayError struct{}
 
 // Error implements error.
 func (*NotAnArrayError) Error() string { return "not an array" }
 
-// InvalidReason says what is wrong with a line of the list.
+// InvalidReason describes why an entry of the list is invalid.
 type InvalidReason string
 
 // The reasons of InvalidVMError.
@@ -58,8 +58,9 @@
 	NegativeCapacity InvalidReason = "capacity is negative"
 )
 
-// InvalidVMError is a list with a line that contradicts itself or another. The
-// whole list is refused: without that line a live VM would look gone.
+// InvalidVMError reports an entry of the list that is invalid or that duplicates
+// another. The whole list is rejected, because a live VM would appear to be gone
+// if only its entry were skipped. Index counts from 0.
 type InvalidVMError struct {
 	Index  int
 	ID     model.WorkerID
