--- a/adapter/httpvms/client.go
+++ b/adapter/httpvms/client.go
@@ -48,8 +48,8 @@
 	o    Options
 	http *http.Client
 
-	mu   sync.Mutex
-	kept *list
+	mu     sync.Mutex
+	cached *list
 }
 
 // list is a complete, valid list with the ETag that the platform sent with it.
@@ -98,19 +98,19 @@
 // read returns the current list: the cached one if the platform reports it as
 // unchanged, otherwise the one in the response.
 func (c *Client) read(ctx context.Context) (*list, error) {
-	asked := c.known()
-	resp, err := c.ask(ctx, asked)
+	asked := c.conditionalList()
+	resp, err := c.sendRequest(ctx, asked)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch {
 	case resp.StatusCode == http.StatusNotModified && asked != nil:
-		return c.unchanged(asked, resp)
+		return c.checkNotModified(asked, resp)
 	case resp.StatusCode != http.StatusOK:
 		return nil, &StatusError{Status: resp.StatusCode}
 	}
-	body, err := c.body(resp)
+	body, err := c.readBody(resp)
 	if err != nil {
 		return nil, err
 	}
@@ -119,35 +119,35 @@
 		return nil, err
 	}
 	next := &list{vms: vms, etag: resp.Header.Get("ETag"), readAt: c.o.Clock.Now()}
-	c.keep(next)
+	c.setCached(next)
 	return next, nil
 }
 
-// known returns the cached list whose ETag makes the next request conditional,
+// conditionalList returns the cached list whose ETag makes the next request conditional,
 // or nil if the next request must be unconditional.
 //
 // ETags are not fully reliable: one derived from a time in seconds stays the
 // same when the list changes twice within a second, and a cache may send one
 // that belongs to another list. The daemon would then use a stale list until the
 // next change without noticing, so the list is fetched whole every FullEvery.
-func (c *Client) known() *list {
+func (c *Client) conditionalList() *list {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.kept == nil || c.kept.etag == "" || c.o.Clock.Now().Sub(c.kept.readAt) >= c.o.FullEvery {
+	if c.cached == nil || c.cached.etag == "" || c.o.Clock.Now().Sub(c.cached.readAt) >= c.o.FullEvery {
 		return nil
 	}
-	return c.kept
+	return c.cached
 }
 
-func (c *Client) keep(l *list) {
+func (c *Client) setCached(l *list) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.kept = l
+	c.cached = l
 }
 
-// ask sends one request. It is conditional on the ETag of known unless known is
+// sendRequest sends one request. It is conditional on the ETag of known unless known is
 // nil.
-func (c *Client) ask(ctx context.Context, known *list) (*http.Response, error) {
+func (c *Client) sendRequest(ctx context.Context, known *list) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.o.URL, nil)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -163,25 +163,25 @@
 	return resp, nil
 }
 
-// unchanged handles a 304 response and returns asked. If the response has the
-// ETag of another list, unchanged clears the cache, so that the next request is
+// checkNotModified handles a 304 response and returns asked. If the response has the
+// ETag of another list, checkNotModified clears the cache, so that the next request is
 // unconditional, and returns a *TagError.
-func (c *Client) unchanged(asked *list, resp *http.Response) (*list, error) {
+func (c *Client) checkNotModified(asked *list, resp *http.Response) (*list, error) {
 	got := resp.Header.Get("ETag")
-	if got == "" || opaque(got) == opaque(asked.etag) {
+	if got == "" || opaqueTag(got) == opaqueTag(asked.etag) {
 		return asked, nil
 	}
-	c.keep(nil)
+	c.setCached(nil)
 	return nil, &TagError{Asked: asked.etag, Got: got}
 }
 
-// opaque returns etag without the prefix of a weak ETag. If-None-Match uses weak
+// opaqueTag returns etag without the prefix of a weak ETag. If-None-Match uses weak
 // comparison, which ignores the prefix.
-func opaque(etag string) string { return strings.TrimPrefix(etag, "W/") }
+func opaqueTag(etag string) string { return strings.TrimPrefix(etag, "W/") }
 
-// body returns the whole response body. It fails if the body is truncated or
+// readBody returns the whole response readBody. It fails if the readBody is truncated or
 // larger than MaxBytes: live VMs would appear to be gone in a truncated list.
-func (c *Client) body(resp *http.Response) ([]byte, error) {
+func (c *Client) readBody(resp *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.o.MaxBytes+1))
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -207,7 +207,7 @@
 		if vm.Role != model.RoleWorker && vm.Role != model.RoleEntry {
 			continue
 		}
-		if reason := problem(vm, seen); reason != "" {
+		if reason := invalidReason(vm, seen); reason != "" {
 			return nil, &InvalidVMError{Index: i, ID: vm.ID, Reason: reason}
 		}
 		seen[vm.ID] = true
@@ -216,9 +216,9 @@
 	return vms, nil
 }
 
-// problem returns why vm is invalid, or "" if it is valid. seen holds the IDs of
+// invalidReason returns why vm is invalid, or "" if it is valid. seen holds the IDs of
 // the preceding VMs.
-func problem(vm model.VM, seen map[model.WorkerID]bool) InvalidReason {
+func invalidReason(vm model.VM, seen map[model.WorkerID]bool) InvalidReason {
 	size := vm.Capacity
 	switch {
 	case vm.ID == "":
