--- a/adapter/tlsfiles/source.go
+++ b/adapter/tlsfiles/source.go
@@ -31,11 +31,11 @@
 type Source struct {
 	o Options
 
-	mu      sync.Mutex
-	looked  time.Time
-	pem     contents
-	current material
-	stats   Stats
+	mu          sync.Mutex
+	lastChecked time.Time
+	pem         pemFiles
+	current     parsedFiles
+	stats       Stats
 }
 
 // Stats counts what a Source did.
@@ -46,17 +46,17 @@
 	Failures uint64
 }
 
-// contents is the files' bytes.
-type contents struct {
+// pemFiles is the files' bytes.
+type pemFiles struct {
 	cert, key, ca []byte
 }
 
-func (c contents) equal(o contents) bool {
+func (c pemFiles) equal(o pemFiles) bool {
 	return bytes.Equal(c.cert, o.cert) && bytes.Equal(c.key, o.key) && bytes.Equal(c.ca, o.ca)
 }
 
-// material is the parsed files.
-type material struct {
+// parsedFiles is the parsed files.
+type parsedFiles struct {
 	cert  tls.Certificate
 	roots *x509.CertPool
 }
@@ -72,7 +72,7 @@
 	if o.Clock == nil {
 		o.Clock = port.SystemClock{}
 	}
-	s := &Source{o: o, looked: o.Clock.Now()}
+	s := &Source{o: o, lastChecked: o.Clock.Now()}
 	pem, err := s.read()
 	if err != nil {
 		return nil, err
@@ -94,14 +94,14 @@
 
 // latest returns the settings in force, after a look at the files when the
 // last one is older than the interval.
-func (s *Source) latest() material {
+func (s *Source) latest() parsedFiles {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.o.Clock.Now()
-	if now.Sub(s.looked) < s.o.Interval {
+	if now.Sub(s.lastChecked) < s.o.Interval {
 		return s.current
 	}
-	s.looked = now
+	s.lastChecked = now
 	s.reload()
 	return s.current
 }
@@ -128,8 +128,8 @@
 	s.stats.Reloads++
 }
 
-func (s *Source) read() (contents, error) {
-	var c contents
+func (s *Source) read() (pemFiles, error) {
+	var c pemFiles
 	files := []struct {
 		name string
 		into *[]byte
@@ -137,21 +137,21 @@
 	for _, f := range files {
 		data, err := os.ReadFile(f.name)
 		if err != nil {
-			return contents{}, &Error{Kind: KindUnreadable, File: f.name, Cause: err}
+			return pemFiles{}, &Error{Kind: KindUnreadable, File: f.name, Cause: err}
 		}
 		*f.into = data
 	}
 	return c, nil
 }
 
-func parse(o Options, c contents) (material, error) {
+func parse(o Options, c pemFiles) (parsedFiles, error) {
 	cert, err := tls.X509KeyPair(c.cert, c.key)
 	if err != nil {
-		return material{}, &Error{Kind: KindBadKeyPair, File: o.CertFile, Cause: err}
+		return parsedFiles{}, &Error{Kind: KindBadKeyPair, File: o.CertFile, Cause: err}
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(c.ca) {
-		return material{}, &Error{Kind: KindBadCA, File: o.CAFile}
+		return parsedFiles{}, &Error{Kind: KindBadCA, File: o.CAFile}
 	}
-	return material{cert: cert, roots: roots}, nil
+	return parsedFiles{cert: cert, roots: roots}, nil
 }
