--- a/adapter/tlsfiles/config.go
+++ b/adapter/tlsfiles/config.go
@@ -8,8 +8,9 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// ServerConfig returns a server's settings that follow the files: each
-// handshake uses the latest ones and requires a client certificate of the CA.
+// ServerConfig returns a TLS configuration for servers. Each handshake uses the
+// most recently loaded files and requires a client certificate signed by the CA.
+// protocols are the ALPN protocols, in order of preference.
 func (s *Source) ServerConfig(protocols ...string) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -27,8 +28,9 @@
 	}
 }
 
-// ClientConfig returns a client's settings as the files are now; take a new
-// one for each connection.
+// ClientConfig returns a TLS configuration for clients with the most recently
+// loaded files. It does not follow later changes, so callers request a new one
+// for each connection. protocols are the ALPN protocols, in order of preference.
 func (s *Source) ClientConfig(protocols ...string) *tls.Config {
 	m := s.latest()
 	return &tls.Config{
@@ -39,19 +41,21 @@
 	}
 }
 
-// GRPCServer returns credentials for a grpc server.
+// GRPCServer returns credentials for a gRPC server. Each handshake uses the most
+// recently loaded files.
 func (s *Source) GRPCServer() credentials.TransportCredentials {
 	return credentials.NewTLS(s.ServerConfig("h2"))
 }
 
-// GRPCClient returns credentials for grpc clients that follow the files.
+// GRPCClient returns credentials for gRPC clients. Each handshake uses the most
+// recently loaded files.
 func (s *Source) GRPCClient() credentials.TransportCredentials {
 	return &clientCredentials{source: s}
 }
 
-// clientCredentials makes each handshake with the files' latest contents.
-// credentials.NewTLS alone would keep the CA it was made with, so that a
-// client would refuse servers that moved to a new one.
+// clientCredentials uses the most recently loaded files for each handshake.
+// credentials.NewTLS alone would keep the CA it was created with, so a client
+// would reject servers whose certificates are signed by a new CA.
 type clientCredentials struct{ source *Source }
 
 func (c *clientCredentials) ClientHandshake(ctx context.Context, authority string, conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
--- a/adapter/tlsfiles/doc.go
+++ b/adapter/tlsfiles/doc.go
@@ -1,7 +1,7 @@
-// Package tlsfiles serves TLS settings from PEM files and takes up new files
-// without a restart. Certificates are rotated while daemons run; a daemon that
-// kept the ones it read at start would be refused by its peers once those
-// expire. Files are looked at again, at most once per interval, when a
-// connection is made; a file that cannot be read or does not parse leaves the
-// previous settings in force and is counted.
+// Package tlsfiles provides TLS configurations from PEM files and reloads changed
+// files without a restart. Certificates are rotated while daemons run; the peers
+// of a daemon that kept the certificates read at startup would reject it once
+// those expire. The files are read again when a connection is made, at most once
+// per interval. If a file cannot be read or parsed, the previous certificates
+// stay in use and the failure is counted.
 package tlsfiles
--- a/adapter/tlsfiles/errors.go
+++ b/adapter/tlsfiles/errors.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-// ErrorKind sorts the failures to load TLS files.
+// ErrorKind classifies failures to load TLS files.
 type ErrorKind string
 
-// The kinds of failure.
+// The kinds of Error.
 const (
 	KindUnreadable ErrorKind = "file not readable"
 	KindBadKeyPair ErrorKind = "certificate and key do not parse or match"
@@ -13,7 +13,8 @@
 	KindIncomplete ErrorKind = "certificate, key and CA files must be given together"
 )
 
-// Error is every failure of this package.
+// Error reports that TLS files could not be loaded. File and Cause are empty for
+// kinds that have none.
 type Error struct {
 	Kind  ErrorKind
 	File  string
--- a/adapter/tlsfiles/source.go
+++ b/adapter/tlsfiles/source.go
@@ -11,23 +11,24 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// DefaultInterval is how often the files are looked at again.
+// DefaultInterval is the default of Options.Interval.
 const DefaultInterval = 10 * time.Second
 
-// Options names the files. All three must be given: peers prove themselves to
-// each other with certificates of the one CA.
+// Options configures a Source. All three files are required: peers authenticate
+// each other with certificates signed by the same CA.
 type Options struct {
 	CertFile string
 	KeyFile  string
 	CAFile   string
-	// Interval is the least time between two looks at the files;
-	// DefaultInterval when 0.
+	// Interval is the minimum time between two reads of the files; 0 means
+	// DefaultInterval.
 	Interval time.Duration
-	// Clock is the machine's clock when nil.
+	// Clock measures Interval; nil means the system clock.
 	Clock port.Clock
 }
 
-// Source holds the settings read last. It is safe for concurrent use.
+// Source holds the certificates that were loaded last and reloads changed files.
+// It is safe for concurrent use.
 type Source struct {
 	o Options
 
@@ -38,15 +39,16 @@
 	stats       Stats
 }
 
-// Stats counts what a Source did.
+// Stats holds the counters of a Source.
 type Stats struct {
-	// Reloads counts changed files taken up.
+	// Reloads counts reloads of changed files.
 	Reloads uint64
-	// Failures counts looks that left the previous settings in force.
+	// Failures counts failed reads, after which the previous certificates stay
+	// in use.
 	Failures uint64
 }
 
-// pemFiles is the files' bytes.
+// pemFiles holds the contents of the three files.
 type pemFiles struct {
 	cert, key, ca []byte
 }
@@ -55,13 +57,13 @@
 	return bytes.Equal(c.cert, o.cert) && bytes.Equal(c.key, o.key) && bytes.Equal(c.ca, o.ca)
 }
 
-// parsedFiles is the parsed files.
+// parsedFiles holds the certificate and the CA pool parsed from the files.
 type parsedFiles struct {
 	cert  tls.Certificate
 	roots *x509.CertPool
 }
 
-// New reads the files. An error is a *Error.
+// New loads the files and returns a Source. An error is an *Error.
 func New(o Options) (*Source, error) {
 	if o.CertFile == "" || o.KeyFile == "" || o.CAFile == "" {
 		return nil, &Error{Kind: KindIncomplete}
@@ -85,15 +87,15 @@
 	return s, nil
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters.
 func (s *Source) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// latest returns the settings in force, after a look at the files when the
-// last one is older than the interval.
+// latest returns the certificates in use. It first reloads the files if they were
+// last read at least one interval ago.
 func (s *Source) latest() parsedFiles {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -106,10 +108,10 @@
 	return s.current
 }
 
-// reload takes up changed files. Certificate and key are replaced one after
-// the other by most tools; a look between the two finds a pair that does not
-// match and must not be taken up, or every handshake until the next look
-// would fail.
+// reload parses the files if they changed and keeps the previous certificates on
+// failure. Most tools replace the certificate and the key one after the other, so
+// a read between the two finds a pair that does not match. If that pair were
+// used, every handshake until the next read would fail.
 func (s *Source) reload() {
 	pem, err := s.read()
 	if err != nil {
--- a/adapter/tlsfiles/tls_test.go
+++ b/adapter/tlsfiles/tls_test.go
@@ -24,7 +24,7 @@
 
 func (c *clock) Now() time.Time { return c.now }
 
-// authority is a CA made for one test.
+// authority is a certificate authority created for one test.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -102,8 +102,9 @@
 	return s
 }
 
-// handshake connects a client of one source with a server of another through
-// grpc's credentials and returns the serial number of the server's certificate.
+// handshake connects a client that uses one source to a server that uses another
+// through their gRPC credentials. It returns the serial number of the server's
+// certificate.
 func handshake(t *testing.T, client, server *Source) (int64, error) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -136,9 +137,9 @@
 	return state.PeerCertificates[0].SerialNumber.Int64(), <-served
 }
 
-// Symptom: daemons refuse each other some weeks after their start.
-// Sequence: the certificates on disk are renewed, the CA is replaced, the ones
-// in memory expire. Cause: files are read only once.
+// Guards against daemons rejecting each other some weeks after startup. This
+// happens if files are read only once: the certificates on disk are renewed and
+// the CA is replaced, and the certificates in memory expire.
 func TestNewFilesAreTakenUp(t *testing.T) {
 	dir, c := t.TempDir(), &clock{now: time.Now()}
 	newAuthority(t).write(t, dir, 1)
@@ -159,9 +160,9 @@
 	}
 }
 
-// Symptom: all handshakes fail for a while during a renewal.
-// Sequence: the certificate is written, a look at the files, then the key.
-// Cause: a pair that does not match is taken up.
+// Guards against all handshakes failing for a while during a renewal. This happens
+// if a certificate and key that do not match are loaded because the files were
+// read after the certificate was written and before the key was.
 func TestHalfWrittenFilesLeaveTheOldOnes(t *testing.T) {
 	dir, c := t.TempDir(), &clock{now: time.Now()}
 	a := newAuthority(t)
@@ -184,9 +185,9 @@
 	}
 }
 
-// Symptom: anybody who reaches the peer port can pose as a daemon.
-// Sequence: a client with a certificate of another CA, or none, connects.
-// Cause: the server does not ask for one.
+// Guards against any client that reaches the peer port being able to impersonate a
+// daemon. This happens if the server does not require a client certificate: a
+// client connects with a certificate signed by another CA, or with none.
 func TestStrangersAreRefused(t *testing.T) {
 	dir, other, c := t.TempDir(), t.TempDir(), &clock{now: time.Now()}
 	a := newAuthority(t)
@@ -194,7 +195,7 @@
 	newAuthority(t).write(t, other, 2)
 	writePEM(t, filepath.Join(other, "ca.pem"), "CERTIFICATE", a.cert.Raw)
 	if _, err := handshake(t, newSource(t, other, c), newSource(t, dir, c)); err == nil {
-		t.Error("a client of another CA was let in")
+		t.Error("server accepted a client with a certificate signed by another CA")
 	}
 	server := newSource(t, dir, c)
 	conn, answer := net.Pipe()
@@ -205,7 +206,7 @@
 		_ = conn.Close()
 	}()
 	if _, _, err := server.GRPCServer().ServerHandshake(answer); err == nil {
-		t.Error("a client without a certificate was let in")
+		t.Error("server accepted a client without a certificate")
 	}
 	_ = answer.Close()
 }
