--- a/adapter/httpvms/client_test.go
+++ b/adapter/httpvms/client_test.go
@@ -48,7 +48,7 @@
 // another. This happens if part of a bad response is used as the whole list: the
 // response has an error status, is truncated, is not JSON, is too large or
 // has invalid or duplicate entries.
-func TestBadAnswersAreErrors(t *testing.T) {
+func TestBadResponsesAreErrors(t *testing.T) {
 	line := `{"id":"w1","role":"worker","state":"live","rack":"r1","address":"a:1"}`
 	cases := []struct {
 		name   string
@@ -153,7 +153,7 @@
 
 // Guards against a VM that is gone staying in the list forever. This happens if
 // the list changes, its ETag does not, and every request is conditional.
-func TestWrongTagIsFoundOut(t *testing.T) {
+func TestStaleETagIsDetected(t *testing.T) {
 	clock := &clock{now: time.Unix(1000, 0)}
 	list := vmlist.New(clock, 0)
 	list.SetFaults(vmlist.Faults{SameTag: true})
@@ -175,7 +175,7 @@
 // current one. This happens if an ETag is cached without the list it belongs to:
 // a response with a new ETag is truncated or invalid and the platform reports
 // that ETag as unchanged afterwards, or a 304 has an ETag that was not requested.
-func TestOnlyWholeListsAreKept(t *testing.T) {
+func TestOnlyValidListsAreCached(t *testing.T) {
 	line := `{"id":"w1","role":"worker","state":"live","rack":"r1","address":"a:1"}`
 	zipped := func(text string) string {
 		var out bytes.Buffer
