--- a/adapter/tlsfiles/tls_test.go
+++ b/adapter/tlsfiles/tls_test.go
@@ -140,7 +140,7 @@
 // Guards against daemons rejecting each other some weeks after startup. This
 // happens if files are read only once: the certificates on disk are renewed and
 // the CA is replaced, and the certificates in memory expire.
-func TestNewFilesAreTakenUp(t *testing.T) {
+func TestChangedFilesAreReloaded(t *testing.T) {
 	dir, c := t.TempDir(), &clock{now: time.Now()}
 	newAuthority(t).write(t, dir, 1)
 	client, server := newSource(t, dir, c), newSource(t, dir, c)
@@ -163,7 +163,7 @@
 // Guards against all handshakes failing for a while during a renewal. This happens
 // if a certificate and key that do not match are loaded because the files were
 // read after the certificate was written and before the key was.
-func TestHalfWrittenFilesLeaveTheOldOnes(t *testing.T) {
+func TestMismatchedPairIsNotLoaded(t *testing.T) {
 	dir, c := t.TempDir(), &clock{now: time.Now()}
 	a := newAuthority(t)
 	a.write(t, dir, 1)
@@ -188,7 +188,7 @@
 // Guards against any client that reaches the peer port being able to impersonate a
 // daemon. This happens if the server does not require a client certificate: a
 // client connects with a certificate signed by another CA, or with none.
-func TestStrangersAreRefused(t *testing.T) {
+func TestClientsWithoutACertificateOfTheCAAreRejected(t *testing.T) {
 	dir, other, c := t.TempDir(), t.TempDir(), &clock{now: time.Now()}
 	a := newAuthority(t)
 	a.write(t, dir, 1)
