--- a/adapter/httpvms/client.go
+++ b/adapter/httpvms/client.go
@@ -18,41 +18,42 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// The defaults of Options. 8 MiB holds some 30,000 VMs.
+// The default values of Options. A body of 8 MiB holds about 30,000 VMs.
 const (
 	DefaultTimeout   = 5 * time.Second
 	DefaultMaxBytes  = 8 << 20
 	DefaultFullEvery = 5 * time.Minute
 )
 
-// Options configure a Client. Zero fields but URL take their defaults.
+// Options configures a Client. Every field except URL has a default that
+// replaces its zero value.
 type Options struct {
-	// URL is where the list is read.
+	// URL is the address of the list.
 	URL string
-	// Timeout bounds one read, connecting included.
+	// Timeout limits one read of the list, including connection setup.
 	Timeout time.Duration
-	// MaxBytes bounds the answer's body, after it is decompressed.
+	// MaxBytes limits the size of the response body after decompression.
 	MaxBytes int64
-	// FullEvery is the time after which the list is read whole although the
-	// platform may call it unchanged.
+	// FullEvery is the age of the cached list from which on the next request is
+	// unconditional, even if the platform would report the list as unchanged.
 	FullEvery time.Duration
-	// Clock tells when that time has passed; nil is the machine's.
+	// Clock measures the age of the cached list; nil means the system clock.
 	Clock port.Clock
-	// TLS is used for https; nil means the system's defaults.
+	// TLS configures https connections; nil means the defaults of crypto/tls.
 	TLS *tls.Config
 }
 
-// Client reads the list. It is safe for concurrent use.
+// Client reads the list of VMs. It is safe for concurrent use.
 type Client struct {
 	o    Options
 	http *http.Client
 
-	mu   sync.Mutex
-	kept *list
+	mu     sync.Mutex
+	cached *list
 }
 
-// list is a whole list that was found valid, under the tag that the platform
-// gave it. It is never changed.
+// list is a complete, valid list with the ETag that the platform sent with it.
+// It is immutable.
 type list struct {
 	vms    []model.VM
 	etag   string
@@ -61,11 +62,11 @@
 
 var _ port.VMList = (*Client)(nil)
 
-// New returns a Client. Each read makes a new connection: reads are seconds
-// apart, and a kept connection that something between the ends has forgotten
-// would make the list look down for as long as it is kept.
+// New returns a Client. Each read opens a new connection: reads are seconds
+// apart, and if a middlebox dropped the state of a reused connection, the list
+// would appear to be down for as long as the connection stayed in the pool.
 //
-// The transport asks for gzip and decompresses by itself.
+// The transport requests gzip and decompresses transparently.
 func New(o Options) *Client {
 	o.Timeout = cmp.Or(o.Timeout, DefaultTimeout)
 	o.MaxBytes = cmp.Or(o.MaxBytes, DefaultMaxBytes)
@@ -82,10 +83,10 @@
 	}
 }
 
-// List reads the list. An error is a *port.VMListError whose cause is a
+// List returns the current VMs. An error is a *port.VMListError whose cause is a
 // *StatusError, *TagError, *TooLargeError, *DecodeError, *InvalidVMError or a
-// failure of the exchange. VMs of roles that guavarill does not know are left
-// out. The caller may change what it gets.
+// failure of the HTTP exchange. VMs whose role is neither worker nor entry are
+// omitted. The caller may modify the returned slice.
 func (c *Client) List(ctx context.Context) ([]model.VM, error) {
 	current, err := c.read(ctx)
 	if err != nil {
@@ -94,22 +95,22 @@
 	return slices.Clone(current.vms), nil
 }
 
-// read returns the list as it is, which is the one kept when the platform says
-// that it did not change.
+// read returns the current list: the cached one if the platform reports it as
+// unchanged, otherwise the one in the response.
 func (c *Client) read(ctx context.Context) (*list, error) {
-	asked := c.known()
-	resp, err := c.ask(ctx, asked)
+	asked := c.conditionalList()
+	resp, err := c.sendRequest(ctx, asked)
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	switch {
 	case resp.StatusCode == http.StatusNotModified && asked != nil:
-		return c.unchanged(asked, resp)
+		return c.checkNotModified(asked, resp)
 	case resp.StatusCode != http.StatusOK:
 		return nil, &StatusError{Status: resp.StatusCode}
 	}
-	body, err := c.body(resp)
+	body, err := c.readBody(resp)
 	if err != nil {
 		return nil, err
 	}
@@ -118,33 +119,35 @@
 		return nil, err
 	}
 	next := &list{vms: vms, etag: resp.Header.Get("ETag"), readAt: c.o.Clock.Now()}
-	c.keep(next)
+	c.setCached(next)
 	return next, nil
 }
 
-// known returns the list to ask for changes of, or nil to ask for all of it.
+// conditionalList returns the cached list whose ETag makes the next request conditional,
+// or nil if the next request must be unconditional.
 //
-// Tags go wrong: one made of a time in seconds stays the same when the list
-// changes twice in a second, and one from a cache may be another list's. The
-// daemon would then hold an old list until the next change and not notice, so
-// the list is read whole now and then.
-func (c *Client) known() *list {
+// ETags are not fully reliable: one derived from a time in seconds stays the
+// same when the list changes twice within a second, and a cache may send one
+// that belongs to another list. The daemon would then use a stale list until the
+// next change without noticing, so the list is fetched whole every FullEvery.
+func (c *Client) conditionalList() *list {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.kept == nil || c.kept.etag == "" || c.o.Clock.Now().Sub(c.kept.readAt) >= c.o.FullEvery {
+	if c.cached == nil || c.cached.etag == "" || c.o.Clock.Now().Sub(c.cached.readAt) >= c.o.FullEvery {
 		return nil
 	}
-	return c.kept
+	return c.cached
 }
 
-func (c *Client) keep(l *list) {
+func (c *Client) setCached(l *list) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.kept = l
+	c.cached = l
 }
 
-// ask sends one request, for the changes since known unless that is nil.
-func (c *Client) ask(ctx context.Context, known *list) (*http.Response, error) {
+// sendRequest sends one request. It is conditional on the ETag of known unless known is
+// nil.
+func (c *Client) sendRequest(ctx context.Context, known *list) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.o.URL, nil)
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -160,23 +163,25 @@
 	return resp, nil
 }
 
-// unchanged takes the answer that the list asked about is the current one. An
-// answer about another tag is about another list; then the next read is whole.
-func (c *Client) unchanged(asked *list, resp *http.Response) (*list, error) {
+// checkNotModified handles a 304 response and returns asked. If the response has the
+// ETag of another list, checkNotModified clears the cache, so that the next request is
+// unconditional, and returns a *TagError.
+func (c *Client) checkNotModified(asked *list, resp *http.Response) (*list, error) {
 	got := resp.Header.Get("ETag")
-	if got == "" || opaque(got) == opaque(asked.etag) {
+	if got == "" || opaqueTag(got) == opaqueTag(asked.etag) {
 		return asked, nil
 	}
-	c.keep(nil)
+	c.setCached(nil)
 	return nil, &TagError{Asked: asked.etag, Got: got}
 }
 
-// opaque strips the mark of a weak tag, which does not count in this comparison.
-func opaque(etag string) string { return strings.TrimPrefix(etag, "W/") }
+// opaqueTag returns etag without the prefix of a weak ETag. If-None-Match uses weak
+// comparison, which ignores the prefix.
+func opaqueTag(etag string) string { return strings.TrimPrefix(etag, "W/") }
 
-// body reads the whole body, or fails: a list that was cut short would make
-// live VMs look gone.
-func (c *Client) body(resp *http.Response) ([]byte, error) {
+// readBody returns the whole response readBody. It fails if the readBody is truncated or
+// larger than MaxBytes: live VMs would appear to be gone in a truncated list.
+func (c *Client) readBody(resp *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.o.MaxBytes+1))
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -187,7 +192,7 @@
 	return body, nil
 }
 
-// decode reads and checks the list.
+// decode parses and validates the list. It omits VMs of unknown roles.
 func decode(body []byte) ([]model.VM, error) {
 	var lines []model.VM
 	if err := json.Unmarshal(body, &lines); err != nil {
@@ -202,7 +207,7 @@
 		if vm.Role != model.RoleWorker && vm.Role != model.RoleEntry {
 			continue
 		}
-		if reason := problem(vm, seen); reason != "" {
+		if reason := invalidReason(vm, seen); reason != "" {
 			return nil, &InvalidVMError{Index: i, ID: vm.ID, Reason: reason}
 		}
 		seen[vm.ID] = true
@@ -211,8 +216,9 @@
 	return vms, nil
 }
 
-// problem returns what is wrong with vm, or "".
-func problem(vm model.VM, seen map[model.WorkerID]bool) InvalidReason {
+// invalidReason returns why vm is invalid, or "" if it is valid. seen holds the IDs of
+// the preceding VMs.
+func invalidReason(vm model.VM, seen map[model.WorkerID]bool) InvalidReason {
 	size := vm.Capacity
 	switch {
 	case vm.ID == "":
