--- a/adapter/httptarget/pool.go
+++ b/adapter/httptarget/pool.go
@@ -23,8 +23,8 @@
 	// channel receives one value: a conn, or nil when the exchange is to try
 	// again, since there may be room to make one.
 	waiting []chan *conn
-	// trustSince is the time from which proofs count: connections
-	// last proven before it are not used again.
+	// trustSince is the time from which proofs count: connections last proven
+	// before it are not used again.
 	trustSince time.Time
 	probe      *probe
 }
@@ -97,7 +97,7 @@
 }
 
 // takeNewestLocked removes and returns the idle connection that was returned
-// last, or nil if there is none that meets w.
+// last. It returns nil if there is none or if that one does not meet w.
 func (p *pool) takeNewestLocked(now time.Time, w connRequirements) *conn {
 	n := len(p.idle)
 	if n == 0 || w.fresh {
