--- a/adapter/httptarget/exchange.go
+++ b/adapter/httptarget/exchange.go
@@ -47,7 +47,7 @@
 	resp, err := x.c.client.RoundTrip(req)
 	x.watch.stop()
 	if err != nil {
-		return nil, x.fail(ctx, err, x.pointBeforeHead())
+		return nil, x.fail(ctx, err, x.stageBeforeHead())
 	}
 	defer resp.Body.Close() //nolint:errcheck // what was read decides
 	if x.isNotStarted(resp) {
@@ -203,9 +203,9 @@
 	return body, nil
 }
 
-// pointBeforeHead returns the stage that the exchange reached when the head of
+// stageBeforeHead returns the stage that the exchange reached when the head of
 // its response did not arrive whole.
-func (x *exchange) pointBeforeHead() fate.Stage {
+func (x *exchange) stageBeforeHead() fate.Stage {
 	switch {
 	case x.c.receivedBytes() > 0:
 		return fate.ReadingHead
@@ -219,27 +219,27 @@
 
 // fail ends the exchange and closes its connection, so that a late response
 // cannot reach another exchange.
-func (x *exchange) fail(ctx context.Context, err error, point fate.Stage) *traffic.ExchangeError {
+func (x *exchange) fail(ctx context.Context, err error, stage fate.Stage) *traffic.ExchangeError {
 	sent := x.c.seal()
 	cut := x.c.hasReadFailed()
 	x.c.close()
-	if sent == fate.SentNothing && point != fate.BeforeConnect {
-		point = fate.SendingHead
+	if sent == fate.SentNothing && stage != fate.BeforeConnect {
+		stage = fate.SendingHead
 	}
 	failure := &traffic.ExchangeError{
 		Address: x.c.pool.address,
-		Point:   point,
+		Point:   stage,
 		Sent:    sent,
-		Reason:  x.reason(ctx, err, point, cut),
+		Reason:  x.reason(ctx, err, stage, cut),
 		Cause:   err,
 	}
-	if x.watch.isConnectionAtFault() && point == fate.AwaitingHead {
+	if x.watch.isConnectionAtFault() && stage == fate.AwaitingHead {
 		failure.ConnectionOnly = true
 	}
 	return failure
 }
 
-func (x *exchange) reason(ctx context.Context, err error, point fate.Stage, cut bool) fate.Reason {
+func (x *exchange) reason(ctx context.Context, err error, stage fate.Stage, cut bool) fate.Reason {
 	switch {
 	case context.Cause(ctx) == faultSilent:
 		return fate.ReasonTargetSilent
@@ -249,11 +249,11 @@
 		return fate.ReasonDeadline
 	case errors.Is(err, faultPath):
 		return fate.ReasonInvalidRequest
-	case errors.Is(err, faultTooLarge), point == fate.ReadingHead && x.c.receivedBytes() >= x.t.o.MaxHeadBytes:
+	case errors.Is(err, faultTooLarge), stage == fate.ReadingHead && x.c.receivedBytes() >= x.t.o.MaxHeadBytes:
 		return fate.ReasonAnswerTooLarge
 	case errors.Is(err, faultSwitched), errors.Is(err, faultUnbounded):
 		return fate.ReasonAnswerMalformed
-	case point < fate.ReadingHead:
+	case stage < fate.ReadingHead:
 		return fate.ReasonConnectionBroken
 	case cut:
 		return fate.ReasonAnswerCutShort
--- a/adapter/httptarget/fate_test.go
+++ b/adapter/httptarget/fate_test.go
@@ -77,7 +77,7 @@
 func TestFateAtEveryPoint(t *testing.T) {
 	tests := []struct {
 		kind   target.Kind
-		point  fate.Stage
+		stage  fate.Stage
 		fate   fate.Fate
 		reason fate.Reason
 		runs   int
@@ -107,9 +107,9 @@
 			instance.SetFault(target.Fault{Kind: test.kind})
 			_, err = client.Do(testContext(t), instance.Address(), newCall("r", "body"))
 			x := exchangeError(t, err)
-			if x.Point != test.point || x.Fate() != test.fate || x.Reason != test.reason {
+			if x.Point != test.stage || x.Fate() != test.fate || x.Reason != test.reason {
 				t.Errorf("got %s, %s, %s; want %s, %s, %s (%v)",
-					x.Point, x.Fate(), x.Reason, test.point, test.fate, test.reason, err)
+					x.Point, x.Fate(), x.Reason, test.stage, test.fate, test.reason, err)
 			}
 			if got := instance.Runs("r"); got != test.runs {
 				t.Errorf("ran %d times, want %d", got, test.runs)
