--- a/traffic/claims.go
+++ b/traffic/claims.go
@@ -15,26 +15,27 @@
 
 // Claims records the ids of non-idempotent requests.
 type Claims interface {
-	// Claim returns Proceed when the id is recorded for r.Claimant, else why
-	// the request must not be sent. Service, ID, Issued and Payload of r are
-	// set; the claimant is set by Claim in the request it returns, which is
-	// what Release takes.
+	// Claim returns Proceed if the id is recorded for this claimant, and
+	// otherwise why the request must not be sent. The caller sets Service, ID,
+	// Issued and Payload of r. Claim sets the claimant in the request that it
+	// returns, and that request must be passed to Release.
 	Claim(ctx context.Context, r dedup.Request) (dedup.Request, dedup.Outcome)
-	// Release takes a claim back whose request was certainly not run. It does
-	// not wait; a release that is lost costs the caller a repeat, not more.
+	// Release releases the claim of a request that was certainly not run. It
+	// does not block. If a release is lost, the id stays recorded and a repeat
+	// under it is refused; nothing worse follows.
 	Release(r dedup.Request)
 }
 
-// HomeCaller asks one entry, this one included, to record or release an id.
+// HomeCaller sends claims and releases to the homes of an id, which are the
+// entries that record it. A home may be this entry itself.
 type HomeCaller interface {
-	// Claim returns the home's verdict; on an error the verdict counts as
-	// Unsure.
+	// Claim returns the home's verdict. An error counts as the verdict Unsure.
 	Claim(ctx context.Context, home model.DaemonID, r dedup.Request) (dedup.Verdict, error)
 	Release(ctx context.Context, home model.DaemonID, r dedup.Request) error
 }
 
-// DefaultClaimTimeout bounds one round of claims: several round trips between
-// the zones furthest apart.
+// DefaultClaimTimeout limits one round of claims. It allows for several round
+// trips between the zones that are furthest apart.
 const DefaultClaimTimeout = 100 * time.Millisecond
 
 // ClaimOptions configures QuorumClaims.
@@ -43,24 +44,24 @@
 	Incarnation uint64
 	// Booted is when this entry started.
 	Booted time.Time
-	// Members returns the entries as this one knows them, itself included, and
-	// whether another entry, or the platform's list, has confirmed the view
-	// since the boot. It is called from traffic goroutines.
+	// Members returns the entries known to this one, including itself, and
+	// whether another entry or the platform's list has confirmed that view
+	// since this entry started. It is called from traffic goroutines.
 	Members func() (members []dedup.Member, confirmed bool)
 	Homes   HomeCaller
 	Dedup   dedup.Options
-	// Timeout bounds a round of claims; 0 takes DefaultClaimTimeout.
+	// Timeout limits a round of claims; 0 means DefaultClaimTimeout.
 	Timeout time.Duration
 	Clock   port.Clock
 }
 
-// QuorumClaims is Claims over the homes of each id.
+// QuorumClaims implements Claims by a quorum of the homes of each id.
 type QuorumClaims struct {
 	o        ClaimOptions
 	sequence atomic.Uint64
 }
 
-// NewQuorumClaims returns the claims of one entry.
+// NewQuorumClaims returns the QuorumClaims of one entry.
 func NewQuorumClaims(o ClaimOptions) *QuorumClaims {
 	o.Timeout = cmp.Or(o.Timeout, DefaultClaimTimeout)
 	if o.Clock == nil {
@@ -76,9 +77,10 @@
 	r.Incarnation = q.o.Incarnation
 	now := q.o.Clock.Now()
 	members, confirmed := q.o.Members()
-	// An entry whose view is not yet that of the others would take other
-	// homes than they did, and find an id unused that another entry has
-	// sent. One would notice it only by the second run.
+	// An entry whose view of the members differs from the others' would ask
+	// other homes than they did, and get a claim for an id that another entry
+	// has already sent. The request would run twice, and nothing else would
+	// detect that.
 	if !confirmed || now.Sub(q.o.Booted) < q.o.Dedup.MembershipDelay {
 		return r, dedup.RefusedUnsure
 	}
@@ -86,8 +88,8 @@
 	return r, q.claimAt(ctx, r, homes)
 }
 
-// round is one claim at its homes. After it was abandoned, a home that grants
-// late is told to release at once.
+// round is one claim at all homes of an id. Once it is abandoned, a late grant
+// is released at once.
 type round struct {
 	mu        sync.Mutex
 	claim     *dedup.Claim
@@ -95,8 +97,8 @@
 	decided   chan struct{}
 }
 
-// add records a verdict and reports whether the home's grant is to be
-// released.
+// add records a verdict. It reports whether the verdict is a grant that came
+// after the round was abandoned and must be released.
 func (rd *round) add(home model.DaemonID, v dedup.Verdict) bool {
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
@@ -111,7 +113,8 @@
 	return false
 }
 
-// end returns the outcome, and the homes to be told when it is a refusal.
+// end ends the round and returns its outcome. Unless that is Proceed, it also
+// returns the homes whose grants must be released.
 func (rd *round) end() (dedup.Outcome, []model.DaemonID) {
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
@@ -146,8 +149,8 @@
 	return outcome
 }
 
-// claimAtHome goes on after the round was decided, so that the third home
-// records the id as well.
+// claimAtHome sends the claim to one home. It continues after the round is
+// decided, so that the third home records the id as well.
 func (q *QuorumClaims) claimAtHome(rd *round, home model.DaemonID, r dedup.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), q.o.Timeout)
 	defer cancel()
@@ -160,8 +163,8 @@
 	}
 }
 
-// Release implements Claims. All homes are told: one that had not answered
-// the claim in time may have recorded it.
+// Release implements Claims. It sends the release to all homes, because a home
+// that did not respond to the claim in time may still have recorded it.
 func (q *QuorumClaims) Release(r dedup.Request) {
 	members, _ := q.o.Members()
 	now := q.o.Clock.Now()
@@ -173,7 +176,8 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), q.o.Timeout)
 			defer cancel()
-			// A lost release leaves the id recorded: a repeat is told unknown.
+			// If the release is lost, the id stays recorded and a repeat gets
+			// the fate Unknown.
 			_ = q.o.Homes.Release(ctx, home, r)
 		}()
 	}
--- a/traffic/doc.go
+++ b/traffic/doc.go
@@ -1,13 +1,13 @@
-// Package traffic carries callers' requests to targets: admission, the claim
-// of a non-idempotent request's id, the choice of a target, the exchange, the
-// fate, and the retry.
+// Package traffic forwards callers' requests to targets. It admits a request,
+// claims the id of a non-idempotent one, selects a target, exchanges request
+// and response with it, determines the fate, and retries.
 //
-// It runs on the callers' goroutines. The control goroutine hands it new
-// services and target tables through Configure and SetTargets; both swap
-// snapshots or take a service's lock for a moment, so neither side waits for
-// the other's work. The lock of a service guards its queue, its retry budget
-// and its counts, and is never held over I/O.
+// It runs on the callers' goroutines. The control goroutine updates services
+// and target tables through Configure and SetTargets. Both swap snapshots or
+// hold a service's lock only briefly, so neither side waits for the other's
+// work. The lock of a service guards its queue, its retry budget and its
+// counts, and is never held during I/O.
 //
-// Each call of Engine.Do ends in exactly one fate. A request that waits is
-// told at once when it can no longer be answered in time.
+// Each call of Engine.Do ends in exactly one fate. A queued request fails as
+// soon as it can no longer be answered before its deadline.
 package traffic
--- a/traffic/engine.go
+++ b/traffic/engine.go
@@ -12,14 +12,16 @@
 	"github.com/guavarill/guavarill/core/routing"
 )
 
-// notServingRetryAfter is what callers of an entry that serves nobody are
-// told: the balancer in front needs about as long to notice.
+// notServingRetryAfter is the retry delay returned to callers while the entry
+// takes no requests. The load balancer in front of the entries needs about
+// this long to detect it.
 const notServingRetryAfter = time.Second
 
 // NotServingReason says why an entry takes no requests.
 type NotServingReason string
 
-// The reasons. A new engine is Starting until SetServing says otherwise.
+// The reasons why an entry takes no requests. A new engine is Starting until
+// the first call of SetServing.
 const (
 	Starting        NotServingReason = "starting"
 	NoConfiguration NotServingReason = "no accepted configuration known"
@@ -33,8 +35,9 @@
 // Error implements error.
 func (e *NotServingError) Error() string { return fmt.Sprintf("entry takes no requests: %s", e.Reason) }
 
-// Engine carries requests to targets. It is safe for concurrent use; Configure,
-// SetTargets and SetServing are meant for one control goroutine.
+// Engine forwards requests to targets. It is safe for concurrent use, but
+// Configure, SetTargets and SetServing must be called from one control
+// goroutine.
 type Engine struct {
 	o       Options
 	metrics *metrics
@@ -49,7 +52,7 @@
 	drained  chan struct{}
 }
 
-// New returns an engine that knows no service and takes no requests yet.
+// New returns an engine that has no services and takes no requests yet.
 func New(o Options) *Engine {
 	o = o.withDefaults()
 	e := &Engine{
@@ -62,8 +65,9 @@
 	return e
 }
 
-// Configure replaces the services. Those that stay keep their queue and
-// targets; requests that wait for one that is gone are told not run.
+// Configure replaces the set of services. Services that remain keep their
+// queue and targets. Requests queued for a removed service fail with the fate
+// NotRun.
 func (e *Engine) Configure(services []Service) {
 	old := *e.services.Load()
 	next := make(map[string]*service, len(services))
@@ -85,8 +89,8 @@
 	}
 }
 
-// SetTargets replaces the targets of a service. A service that is not
-// configured is left out.
+// SetTargets replaces the targets of a service. It does nothing if the service
+// is not configured.
 func (e *Engine) SetTargets(name string, targets []routing.Target) {
 	s, ok := (*e.services.Load())[name]
 	if !ok {
@@ -95,8 +99,8 @@
 	s.setTargets(targets)
 }
 
-// SetServing opens or closes the entry to new requests. Closed, it answers
-// each with not run and the reason.
+// SetServing sets whether the entry takes new requests. While it takes none,
+// each request fails with the fate NotRun and the reason.
 func (e *Engine) SetServing(serving bool, reason NotServingReason) {
 	if serving {
 		e.refusal.Store(nil)
@@ -105,7 +109,8 @@
 	e.refusal.Store(&NotServingError{Reason: reason})
 }
 
-// Serving returns nil while the entry takes requests, else why not.
+// Serving returns nil while the entry takes requests, and a *NotServingError
+// otherwise.
 func (e *Engine) Serving() error {
 	if refusal := e.refusal.Load(); refusal != nil {
 		return refusal
@@ -113,14 +118,16 @@
 	return nil
 }
 
-// MarkLeaving sends nothing new to address, of whichever service.
+// MarkLeaving stops sending new requests to the target at address, in every
+// service.
 func (e *Engine) MarkLeaving(address string) {
 	for _, s := range *e.services.Load() {
 		s.balancer.MarkLeaving(address)
 	}
 }
 
-// Demand is what a service has to do on this entry.
+// Demand is the number of requests of a service at this entry: all that are
+// being handled (InFlight), and those of them that wait for a slot (Queued).
 type Demand struct {
 	Service          string
 	InFlight, Queued int
@@ -136,8 +143,8 @@
 	return Demand{Service: name, InFlight: int(s.inFlight.Load()), Queued: s.queuedCount()}
 }
 
-// TargetStates returns what is believed of each target of the service, sorted
-// by address.
+// TargetStates returns the balancer's state of each target of the service,
+// sorted by address.
 func (e *Engine) TargetStates(name string) []routing.TargetState {
 	s, ok := (*e.services.Load())[name]
 	if !ok {
@@ -146,7 +153,8 @@
 	return s.balancer.Snapshot()
 }
 
-// Do carries a request to its fate. An error is a *fate.Error.
+// Do forwards a request and returns the response. A returned error is always a
+// *fate.Error, which says whether the request may have been run.
 func (e *Engine) Do(ctx context.Context, req *Request) (*Response, error) {
 	e.inFlight.Add(1)
 	defer e.finish()
@@ -170,7 +178,8 @@
 	return resp, nil
 }
 
-// Drain waits until no request is in flight. It does not keep new ones out.
+// Drain waits until no request is in flight. It does not reject new requests.
+// It returns a *DrainError if ctx ends first.
 func (e *Engine) Drain(ctx context.Context) error {
 	e.drainMu.Lock()
 	defer e.drainMu.Unlock()
@@ -186,7 +195,7 @@
 	return nil
 }
 
-// DrainError is a Drain that ended while requests were in flight.
+// DrainError reports that Drain ended while requests were still in flight.
 type DrainError struct {
 	InFlight int
 	Cause    error
@@ -210,7 +219,7 @@
 	}
 }
 
-// priorityOf keeps a priority within the declared ones.
+// priorityOf limits a priority to the range of declared priorities.
 func priorityOf(p model.Priority) model.Priority {
 	return min(max(p, model.PriorityLow), model.PriorityUrgent)
 }
--- a/traffic/exchange.go
+++ b/traffic/exchange.go
@@ -11,8 +11,8 @@
 	"github.com/guavarill/guavarill/core/routing"
 )
 
-// exchange sends the request to the chosen target and gives the slot back,
-// exactly once, whatever happens.
+// exchange sends the request to the chosen target. It releases the slot
+// exactly once, on every path.
 func (j *journey) exchange(ctx context.Context, choice *routing.Choice) (*Response, *ExchangeError) {
 	start := j.s.e.o.Clock.Now()
 	result := routing.Result{Outcome: routing.Canceled}
@@ -52,8 +52,9 @@
 	return resp, nil
 }
 
-// onSilence gives an exchange up only when the request would be sent again:
-// otherwise a slow answer is still worth waiting for.
+// onSilence returns the callback for a silent target. It abandons the exchange
+// only if the request would be sent again. Otherwise the exchange continues,
+// because a slow response is better than none.
 func (j *journey) onSilence(held *slot, attempts int) func(bool) bool {
 	return func(proven bool) bool {
 		now := j.s.e.o.Clock.Now()
@@ -71,8 +72,8 @@
 	}
 }
 
-// slot is a choice that must not be touched once it was given back, since the
-// balancer uses it again for another request.
+// slot guards a choice against use after its release, because the balancer
+// reuses it for another request.
 type slot struct {
 	mu     sync.Mutex
 	choice *routing.Choice
@@ -86,7 +87,8 @@
 	return choice
 }
 
-// overdue tells the balancer that the exchange lasts longer than is usual.
+// overdue reports to the balancer that the exchange takes longer than usual.
+// It does nothing after giveBack.
 func (h *slot) overdue(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,13 +97,15 @@
 	}
 }
 
-// statusServerError is the first status by which a target reports a failure
-// of its own.
+// statusServerError is the lowest HTTP status that counts as a failure of the
+// target.
 const statusServerError = 500
 
-// mayNotSend looks at the clock a last time. A process that was paused since
-// the claim may find that the homes have meanwhile forgotten it and another
-// entry has sent the request; one would notice only by the second run.
+// mayNotSend checks the deadline and the age of the claim just before sending,
+// and returns an error if the request must not be sent. If the process was
+// paused after the claim, the homes may have expired the claim and another
+// entry may have sent the request. Sending it then would run it twice, and
+// nothing else would detect that.
 func (j *journey) mayNotSend(ctx context.Context, now time.Time) *ExchangeError {
 	switch {
 	case ctx.Err() != nil:
@@ -132,8 +136,9 @@
 	j.s.e.o.OnLeaving(j.s.name, address)
 }
 
-// outcomeOf says what a failed exchange tells of the target. Overdue is whether
-// it lasted longer than an answer plausibly takes.
+// outcomeOf returns the outcome that a failed exchange reports to the balancer.
+// Overdue is whether the exchange lasted at least as long as the target's
+// silence limit.
 func outcomeOf(ctx context.Context, x *ExchangeError, overdue bool) routing.Outcome {
 	switch {
 	case x.ConnectionOnly, x.Reason == fate.ReasonNoConnection:
@@ -145,8 +150,8 @@
 	case ctx.Err() != nil && x.Point == fate.AwaitingHead && overdue:
 		return routing.Silent
 	case ctx.Err() != nil:
-		// A caller that goes away, or allows less time than an answer usually
-		// takes, says nothing of the target.
+		// A caller that leaves, or whose timeout is shorter than a usual
+		// response time, is no evidence about the target.
 		return routing.Canceled
 	}
 	return routing.Failed
@@ -157,7 +162,8 @@
 	if errors.As(err, &x) {
 		return x
 	}
-	// A target that returns another error gives no account of what it sent.
+	// Any other error does not say how much was sent, so the request may have
+	// been run.
 	return &ExchangeError{
 		Address: address,
 		Point:   fate.AwaitingHead,
--- a/traffic/headers.go
+++ b/traffic/headers.go
@@ -1,24 +1,26 @@
 package traffic
 
-// The headers by which callers, entries and targets speak of a request.
+// The headers that callers, entries and targets exchange about a request.
 const (
-	// HeaderRequestID carries the request's id, to the entry, to the target
-	// and back to the caller.
+	// HeaderRequestID is the request's id. It is sent to the entry, to the
+	// target and back to the caller.
 	HeaderRequestID = "Guavarill-Request-Id"
-	// HeaderIdempotent is the caller's word that a repeat does no harm.
+	// HeaderIdempotent is set by a caller whose request may safely run more
+	// than once.
 	HeaderIdempotent = "Guavarill-Idempotent"
-	// HeaderTimeout is how long the caller waits, and towards the target how
-	// long the entry still does, as a Go duration.
+	// HeaderTimeout is a Go duration: from the caller, how long it waits; to
+	// the target, how long the entry will still wait.
 	HeaderTimeout = "Guavarill-Timeout"
 	// HeaderPriority is the request's priority by name.
 	HeaderPriority = "Guavarill-Priority"
-	// HeaderFate is the fate, on every answer of an entry.
+	// HeaderFate is the request's fate, on every response of an entry.
 	HeaderFate = "Guavarill-Fate"
-	// HeaderNotStarted, with status 503, is a target's word that it did not
-	// start the request.
+	// HeaderNotStarted, with status 503, is set by a target that did not start
+	// the request.
 	HeaderNotStarted = "Guavarill-Not-Started"
-	// HeaderLeaving is a target's word that it takes nothing new.
+	// HeaderLeaving is set by a target that takes no new requests.
 	HeaderLeaving = "Guavarill-Leaving"
-	// HeaderTrue is the value of the headers that are either there or not.
+	// HeaderTrue is the value of the boolean headers, which are absent if
+	// false.
 	HeaderTrue = "true"
 )
--- a/traffic/identity.go
+++ b/traffic/identity.go
@@ -38,9 +38,10 @@
 	dedup.RefusedUnsure:   fate.ReasonClaimUnsure,
 }
 
-// claimRefused says what a refused claim means for the caller. Nothing was
-// sent here, but an earlier request under the same id may have been, through
-// any entry; only an id that was certainly never used is not run.
+// claimRefused returns the error for a refused claim. This entry sent nothing,
+// but an earlier request under the same id may have been sent through any
+// entry. The fate is therefore NotRun only if the id was certainly never used,
+// and Unknown otherwise.
 func (j *journey) claimRefused(o dedup.Outcome) *fate.Error {
 	f := fate.Unknown
 	if o == dedup.RefusedFull || (o == dedup.RefusedUnsure && j.generated) {
@@ -53,7 +54,8 @@
 	return err
 }
 
-// payloadHash tells requests under one id apart.
+// payloadHash returns a hash by which different requests under one id are
+// told apart. It covers the method, path, query, Content-Type and body.
 func payloadHash(req *Request) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/traffic/journey.go
+++ b/traffic/journey.go
@@ -13,22 +13,23 @@
 	"github.com/guavarill/guavarill/core/routing"
 )
 
-// journey is one request on its way to its fate, owned by the caller's
-// goroutine.
+// journey is the state of one request until its fate is final. It is owned by
+// the caller's goroutine.
 type journey struct {
 	s        *service
 	req      *Request
 	deadline time.Time
 	enqueued time.Time
-	// generated is set when the engine made the id: no earlier request can
-	// have had it.
+	// generated is set if the engine generated the id, so that no earlier
+	// request can have used it.
 	generated bool
 
-	// fate is that of the exchanges so far; NotRun before the first.
+	// fate is the combined fate of the exchanges so far; NotRun before the
+	// first.
 	fate     fate.Fate
 	attempts int
 	avoid    []string
-	// unknown is the exchange that made the fate unknown.
+	// unknown is the error of the last exchange that may have run the request.
 	unknown *ExchangeError
 
 	claim     dedup.Request
@@ -90,7 +91,7 @@
 	return nil, err
 }
 
-// carry sends the request until it is answered or given up.
+// carry sends the request, with retries, until it is answered or fails.
 func (j *journey) carry(ctx context.Context) (*Response, *fate.Error) {
 	choice, err := j.admit(ctx)
 	if err != nil {
@@ -116,11 +117,11 @@
 	}
 }
 
-// admit gets the first slot and, for a non-idempotent request, the claim of
-// its id. Where the request must wait, the claim is made meanwhile, and none
-// is made for a request that is shed at once: under overload those are most.
-// Where there is a free slot the claim goes first, so that the slot does not
-// stand idle for its round trip.
+// admit acquires the first slot and, for a non-idempotent request, claims its
+// id. If the request has to queue, the claim is made while it waits. A request
+// that is shed at once makes no claim, because most requests are shed under
+// overload. If a slot is free, the claim is made first, so that the slot is
+// not held idle during the claim's round trip.
 func (j *journey) admit(ctx context.Context) (*routing.Choice, *fate.Error) {
 	claims := !j.req.Idempotent && j.s.e.o.Claims != nil
 	early := claims && j.s.idle()
@@ -155,7 +156,7 @@
 	return routing.Query{Avoid: j.avoid, NonIdempotent: !j.req.Idempotent}
 }
 
-// judge decides whether the request is sent again.
+// judge decides whether the request is sent again after a failed exchange.
 func (j *journey) judge(ctx context.Context, failure *ExchangeError) retry.Verdict {
 	if ctx.Err() != nil || failure.Reason == fate.ReasonClaimExpired {
 		return retry.TooLate
@@ -187,8 +188,9 @@
 	return j.end(err)
 }
 
-// end makes err the final word: an exchange that may have run the request
-// outweighs whatever came later.
+// end returns err as the final error of the request. If an earlier exchange
+// may have run the request, the fate stays Unknown even if the last failure
+// was NotRun, and the error reports that earlier exchange.
 func (j *journey) end(err *fate.Error) *fate.Error {
 	last := err.Fate
 	err.Fate = j.fate.Combine(last)
--- a/traffic/main_test.go
+++ b/traffic/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestMain drops what net/http writes to the standard logger of answers that
-// nobody asked for, of which the tests cause many.
+// TestMain discards net/http's log messages about unsolicited responses, which
+// the tests cause in large numbers.
 func TestMain(m *testing.M) {
 	log.SetOutput(io.Discard)
 	os.Exit(m.Run())
--- a/traffic/metrics.go
+++ b/traffic/metrics.go
@@ -10,13 +10,14 @@
 
 const metricsNamespace = "guavarill"
 
-// reasonNone labels requests that were answered.
+// reasonNone is the reason label of answered requests.
 const reasonNone = fate.Reason("none")
 
-// latencyBuckets spans loopback answers to the longest timeout, in seconds.
+// latencyBuckets ranges, in seconds, from responses over loopback to the
+// longest timeout.
 var latencyBuckets = prometheus.ExponentialBuckets(0.0005, 2, 18)
 
-// metrics are the engine's counters, by service.
+// metrics holds the engine's metrics, which are all labeled by service.
 type metrics struct {
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -64,7 +65,8 @@
 	}, []string{"service"})
 }
 
-// serviceMetrics are the metrics of one service, looked up once.
+// serviceMetrics holds the metrics of one service, whose series are looked up
+// once.
 type serviceMetrics struct {
 	all      *metrics
 	service  string
@@ -108,8 +110,8 @@
 	s.all.claims.WithLabelValues(s.service, o.String()).Inc()
 }
 
-// removed drops the series of a service that is no longer declared, so that
-// the metrics stay as many as the services are.
+// removed deletes the series of a service that is no longer declared, so that
+// the number of series stays proportional to the number of services.
 func (m *metrics) removed(service string) {
 	label := prometheus.Labels{"service": service}
 	m.requests.DeletePartialMatch(label)
--- a/traffic/options.go
+++ b/traffic/options.go
@@ -14,7 +14,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Defaults of Service and Options.
+// Default values of fields in Service and Options.
 const (
 	DefaultTimeout     = 10 * time.Second
 	DefaultMaxTimeout  = 60 * time.Second
@@ -22,14 +22,15 @@
 	DefaultClaimMaxAge = dedup.DefaultRetention / 2
 )
 
-// Service is what the engine needs to know of a declared service.
+// Service holds the engine's settings for a declared service.
 type Service struct {
 	Name string
-	// Timeout is the deadline of requests that name none; MaxTimeout bounds
-	// what they may name. Zero fields take the defaults.
+	// Timeout applies to requests that set none, and MaxTimeout limits what
+	// they may set. Zero values mean DefaultTimeout and DefaultMaxTimeout.
 	Timeout    time.Duration
 	MaxTimeout time.Duration
-	// MaxQueue bounds the requests that wait here.
+	// MaxQueue limits the requests that wait for a slot at this entry; 0 means
+	// DefaultMaxQueue.
 	MaxQueue int
 	Retry    retry.Options
 }
@@ -52,23 +53,24 @@
 type Options struct {
 	Zone   model.Zone
 	Target Target
-	// Claims records the ids of non-idempotent requests. Without it none is
-	// sent twice by this entry, but repeats are not recognised: for tests and
-	// single entries only.
+	// Claims records the ids of non-idempotent requests. If it is nil, this
+	// entry still sends no such request twice by itself, but it does not detect
+	// callers' repeats. Nil is for tests and single entries only.
 	Claims Claims
-	// ClaimMaxAge is how long after a claim was begun its request may still be
-	// sent; 0 takes DefaultClaimMaxAge. It must be dedup's ClaimValid.
+	// ClaimMaxAge is how long after the start of a claim its request may still
+	// be sent; 0 means DefaultClaimMaxAge. It must equal ClaimValid of dedup.
 	ClaimMaxAge time.Duration
 	Routing     routing.Options
-	// OnLeaving is told, on a traffic goroutine, that a target said it is
-	// leaving. It must not block. A refused connection is no such word: the
-	// process may be restarting, and the balancer rests the target anyway.
+	// OnLeaving is called on a traffic goroutine when a target reports that it
+	// is leaving. It must not block. A refused connection does not count as
+	// such a report: the process may be restarting, and the balancer stops
+	// using the target for a while anyway.
 	OnLeaving func(service, address string)
-	// Registerer takes the metrics; nil keeps them unregistered.
+	// Registerer registers the metrics; with nil they are not registered.
 	Registerer prometheus.Registerer
 	Clock      port.Clock
-	// Random gives the numbers for choices among targets; it must be safe for
-	// concurrent use. Nil takes math/rand/v2.
+	// Random returns the random numbers for choosing among targets. It must be
+	// safe for concurrent use. Nil means rand.Uint64 of math/rand/v2.
 	Random func() uint64
 }
 
--- a/traffic/service.go
+++ b/traffic/service.go
@@ -11,15 +11,15 @@
 	"github.com/guavarill/guavarill/core/routing"
 )
 
-// dispatchInterval is how often a queue that stands is looked at again. A
-// target that becomes usable by the passing of time alone, after a probation
-// for example, raises no event that would start the waiting requests.
+// dispatchInterval is the interval at which a non-empty queue is dispatched
+// again. A target that becomes usable merely because time has passed, for
+// example after a probation, raises no event that would start queued requests.
 const dispatchInterval = 10 * time.Millisecond
 
-// latencyWeight is the weight of a new latency in the running mean.
+// latencyWeight is the weight of a new latency in the moving average.
 const latencyWeight = 0.1
 
-// service is the traffic of one declared service.
+// service holds the state of one declared service at this entry.
 type service struct {
 	e        *Engine
 	name     string
@@ -34,10 +34,12 @@
 	budget  *retry.Budget
 	latency time.Duration
 	removed bool
-	// ticking is whether the timer that dispatches a standing queue is set.
+	// ticking is whether the timer for the next dispatch of a non-empty queue
+	// is set.
 	ticking bool
 
-	// addresses are the targets' as last set, for the control goroutine.
+	// addresses holds the addresses of the targets last set. Only the control
+	// goroutine uses it.
 	addresses map[string]struct{}
 }
 
@@ -59,8 +61,8 @@
 	return admission.New(admission.Options{MaxQueued: declared.MaxQueue})
 }
 
-// configure takes changed settings over. Requests that wait keep their place
-// as far as the new bound lets them.
+// configure applies changed settings. Queued requests keep their place as far
+// as the new limit of the queue allows.
 func (s *service) configure(declared Service) {
 	old := s.settings.Swap(&declared)
 	if *old == declared {
@@ -88,8 +90,8 @@
 	s.dispatchLocked(now)
 }
 
-// remove ends the service; it is called by the control goroutine alone, like
-// setTargets.
+// remove closes the service and fails its queued requests. Like setTargets, it
+// is called only by the control goroutine.
 func (s *service) remove() {
 	for address := range s.addresses {
 		s.e.o.Target.Limit(address, 0)
@@ -105,8 +107,8 @@
 	}
 }
 
-// setTargets gives new targets their connections before they can be chosen,
-// and takes them from old ones after.
+// setTargets replaces the targets. It sets the connection limits of new targets
+// before they can be chosen, and closes those of removed targets afterwards.
 func (s *service) setTargets(targets []routing.Target) {
 	next := make(map[string]struct{}, len(targets))
 	for _, t := range targets {
@@ -122,8 +124,8 @@
 	s.addresses = next
 }
 
-// connectionsOf is the share of connections, or one for each slot when none is
-// given.
+// connectionsOf returns the target's connection limit, or one connection per
+// slot if none is set.
 func connectionsOf(t routing.Target) int {
 	if t.Connections > 0 {
 		return t.Connections
@@ -150,14 +152,15 @@
 	return s.queue.Len() == 0 && s.balancer.Free() > 0
 }
 
-// earn records a first attempt towards the retry budget.
+// earn credits the retry budget for a first attempt.
 func (s *service) earn() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Deposit()
 }
 
-// decide asks the retry budget about a failed exchange.
+// decide returns the retry decision for a failed exchange. A retry is charged
+// to the budget.
 func (s *service) decide(now time.Time, f retry.Failure) retry.Verdict {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,8 +170,8 @@
 	return v
 }
 
-// wouldRetry reports whether an exchange that is given up now would be sent
-// again.
+// wouldRetry reports whether the request would be sent again if its exchange
+// were abandoned now. It does not charge the budget.
 func (s *service) wouldRetry(now time.Time, f retry.Failure) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -176,7 +179,7 @@
 	return s.budget.Check(now, f) == retry.Send
 }
 
-// released gives a slot back and starts those that wait for it.
+// released returns a slot to the balancer and dispatches queued requests.
 func (s *service) released(c *routing.Choice, r routing.Result) {
 	now := s.e.o.Clock.Now()
 	c.Done(now, r)
@@ -197,7 +200,8 @@
 	s.latency += time.Duration(latencyWeight * float64(latency-s.latency))
 }
 
-// retryAfter returns what the caller of a request that was given up is told.
+// retryAfter returns the retry delay to report to the caller of a failed
+// request.
 func (s *service) retryAfter(t admission.Ticket) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/traffic/wait.go
+++ b/traffic/wait.go
@@ -11,15 +11,16 @@
 	"github.com/guavarill/guavarill/core/routing"
 )
 
-// grant is what a waiter waits for: a slot, or the word that it gets none.
+// grant is the result of waiting in the queue: a slot, or the error why there
+// is none.
 type grant struct {
 	choice *routing.Choice
 	err    *fate.Error
 }
 
-// waiter is a request in a service's queue. It is in the service's map of
-// waiters until exactly one grant was put into its channel, or its request
-// withdrew it.
+// waiter is a request in a service's queue. It stays in the service's map of
+// waiters until exactly one grant is sent on its channel or the request
+// withdraws it.
 type waiter struct {
 	ticket admission.Ticket
 	query  routing.Query
@@ -28,8 +29,8 @@
 
 func (w *waiter) refuse(err *fate.Error) { w.grants <- grant{err: err} }
 
-// enqueue asks for a slot. The waiter it returns must be passed to wait or
-// withdraw.
+// enqueue adds a request for a slot to the queue. The returned waiter must be
+// passed to wait or withdraw.
 func (s *service) enqueue(t admission.Ticket, q routing.Query) (*waiter, *fate.Error) {
 	w := &waiter{ticket: t, query: q, grants: make(chan grant, 1)}
 	now := s.e.o.Clock.Now()
@@ -58,10 +59,11 @@
 	return nil
 }
 
-// setSlotsLocked tells the queue what there is to hand out. While the balancer
-// has taken every instance out of use, each is back only after a request has
-// tried it. With no slots the queue would let none in that could, and the entry
-// would refuse everything for good, however well the instances are.
+// setSlotsLocked updates the queue's numbers of free and total slots. If the
+// balancer has ejected every instance, each returns to use only after a request
+// has tried it. With zero slots the queue would admit no such request, and the
+// entry would refuse everything forever although the instances are healthy.
+// One slot is therefore reported while any instance can be tried.
 func (s *service) setSlotsLocked() {
 	free, total := s.balancer.Free(), s.balancer.Slots()
 	if total == 0 && s.mayTry() {
@@ -70,11 +72,11 @@
 	s.queue.SetSlots(free, total)
 }
 
-// tryLocked offers the next in line a slot even where none is known to be
-// free. The balancer gives back the slots of exchanges that were given up, and
-// has doubtful instances tried, when it is asked for a slot, and with none free
-// it would not be asked. One would notice requests that wait for their deadline
-// while nothing is in flight.
+// tryLocked asks the balancer for a slot for the next queued request even if
+// none is known to be free. The balancer reclaims the slots of abandoned
+// exchanges, and probes suspect instances, only when it is asked for a slot.
+// With no slot free it would never be asked, and requests would wait until
+// their deadline while nothing is in flight.
 func (s *service) tryLocked(now time.Time) {
 	if s.queue.Len() == 0 || s.balancer.Free() > 0 {
 		return
@@ -83,14 +85,15 @@
 	s.dispatchNextLocked(now)
 }
 
-// mayTry reports whether an instance is there that is not leaving.
+// mayTry reports whether there is an instance that has slots and is not
+// leaving.
 func (s *service) mayTry() bool {
 	return slices.ContainsFunc(s.balancer.Snapshot(), func(t routing.TargetState) bool {
 		return !t.Leaving && t.Slots > 0
 	})
 }
 
-// refuseLocked ends the wait of a ticket that has left the queue.
+// refuseLocked fails the waiter of a ticket that has left the queue.
 func (s *service) refuseLocked(id uint64, err *fate.Error) {
 	w, ok := s.waiters[id]
 	if !ok {
@@ -100,7 +103,8 @@
 	w.refuse(err)
 }
 
-// wait returns the waiter's slot, or why it gets none.
+// wait waits for the waiter's slot. It returns an error if the request is
+// refused or ctx ends first.
 func (s *service) wait(ctx context.Context, w *waiter) (*routing.Choice, *fate.Error) {
 	select {
 	case g := <-w.grants:
@@ -116,9 +120,9 @@
 	return nil, &fate.Error{Fate: fate.NotRun, Reason: reasonOf(ctx), Cause: ctx.Err()}
 }
 
-// withdraw ends a wait. A slot that was granted at the same moment is given
-// back: it would otherwise be lost to the service for good, which one would
-// notice by a target that never reaches its slots again.
+// withdraw removes a waiter. A slot that was granted at the same moment is
+// released; otherwise the service would lose it permanently, and the target
+// would never again use all of its slots.
 func (s *service) withdraw(w *waiter) {
 	s.mu.Lock()
 	if _, waiting := s.waiters[w.ticket.ID]; waiting {
@@ -134,7 +138,8 @@
 	}
 }
 
-// dispatchLocked hands free slots to waiting requests.
+// dispatchLocked assigns free slots to queued requests. If requests remain, it
+// sets the timer for the next dispatch.
 func (s *service) dispatchLocked(now time.Time) {
 	for s.queue.Len() > 0 {
 		if !s.dispatchOneLocked(now) {
@@ -148,9 +153,9 @@
 	}
 }
 
-// dispatchOneLocked hands out one slot. A slot that is too slow or too far to
-// be worth it for the next in line, who soon gets a better one, can still serve
-// the one that has the longest to wait.
+// dispatchOneLocked assigns one slot and reports whether it did. A slow or
+// distant slot may not be worth taking for the next request, which soon gets a
+// better one, but may still serve the last request, which waits longest.
 func (s *service) dispatchOneLocked(now time.Time) bool {
 	s.setSlotsLocked()
 	return s.dispatchNextLocked(now)
@@ -176,10 +181,11 @@
 	return true
 }
 
-// grantLocked gives a ticket's waiter a slot if there is one worth taking with
-// ahead others due before it. A target that the request has not tried comes
-// first. Where all others are taken, one that it tried is better than a wait
-// that would hold up those behind it.
+// grantLocked assigns a slot to a ticket's waiter and reports whether there was
+// one worth taking, given that ahead other requests are served before it. It
+// prefers a target that the request has not tried. If all of those are busy, it
+// takes one that was tried, because waiting would delay the requests queued
+// after this one.
 func (s *service) grantLocked(now time.Time, t admission.Ticket, ahead int) bool {
 	w := s.waiters[t.ID]
 	q := w.query
@@ -197,7 +203,7 @@
 	return true
 }
 
-// dispatch hands free slots to waiting requests.
+// dispatch is dispatchLocked for callers that do not hold the lock.
 func (s *service) dispatch(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +219,7 @@
 	s.dispatchLocked(now)
 }
 
-// waitersByAge returns the waiters, first come first.
+// waitersByAge returns the waiters, oldest ticket first.
 func (s *service) waitersByAge() []*waiter {
 	all := make([]*waiter, 0, len(s.waiters))
 	for _, w := range s.waiters {
@@ -239,7 +245,8 @@
 	return &fate.Error{Fate: fate.NotRun, Reason: reason, RetryAfter: retryAfter}
 }
 
-// reasonOf tells a deadline from a caller that went away.
+// reasonOf returns ReasonDeadline if the deadline of ctx passed, and
+// ReasonCallerGone if ctx was canceled.
 func reasonOf(ctx context.Context) fate.Reason {
 	if ctx.Err() == context.DeadlineExceeded {
 		return fate.ReasonDeadline
