--- a/adapter/httptarget/connection_test.go
+++ b/adapter/httptarget/connection_test.go
@@ -176,7 +176,7 @@
 	call := newCall("r", "x")
 	call.Idempotent = true
 	call.SilenceAfter = 50 * time.Millisecond
-	call.Silent = func(proven bool) bool { return proven }
+	call.OnSilence = func(proven bool) bool { return proven }
 	_, err := client.Do(within(t), instance.Address(), call)
 	x := exchangeError(t, err)
 	if !x.ConnectionOnly || x.Reason != fate.ReasonTargetSilent || x.Fate() != fate.Unknown {
@@ -210,7 +210,7 @@
 	defer cancel()
 	call := newCall("r", "x")
 	call.SilenceAfter = 10 * time.Millisecond
-	call.Silent = func(proven bool) bool {
+	call.OnSilence = func(proven bool) bool {
 		if !proven {
 			t.Error("the target was not proven")
 		}
--- a/adapter/httptarget/dial.go
+++ b/adapter/httptarget/dial.go
@@ -53,7 +53,7 @@
 func connectError(ctx context.Context, address string, err error) *traffic.ExchangeError {
 	x := &traffic.ExchangeError{
 		Address: address,
-		Point:   fate.Connecting,
+		Stage:   fate.Connecting,
 		Sent:    fate.SentNothing,
 		Reason:  fate.ReasonConnectFailed,
 		Cause:   err,
--- a/adapter/httptarget/exchange.go
+++ b/adapter/httptarget/exchange.go
@@ -128,7 +128,7 @@
 	}
 	return &traffic.ExchangeError{
 		Address:    x.c.pool.address,
-		Point:      fate.NotStarted,
+		Stage:      fate.NotStarted,
 		Sent:       fate.SentAll,
 		Reason:     fate.ReasonTargetNotStarted,
 		Leaving:    resp.Header.Get(traffic.HeaderLeaving) == traffic.HeaderTrue,
@@ -220,7 +220,7 @@
 	}
 	failure := &traffic.ExchangeError{
 		Address: x.c.pool.address,
-		Point:   point,
+		Stage:   point,
 		Sent:    sent,
 		Reason:  x.reason(ctx, err, point, cut),
 		Cause:   err,
--- a/adapter/httptarget/fate_test.go
+++ b/adapter/httptarget/fate_test.go
@@ -107,9 +107,9 @@
 			instance.SetFault(target.Fault{Kind: test.kind})
 			_, err = client.Do(within(t), instance.Address(), newCall("r", "body"))
 			x := exchangeError(t, err)
-			if x.Point != test.point || x.Fate() != test.fate || x.Reason != test.reason {
+			if x.Stage != test.point || x.Fate() != test.fate || x.Reason != test.reason {
 				t.Errorf("got %s, %s, %s; want %s, %s, %s (%v)",
-					x.Point, x.Fate(), x.Reason, test.point, test.fate, test.reason, err)
+					x.Stage, x.Fate(), x.Reason, test.point, test.fate, test.reason, err)
 			}
 			if got := instance.Runs("r"); got != test.runs {
 				t.Errorf("ran %d times, want %d", got, test.runs)
@@ -131,13 +131,13 @@
 
 	_, err = client.Do(within(t), address, newCall("r", "x"))
 	x := exchangeError(t, err)
-	if x.Point != fate.BeforeConnect || x.Fate() != fate.NotRun || x.Reason != fate.ReasonNoConnection {
+	if x.Stage != fate.BeforeConnect || x.Fate() != fate.NotRun || x.Reason != fate.ReasonNoConnection {
 		t.Errorf("without a share: got %v", err)
 	}
 	client.Limit(address, 1)
 	_, err = client.Do(within(t), address, newCall("r", "x"))
 	x = exchangeError(t, err)
-	if x.Point != fate.Connecting || x.Fate() != fate.NotRun || x.Reason != fate.ReasonConnectRefused {
+	if x.Stage != fate.Connecting || x.Fate() != fate.NotRun || x.Reason != fate.ReasonConnectRefused {
 		t.Errorf("refused: got %v", err)
 	}
 }
@@ -182,7 +182,7 @@
 	defer cancel()
 	_, err := client.Do(short, instance.Address(), newCall("late", "x"))
 	x := exchangeError(t, err)
-	if x.Point != fate.AwaitingHead || x.Fate() != fate.Unknown || x.Reason != fate.ReasonDeadline {
+	if x.Stage != fate.AwaitingHead || x.Fate() != fate.Unknown || x.Reason != fate.ReasonDeadline {
 		t.Errorf("deadline: got %v", err)
 	}
 	over, cancel := context.WithCancel(context.Background())
--- a/adapter/httptarget/silence.go
+++ b/adapter/httptarget/silence.go
@@ -42,7 +42,7 @@
 		x.t.metrics.silences.Inc()
 		w.blame.Store(true)
 	}
-	if x.call.Silent != nil && x.call.Silent(proven) {
+	if x.call.OnSilence != nil && x.call.OnSilence(proven) {
 		giveUp(faultSilent)
 	}
 }
--- a/adapter/httptarget/target.go
+++ b/adapter/httptarget/target.go
@@ -160,13 +160,13 @@
 	p, ok := t.pool(address)
 	if !ok {
 		return nil, &traffic.ExchangeError{
-			Address: address, Point: fate.BeforeConnect, Reason: fate.ReasonNoConnection, Cause: faultNoShare,
+			Address: address, Stage: fate.BeforeConnect, Reason: fate.ReasonNoConnection, Cause: faultNoShare,
 		}
 	}
 	if !call.TrustSince.IsZero() {
 		p.doubt(call.TrustSince)
 	}
-	w := wanted{fresh: call.Fresh, nonIdempotent: !call.Idempotent}
+	w := wanted{fresh: call.NewConnection, nonIdempotent: !call.Idempotent}
 	for {
 		c, used, err := p.acquire(ctx, w)
 		if err != nil {
@@ -177,7 +177,7 @@
 		if failure == nil {
 			return resp, nil
 		}
-		if !used || failure.Sent != fate.SentNothing || failure.Point == fate.NotStarted || ctx.Err() != nil {
+		if !used || failure.Sent != fate.SentNothing || failure.Stage == fate.NotStarted || ctx.Err() != nil {
 			return nil, failure
 		}
 		t.metrics.stale.Inc()
--- a/daemon/ports_test.go
+++ b/daemon/ports_test.go
@@ -247,7 +247,7 @@
 	}
 	s.mu.Unlock()
 	if !live {
-		return nil, &traffic.ExchangeError{Address: address, Point: fate.Connecting, Sent: fate.SentNothing, Reason: fate.ReasonConnectRefused}
+		return nil, &traffic.ExchangeError{Address: address, Stage: fate.Connecting, Sent: fate.SentNothing, Reason: fate.ReasonConnectRefused}
 	}
 	if hold != nil {
 		s.entered <- address
--- a/traffic/exchange.go
+++ b/traffic/exchange.go
@@ -29,10 +29,10 @@
 	defer overdue.Stop()
 	resp, err := j.s.e.o.Target.Do(ctx, address, &Call{
 		Request:      j.req,
-		Fresh:        choice.RequiresNewConnection(),
+		NewConnection:        choice.RequiresNewConnection(),
 		TrustSince:   choice.TrustSince(),
 		SilenceAfter: silence,
-		Silent:       j.onSilence(held, j.attempts),
+		OnSilence:       j.onSilence(held, j.attempts),
 	})
 	result.Latency = j.s.e.o.Clock.Now().Sub(start)
 	if err != nil {
@@ -147,7 +147,7 @@
 		return routing.Refused
 	case x.Reason == fate.ReasonTargetSilent, x.Reason == fate.ReasonConnectFailed:
 		return routing.Silent
-	case ctx.Err() != nil && x.Point == fate.AwaitingHead && overdue:
+	case ctx.Err() != nil && x.Stage == fate.AwaitingHead && overdue:
 		return routing.Silent
 	case ctx.Err() != nil:
 		// A caller that leaves, or whose timeout is shorter than a usual
@@ -166,7 +166,7 @@
 	// been run.
 	return &ExchangeError{
 		Address: address,
-		Point:   fate.AwaitingHead,
+		Stage:   fate.AwaitingHead,
 		Sent:    fate.SentAll,
 		Reason:  fate.ReasonInternal,
 		Cause:   err,
--- a/traffic/request.go
+++ b/traffic/request.go
@@ -48,20 +48,20 @@
 // Call describes one exchange to be carried out by a Target.
 type Call struct {
 	*Request
-	// Fresh requires a new connection, because an earlier one went silent.
-	Fresh bool
+	// NewConnection requires a new connection, because an earlier one went silent.
+	NewConnection bool
 	// TrustSince restricts the exchange to connections that were opened, or
 	// delivered a response, at or after this time. The zero time allows all.
 	TrustSince time.Time
 	// SilenceAfter is how long the target may send nothing before its
 	// connection becomes suspect; 0 means the adapter's default.
 	SilenceAfter time.Duration
-	// Silent, if set, is called at most once, after the target has sent
+	// OnSilence, if set, is called at most once, after the target has sent
 	// nothing for SilenceAfter. It runs on a goroutine of the adapter, possibly
 	// just after Do returned. Proven is whether the connection is at fault: it
 	// had been used before, and the target has since answered over a new one.
-	// If Silent returns true, the exchange is abandoned.
-	Silent func(proven bool) (giveUp bool)
+	// If OnSilence returns true, the exchange is abandoned.
+	OnSilence func(proven bool) (giveUp bool)
 }
 
 // Target connects the engine to the instances of services. Implementations
@@ -78,7 +78,7 @@
 // ExchangeError reports an exchange that ended without a response.
 type ExchangeError struct {
 	Address string
-	Point   fate.Stage
+	Stage   fate.Stage
 	Sent    fate.Sent
 	Reason  fate.Reason
 	// Leaving is set if the target reported that it is leaving.
@@ -92,11 +92,11 @@
 }
 
 // Fate returns the fate of the request in this exchange.
-func (e *ExchangeError) Fate() fate.Fate { return fate.Of(e.Point, e.Sent) }
+func (e *ExchangeError) Fate() fate.Fate { return fate.Of(e.Stage, e.Sent) }
 
 // Error implements error.
 func (e *ExchangeError) Error() string {
-	return fmt.Sprintf("target %s: %s (%s, %s sent): %v", e.Address, e.Reason, e.Point, e.Sent, e.Cause)
+	return fmt.Sprintf("target %s: %s (%s, %s sent): %v", e.Address, e.Reason, e.Stage, e.Sent, e.Cause)
 }
 
 // Unwrap returns the cause.
