--- a/traffic/claims.go
+++ b/traffic/claims.go
@@ -88,9 +88,9 @@
 	return r, q.claimAt(ctx, r, homes)
 }
 
-// round is one claim at all homes of an id. Once it is abandoned, a late grant
+// claimRound is one claim at all homes of an id. Once it is abandoned, a late grant
 // is released at once.
-type round struct {
+type claimRound struct {
 	mu        sync.Mutex
 	claim     *dedup.Claim
 	abandoned bool
@@ -99,7 +99,7 @@
 
 // add records a verdict. It reports whether the verdict is a grant that came
 // after the round was abandoned and must be released.
-func (rd *round) add(home model.DaemonID, v dedup.Verdict) bool {
+func (rd *claimRound) add(home model.DaemonID, v dedup.Verdict) bool {
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
 	if rd.abandoned {
@@ -115,7 +115,7 @@
 
 // end ends the round and returns its outcome. Unless that is Proceed, it also
 // returns the homes whose grants must be released.
-func (rd *round) end() (dedup.Outcome, []model.DaemonID) {
+func (rd *claimRound) end() (dedup.Outcome, []model.DaemonID) {
 	rd.mu.Lock()
 	defer rd.mu.Unlock()
 	outcome := rd.claim.Outcome()
@@ -133,7 +133,7 @@
 	if len(homes) == 0 {
 		return dedup.RefusedUnsure
 	}
-	rd := &round{claim: dedup.NewClaim(homes), decided: make(chan struct{})}
+	rd := &claimRound{claim: dedup.NewClaim(homes), decided: make(chan struct{})}
 	for _, home := range homes {
 		go q.claimAtHome(rd, home, r)
 	}
@@ -151,7 +151,7 @@
 
 // claimAtHome sends the claim to one home. It continues after the round is
 // decided, so that the third home records the id as well.
-func (q *QuorumClaims) claimAtHome(rd *round, home model.DaemonID, r dedup.Request) {
+func (q *QuorumClaims) claimAtHome(rd *claimRound, home model.DaemonID, r dedup.Request) {
 	ctx, cancel := context.WithTimeout(context.Background(), q.o.Timeout)
 	defer cancel()
 	v, err := q.o.Homes.Claim(ctx, home, r)
--- a/traffic/engine.go
+++ b/traffic/engine.go
@@ -84,7 +84,7 @@
 	for name, s := range old {
 		if _, ok := next[name]; !ok {
 			s.remove()
-			e.metrics.removed(name)
+			e.metrics.deleteService(name)
 		}
 	}
 }
@@ -158,7 +158,7 @@
 func (e *Engine) Do(ctx context.Context, req *Request) (*Response, error) {
 	e.inFlight.Add(1)
 	defer e.finish()
-	req, generated := withID(req)
+	req, generated := ensureID(req)
 	if refusal := e.refusal.Load(); refusal != nil {
 		return nil, &fate.Error{
 			Fate: fate.NotRun, Reason: fate.ReasonNotServing, Service: req.Service, RequestID: req.ID,
--- a/traffic/exchange.go
+++ b/traffic/exchange.go
@@ -13,32 +13,32 @@
 
 // exchange sends the request to the chosen target. It releases the slot
 // exactly once, on every path.
-func (j *journey) exchange(ctx context.Context, choice *routing.Choice) (*Response, *ExchangeError) {
+func (j *requestRun) exchange(ctx context.Context, choice *routing.Choice) (*Response, *ExchangeError) {
 	start := j.s.e.o.Clock.Now()
 	result := routing.Result{Outcome: routing.Canceled}
 	held := &slot{choice: choice}
-	defer func() { j.s.released(held.giveBack(), result) }()
-	if failure := j.mayNotSend(ctx, start); failure != nil {
+	defer func() { j.s.releaseSlot(held.giveBack(), result) }()
+	if failure := j.checkSendable(ctx, start); failure != nil {
 		return nil, failure
 	}
 	j.attempts++
 	j.s.metrics.attempts.Inc()
 	address := choice.Address()
 	silence := choice.SilenceAfter()
-	overdue := time.AfterFunc(choice.OverdueAfter(), func() { held.overdue(j.s.e.o.Clock.Now()) })
+	overdue := time.AfterFunc(choice.OverdueAfter(), func() { held.reportOverdue(j.s.e.o.Clock.Now()) })
 	defer overdue.Stop()
 	resp, err := j.s.e.o.Target.Do(ctx, address, &Call{
-		Request:      j.req,
-		NewConnection:        choice.RequiresNewConnection(),
-		TrustSince:   choice.TrustSince(),
-		SilenceAfter: silence,
-		OnSilence:       j.onSilence(held, j.attempts),
+		Request:       j.req,
+		NewConnection: choice.RequiresNewConnection(),
+		TrustSince:    choice.TrustSince(),
+		SilenceAfter:  silence,
+		OnSilence:     j.onSilence(held, j.attempts),
 	})
 	result.Latency = j.s.e.o.Clock.Now().Sub(start)
 	if err != nil {
 		failure := asExchangeError(address, err)
 		result.Outcome = outcomeOf(ctx, failure, result.Latency >= silence)
-		j.failed(address, failure)
+		j.recordFailure(address, failure)
 		return nil, failure
 	}
 	result.Outcome = routing.OK
@@ -46,7 +46,7 @@
 		result.Outcome = routing.Failed
 	}
 	if resp.Leaving {
-		j.targetLeaves(address)
+		j.markTargetLeaving(address)
 	}
 	resp.Address = address
 	return resp, nil
@@ -55,7 +55,7 @@
 // onSilence returns the callback for a silent target. It abandons the exchange
 // only if the request would be sent again. Otherwise the exchange continues,
 // because a slow response is better than none.
-func (j *journey) onSilence(held *slot, attempts int) func(bool) bool {
+func (j *requestRun) onSilence(held *slot, attempts int) func(bool) bool {
 	return func(proven bool) bool {
 		now := j.s.e.o.Clock.Now()
 		again := j.s.wouldRetry(now, retry.Failure{
@@ -65,7 +65,7 @@
 			Deadline:   j.deadline,
 		})
 		if !proven {
-			held.overdue(now)
+			held.reportOverdue(now)
 			j.s.dispatch(now)
 		}
 		return again
@@ -87,9 +87,9 @@
 	return choice
 }
 
-// overdue reports to the balancer that the exchange takes longer than usual.
+// reportOverdue reports to the balancer that the exchange takes longer than usual.
 // It does nothing after giveBack.
-func (h *slot) overdue(now time.Time) {
+func (h *slot) reportOverdue(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.choice != nil {
@@ -101,12 +101,12 @@
 // target.
 const statusServerError = 500
 
-// mayNotSend checks the deadline and the age of the claim just before sending,
+// checkSendable checks the deadline and the age of the claim just before sending,
 // and returns an error if the request must not be sent. If the process was
 // paused after the claim, the homes may have expired the claim and another
 // entry may have sent the request. Sending it then would run it twice, and
 // nothing else would detect that.
-func (j *journey) mayNotSend(ctx context.Context, now time.Time) *ExchangeError {
+func (j *requestRun) checkSendable(ctx context.Context, now time.Time) *ExchangeError {
 	switch {
 	case ctx.Err() != nil:
 		return &ExchangeError{Reason: reasonOf(ctx), Cause: ctx.Err()}
@@ -118,7 +118,7 @@
 	return nil
 }
 
-func (j *journey) failed(address string, failure *ExchangeError) {
+func (j *requestRun) recordFailure(address string, failure *ExchangeError) {
 	j.fate = j.fate.Combine(failure.Fate())
 	if failure.Fate() != fate.NotRun {
 		j.unknown = failure
@@ -127,11 +127,11 @@
 		j.avoid = append(j.avoid, address)
 	}
 	if failure.Leaving {
-		j.targetLeaves(address)
+		j.markTargetLeaving(address)
 	}
 }
 
-func (j *journey) targetLeaves(address string) {
+func (j *requestRun) markTargetLeaving(address string) {
 	j.s.balancer.MarkLeaving(address)
 	j.s.e.o.OnLeaving(j.s.name, address)
 }
--- a/traffic/identity.go
+++ b/traffic/identity.go
@@ -9,7 +9,7 @@
 	"github.com/guavarill/guavarill/core/fate"
 )
 
-func (j *journey) makeClaim(ctx context.Context) *fate.Error {
+func (j *requestRun) makeClaim(ctx context.Context) *fate.Error {
 	issued, _ := dedup.IssuedAt(j.req.ID)
 	j.claimedAt = j.s.e.o.Clock.Now()
 	claim, outcome := j.s.e.o.Claims.Claim(ctx, dedup.Request{
@@ -18,7 +18,7 @@
 		Issued:  issued,
 		Payload: payloadHash(j.req),
 	})
-	j.s.metrics.claimed(outcome)
+	j.s.metrics.countClaim(outcome)
 	if outcome == dedup.Proceed {
 		j.claim = claim
 		j.claimed = true
@@ -42,7 +42,7 @@
 // but an earlier request under the same id may have been sent through any
 // entry. The fate is therefore NotRun only if the id was certainly never used,
 // and Unknown otherwise.
-func (j *journey) claimRefused(o dedup.Outcome) *fate.Error {
+func (j *requestRun) claimRefused(o dedup.Outcome) *fate.Error {
 	f := fate.Unknown
 	if o == dedup.RefusedFull || (o == dedup.RefusedUnsure && j.generated) {
 		f = fate.NotRun
--- a/traffic/journey.go
+++ b/traffic/journey.go
@@ -13,9 +13,9 @@
 	"github.com/guavarill/guavarill/core/routing"
 )
 
-// journey is the state of one request until its fate is final. It is owned by
+// requestRun is the state of one request until its fate is final. It is owned by
 // the caller's goroutine.
-type journey struct {
+type requestRun struct {
 	s        *service
 	req      *Request
 	deadline time.Time
@@ -37,7 +37,7 @@
 	claimedAt time.Time
 }
 
-func withID(req *Request) (*Request, bool) {
+func ensureID(req *Request) (*Request, bool) {
 	if req.ID != "" {
 		return req, false
 	}
@@ -53,7 +53,7 @@
 	if req.Timeout > 0 {
 		timeout = min(req.Timeout, settings.MaxTimeout)
 	}
-	j := &journey{
+	j := &requestRun{
 		s:         s,
 		req:       req,
 		deadline:  start.Add(timeout),
@@ -68,7 +68,7 @@
 	defer s.metrics.inFlight.Dec()
 	defer s.inFlight.Add(-1)
 	resp, err := j.run(ctx)
-	s.metrics.finished(err, s.e.o.Clock.Now().Sub(start).Seconds())
+	s.metrics.observeFinished(err, s.e.o.Clock.Now().Sub(start).Seconds())
 	if err != nil {
 		return nil, err
 	}
@@ -77,8 +77,8 @@
 	return resp, nil
 }
 
-func (j *journey) run(ctx context.Context) (*Response, *fate.Error) {
-	resp, err := j.carry(ctx)
+func (j *requestRun) run(ctx context.Context) (*Response, *fate.Error) {
+	resp, err := j.deliver(ctx)
 	if err == nil {
 		return resp, nil
 	}
@@ -91,28 +91,28 @@
 	return nil, err
 }
 
-// carry sends the request, with retries, until it is answered or fails.
-func (j *journey) carry(ctx context.Context) (*Response, *fate.Error) {
+// deliver sends the request, with retries, until it is answered or fails.
+func (j *requestRun) deliver(ctx context.Context) (*Response, *fate.Error) {
 	choice, err := j.admit(ctx)
 	if err != nil {
-		return nil, j.end(err)
+		return nil, j.finalError(err)
 	}
-	j.s.earn()
+	j.s.depositRetryBudget()
 	for {
 		resp, failure := j.exchange(ctx, choice)
 		if failure == nil {
 			return resp, nil
 		}
-		if v := j.judge(ctx, failure); v != retry.Send {
-			return nil, j.givenUp(ctx, failure, v)
+		if v := j.decideRetry(ctx, failure); v != retry.Send {
+			return nil, j.failureError(ctx, failure, v)
 		}
 		w, err := j.s.enqueue(j.ticket(), j.query())
 		if err != nil {
-			return nil, j.end(err)
+			return nil, j.finalError(err)
 		}
 		choice, err = j.s.wait(ctx, w)
 		if err != nil {
-			return nil, j.end(err)
+			return nil, j.finalError(err)
 		}
 	}
 }
@@ -122,7 +122,7 @@
 // that is shed at once makes no claim, because most requests are shed under
 // overload. If a slot is free, the claim is made first, so that the slot is
 // not held idle during the claim's round trip.
-func (j *journey) admit(ctx context.Context) (*routing.Choice, *fate.Error) {
+func (j *requestRun) admit(ctx context.Context) (*routing.Choice, *fate.Error) {
 	claims := !j.req.Idempotent && j.s.e.o.Claims != nil
 	early := claims && j.s.idle()
 	if early {
@@ -143,7 +143,7 @@
 	return j.s.wait(ctx, w)
 }
 
-func (j *journey) ticket() admission.Ticket {
+func (j *requestRun) ticket() admission.Ticket {
 	return admission.Ticket{
 		ID:       j.s.e.ids.Add(1),
 		Priority: priorityOf(j.req.Priority),
@@ -152,12 +152,12 @@
 	}
 }
 
-func (j *journey) query() routing.Query {
+func (j *requestRun) query() routing.Query {
 	return routing.Query{Avoid: j.avoid, NonIdempotent: !j.req.Idempotent}
 }
 
-// judge decides whether the request is sent again after a failed exchange.
-func (j *journey) judge(ctx context.Context, failure *ExchangeError) retry.Verdict {
+// decideRetry decides whether the request is sent again after a failed exchange.
+func (j *requestRun) decideRetry(ctx context.Context, failure *ExchangeError) retry.Verdict {
 	if ctx.Err() != nil || failure.Reason == fate.ReasonClaimExpired {
 		return retry.TooLate
 	}
@@ -172,7 +172,7 @@
 	})
 }
 
-func (j *journey) givenUp(ctx context.Context, failure *ExchangeError, v retry.Verdict) *fate.Error {
+func (j *requestRun) failureError(ctx context.Context, failure *ExchangeError, v retry.Verdict) *fate.Error {
 	err := &fate.Error{
 		Fate:       failure.Fate(),
 		Reason:     failure.Reason,
@@ -185,13 +185,13 @@
 	if v == retry.OverBudget && err.RetryAfter == 0 {
 		err.RetryAfter = j.s.retryAfter(j.ticket())
 	}
-	return j.end(err)
+	return j.finalError(err)
 }
 
-// end returns err as the final error of the request. If an earlier exchange
+// finalError returns err as the final error of the request. If an earlier exchange
 // may have run the request, the fate stays Unknown even if the last failure
 // was NotRun, and the error reports that earlier exchange.
-func (j *journey) end(err *fate.Error) *fate.Error {
+func (j *requestRun) finalError(err *fate.Error) *fate.Error {
 	last := err.Fate
 	err.Fate = j.fate.Combine(last)
 	if last == fate.NotRun && err.Fate == fate.Unknown {
--- a/traffic/metrics.go
+++ b/traffic/metrics.go
@@ -92,7 +92,7 @@
 	return s
 }
 
-func (s *serviceMetrics) finished(err *fate.Error, seconds float64) {
+func (s *serviceMetrics) observeFinished(err *fate.Error, seconds float64) {
 	if err == nil {
 		s.answered.Inc()
 		s.latency[fate.Answered].Observe(seconds)
@@ -102,17 +102,17 @@
 	s.latency[err.Fate].Observe(seconds)
 }
 
-func (s *serviceMetrics) retried(v retry.Verdict) {
+func (s *serviceMetrics) countRetryDecision(v retry.Verdict) {
 	s.all.retries.WithLabelValues(s.service, v.String()).Inc()
 }
 
-func (s *serviceMetrics) claimed(o dedup.Outcome) {
+func (s *serviceMetrics) countClaim(o dedup.Outcome) {
 	s.all.claims.WithLabelValues(s.service, o.String()).Inc()
 }
 
-// removed deletes the series of a service that is no longer declared, so that
+// deleteService deletes the series of a service that is no longer declared, so that
 // the number of series stays proportional to the number of services.
-func (m *metrics) removed(service string) {
+func (m *metrics) deleteService(service string) {
 	label := prometheus.Labels{"service": service}
 	m.requests.DeletePartialMatch(label)
 	m.latency.DeletePartialMatch(label)
--- a/traffic/service.go
+++ b/traffic/service.go
@@ -34,9 +34,9 @@
 	budget  *retry.Budget
 	latency time.Duration
 	removed bool
-	// ticking is whether the timer for the next dispatch of a non-empty queue
+	// timerSet is whether the timer for the next dispatch of a non-empty queue
 	// is set.
-	ticking bool
+	timerSet bool
 
 	// addresses holds the addresses of the targets last set. Only the control
 	// goroutine uses it.
@@ -152,8 +152,8 @@
 	return s.queue.Len() == 0 && s.balancer.Free() > 0
 }
 
-// earn credits the retry budget for a first attempt.
-func (s *service) earn() {
+// depositRetryBudget credits the retry budget for a first attempt.
+func (s *service) depositRetryBudget() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budget.Deposit()
@@ -166,7 +166,7 @@
 	defer s.mu.Unlock()
 	f.Expected = s.latency
 	v := s.budget.Decide(now, f)
-	s.metrics.retried(v)
+	s.metrics.countRetryDecision(v)
 	return v
 }
 
@@ -179,8 +179,8 @@
 	return s.budget.Check(now, f) == retry.Send
 }
 
-// released returns a slot to the balancer and dispatches queued requests.
-func (s *service) released(c *routing.Choice, r routing.Result) {
+// releaseSlot returns a slot to the balancer and dispatches queued requests.
+func (s *service) releaseSlot(c *routing.Choice, r routing.Result) {
 	now := s.e.o.Clock.Now()
 	c.Done(now, r)
 	s.mu.Lock()
--- a/traffic/wait.go
+++ b/traffic/wait.go
@@ -66,18 +66,18 @@
 // One slot is therefore reported while any instance can be tried.
 func (s *service) setSlotsLocked() {
 	free, total := s.balancer.Free(), s.balancer.Slots()
-	if total == 0 && s.mayTry() {
+	if total == 0 && s.hasTryableTarget() {
 		free, total = 1, 1
 	}
 	s.queue.SetSlots(free, total)
 }
 
-// tryLocked asks the balancer for a slot for the next queued request even if
+// dispatchProbeLocked asks the balancer for a slot for the next queued request even if
 // none is known to be free. The balancer reclaims the slots of abandoned
 // exchanges, and probes suspect instances, only when it is asked for a slot.
 // With no slot free it would never be asked, and requests would wait until
 // their deadline while nothing is in flight.
-func (s *service) tryLocked(now time.Time) {
+func (s *service) dispatchProbeLocked(now time.Time) {
 	if s.queue.Len() == 0 || s.balancer.Free() > 0 {
 		return
 	}
@@ -85,9 +85,9 @@
 	s.dispatchNextLocked(now)
 }
 
-// mayTry reports whether there is an instance that has slots and is not
+// hasTryableTarget reports whether there is an instance that has slots and is not
 // leaving.
-func (s *service) mayTry() bool {
+func (s *service) hasTryableTarget() bool {
 	return slices.ContainsFunc(s.balancer.Snapshot(), func(t routing.TargetState) bool {
 		return !t.Leaving && t.Slots > 0
 	})
@@ -134,7 +134,7 @@
 	}
 	s.mu.Unlock()
 	if g := <-w.grants; g.choice != nil {
-		s.released(g.choice, routing.Result{Outcome: routing.Canceled})
+		s.releaseSlot(g.choice, routing.Result{Outcome: routing.Canceled})
 	}
 }
 
@@ -147,8 +147,8 @@
 		}
 	}
 	s.metrics.queued.Set(float64(s.queue.Len()))
-	if s.queue.Len() > 0 && !s.ticking {
-		s.ticking = true
+	if s.queue.Len() > 0 && !s.timerSet {
+		s.timerSet = true
 		time.AfterFunc(dispatchInterval, s.tick)
 	}
 }
@@ -213,9 +213,9 @@
 func (s *service) tick() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ticking = false
+	s.timerSet = false
 	now := s.e.o.Clock.Now()
-	s.tryLocked(now)
+	s.dispatchProbeLocked(now)
 	s.dispatchLocked(now)
 }
 
