--- a/traffic/chaos_test.go
+++ b/traffic/chaos_test.go
@@ -22,34 +22,34 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// The run of the fault test. GUAVARILL_FAULT_REQUESTS sets its size; without
-// it a short one is made.
+// Parameters of the fault test. GUAVARILL_FAULT_REQUESTS sets the number of
+// requests; without it, the test makes shortRun requests.
 const (
 	sizeVariable    = "GUAVARILL_FAULT_REQUESTS"
 	shortRun        = 4000
 	faultSeed       = 20261202
 	faultEntries    = 3
 	faultInstances  = 8
-	faultSlots      = 3 // of one entry at one instance
+	faultSlots      = 3 // slots of each entry at each instance
 	faultCallers    = 96
 	faultsPerMille  = 150
 	troubleEvery    = 20 * time.Millisecond
 	faultTimeout    = 400 * time.Millisecond
 	mostRepeats     = 3
 	cancelsPerMille = 50
-	leastAnswered   = 70 // of a hundred requests
+	leastAnswered   = 70 // minimum percentage of answered requests
 
 	retryAfterDivisor = 10
 )
 
-// history is what callers were told of one request id.
+// history counts the results that callers got for one request id.
 type history struct {
 	idempotent                bool
 	notRun, unknown, answered int
 	reasons                   map[fate.Reason]int
 }
 
-// fleet is a few entries, with the homes of all in one process, and the
+// fleet is a set of entries, whose homes are all in one process, and the
 // instances of one service.
 type fleet struct {
 	t       *testing.T
@@ -98,7 +98,7 @@
 	return s
 }
 
-// plan draws the fault of a request.
+// plan selects the fault of a request at random.
 func (f *fleet) plan(string, *http.Request) target.Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,7 +124,7 @@
 	}
 }
 
-// trouble strikes an instance from time to time until stop is closed.
+// trouble disturbs a random instance every troubleEvery until stop is closed.
 func (f *fleet) trouble(stop chan struct{}) {
 	ticker := time.NewTicker(troubleEvery)
 	defer ticker.Stop()
@@ -152,7 +152,8 @@
 	}
 }
 
-// replace puts a new instance in the place of one that left, or that dies now.
+// replace starts a new instance in place of instance n, after closing dies if
+// it is not nil.
 func (f *fleet) replace(n int, dies *target.Target) {
 	if dies != nil {
 		dies.Close()
@@ -165,7 +166,8 @@
 	f.listTargets()
 }
 
-// call has one id served, repeated through other entries as callers do.
+// call sends the request of one id, and may repeat it through random entries as
+// callers do.
 func (f *fleet) call(rnd *rand.Rand, id string) (*history, error) {
 	h := &history{idempotent: rnd.IntN(2) == 0, reasons: make(map[fate.Reason]int)}
 	req := newRequest(id)
@@ -189,9 +191,10 @@
 	return h, nil
 }
 
-// waitAsTold has a caller that was refused wait as it was told, in a shortened
-// time. Callers that repeat at once are refused faster than any are served: in
-// a second they would use up every request of the run.
+// waitAsTold makes a refused caller wait for the retry delay it got, divided by
+// retryAfterDivisor. Callers that repeat at once are refused faster than
+// requests are served, and would use up all requests of the run within a
+// second.
 func waitAsTold(err error) {
 	var f *fate.Error
 	if errors.As(err, &f) && f.RetryAfter > 0 {
@@ -199,7 +202,8 @@
 	}
 }
 
-// wrongAnswerError is an answer that is not the caller's own, or not whole.
+// wrongAnswerError reports a response that belongs to another request or is
+// incomplete.
 type wrongAnswerError struct {
 	id   string
 	body []byte
@@ -251,10 +255,11 @@
 	return n
 }
 
-// Symptom: a request that must not run twice does, one that was told not run
-// has run, or a caller has another's answer. Events: many callers, who leave,
-// give up and repeat through other entries, while targets break in every way,
-// fall silent, die, leave and return. The stand-ins count what truly ran.
+// Guards against a non-idempotent request that runs twice, a request that runs
+// although its fate is NotRun, and a response that reaches the wrong caller.
+// Many callers leave, give up and repeat through other entries, while targets
+// fail in every way, become silent, crash, leave and return. The stand-ins
+// count which requests actually ran.
 func TestFatesUnderFaults(t *testing.T) {
 	f := newFleet(t)
 	stop := make(chan struct{})
@@ -299,7 +304,7 @@
 	return histories
 }
 
-// check compares what callers were told with what ran.
+// check compares the fates that callers got with the requests that ran.
 func (f *fleet) check(histories map[string]*history) {
 	runs := f.allRuns()
 	var onceOnly, doubled, falseNotRun, unseen int
@@ -333,7 +338,7 @@
 	if total.notRun == 0 || total.unknown == 0 {
 		f.t.Error("a fate never came up: the test says nothing of it")
 	}
-	// An entry that refuses everything keeps every promise and serves nobody.
+	// An entry that refuses every request passes the checks above.
 	if total.answered < len(histories)*leastAnswered/100 {
 		f.t.Errorf("%d of %d were answered", total.answered, len(histories))
 	}
--- a/traffic/claims_test.go
+++ b/traffic/claims_test.go
@@ -11,19 +11,19 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// homeSet is the homes of all entries in one process. A home may be away, or
-// answer only when told to.
+// homeSet holds the homes of all entries in one process. A home may be
+// unreachable, or delay its verdict until a channel is closed.
 type homeSet struct {
 	mu    sync.Mutex
 	homes map[model.DaemonID]*dedup.ClaimStore
 	away  map[model.DaemonID]bool
-	// hold, when set, is waited for before a home answers.
+	// hold delays the verdict of a home until its channel is closed.
 	hold map[model.DaemonID]chan struct{}
 	// granted counts the claims that were granted.
 	granted int
 }
 
-// awayError is a home that cannot be reached.
+// awayError reports that a home cannot be reached.
 type awayError struct{ home model.DaemonID }
 
 func (e *awayError) Error() string { return string(e.home) + " is away" }
@@ -135,7 +135,7 @@
 	if _, outcome := c.Claim(context.Background(), claimRequest("one-away")); outcome != dedup.Proceed {
 		t.Errorf("one home away: %s", outcome)
 	}
-	// The claim goes on at a home that has not answered when two have.
+	// The claim continues at homes that have not answered when it is decided.
 	eventually(t, "both homes that are there grant it", func() bool { return h.grants() == 2 })
 	recorded := h.records()
 	h.takeAway("c")
@@ -145,9 +145,10 @@
 	eventually(t, "the refused claim is taken back", func() bool { return h.records() == recorded })
 }
 
-// Symptom: an id is held for nobody until its record expires. Events: the
-// caller leaves while two homes have not answered; they grant the claim later.
-// Cause: grants that come after the claim was given up are not released.
+// Guards against an id that stays claimed without a claimant until its record
+// expires. The caller leaves before two of the homes have answered, and they
+// grant the claim later. Grants that arrive after the claim was abandoned must
+// be released.
 func TestLateGrantIsReleased(t *testing.T) {
 	h := newHomeSet(dedup.Options{}, "a", "b", "c")
 	c := h.claims("a", longAgo, dedup.Options{})
@@ -164,7 +165,8 @@
 	})
 }
 
-// An entry whose own view may still differ from the others' claims nothing.
+// An entry makes no claim while its view of the members may still differ from
+// that of the others.
 func TestYoungEntryClaimsNothing(t *testing.T) {
 	h := newHomeSet(dedup.Options{}, "a", "b", "c")
 	c := h.claims("a", time.Now(), dedup.Options{MembershipDelay: time.Hour})
--- a/traffic/engine_test.go
+++ b/traffic/engine_test.go
@@ -25,7 +25,7 @@
 	orders   = "orders"
 )
 
-// site is an engine with stand-in instances of one service.
+// site is an engine and the stand-in instances of one service.
 type site struct {
 	engine    *traffic.Engine
 	instances []*target.Target
@@ -78,7 +78,7 @@
 	return n
 }
 
-// checkSlots fails unless every slot was given back, exactly once.
+// checkSlots fails the test unless every slot was released exactly once.
 func (s *site) checkSlots(t *testing.T) {
 	t.Helper()
 	for _, state := range s.engine.TargetStates(orders) {
@@ -153,8 +153,8 @@
 	}
 }
 
-// A request that a target did not start goes to another one, even when it must
-// not run twice, and runs once.
+// A request that a target did not start is sent to another one, even if it is
+// not idempotent, and runs once.
 func TestNotStartedGoesElsewhere(t *testing.T) {
 	s := newSite(t, 2, 2, traffic.Options{}, traffic.Service{})
 	s.instances[0].SetFault(target.Fault{Kind: target.Refuse})
@@ -170,9 +170,9 @@
 	s.checkSlots(t)
 }
 
-// Symptom: a request that must not run twice does. Events: the target runs it
-// and breaks before its answer. Cause: the failure is taken for one that may
-// be repeated.
+// Guards against a non-idempotent request that runs twice. The target runs it
+// and fails before its response is complete, and the failure is wrongly treated
+// as one that may be retried.
 func TestUnknownIsNotSentAgain(t *testing.T) {
 	for _, kind := range []target.Kind{
 		target.DropUnread, target.ResetBeforeHead, target.ResetMidHead, target.ResetMidBody, target.ShortBody,
@@ -187,9 +187,9 @@
 	}
 }
 
-// Symptom: "not run" is said of a request that ran. Events: the first target
-// of an idempotent request runs it and breaks; the retry is refused. Cause:
-// the last exchange speaks for all.
+// Guards against the fate NotRun for a request that ran. The first target of an
+// idempotent request runs it and fails, and the retry is refused. The fate must
+// not be that of the last exchange alone.
 func TestUnknownOutweighsLaterNotRun(t *testing.T) {
 	s := newSite(t, 2, 2, traffic.Options{}, traffic.Service{})
 	var mu sync.Mutex
@@ -214,9 +214,9 @@
 	}
 }
 
-// Symptom: targets are sent a multiple of their load while half of them fail,
-// or while all fail half of the time, so that none stands out and is left out.
-// Cause: each failed exchange is sent again.
+// Guards against retries that multiply the load of the targets. Either half of
+// the targets fail, or all of them fail half of the time, so that no single one
+// is ejected. Retrying every failed exchange would multiply the load.
 func TestRetriesStayWithinBudget(t *testing.T) {
 	broken := target.Fault{Kind: target.ResetBeforeHead}
 	tests := map[string]func(s *site){
@@ -274,8 +274,8 @@
 	t.Logf("%d requests, %d exchanges, %d failed", requests, exchanges, failed)
 }
 
-// A request that waits for a slot is told as soon as its caller leaves or its
-// deadline passes, and its place in the queue is free again.
+// A queued request fails as soon as its caller leaves or its deadline passes,
+// and its place in the queue is free again.
 func TestWaitEndsWithCallerAndDeadline(t *testing.T) {
 	s := newSite(t, 1, 1, traffic.Options{}, traffic.Service{})
 	s.setFault(target.Fault{Kind: target.Hang})
@@ -315,7 +315,7 @@
 	}
 }
 
-// A full queue sheds at once.
+// A full queue sheds new requests at once.
 func TestFullQueueSheds(t *testing.T) {
 	s := newSite(t, 1, 1, traffic.Options{}, traffic.Service{MaxQueue: 2})
 	s.setFault(target.Fault{Kind: target.Hang})
@@ -338,8 +338,8 @@
 	s.checkSlots(t)
 }
 
-// A request of higher priority takes the place of one that waits, which is
-// told at once.
+// A request of higher priority replaces a queued one in a full queue, and the
+// replaced request fails at once.
 func TestUrgentDisplacesWaiting(t *testing.T) {
 	s := newSite(t, 1, 1, traffic.Options{}, traffic.Service{MaxQueue: 1})
 	s.setFault(target.Fault{Kind: target.Hang})
@@ -372,7 +372,7 @@
 	wg.Wait()
 }
 
-// Requests that wait for a service are told when it is no longer declared.
+// Queued requests of a service fail when the service is no longer declared.
 func TestRemovedServiceEndsWaits(t *testing.T) {
 	s := newSite(t, 1, 1, traffic.Options{}, traffic.Service{})
 	s.setFault(target.Fault{Kind: target.Hang})
@@ -392,7 +392,8 @@
 	wg.Wait()
 }
 
-// A target that says it is leaving gets nothing new, and others hear of it.
+// A target that reports that it is leaving gets no new requests, and OnLeaving
+// is called.
 func TestLeavingTargetGetsNothingNew(t *testing.T) {
 	left := make(chan string, 1000)
 	o := traffic.Options{OnLeaving: func(_, address string) { left <- address }}
@@ -423,10 +424,10 @@
 	}
 }
 
-// Symptom: an entry refuses every request for want of capacity, for good, while
-// all instances are well. Events: all instances fall silent for a moment, and
-// the balancer takes each out of use until a request has tried it. Cause: with
-// no instance in use no request is let in that could try one.
+// Guards against an entry that refuses every request forever, for lack of
+// capacity, although all instances are healthy. All instances are silent for a
+// moment, and the balancer stops using each until a request has tried it. With
+// no instance in use, no request is admitted that could try one.
 func TestServesAgainAfterAllWereSilent(t *testing.T) {
 	s := newSite(t, 2, 2, traffic.Options{}, traffic.Service{Retry: retry.Options{Burst: 1e6}})
 	for i := range 20 {
@@ -455,7 +456,7 @@
 	})
 }
 
-// Drain returns when the last request has its answer, not before.
+// Drain returns only after the last request has its response.
 func TestDrain(t *testing.T) {
 	s := newSite(t, 1, 2, traffic.Options{}, traffic.Service{})
 	arrived, answer := make(chan struct{}), make(chan struct{})
@@ -485,7 +486,7 @@
 	}
 }
 
-// fakeClaims answers every claim alike.
+// fakeClaims returns the same outcome for every claim.
 type fakeClaims struct {
 	outcome  dedup.Outcome
 	onClaim  func()
@@ -506,8 +507,8 @@
 	c.released = append(c.released, r.ID)
 }
 
-// What a claim's outcome means for a caller that named its request, and for
-// one whose request got its id here.
+// A claim's outcome maps to a fate, which depends on whether the caller chose
+// the request id or the engine generated it.
 func TestClaimOutcomes(t *testing.T) {
 	tests := []struct {
 		outcome   dedup.Outcome
@@ -538,7 +539,7 @@
 	}
 }
 
-// A claim is taken back when its request was certainly not run, and only then.
+// A claim is released only if its request was certainly not run.
 func TestClaimIsReleasedOnNotRun(t *testing.T) {
 	claims := &fakeClaims{outcome: dedup.Proceed}
 	s := newSite(t, 1, 1, traffic.Options{Claims: claims}, traffic.Service{})
@@ -556,7 +557,7 @@
 	}
 }
 
-// stepClock stands still until it is moved.
+// stepClock is a clock that moves only by advance.
 type stepClock struct {
 	mu  sync.Mutex
 	now time.Time
@@ -574,10 +575,10 @@
 	c.now = c.now.Add(d)
 }
 
-// Symptom: a request runs twice after its entry was paused. Events: the entry
-// claims the id and is paused; the homes forget the claim; a repeat runs
-// through another entry; the first entry goes on and sends. Cause: it did not
-// look at the clock again.
+// Guards against a request that runs twice because its entry was paused. The
+// entry claims the id and is paused, the homes expire the claim, and a repeat
+// runs through another entry. The first entry must check the clock again before
+// it sends.
 func TestPausedEntryDoesNotSend(t *testing.T) {
 	clock := &stepClock{now: time.Now()}
 	claims := &fakeClaims{outcome: dedup.Proceed, onClaim: func() { clock.advance(5 * time.Second) }}
