--- a/traffic/chaos_test.go
+++ b/traffic/chaos_test.go
@@ -25,19 +25,19 @@
 // Parameters of the fault test. GUAVARILL_FAULT_REQUESTS sets the number of
 // requests; without it, the test makes shortRun requests.
 const (
-	sizeVariable    = "GUAVARILL_FAULT_REQUESTS"
-	shortRun        = 4000
-	faultSeed       = 20261202
-	faultEntries    = 3
-	faultInstances  = 8
-	faultSlots      = 3 // slots of each entry at each instance
-	faultCallers    = 96
-	faultsPerMille  = 150
-	troubleEvery    = 20 * time.Millisecond
-	faultTimeout    = 400 * time.Millisecond
-	mostRepeats     = 3
-	cancelsPerMille = 50
-	leastAnswered   = 70 // minimum percentage of answered requests
+	sizeVariable       = "GUAVARILL_FAULT_REQUESTS"
+	shortRun           = 4000
+	faultSeed          = 20261202
+	faultEntries       = 3
+	faultInstances     = 8
+	faultSlots         = 3 // slots of each entry at each instance
+	faultCallers       = 96
+	faultsPerMille     = 150
+	disturbEvery       = 20 * time.Millisecond
+	faultTimeout       = 400 * time.Millisecond
+	maxSends           = 3
+	cancelsPerMille    = 50
+	minAnsweredPercent = 70
 
 	retryAfterDivisor = 10
 )
@@ -124,9 +124,9 @@
 	}
 }
 
-// trouble disturbs a random instance every troubleEvery until stop is closed.
-func (f *fleet) trouble(stop chan struct{}) {
-	ticker := time.NewTicker(troubleEvery)
+// disturb disturbs a random instance every disturbEvery until stop is closed.
+func (f *fleet) disturb(stop chan struct{}) {
+	ticker := time.NewTicker(disturbEvery)
 	defer ticker.Stop()
 	for {
 		select {
@@ -173,7 +173,7 @@
 	req := newRequest(id)
 	req.Body = []byte(id)
 	req.Idempotent = h.idempotent
-	for range 1 + rnd.IntN(mostRepeats) {
+	for range 1 + rnd.IntN(maxSends) {
 		ctx, cancel := context.WithCancel(context.Background())
 		if rnd.IntN(1000) < cancelsPerMille {
 			time.AfterFunc(time.Duration(rnd.IntN(3000))*time.Microsecond, cancel)
@@ -183,7 +183,7 @@
 		if err := h.record(resp, err, req); err != nil {
 			return h, err
 		}
-		waitAsTold(err)
+		waitRetryAfter(err)
 		if h.answered > 0 && rnd.IntN(10) > 0 {
 			break
 		}
@@ -191,31 +191,31 @@
 	return h, nil
 }
 
-// waitAsTold makes a refused caller wait for the retry delay it got, divided by
+// waitRetryAfter makes a refused caller wait for the retry delay it got, divided by
 // retryAfterDivisor. Callers that repeat at once are refused faster than
 // requests are served, and would use up all requests of the run within a
 // second.
-func waitAsTold(err error) {
+func waitRetryAfter(err error) {
 	var f *fate.Error
 	if errors.As(err, &f) && f.RetryAfter > 0 {
 		<-time.After(f.RetryAfter / retryAfterDivisor)
 	}
 }
 
-// wrongAnswerError reports a response that belongs to another request or is
+// wrongResponseError reports a response that belongs to another request or is
 // incomplete.
-type wrongAnswerError struct {
+type wrongResponseError struct {
 	id   string
 	body []byte
 }
 
-func (e *wrongAnswerError) Error() string { return fmt.Sprintf("%s was answered %q", e.id, e.body) }
+func (e *wrongResponseError) Error() string { return fmt.Sprintf("%s was answered %q", e.id, e.body) }
 
 func (h *history) record(resp *traffic.Response, err error, req *traffic.Request) error {
 	if err == nil {
 		h.answered++
 		if !bytes.Equal(resp.Body, target.Answer(req.ID, req.Body)) {
-			return &wrongAnswerError{id: req.ID, body: resp.Body}
+			return &wrongResponseError{id: req.ID, body: resp.Body}
 		}
 		return nil
 	}
@@ -263,11 +263,11 @@
 func TestFatesUnderFaults(t *testing.T) {
 	f := newFleet(t)
 	stop := make(chan struct{})
-	var troubles sync.WaitGroup
-	troubles.Go(func() { f.trouble(stop) })
+	var disturbing sync.WaitGroup
+	disturbing.Go(func() { f.disturb(stop) })
 	histories := f.callMany(faultRequests(t))
 	close(stop)
-	troubles.Wait()
+	disturbing.Wait()
 	for i, e := range f.engines {
 		if err := e.Drain(context.Background()); err != nil {
 			t.Error(err)
@@ -339,7 +339,7 @@
 		f.t.Error("a fate never came up: the test says nothing of it")
 	}
 	// An entry that refuses every request passes the checks above.
-	if total.answered < len(histories)*leastAnswered/100 {
+	if total.answered < len(histories)*minAnsweredPercent/100 {
 		f.t.Errorf("%d of %d were answered", total.answered, len(histories))
 	}
 }
--- a/traffic/claims_test.go
+++ b/traffic/claims_test.go
@@ -14,25 +14,25 @@
 // homeSet holds the homes of all entries in one process. A home may be
 // unreachable, or delay its verdict until a channel is closed.
 type homeSet struct {
-	mu    sync.Mutex
-	homes map[model.DaemonID]*dedup.ClaimStore
-	away  map[model.DaemonID]bool
+	mu          sync.Mutex
+	homes       map[model.DaemonID]*dedup.ClaimStore
+	unreachable map[model.DaemonID]bool
 	// hold delays the verdict of a home until its channel is closed.
 	hold map[model.DaemonID]chan struct{}
 	// granted counts the claims that were granted.
 	granted int
 }
 
-// awayError reports that a home cannot be reached.
-type awayError struct{ home model.DaemonID }
+// unreachableError reports that a home cannot be reached.
+type unreachableError struct{ home model.DaemonID }
 
-func (e *awayError) Error() string { return string(e.home) + " is away" }
+func (e *unreachableError) Error() string { return string(e.home) + " is away" }
 
 func newHomeSet(o dedup.Options, entries ...model.DaemonID) *homeSet {
 	h := &homeSet{
-		homes: make(map[model.DaemonID]*dedup.ClaimStore),
-		away:  make(map[model.DaemonID]bool),
-		hold:  make(map[model.DaemonID]chan struct{}),
+		homes:       make(map[model.DaemonID]*dedup.ClaimStore),
+		unreachable: make(map[model.DaemonID]bool),
+		hold:        make(map[model.DaemonID]chan struct{}),
 	}
 	long := time.Now().Add(-o.WithDefaults().Retention)
 	for _, e := range entries {
@@ -41,11 +41,11 @@
 	return h
 }
 
-// takeAway makes a home unreachable.
-func (h *homeSet) takeAway(home model.DaemonID) {
+// makeUnreachable makes a home unreachable.
+func (h *homeSet) makeUnreachable(home model.DaemonID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.away[home] = true
+	h.unreachable[home] = true
 }
 
 func (h *homeSet) Claim(ctx context.Context, home model.DaemonID, r dedup.Request) (dedup.Verdict, error) {
@@ -57,8 +57,8 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.away[home] {
-		return dedup.Unsure, &awayError{home: home}
+	if h.unreachable[home] {
+		return dedup.Unsure, &unreachableError{home: home}
 	}
 	v := h.homes[home].Claim(time.Now(), r)
 	if v == dedup.Granted {
@@ -131,14 +131,14 @@
 func TestClaimNeedsMajority(t *testing.T) {
 	h := newHomeSet(dedup.Options{}, "a", "b", "c")
 	c := h.claims("a", longAgo, dedup.Options{})
-	h.takeAway("b")
+	h.makeUnreachable("b")
 	if _, outcome := c.Claim(context.Background(), claimRequest("one-away")); outcome != dedup.Proceed {
 		t.Errorf("one home away: %s", outcome)
 	}
 	// The claim continues at homes that have not answered when it is decided.
 	eventually(t, "both homes that are there grant it", func() bool { return h.grants() == 2 })
 	recorded := h.records()
-	h.takeAway("c")
+	h.makeUnreachable("c")
 	if _, outcome := c.Claim(context.Background(), claimRequest("two-away")); outcome != dedup.RefusedUnsure {
 		t.Errorf("two homes away: %s", outcome)
 	}
@@ -167,7 +167,7 @@
 
 // An entry makes no claim while its view of the members may still differ from
 // that of the others.
-func TestYoungEntryClaimsNothing(t *testing.T) {
+func TestRecentlyBootedEntryClaimsNothing(t *testing.T) {
 	h := newHomeSet(dedup.Options{}, "a", "b", "c")
 	c := h.claims("a", time.Now(), dedup.Options{MembershipDelay: time.Hour})
 	if _, outcome := c.Claim(context.Background(), claimRequest("r")); outcome != dedup.RefusedUnsure {
--- a/traffic/engine_test.go
+++ b/traffic/engine_test.go
@@ -155,7 +155,7 @@
 
 // A request that a target did not start is sent to another one, even if it is
 // not idempotent, and runs once.
-func TestNotStartedGoesElsewhere(t *testing.T) {
+func TestNotStartedIsSentToAnotherTarget(t *testing.T) {
 	s := newSite(t, 2, 2, traffic.Options{}, traffic.Service{})
 	s.instances[0].SetFault(target.Fault{Kind: target.Refuse})
 	for i := range 20 {
@@ -340,7 +340,7 @@
 
 // A request of higher priority replaces a queued one in a full queue, and the
 // replaced request fails at once.
-func TestUrgentDisplacesWaiting(t *testing.T) {
+func TestUrgentPreemptsQueued(t *testing.T) {
 	s := newSite(t, 1, 1, traffic.Options{}, traffic.Service{MaxQueue: 1})
 	s.setFault(target.Fault{Kind: target.Hang})
 	ctx, release := context.WithCancel(context.Background())
--- a/traffic/exchange.go
+++ b/traffic/exchange.go
@@ -17,7 +17,7 @@
 	start := j.s.e.o.Clock.Now()
 	result := routing.Result{Outcome: routing.Canceled}
 	held := &slot{choice: choice}
-	defer func() { j.s.releaseSlot(held.giveBack(), result) }()
+	defer func() { j.s.releaseSlot(held.take(), result) }()
 	if failure := j.checkSendable(ctx, start); failure != nil {
 		return nil, failure
 	}
@@ -79,7 +79,7 @@
 	choice *routing.Choice
 }
 
-func (h *slot) giveBack() *routing.Choice {
+func (h *slot) take() *routing.Choice {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	choice := h.choice
