--- a/traffic/chaos_test.go
+++ b/traffic/chaos_test.go
@@ -191,9 +191,9 @@
 	return h, nil
 }
 
-// waitRetryAfter makes a refused caller wait for the retry delay it got, divided by
-// retryAfterDivisor. Callers that repeat at once are refused faster than
-// requests are served, and would use up all requests of the run within a
+// waitRetryAfter makes a refused caller wait for the retry delay it got,
+// divided by retryAfterDivisor. Callers that repeat at once are refused faster
+// than requests are served, and would use up all requests of the run within a
 // second.
 func waitRetryAfter(err error) {
 	var f *fate.Error
@@ -333,13 +333,13 @@
 		len(histories), onceOnly, total.answered, total.notRun, total.unknown, doubled, falseNotRun, unseen)
 	f.t.Logf("reasons: %v", total.reasons)
 	if doubled+falseNotRun+unseen > 0 {
-		f.t.Error("what callers were told does not agree with what ran")
+		f.t.Error("the fates that callers got do not match the requests that ran")
 	}
 	if total.notRun == 0 || total.unknown == 0 {
-		f.t.Error("a fate never came up: the test says nothing of it")
+		f.t.Error("the run had no request with the fate NotRun, or none with Unknown")
 	}
 	// An entry that refuses every request passes the checks above.
 	if total.answered < len(histories)*minAnsweredPercent/100 {
-		f.t.Errorf("%d of %d were answered", total.answered, len(histories))
+		f.t.Errorf("only %d responses for %d request ids", total.answered, len(histories))
 	}
 }
--- a/traffic/claims.go
+++ b/traffic/claims.go
@@ -88,8 +88,8 @@
 	return r, q.claimAt(ctx, r, homes)
 }
 
-// claimRound is one claim at all homes of an id. Once it is abandoned, a late grant
-// is released at once.
+// claimRound is one claim at all homes of an id. Once it is abandoned, a late
+// grant is released at once.
 type claimRound struct {
 	mu        sync.Mutex
 	claim     *dedup.Claim
--- a/traffic/claims_test.go
+++ b/traffic/claims_test.go
@@ -26,7 +26,7 @@
 // unreachableError reports that a home cannot be reached.
 type unreachableError struct{ home model.DaemonID }
 
-func (e *unreachableError) Error() string { return string(e.home) + " is away" }
+func (e *unreachableError) Error() string { return string(e.home) + " is unreachable" }
 
 func newHomeSet(o dedup.Options, entries ...model.DaemonID) *homeSet {
 	h := &homeSet{
@@ -133,16 +133,16 @@
 	c := h.claims("a", longAgo, dedup.Options{})
 	h.makeUnreachable("b")
 	if _, outcome := c.Claim(context.Background(), claimRequest("one-away")); outcome != dedup.Proceed {
-		t.Errorf("one home away: %s", outcome)
+		t.Errorf("one home unreachable: %s", outcome)
 	}
 	// The claim continues at homes that have not answered when it is decided.
-	eventually(t, "both homes that are there grant it", func() bool { return h.grants() == 2 })
+	eventually(t, "both reachable homes grant the claim", func() bool { return h.grants() == 2 })
 	recorded := h.records()
 	h.makeUnreachable("c")
 	if _, outcome := c.Claim(context.Background(), claimRequest("two-away")); outcome != dedup.RefusedUnsure {
-		t.Errorf("two homes away: %s", outcome)
+		t.Errorf("two homes unreachable: %s", outcome)
 	}
-	eventually(t, "the refused claim is taken back", func() bool { return h.records() == recorded })
+	eventually(t, "the refused claim is released", func() bool { return h.records() == recorded })
 }
 
 // Guards against an id that stays claimed without a claimant until its record
@@ -160,7 +160,7 @@
 		t.Fatalf("got %s", outcome)
 	}
 	close(hold)
-	eventually(t, "all homes grant the claim and hear of its end", func() bool {
+	eventually(t, "all homes grant the claim and release it", func() bool {
 		return h.grants() == dedup.NumHomes && h.records() == 0
 	})
 }
@@ -174,6 +174,6 @@
 		t.Errorf("got %s", outcome)
 	}
 	if got := h.records(); got != 0 {
-		t.Errorf("%d records", got)
+		t.Errorf("%d records, want none", got)
 	}
 }
--- a/traffic/engine_test.go
+++ b/traffic/engine_test.go
@@ -112,7 +112,7 @@
 		select {
 		case <-tick.C:
 		case <-limit:
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -305,13 +305,13 @@
 		t.Errorf("deadline: got %v", f)
 	}
 	if got := s.engine.Demand(orders).Queued; got != 0 {
-		t.Errorf("%d requests still wait", got)
+		t.Errorf("%d requests are still queued", got)
 	}
 	release()
 	wg.Wait()
 	s.checkSlots(t)
 	if s.runs("gone")+s.runs("late") != 0 {
-		t.Error("a request that was told not run has run")
+		t.Error("a request with the fate NotRun has run")
 	}
 }
 
@@ -322,8 +322,8 @@
 	ctx, release := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for i := range 3 {
-		wg.Go(func() { s.engine.Do(ctx, newRequest(fmt.Sprintf("r%d", i))) }) //nolint:errcheck // only in the way
-		eventually(t, "it holds the slot or waits", func() bool {
+		wg.Go(func() { s.engine.Do(ctx, newRequest(fmt.Sprintf("r%d", i))) }) //nolint:errcheck // only occupies a slot or the queue
+		eventually(t, "the request has the slot or is queued", func() bool {
 			d := s.engine.Demand(orders)
 			return d.InFlight == i+1 && d.Queued == i
 		})
@@ -338,14 +338,14 @@
 	s.checkSlots(t)
 }
 
-// A request of higher priority replaces a queued one in a full queue, and the
-// replaced request fails at once.
+// A request of higher priority preempts a queued one in a full queue, and the
+// preempted request fails at once.
 func TestUrgentPreemptsQueued(t *testing.T) {
 	s := newSite(t, 1, 1, traffic.Options{}, traffic.Service{MaxQueue: 1})
 	s.setFault(target.Fault{Kind: target.Hang})
 	ctx, release := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { s.engine.Do(ctx, newRequest("holder")) }) //nolint:errcheck // only in the way
+	wg.Go(func() { s.engine.Do(ctx, newRequest("holder")) }) //nolint:errcheck // only occupies a slot or the queue
 	eventually(t, "the slot is taken", func() bool { return s.instances[0].Runs("holder") == 1 })
 	displaced := make(chan *fate.Error, 1)
 	wg.Go(func() {
@@ -358,7 +358,7 @@
 	wg.Go(func() {
 		req := newRequest("urgent")
 		req.Priority = model.PriorityUrgent
-		s.engine.Do(ctx, req) //nolint:errcheck // only in the way
+		s.engine.Do(ctx, req) //nolint:errcheck // only occupies a slot or the queue
 	})
 	select {
 	case f := <-displaced:
@@ -366,7 +366,7 @@
 			t.Errorf("got %v", f)
 		}
 	case <-time.After(patience / 2):
-		t.Error("the displaced request is still waiting")
+		t.Error("the preempted request is still queued")
 	}
 	release()
 	wg.Wait()
@@ -378,7 +378,7 @@
 	s.setFault(target.Fault{Kind: target.Hang})
 	ctx, release := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { s.engine.Do(ctx, newRequest("holder")) }) //nolint:errcheck // only in the way
+	wg.Go(func() { s.engine.Do(ctx, newRequest("holder")) }) //nolint:errcheck // only occupies a slot or the queue
 	eventually(t, "the slot is taken", func() bool { return s.instances[0].Runs("holder") == 1 })
 	wg.Go(func() {
 		_, err := s.engine.Do(context.Background(), newRequest("waits"))
@@ -406,16 +406,16 @@
 	for c := range 8 {
 		wg.Go(func() {
 			for i := 0; i < 1000 && len(left) == 0; i++ {
-				s.engine.Do(context.Background(), newRequest(fmt.Sprintf("%d-%d", c, i))) //nolint:errcheck // what is heard counts
+				s.engine.Do(context.Background(), newRequest(fmt.Sprintf("%d-%d", c, i))) //nolint:errcheck // only the report of leaving counts
 			}
 		})
 	}
 	wg.Wait()
 	if len(left) == 0 {
-		t.Fatal("nobody heard that a target leaves")
+		t.Fatal("OnLeaving was not called")
 	}
 	if got := <-left; got != leaving.Address() {
-		t.Errorf("heard that %s leaves", got)
+		t.Errorf("OnLeaving was called for %s", got)
 	}
 	for _, state := range s.engine.TargetStates(orders) {
 		if want := state.Address == leaving.Address(); state.Leaving != want {
@@ -442,7 +442,7 @@
 			req := newRequest(fmt.Sprintf("silent%d", i))
 			req.Idempotent = true
 			req.Timeout = 300 * time.Millisecond
-			s.engine.Do(context.Background(), req) //nolint:errcheck // only to be silent
+			s.engine.Do(context.Background(), req) //nolint:errcheck // only causes silent exchanges
 		})
 	}
 	wg.Wait()
--- a/traffic/exchange.go
+++ b/traffic/exchange.go
@@ -87,8 +87,8 @@
 	return choice
 }
 
-// reportOverdue reports to the balancer that the exchange takes longer than usual.
-// It does nothing after giveBack.
+// reportOverdue reports to the balancer that the exchange takes longer than
+// usual. It does nothing after giveBack.
 func (h *slot) reportOverdue(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,9 +101,9 @@
 // target.
 const statusServerError = 500
 
-// checkSendable checks the deadline and the age of the claim just before sending,
-// and returns an error if the request must not be sent. If the process was
-// paused after the claim, the homes may have expired the claim and another
+// checkSendable checks the deadline and the age of the claim just before
+// sending, and returns an error if the request must not be sent. If the process
+// was paused after the claim, the homes may have expired the claim and another
 // entry may have sent the request. Sending it then would run it twice, and
 // nothing else would detect that.
 func (j *requestRun) checkSendable(ctx context.Context, now time.Time) *ExchangeError {
--- a/traffic/metrics.go
+++ b/traffic/metrics.go
@@ -110,8 +110,8 @@
 	s.all.claims.WithLabelValues(s.service, o.String()).Inc()
 }
 
-// deleteService deletes the series of a service that is no longer declared, so that
-// the number of series stays proportional to the number of services.
+// deleteService deletes the series of a service that is no longer declared, so
+// that the number of series stays proportional to the number of services.
 func (m *metrics) deleteService(service string) {
 	label := prometheus.Labels{"service": service}
 	m.requests.DeletePartialMatch(label)
--- a/traffic/queue.go
+++ b/traffic/queue.go
@@ -72,11 +72,11 @@
 	s.queue.SetSlots(free, total)
 }
 
-// dispatchProbeLocked asks the balancer for a slot for the next queued request even if
-// none is known to be free. The balancer reclaims the slots of abandoned
-// exchanges, and probes suspect instances, only when it is asked for a slot.
-// With no slot free it would never be asked, and requests would wait until
-// their deadline while nothing is in flight.
+// dispatchProbeLocked asks the balancer for a slot for the next queued request
+// even if none is known to be free. The balancer reclaims the slots of
+// abandoned exchanges, and probes suspect instances, only when it is asked for
+// a slot. With no slot free it would never be asked, and requests would wait
+// until their deadline while nothing is in flight.
 func (s *service) dispatchProbeLocked(now time.Time) {
 	if s.queue.Len() == 0 || s.balancer.Free() > 0 {
 		return
@@ -85,8 +85,8 @@
 	s.dispatchNextLocked(now)
 }
 
-// hasTryableTarget reports whether there is an instance that has slots and is not
-// leaving.
+// hasTryableTarget reports whether there is an instance that has slots and is
+// not leaving.
 func (s *service) hasTryableTarget() bool {
 	return slices.ContainsFunc(s.balancer.Snapshot(), func(t routing.TargetState) bool {
 		return !t.Leaving && t.Slots > 0
--- a/traffic/request_run.go
+++ b/traffic/request_run.go
@@ -13,8 +13,8 @@
 	"github.com/guavarill/guavarill/core/routing"
 )
 
-// requestRun is the state of one request until its fate is final. It is owned by
-// the caller's goroutine.
+// requestRun is the state of one request until its fate is final. It is owned
+// by the caller's goroutine.
 type requestRun struct {
 	s        *service
 	req      *Request
@@ -156,7 +156,8 @@
 	return routing.Query{Avoid: j.avoid, NonIdempotent: !j.req.Idempotent}
 }
 
-// decideRetry decides whether the request is sent again after a failed exchange.
+// decideRetry decides whether the request is sent again after a failed
+// exchange.
 func (j *requestRun) decideRetry(ctx context.Context, failure *ExchangeError) retry.Verdict {
 	if ctx.Err() != nil || failure.Reason == fate.ReasonClaimExpired {
 		return retry.TooLate
@@ -188,9 +189,9 @@
 	return j.finalError(err)
 }
 
-// finalError returns err as the final error of the request. If an earlier exchange
-// may have run the request, the fate stays Unknown even if the last failure
-// was NotRun, and the error reports that earlier exchange.
+// finalError returns err as the final error of the request. If an earlier
+// exchange may have run the request, the fate stays Unknown even if the last
+// failure was NotRun, and the error reports that earlier exchange.
 func (j *requestRun) finalError(err *fate.Error) *fate.Error {
 	last := err.Fate
 	err.Fate = j.fate.Combine(last)
