--- a/traffic/chaos_test.go
+++ b/traffic/chaos_test.go
@@ -152,16 +152,16 @@
 	}
 }
 
-// replace starts a new instance in place of instance n, after closing dies if
+// replace starts a new instance in place of instance n, after closing victim if
 // it is not nil.
-func (f *fleet) replace(n int, dies *target.Target) {
-	if dies != nil {
-		dies.Close()
+func (f *fleet) replace(n int, victim *target.Target) {
+	if victim != nil {
+		victim.Close()
 	}
-	fresh := f.newInstance()
+	started := f.newInstance()
 	f.mu.Lock()
 	f.retired = append(f.retired, f.instances[n])
-	f.instances[n] = fresh
+	f.instances[n] = started
 	f.mu.Unlock()
 	f.listTargets()
 }
--- a/traffic/engine_test.go
+++ b/traffic/engine_test.go
@@ -347,12 +347,12 @@
 	var wg sync.WaitGroup
 	wg.Go(func() { s.engine.Do(ctx, newRequest("holder")) }) //nolint:errcheck // only occupies a slot or the queue
 	eventually(t, "the slot is taken", func() bool { return s.instances[0].Runs("holder") == 1 })
-	displaced := make(chan *fate.Error, 1)
+	preempted := make(chan *fate.Error, 1)
 	wg.Go(func() {
 		req := newRequest("low")
 		req.Priority = model.PriorityLow
 		_, err := s.engine.Do(context.Background(), req)
-		displaced <- fateError(t, err)
+		preempted <- fateError(t, err)
 	})
 	eventually(t, "the request waits", func() bool { return s.engine.Demand(orders).Queued == 1 })
 	wg.Go(func() {
@@ -361,7 +361,7 @@
 		s.engine.Do(ctx, req) //nolint:errcheck // only occupies a slot or the queue
 	})
 	select {
-	case f := <-displaced:
+	case f := <-preempted:
 		if f.Fate != fate.NotRun || f.Reason != fate.ReasonPreempted || f.RetryAfter == 0 {
 			t.Errorf("got %v", f)
 		}
