--- a/traffic/engine_test.go
+++ b/traffic/engine_test.go
@@ -322,7 +322,7 @@
 	ctx, release := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
 	for i := range 3 {
-		wg.Go(func() { s.engine.Do(ctx, newRequest(fmt.Sprintf("r%d", i))) }) //nolint:errcheck // only occupies a slot or the queue
+		wg.Go(func() { s.engine.Do(ctx, newRequest(fmt.Sprintf("r%d", i))) }) //nolint:errcheck // only in the way
 		eventually(t, "the request has the slot or is queued", func() bool {
 			d := s.engine.Demand(orders)
 			return d.InFlight == i+1 && d.Queued == i
@@ -345,7 +345,7 @@
 	s.setFault(target.Fault{Kind: target.Hang})
 	ctx, release := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { s.engine.Do(ctx, newRequest("holder")) }) //nolint:errcheck // only occupies a slot or the queue
+	wg.Go(func() { s.engine.Do(ctx, newRequest("holder")) }) //nolint:errcheck // only in the way
 	eventually(t, "the slot is taken", func() bool { return s.instances[0].Runs("holder") == 1 })
 	preempted := make(chan *fate.Error, 1)
 	wg.Go(func() {
@@ -358,7 +358,7 @@
 	wg.Go(func() {
 		req := newRequest("urgent")
 		req.Priority = model.PriorityUrgent
-		s.engine.Do(ctx, req) //nolint:errcheck // only occupies a slot or the queue
+		s.engine.Do(ctx, req) //nolint:errcheck // only in the way
 	})
 	select {
 	case f := <-preempted:
@@ -378,7 +378,7 @@
 	s.setFault(target.Fault{Kind: target.Hang})
 	ctx, release := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
-	wg.Go(func() { s.engine.Do(ctx, newRequest("holder")) }) //nolint:errcheck // only occupies a slot or the queue
+	wg.Go(func() { s.engine.Do(ctx, newRequest("holder")) }) //nolint:errcheck // only in the way
 	eventually(t, "the slot is taken", func() bool { return s.instances[0].Runs("holder") == 1 })
 	wg.Go(func() {
 		_, err := s.engine.Do(context.Background(), newRequest("waits"))
@@ -406,7 +406,7 @@
 	for c := range 8 {
 		wg.Go(func() {
 			for i := 0; i < 1000 && len(left) == 0; i++ {
-				s.engine.Do(context.Background(), newRequest(fmt.Sprintf("%d-%d", c, i))) //nolint:errcheck // only the report of leaving counts
+				s.engine.Do(context.Background(), newRequest(fmt.Sprintf("%d-%d", c, i))) //nolint:errcheck // what is heard counts
 			}
 		})
 	}
@@ -442,7 +442,7 @@
 			req := newRequest(fmt.Sprintf("silent%d", i))
 			req.Idempotent = true
 			req.Timeout = 300 * time.Millisecond
-			s.engine.Do(context.Background(), req) //nolint:errcheck // only causes silent exchanges
+			s.engine.Do(context.Background(), req) //nolint:errcheck // only to be silent
 		})
 	}
 	wg.Wait()
