--- a/adapter/grpcrelay/link.go
+++ b/adapter/grpcrelay/link.go
@@ -13,45 +13,48 @@
 )
 
 const (
-	// silenceLooks is how many looks in a row, lookInterval apart, find nothing
-	// new from a carrier before its orders are given to others: after three beats
-	// and some delay. A carrier that is suspended or cut off would hold up the
-	// leases of all workers that it carries for.
-	silenceLooks = 4
-	lookInterval = 150 * time.Millisecond
-	// outcomeTimeout ends the wait for an outcome that a carrier which is there
-	// owes: several times what an order takes there and a busy leader needs to
-	// take its outcome in. Without it an error of a carrier would keep the leader
-	// from ever asking a worker again.
+	// silenceChecks is the number of consecutive checks, silenceCheckInterval apart,
+	// that find no new message from a relay before other relays get its workers. It
+	// allows for three heartbeats and some delay. It is short because a relay that is
+	// suspended or cut off delays the lease renewals of all its workers.
+	silenceChecks        = 4
+	silenceCheckInterval = 150 * time.Millisecond
+	// outcomeTimeout bounds the wait for an outcome from a relay that is alive: several
+	// times the time that an order takes on the relay and that a busy leader needs to
+	// process the outcome. Without it, a fault of a relay could keep the leader from
+	// ever calling a worker again.
 	outcomeTimeout = 8 * time.Second
-	// linkRetry is the time before a link that failed is opened again.
+	// linkRetry is the time before a failed link is reopened.
 	linkRetry = 500 * time.Millisecond
-	// dialTimeout bounds the making of a connection.
+	// dialTimeout bounds an attempt to connect.
 	dialTimeout = time.Second
 )
 
-// waiting is an order whose outcome is awaited.
-type waiting struct {
+// pendingOrder is an order without an outcome. Its channel receives the outcome, or is
+// closed if the link fails. sent is set when the order is taken from the queue to be
+// written to the stream.
+type pendingOrder struct {
 	outcome chan *relayv1.Outcome
 	sent    bool
 }
 
-// link is the stream to one carrier. It is opened again when it fails.
+// link is the stream to one relay. It is reopened when it fails.
 type link struct {
 	address string
 
 	mu sync.Mutex
+	// up is set from the first message of the relay until the stream fails.
 	up bool
-	// heard counts the batches of outcomes that have come.
-	heard   uint64
-	nextID  uint64
-	waiting map[uint64]*waiting
-	batch   []*relayv1.Order
-	wake    chan struct{}
+	// received counts the batches of outcomes received.
+	received uint64
+	nextID   uint64
+	pending  map[uint64]*pendingOrder
+	batch    []*relayv1.Order
+	wake     chan struct{}
 }
 
 func newLink(address string) *link {
-	return &link{address: address, waiting: make(map[uint64]*waiting), wake: make(chan struct{}, 1)}
+	return &link{address: address, pending: make(map[uint64]*pendingOrder), wake: make(chan struct{}, 1)}
 }
 
 // run keeps the link open until ctx ends.
@@ -65,13 +68,13 @@
 			MinConnectTimeout: dialTimeout,
 		}))
 	if err != nil {
-		// Only an address that cannot be parsed; the others carry.
+		// The address cannot be parsed. The other relays are used.
 		return
 	}
 	defer conn.Close()
 	for ctx.Err() == nil {
 		l.open(ctx, relayv1.NewRelayClient(conn))
-		l.fail()
+		l.failPending()
 		select {
 		case <-ctx.Done():
 		case <-time.After(linkRetry):
@@ -79,7 +82,8 @@
 	}
 }
 
-// open opens the stream and serves it until it fails or falls silent.
+// open opens the stream and receives outcomes until the stream fails or the relay
+// falls silent.
 func (l *link) open(ctx context.Context, client relayv1.RelayClient) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -94,69 +98,69 @@
 		if err != nil {
 			return
 		}
-		l.settle(batch)
+		l.deliver(batch)
 	}
 }
 
-// watch ends the stream when the carrier is silent.
+// watch cancels the stream when the relay is silent.
 func (l *link) watch(ctx context.Context, cancel context.CancelFunc) {
-	ticker := time.NewTicker(lookInterval)
+	ticker := time.NewTicker(silenceCheckInterval)
 	defer ticker.Stop()
-	var s silence
+	var s silenceDetector
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
 		}
-		if s.look(l.batches()) {
+		if s.check(l.receivedBatches()) {
 			cancel()
 			return
 		}
 	}
 }
 
-// silence tells a carrier that is silent from a leader that had no processor to
-// read what it sent. Looks are counted for that, and not the time: a process
-// that gets no processor looks no more often than it reads, whereas by its clock
-// every carrier has been silent for long when it goes on.
-type silence struct {
-	heard uint64
-	looks int
+// silenceDetector distinguishes a silent relay from a leader that got no processor time
+// to read the relay's messages. It therefore counts checks instead of measuring time: a
+// process without processor time neither checks nor reads, but when it continues, every
+// relay has been silent for a long time by its clock.
+type silenceDetector struct {
+	batches uint64
+	checks  int
 }
 
-// look takes in how many batches have come in all, and reports whether the
-// carrier is silent.
-func (s *silence) look(batches uint64) bool {
-	if batches != s.heard {
-		s.heard, s.looks = batches, 0
+// check reports whether the relay is silent, given the total number of batches received
+// from it.
+func (s *silenceDetector) check(batches uint64) bool {
+	if batches != s.batches {
+		s.batches, s.checks = batches, 0
 		return false
 	}
-	s.looks++
-	return s.looks >= silenceLooks
+	s.checks++
+	return s.checks >= silenceChecks
 }
 
-// batches returns how many batches of outcomes have come.
-func (l *link) batches() uint64 {
+// receivedBatches returns the number of batches of outcomes received.
+func (l *link) receivedBatches() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.heard
+	return l.received
 }
 
-// send sends orders in batches.
+// send sends the queued orders in batches until ctx ends or a send fails.
 func (l *link) send(ctx context.Context, stream relayv1.Relay_CarryClient) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-l.wake:
-			time.Sleep(orderGather)
+			time.Sleep(orderBatchDelay)
 		}
 		batch := l.take()
 		if len(batch) == 0 {
 			continue
 		}
-		err := inPieces(batch, func(piece []*relayv1.Order) error {
+		err := sendInChunks(batch, func(piece []*relayv1.Order) error {
 			return stream.Send(&relayv1.OrderBatch{Orders: piece})
 		})
 		if err != nil {
@@ -165,61 +169,64 @@
 	}
 }
 
+// take removes and returns the queued orders and marks them as sent.
 func (l *link) take() []*relayv1.Order {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	batch := l.batch
 	l.batch = nil
 	for _, o := range batch {
-		if w := l.waiting[o.Id]; w != nil {
+		if w := l.pending[o.Id]; w != nil {
 			w.sent = true
 		}
 	}
 	return batch
 }
 
-// settle hands outcomes to those who wait for them.
-func (l *link) settle(batch *relayv1.OutcomeBatch) {
+// deliver passes outcomes to the callers that wait for them, and marks the link as up.
+func (l *link) deliver(batch *relayv1.OutcomeBatch) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up = true
-	l.heard++
+	l.received++
 	for _, outcome := range batch.Outcomes {
-		if w := l.waiting[outcome.Id]; w != nil {
-			delete(l.waiting, outcome.Id)
+		if w := l.pending[outcome.Id]; w != nil {
+			delete(l.pending, outcome.Id)
 			w.outcome <- outcome
 		}
 	}
 }
 
-// fail tells all who wait that the link has failed.
-func (l *link) fail() {
+// failPending marks the link as down and ends the wait of all pending orders without an
+// outcome.
+func (l *link) failPending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.up = false
 	l.batch = nil
-	for id, w := range l.waiting {
-		delete(l.waiting, id)
+	for id, w := range l.pending {
+		delete(l.pending, id)
 		close(w.outcome)
 	}
 }
 
-// busy reports whether an outcome is awaited.
+// busy reports whether the link is up and has pending orders.
 func (l *link) busy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.up && len(l.waiting) > 0
+	return l.up && len(l.pending) > 0
 }
 
+// healthy reports whether the link is up.
 func (l *link) healthy() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.up
 }
 
-// do has an order carried. sent is whether it may have reached the worker; the
-// outcome is nil when it is not known.
-func (l *link) do(ctx context.Context, o *relayv1.Order) (outcome *relayv1.Outcome, sent bool) {
+// relay sends an order through the link and waits for its outcome, which is nil if it is
+// not known. sent reports whether the order may have reached the worker.
+func (l *link) relay(ctx context.Context, o *relayv1.Order) (outcome *relayv1.Outcome, sent bool) {
 	w := l.enqueue(o)
 	if w == nil {
 		return nil, false
@@ -234,7 +241,8 @@
 	}
 }
 
-func (l *link) enqueue(o *relayv1.Order) *waiting {
+// enqueue assigns an ID to an order and queues it. It returns nil if the link is down.
+func (l *link) enqueue(o *relayv1.Order) *pendingOrder {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.up {
@@ -242,8 +250,8 @@
 	}
 	l.nextID++
 	o.Id = l.nextID
-	w := &waiting{outcome: make(chan *relayv1.Outcome, 1)}
-	l.waiting[o.Id] = w
+	w := &pendingOrder{outcome: make(chan *relayv1.Outcome, 1)}
+	l.pending[o.Id] = w
 	l.batch = append(l.batch, o)
 	select {
 	case l.wake <- struct{}{}:
@@ -252,9 +260,10 @@
 	return w
 }
 
-func (l *link) abandon(id uint64, w *waiting) (sent bool) {
+// abandon ends the wait for an outcome and reports whether the order was sent.
+func (l *link) abandon(id uint64, w *pendingOrder) (sent bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.waiting, id)
+	delete(l.pending, id)
 	return w.sent
 }
--- a/core/config/helpers_test.go
+++ b/core/config/helpers_test.go
@@ -14,9 +14,9 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// declaring returns a manifest with a batch job of the given number of tasks
-// for each name.
-func declaring(tasks map[string]int) *manifest.Manifest {
+// manifestWith returns a manifest with one batch job for each name in tasks, which
+// gives its number of tasks.
+func manifestWith(tasks map[string]int) *manifest.Manifest {
 	m := &manifest.Manifest{Cluster: "c", Teams: []manifest.Team{{Name: "t"}}}
 	for _, name := range slices.Sorted(maps.Keys(tasks)) {
 		m.Workloads = append(m.Workloads, manifest.Workload{
@@ -45,8 +45,9 @@
 	return next, diff
 }
 
-// differ compares all but the writers, which deltas do not carry.
-func differ(a, b *Accepted) string {
+// diffConfigs returns the difference between two configurations, or an empty
+// string. It ignores the writers, which deltas do not include.
+func diffConfigs(a, b *Accepted) string {
 	ea, eb := a.Encode(), b.Encode()
 	ea.Writer, eb.Writer = "", ""
 	if proto.Equal(ea, eb) {
@@ -55,7 +56,7 @@
 	return cmp.Diff(ea, eb, protocmp.Transform())
 }
 
-func reread(t testing.TB, a *Accepted) *Accepted {
+func roundTrip(t testing.TB, a *Accepted) *Accepted {
 	t.Helper()
 	m := proto.CloneOf(a.Encode())
 	back, err := Decode(m)
--- /dev/null
+++ b/core/jobsched/restartrecord_test.go
@@ -0,0 +1,74 @@
+package jobsched
+
+import (
+	"testing"
+	"time"
+
+	"github.com/guavarill/guavarill/core/job"
+)
+
+// workerRunning returns the worker that runs the task.
+func (c *cluster) workerRunning(key job.TaskKey) *fakeWorker {
+	c.t.Helper()
+	for on := range c.task(key).running {
+		return c.workers[on]
+	}
+	c.t.Fatalf("%s does not run", key)
+	return nil
+}
+
+// TestTwoLeadersNeverUseTheSameNumber guards against two leaders that give the same
+// number to two attempts of a task, so that the task is done twice. The first leader
+// has taken over, so that it starts at number 17, and is lost before any record of
+// the job is stored. The worker completes the task and is partitioned. The second
+// leader waits until the leases there have ended, stores that attempt 17 is a
+// restart, and starts it on another worker. When the first worker reports that
+// attempt 17 is done, its number is not below that of the restart, and the end is
+// acknowledged.
+//
+// The checks of the cluster on each start and end detect the fault, here and in the
+// next test.
+func TestTwoLeadersNeverUseTheSameNumber(t *testing.T) {
+	c := newCluster(t, 1, 2)
+	c.run(200 * time.Millisecond)
+	c.storeDelay = 400 * time.Millisecond
+	id := job.ID("0000000000000001")
+	c.accepted[id] = &job.Accepted{
+		Spec:  job.Spec{Payload: "p", Steps: []job.Step{makeStep(1, 1000, 3*time.Second)}},
+		Queue: *c.config.Queues["batch"], ConfigVersion: 1, AcceptedAtMs: c.wall.UnixMilli(),
+	}
+	c.replaceLeader()
+	for c.starts == 0 {
+		c.tick()
+	}
+	c.run(50 * time.Millisecond)
+	worker := c.workerRunning(job.TaskKey{Job: id})
+	c.replaceLeader()
+	c.storeDelay = 0
+	worker.partitioned = true
+	c.run(8 * time.Second)
+	worker.partitioned = false
+	c.run(3 * time.Second)
+}
+
+// TestEndsThatALostRosterHid guards against a restart that is not stored first after
+// the roster was lost. The roster cannot be read, and an unreachable worker has done
+// a task without reporting it. Once all leases have ended, the task is started on
+// another worker, and the unreported end is received and acknowledged later, so that
+// both ends count. The possibility that a task was done unreported was considered
+// only for workers on the roster whose lease bound had passed, and the lost roster
+// named none.
+func TestEndsThatALostRosterHid(t *testing.T) {
+	c := newCluster(t, 1, 2)
+	c.run(200 * time.Millisecond)
+	id := c.submit(1, "batch", makeStep(1, 1000, 600*time.Millisecond))
+	c.run(300 * time.Millisecond)
+	ran := c.workerRunning(job.TaskKey{Job: id})
+	ran.partitioned = true
+	c.run(time.Second)
+	c.rosterDamaged = true
+	c.replaceLeader()
+	c.run(12 * time.Second)
+	ran.partitioned = false
+	c.run(3 * time.Second)
+}
--- a/core/jobsched/session_test.go
+++ b/core/jobsched/session_test.go
@@ -9,9 +9,9 @@
 	"github.com/sebdah/goldie/v2"
 )
 
-// TestSession plays a whole session in virtual time and holds the decisions
-// that are logged to a golden file, in their order and with their reasons: jobs
-// run and are canceled, a task fails for good, a worker is lost, and the leader.
+// TestSession plays a whole session in virtual time and compares the logged
+// decisions, in order and with their reasons, with a golden file: jobs run and are
+// canceled, a job fails, a worker is lost, and the leader is replaced.
 func TestSession(t *testing.T) {
 	c := newCluster(t, 7, 3)
 	c.keepNotes = true
@@ -31,9 +31,9 @@
 	play("a job of two steps is submitted", time.Second)
 	serving := c.submit(2, "batch", longRunning(2, 2000))
 	play("a long-running job is submitted", time.Second)
-	c.workers[c.runsOn(serving)].cutOff = true
+	c.workers[c.firstWorkerOf(serving)].partitioned = true
 	play("a worker of it is cut off", 6*time.Second)
-	c.lead()
+	c.replaceLeader()
 	play("another daemon takes the lead", 2*time.Second)
 	c.cancel(serving)
 	play("the long-running job is canceled", time.Second)
--- a/core/manifest/manifest_test.go
+++ b/core/manifest/manifest_test.go
@@ -57,9 +57,9 @@
 	goldie.New(t).Assert(t, "wrong", out.Bytes())
 }
 
-// Symptom: a release removes half of the work that should run.
-// Sequence: a pipeline joins two manifests with a line ---; the text parses.
-// Cause: YAML readers stop at the end of the first document.
+// A second YAML document must be rejected. A pipeline joins two manifests with a
+// line ---, and the decoder stops at the end of the first document, so the release
+// would remove the workloads of the second.
 func TestSecondDocumentIsRefused(t *testing.T) {
 	for _, text := range []string{
 		small + "---\n" + small,
@@ -74,7 +74,7 @@
 	parse(t, "# comment\n%YAML 1.1\n---\n"+small)
 }
 
-func TestTextAsAWhole(t *testing.T) {
+func TestProblemsOfTheWholeText(t *testing.T) {
 	for text, want := range map[string]manifest.Reason{
 		"cluster: [":                 manifest.ReasonSyntax,
 		small + "cluster: d\n":       manifest.ReasonRepeatedField,
@@ -89,10 +89,10 @@
 	}
 }
 
-// Symptom: an accepted manifest can't be written or sent on, for good.
-// Sequence: workloads are added release by release until a limit: that of the
-// store, by declarations that do not compress, or that of what daemons send.
-// Cause: the limits being checked on the text, or on one of the two sizes.
+// A manifest that is too large to be stored, or to be sent between daemons, must
+// be rejected. Workloads are added until a limit is reached: that of the stored
+// size, with declarations that do not compress, or that of the encoded size.
+// Checking the size of the text, or only one of the two sizes, is not enough.
 func TestManifestBeyondTheStoreIsRefused(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -103,7 +103,7 @@
 		{"stored", 200, 8 << 10, "in the store"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			m := declaringMany(t, c.count, c.argBytes)
+			m := manifestWithWorkloads(t, c.count, c.argBytes)
 			fits := func(n int) bool {
 				part := *m
 				part.Workloads = m.Workloads[:n]
@@ -125,9 +125,9 @@
 	}
 }
 
-// declaringMany returns a manifest of n workloads, each with an argument of
-// random text.
-func declaringMany(t *testing.T, n, argBytes int) *manifest.Manifest {
+// manifestWithWorkloads returns a manifest of n workloads. Each generated one has
+// an argument of argBytes random characters, or none if argBytes is 0.
+func manifestWithWorkloads(t *testing.T, n, argBytes int) *manifest.Manifest {
 	m := parse(t, small)
 	random := rand.New(rand.NewPCG(1, 2))
 	for len(m.Workloads) < n {
@@ -164,7 +164,7 @@
 	goldie.New(t).Assert(t, "canonical", m.Canonical())
 }
 
-func TestLoadRefusesWhatItDoesNotKnow(t *testing.T) {
+func TestLoadRejectsInvalidDocuments(t *testing.T) {
 	document := parse(t, small).Canonical()
 	for _, bad := range [][]byte{
 		bytes.Replace(document, []byte(`"cluster"`), []byte(`"newField":1,"cluster"`), 1),
@@ -180,7 +180,7 @@
 	}
 }
 
-func TestTasksAreDealtOnce(t *testing.T) {
+func TestTasksAreAssignedOnce(t *testing.T) {
 	for _, c := range []struct{ tasks, shards uint32 }{{0, 3}, {1, 1}, {7, 3}, {2, 5}, {1000, 7}, {50, 220}} {
 		for _, name := range []string{"order-service", "a", "zz-9"} {
 			seen := make(map[uint32]model.ShardID)
@@ -196,7 +196,7 @@
 				}
 			}
 			if len(seen) != int(c.tasks) {
-				t.Errorf("%s: %d of %d tasks dealt over %d shards", name, len(seen), c.tasks, c.shards)
+				t.Errorf("%s: %d of %d tasks assigned to %d shards", name, len(seen), c.tasks, c.shards)
 			}
 		}
 	}
@@ -221,7 +221,7 @@
 		}
 		again, err := manifest.Parse(m.Canonical())
 		if err != nil {
-			t.Fatalf("canonical form refused: %v", err)
+			t.Fatalf("canonical form rejected: %v", err)
 		}
 		if !bytes.Equal(m.Canonical(), again.Canonical()) {
 			t.Fatal("canonical form changes when read again")
