--- a/traffic/queue.go
+++ b/traffic/queue.go
@@ -155,7 +155,7 @@
 
 // dispatchOneLocked assigns one slot and reports whether it did. A slow or
 // distant slot may not be worth taking for the next request, which soon gets a
-// better one, but may still serve the last request, which waits longest.
+// better one, but may still serve the request with the longest wait ahead of it.
 func (s *service) dispatchOneLocked(now time.Time) bool {
 	s.setSlotsLocked()
 	return s.dispatchNextLocked(now)
