--- a/adapter/httptarget/exchange.go
+++ b/adapter/httptarget/exchange.go
@@ -132,7 +132,7 @@
 	}
 	return &traffic.ExchangeError{
 		Address:    x.c.pool.address,
-		Point:      fate.NotStarted,
+		Stage:      fate.NotStarted,
 		Sent:       fate.SentAll,
 		Reason:     fate.ReasonTargetNotStarted,
 		Leaving:    resp.Header.Get(traffic.HeaderLeaving) == traffic.HeaderTrue,
@@ -228,7 +228,7 @@
 	}
 	failure := &traffic.ExchangeError{
 		Address: x.c.pool.address,
-		Point:   stage,
+		Stage:   stage,
 		Sent:    sent,
 		Reason:  x.reason(ctx, err, stage, cut),
 		Cause:   err,
--- a/traffic/chaos_test.go
+++ b/traffic/chaos_test.go
@@ -22,34 +22,34 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// The run of the fault test. GUAVARILL_FAULT_REQUESTS sets its size; without
-// it a short one is made.
+// Parameters of the fault test. GUAVARILL_FAULT_REQUESTS sets the number of
+// requests; without it, the test makes shortRun requests.
 const (
-	sizeVariable    = "GUAVARILL_FAULT_REQUESTS"
-	shortRun        = 4000
-	faultSeed       = 20261202
-	faultEntries    = 3
-	faultInstances  = 8
-	faultSlots      = 3 // of one entry at one instance
-	faultCallers    = 96
-	faultsPerMille  = 150
-	troubleEvery    = 20 * time.Millisecond
-	faultTimeout    = 400 * time.Millisecond
-	mostRepeats     = 3
-	cancelsPerMille = 50
-	leastAnswered   = 70 // of a hundred requests
+	sizeVariable       = "GUAVARILL_FAULT_REQUESTS"
+	shortRun           = 4000
+	faultSeed          = 20261202
+	faultEntries       = 3
+	faultInstances     = 8
+	faultSlots         = 3 // slots of each entry at each instance
+	faultCallers       = 96
+	faultsPerMille     = 150
+	disturbEvery       = 20 * time.Millisecond
+	faultTimeout       = 400 * time.Millisecond
+	maxSends           = 3
+	cancelsPerMille    = 50
+	minAnsweredPercent = 70
 
 	retryAfterDivisor = 10
 )
 
-// history is what callers were told of one request id.
+// history counts the results that callers got for one request id.
 type history struct {
 	idempotent                bool
 	notRun, unknown, answered int
 	reasons                   map[fate.Reason]int
 }
 
-// fleet is a few entries, with the homes of all in one process, and the
+// fleet is a set of entries, whose homes are all in one process, and the
 // instances of one service.
 type fleet struct {
 	t       *testing.T
@@ -98,7 +98,7 @@
 	return s
 }
 
-// plan draws the fault of a request.
+// plan selects the fault of a request at random.
 func (f *fleet) plan(string, *http.Request) target.Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,9 +124,9 @@
 	}
 }
 
-// trouble strikes an instance from time to time until stop is closed.
-func (f *fleet) trouble(stop chan struct{}) {
-	ticker := time.NewTicker(troubleEvery)
+// disturb disturbs a random instance every disturbEvery until stop is closed.
+func (f *fleet) disturb(stop chan struct{}) {
+	ticker := time.NewTicker(disturbEvery)
 	defer ticker.Stop()
 	for {
 		select {
@@ -152,26 +152,28 @@
 	}
 }
 
-// replace puts a new instance in the place of one that left, or that dies now.
-func (f *fleet) replace(n int, dies *target.Target) {
-	if dies != nil {
-		dies.Close()
+// replace starts a new instance in place of instance n, after closing victim if
+// it is not nil.
+func (f *fleet) replace(n int, victim *target.Target) {
+	if victim != nil {
+		victim.Close()
 	}
-	fresh := f.newInstance()
+	started := f.newInstance()
 	f.mu.Lock()
 	f.retired = append(f.retired, f.instances[n])
-	f.instances[n] = fresh
+	f.instances[n] = started
 	f.mu.Unlock()
 	f.listTargets()
 }
 
-// call has one id served, repeated through other entries as callers do.
+// call sends the request of one id, and may repeat it through random entries as
+// callers do.
 func (f *fleet) call(rnd *rand.Rand, id string) (*history, error) {
 	h := &history{idempotent: rnd.IntN(2) == 0, reasons: make(map[fate.Reason]int)}
 	req := newRequest(id)
 	req.Body = []byte(id)
 	req.Idempotent = h.idempotent
-	for range 1 + rnd.IntN(mostRepeats) {
+	for range 1 + rnd.IntN(maxSends) {
 		ctx, cancel := context.WithCancel(context.Background())
 		if rnd.IntN(1000) < cancelsPerMille {
 			time.AfterFunc(time.Duration(rnd.IntN(3000))*time.Microsecond, cancel)
@@ -181,7 +183,7 @@
 		if err := h.record(resp, err, req); err != nil {
 			return h, err
 		}
-		waitAsTold(err)
+		waitRetryAfter(err)
 		if h.answered > 0 && rnd.IntN(10) > 0 {
 			break
 		}
@@ -189,29 +191,31 @@
 	return h, nil
 }
 
-// waitAsTold has a caller that was refused wait as it was told, in a shortened
-// time. Callers that repeat at once are refused faster than any are served: in
-// a second they would use up every request of the run.
-func waitAsTold(err error) {
+// waitRetryAfter makes a refused caller wait for the retry delay it got,
+// divided by retryAfterDivisor. Callers that repeat at once are refused faster
+// than requests are served, and would use up all requests of the run within a
+// second.
+func waitRetryAfter(err error) {
 	var f *fate.Error
 	if errors.As(err, &f) && f.RetryAfter > 0 {
 		<-time.After(f.RetryAfter / retryAfterDivisor)
 	}
 }
 
-// wrongAnswerError is an answer that is not the caller's own, or not whole.
-type wrongAnswerError struct {
+// wrongResponseError reports a response that belongs to another request or is
+// incomplete.
+type wrongResponseError struct {
 	id   string
 	body []byte
 }
 
-func (e *wrongAnswerError) Error() string { return fmt.Sprintf("%s was answered %q", e.id, e.body) }
+func (e *wrongResponseError) Error() string { return fmt.Sprintf("%s was answered %q", e.id, e.body) }
 
 func (h *history) record(resp *traffic.Response, err error, req *traffic.Request) error {
 	if err == nil {
 		h.answered++
 		if !bytes.Equal(resp.Body, target.Answer(req.ID, req.Body)) {
-			return &wrongAnswerError{id: req.ID, body: resp.Body}
+			return &wrongResponseError{id: req.ID, body: resp.Body}
 		}
 		return nil
 	}
@@ -251,18 +255,19 @@
 	return n
 }
 
-// Symptom: a request that must not run twice does, one that was told not run
-// has run, or a caller has another's answer. Events: many callers, who leave,
-// give up and repeat through other entries, while targets break in every way,
-// fall silent, die, leave and return. The stand-ins count what truly ran.
+// Guards against a non-idempotent request that runs twice, a request that runs
+// although its fate is NotRun, and a response that reaches the wrong caller.
+// Many callers leave, give up and repeat through other entries, while targets
+// fail in every way, become silent, crash, leave and return. The stand-ins
+// count which requests actually ran.
 func TestFatesUnderFaults(t *testing.T) {
 	f := newFleet(t)
 	stop := make(chan struct{})
-	var troubles sync.WaitGroup
-	troubles.Go(func() { f.trouble(stop) })
+	var disturbing sync.WaitGroup
+	disturbing.Go(func() { f.disturb(stop) })
 	histories := f.callMany(faultRequests(t))
 	close(stop)
-	troubles.Wait()
+	disturbing.Wait()
 	for i, e := range f.engines {
 		if err := e.Drain(context.Background()); err != nil {
 			t.Error(err)
@@ -299,7 +304,7 @@
 	return histories
 }
 
-// check compares what callers were told with what ran.
+// check compares the fates that callers got with the requests that ran.
 func (f *fleet) check(histories map[string]*history) {
 	runs := f.allRuns()
 	var onceOnly, doubled, falseNotRun, unseen int
@@ -328,13 +333,13 @@
 		len(histories), onceOnly, total.answered, total.notRun, total.unknown, doubled, falseNotRun, unseen)
 	f.t.Logf("reasons: %v", total.reasons)
 	if doubled+falseNotRun+unseen > 0 {
-		f.t.Error("what callers were told does not agree with what ran")
+		f.t.Error("the fates that callers got do not match the requests that ran")
 	}
 	if total.notRun == 0 || total.unknown == 0 {
-		f.t.Error("a fate never came up: the test says nothing of it")
+		f.t.Error("the run had no request with the fate NotRun, or none with Unknown")
 	}
-	// An entry that refuses everything keeps every promise and serves nobody.
-	if total.answered < len(histories)*leastAnswered/100 {
-		f.t.Errorf("%d of %d were answered", total.answered, len(histories))
+	// An entry that refuses every request passes the checks above.
+	if total.answered < len(histories)*minAnsweredPercent/100 {
+		f.t.Errorf("only %d responses for %d request ids", total.answered, len(histories))
 	}
 }
--- a/traffic/claims_test.go
+++ b/traffic/claims_test.go
@@ -11,28 +11,28 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// homeSet is the homes of all entries in one process. A home may be away, or
-// answer only when told to.
+// homeSet holds the homes of all entries in one process. A home may be
+// unreachable, or delay its verdict until a channel is closed.
 type homeSet struct {
-	mu    sync.Mutex
-	homes map[model.DaemonID]*dedup.ClaimStore
-	away  map[model.DaemonID]bool
-	// hold, when set, is waited for before a home answers.
+	mu          sync.Mutex
+	homes       map[model.DaemonID]*dedup.ClaimStore
+	unreachable map[model.DaemonID]bool
+	// hold delays the verdict of a home until its channel is closed.
 	hold map[model.DaemonID]chan struct{}
 	// granted counts the claims that were granted.
 	granted int
 }
 
-// awayError is a home that cannot be reached.
-type awayError struct{ home model.DaemonID }
+// unreachableError reports that a home cannot be reached.
+type unreachableError struct{ home model.DaemonID }
 
-func (e *awayError) Error() string { return string(e.home) + " is away" }
+func (e *unreachableError) Error() string { return string(e.home) + " is unreachable" }
 
 func newHomeSet(o dedup.Options, entries ...model.DaemonID) *homeSet {
 	h := &homeSet{
-		homes: make(map[model.DaemonID]*dedup.ClaimStore),
-		away:  make(map[model.DaemonID]bool),
-		hold:  make(map[model.DaemonID]chan struct{}),
+		homes:       make(map[model.DaemonID]*dedup.ClaimStore),
+		unreachable: make(map[model.DaemonID]bool),
+		hold:        make(map[model.DaemonID]chan struct{}),
 	}
 	long := time.Now().Add(-o.WithDefaults().Retention)
 	for _, e := range entries {
@@ -41,11 +41,11 @@
 	return h
 }
 
-// takeAway makes a home unreachable.
-func (h *homeSet) takeAway(home model.DaemonID) {
+// makeUnreachable makes a home unreachable.
+func (h *homeSet) makeUnreachable(home model.DaemonID) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.away[home] = true
+	h.unreachable[home] = true
 }
 
 func (h *homeSet) Claim(ctx context.Context, home model.DaemonID, r dedup.Request) (dedup.Verdict, error) {
@@ -57,8 +57,8 @@
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.away[home] {
-		return dedup.Unsure, &awayError{home: home}
+	if h.unreachable[home] {
+		return dedup.Unsure, &unreachableError{home: home}
 	}
 	v := h.homes[home].Claim(time.Now(), r)
 	if v == dedup.Granted {
@@ -131,23 +131,24 @@
 func TestClaimNeedsMajority(t *testing.T) {
 	h := newHomeSet(dedup.Options{}, "a", "b", "c")
 	c := h.claims("a", longAgo, dedup.Options{})
-	h.takeAway("b")
+	h.makeUnreachable("b")
 	if _, outcome := c.Claim(context.Background(), claimRequest("one-away")); outcome != dedup.Proceed {
-		t.Errorf("one home away: %s", outcome)
+		t.Errorf("one home unreachable: %s", outcome)
 	}
-	// The claim goes on at a home that has not answered when two have.
-	eventually(t, "both homes that are there grant it", func() bool { return h.grants() == 2 })
+	// The claim continues at homes that have not answered when it is decided.
+	eventually(t, "both reachable homes grant the claim", func() bool { return h.grants() == 2 })
 	recorded := h.records()
-	h.takeAway("c")
+	h.makeUnreachable("c")
 	if _, outcome := c.Claim(context.Background(), claimRequest("two-away")); outcome != dedup.RefusedUnsure {
-		t.Errorf("two homes away: %s", outcome)
+		t.Errorf("two homes unreachable: %s", outcome)
 	}
-	eventually(t, "the refused claim is taken back", func() bool { return h.records() == recorded })
+	eventually(t, "the refused claim is released", func() bool { return h.records() == recorded })
 }
 
-// Symptom: an id is held for nobody until its record expires. Events: the
-// caller leaves while two homes have not answered; they grant the claim later.
-// Cause: grants that come after the claim was given up are not released.
+// Guards against an id that stays claimed without a claimant until its record
+// expires. The caller leaves before two of the homes have answered, and they
+// grant the claim later. Grants that arrive after the claim was abandoned must
+// be released.
 func TestLateGrantIsReleased(t *testing.T) {
 	h := newHomeSet(dedup.Options{}, "a", "b", "c")
 	c := h.claims("a", longAgo, dedup.Options{})
@@ -159,19 +160,20 @@
 		t.Fatalf("got %s", outcome)
 	}
 	close(hold)
-	eventually(t, "all homes grant the claim and hear of its end", func() bool {
+	eventually(t, "all homes grant the claim and release it", func() bool {
 		return h.grants() == dedup.NumHomes && h.records() == 0
 	})
 }
 
-// An entry whose own view may still differ from the others' claims nothing.
-func TestYoungEntryClaimsNothing(t *testing.T) {
+// An entry makes no claim while its view of the members may still differ from
+// that of the others.
+func TestRecentlyBootedEntryClaimsNothing(t *testing.T) {
 	h := newHomeSet(dedup.Options{}, "a", "b", "c")
 	c := h.claims("a", time.Now(), dedup.Options{MembershipDelay: time.Hour})
 	if _, outcome := c.Claim(context.Background(), claimRequest("r")); outcome != dedup.RefusedUnsure {
 		t.Errorf("got %s", outcome)
 	}
 	if got := h.records(); got != 0 {
-		t.Errorf("%d records", got)
+		t.Errorf("%d records, want none", got)
 	}
 }
