--- a/adapter/callerapi/header.go
+++ b/adapter/callerapi/header.go
@@ -7,8 +7,9 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// hopHeaders belong to one connection and are not passed on (RFC 9110, section
-// 7.6.1). Content-Length and Expect are the framing's own.
+// hopHeaders are the headers that are not forwarded: hop-by-hop headers (RFC
+// 9110, section 7.6.1), and Content-Length and Expect, which concern the framing
+// of a message.
 var hopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -23,14 +24,17 @@
 	"Expect":              true,
 }
 
-const ownPrefix = "Guavarill-"
+// reservedPrefix begins the headers that are reserved for the entry and its
+// targets.
+const reservedPrefix = "Guavarill-"
 
-// passedHeader returns the headers that go on to the other side.
-func passedHeader(h http.Header) http.Header {
+// forwardedHeader returns the headers of h that are forwarded. The value slices
+// are shared with h.
+func forwardedHeader(h http.Header) http.Header {
 	named := connectionTokens(h)
 	passed := make(http.Header, len(h))
 	for name, values := range h {
-		if hopHeaders[name] || named[name] || strings.HasPrefix(name, ownPrefix) {
+		if hopHeaders[name] || named[name] || strings.HasPrefix(name, reservedPrefix) {
 			continue
 		}
 		passed[name] = values
@@ -38,8 +42,8 @@
 	return passed
 }
 
-// connectionTokens returns the headers that Connection declares to be of this
-// connection alone.
+// connectionTokens returns the header names that the Connection header lists as
+// hop-by-hop.
 func connectionTokens(h http.Header) map[string]bool {
 	values := h["Connection"]
 	if len(values) == 0 {
@@ -54,8 +58,9 @@
 	return named
 }
 
-// setOwn sets the headers that every response carries.
-func setOwn(h http.Header, fateName, id string) {
+// setFateHeaders sets the fate and, unless it is empty, the request id, which
+// every response contains.
+func setFateHeaders(h http.Header, fateName, id string) {
 	h[traffic.HeaderFate] = []string{fateName}
 	if id != "" {
 		h[traffic.HeaderRequestID] = []string{id}
--- a/adapter/httptarget/dial.go
+++ b/adapter/httptarget/dial.go
@@ -11,7 +11,8 @@
 	"github.com/guavarill/guavarill/traffic"
 )
 
-// dial makes the connection that take counted in.
+// dial opens the connection that take has already counted in p.open. On failure
+// it gives the place back.
 func (p *pool) dial(ctx context.Context) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.t.o.ConnectTimeout)
 	defer cancel()
@@ -48,12 +49,12 @@
 	return c, nil
 }
 
-// connectError sorts what kept an exchange from having a connection. Nothing
-// was sent.
+// connectError converts an error of acquiring a connection into an
+// ExchangeError with its reason. Nothing of the request was sent.
 func connectError(ctx context.Context, address string, err error) *traffic.ExchangeError {
 	x := &traffic.ExchangeError{
 		Address: address,
-		Point:   fate.Connecting,
+		Stage:   fate.Connecting,
 		Sent:    fate.SentNothing,
 		Reason:  fate.ReasonConnectFailed,
 		Cause:   err,
--- a/adapter/httptarget/fate_test.go
+++ b/adapter/httptarget/fate_test.go
@@ -46,7 +46,7 @@
 	}}
 }
 
-func within(t *testing.T) context.Context {
+func testContext(t *testing.T) context.Context {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), patience)
 	t.Cleanup(cancel)
@@ -62,22 +62,22 @@
 	return x
 }
 
-func checkAnswer(t *testing.T, resp *traffic.Response, err error, call *traffic.Call) {
+func checkResponse(t *testing.T, resp *traffic.Response, err error, call *traffic.Call) {
 	t.Helper()
 	if err != nil {
 		t.Fatalf("request %s: %v", call.ID, err)
 	}
 	if want := target.Answer(call.ID, call.Body); !bytes.Equal(resp.Body, want) {
-		t.Fatalf("request %s: got answer %q, want %q", call.ID, resp.Body, want)
+		t.Fatalf("request %s: got response %q, want %q", call.ID, resp.Body, want)
 	}
 }
 
-// Each way in which the target can break an exchange, over real sockets: how
-// far it got, what became of the request, and whether the stand-in ran it.
+// Covers each way in which a target can break an exchange, over real sockets:
+// the stage reached, the fate of the request, and whether the stand-in ran it.
 func TestFateAtEveryPoint(t *testing.T) {
 	tests := []struct {
 		kind   target.Kind
-		point  fate.Stage
+		stage  fate.Stage
 		fate   fate.Fate
 		reason fate.Reason
 		runs   int
@@ -102,14 +102,14 @@
 			instance := newInstance(t, target.Options{})
 			client.Limit(instance.Address(), 4)
 			warm := newCall("warm", "x")
-			resp, err := client.Do(within(t), instance.Address(), warm)
-			checkAnswer(t, resp, err, warm)
+			resp, err := client.Do(testContext(t), instance.Address(), warm)
+			checkResponse(t, resp, err, warm)
 			instance.SetFault(target.Fault{Kind: test.kind})
-			_, err = client.Do(within(t), instance.Address(), newCall("r", "body"))
+			_, err = client.Do(testContext(t), instance.Address(), newCall("r", "body"))
 			x := exchangeError(t, err)
-			if x.Point != test.point || x.Fate() != test.fate || x.Reason != test.reason {
+			if x.Stage != test.stage || x.Fate() != test.fate || x.Reason != test.reason {
 				t.Errorf("got %s, %s, %s; want %s, %s, %s (%v)",
-					x.Point, x.Fate(), x.Reason, test.point, test.fate, test.reason, err)
+					x.Stage, x.Fate(), x.Reason, test.stage, test.fate, test.reason, err)
 			}
 			if got := instance.Runs("r"); got != test.runs {
 				t.Errorf("ran %d times, want %d", got, test.runs)
@@ -118,8 +118,8 @@
 	}
 }
 
-// Points that the stand-in has no part in: there is nobody to connect to, or
-// the request cannot be begun.
+// Covers the stages before a connection exists: no connection is allowed, or
+// the target's address refuses connections.
 func TestFateBeforeConnect(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -129,36 +129,35 @@
 	l.Close() //nolint:errcheck // the address is free from here
 	client := newClient(t, httptarget.Options{})
 
-	_, err = client.Do(within(t), address, newCall("r", "x"))
+	_, err = client.Do(testContext(t), address, newCall("r", "x"))
 	x := exchangeError(t, err)
-	if x.Point != fate.BeforeConnect || x.Fate() != fate.NotRun || x.Reason != fate.ReasonNoConnection {
-		t.Errorf("without a share: got %v", err)
+	if x.Stage != fate.BeforeConnect || x.Fate() != fate.NotRun || x.Reason != fate.ReasonNoConnection {
+		t.Errorf("without an allowed connection: got %v", err)
 	}
 	client.Limit(address, 1)
-	_, err = client.Do(within(t), address, newCall("r", "x"))
+	_, err = client.Do(testContext(t), address, newCall("r", "x"))
 	x = exchangeError(t, err)
-	if x.Point != fate.Connecting || x.Fate() != fate.NotRun || x.Reason != fate.ReasonConnectRefused {
+	if x.Stage != fate.Connecting || x.Fate() != fate.NotRun || x.Reason != fate.ReasonConnectRefused {
 		t.Errorf("refused: got %v", err)
 	}
 }
 
-// Symptom: a caller that goes away while its request is being sent is told
-// nothing, but the request is counted as not run and its id released. Events:
-// the target stops reading in the middle of a large body; the caller leaves.
-// Cause: a part that was sent was taken for nothing sent.
+// Guards against counting a partly sent request as not run and releasing its id.
+// The target stops reading in the middle of a large body and the caller cancels;
+// the part already sent was treated as nothing sent.
 func TestCallerGoneWhileSending(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close() //nolint:errcheck // the test is over
-	ctx, leave := context.WithCancel(within(t))
+	ctx, leave := context.WithCancel(testContext(t))
 	go func() {
 		conn, err := l.Accept()
 		if err != nil {
 			return
 		}
-		// The head has come, and the body fills the buffers.
+		// The first bytes have arrived, and the body fills the buffers.
 		io.ReadFull(conn, make([]byte, 64)) //nolint:errcheck // only a signal
 		leave()
 		<-ctx.Done()
@@ -172,7 +171,8 @@
 	}
 }
 
-// The deadline or the caller ends an exchange whose answer does not come.
+// An exchange without a response ends at its deadline; a call whose context is
+// already cancelled sends nothing.
 func TestGivenUpWhileWaiting(t *testing.T) {
 	instance := newInstance(t, target.Options{})
 	instance.SetFault(target.Fault{Kind: target.Hang})
@@ -182,7 +182,7 @@
 	defer cancel()
 	_, err := client.Do(short, instance.Address(), newCall("late", "x"))
 	x := exchangeError(t, err)
-	if x.Point != fate.AwaitingHead || x.Fate() != fate.Unknown || x.Reason != fate.ReasonDeadline {
+	if x.Stage != fate.AwaitingHead || x.Fate() != fate.Unknown || x.Reason != fate.ReasonDeadline {
 		t.Errorf("deadline: got %v", err)
 	}
 	over, cancel := context.WithCancel(context.Background())
--- a/adapter/tlsfiles/source.go
+++ b/adapter/tlsfiles/source.go
@@ -11,57 +11,59 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// DefaultInterval is how often the files are looked at again.
+// DefaultInterval is the default of Options.Interval.
 const DefaultInterval = 10 * time.Second
 
-// Options names the files. All three must be given: peers prove themselves to
-// each other with certificates of the one CA.
+// Options configures a Source. All three files are required: peers authenticate
+// each other with certificates signed by the same CA.
 type Options struct {
 	CertFile string
 	KeyFile  string
 	CAFile   string
-	// Interval is the least time between two looks at the files;
-	// DefaultInterval when 0.
+	// Interval is the minimum time between two reads of the files; 0 means
+	// DefaultInterval.
 	Interval time.Duration
-	// Clock is the machine's clock when nil.
+	// Clock measures Interval; nil means the system clock.
 	Clock port.Clock
 }
 
-// Source holds the settings read last. It is safe for concurrent use.
+// Source holds the certificates that were loaded last and reloads changed files.
+// It is safe for concurrent use.
 type Source struct {
 	o Options
 
-	mu      sync.Mutex
-	looked  time.Time
-	pem     contents
-	current material
-	stats   Stats
+	mu          sync.Mutex
+	lastChecked time.Time
+	pem         pemFiles
+	current     parsedFiles
+	stats       Stats
 }
 
-// Stats counts what a Source did.
+// Stats holds the counters of a Source.
 type Stats struct {
-	// Reloads counts changed files taken up.
+	// Reloads counts reloads of changed files.
 	Reloads uint64
-	// Failures counts looks that left the previous settings in force.
+	// Failures counts failed reads, after which the previous certificates stay
+	// in use.
 	Failures uint64
 }
 
-// contents is the files' bytes.
-type contents struct {
+// pemFiles holds the contents of the three files.
+type pemFiles struct {
 	cert, key, ca []byte
 }
 
-func (c contents) equal(o contents) bool {
+func (c pemFiles) equal(o pemFiles) bool {
 	return bytes.Equal(c.cert, o.cert) && bytes.Equal(c.key, o.key) && bytes.Equal(c.ca, o.ca)
 }
 
-// material is the parsed files.
-type material struct {
+// parsedFiles holds the certificate and the CA pool parsed from the files.
+type parsedFiles struct {
 	cert  tls.Certificate
 	roots *x509.CertPool
 }
 
-// New reads the files. An error is a *Error.
+// New loads the files and returns a Source. An error is an *Error.
 func New(o Options) (*Source, error) {
 	if o.CertFile == "" || o.KeyFile == "" || o.CAFile == "" {
 		return nil, &Error{Kind: KindIncomplete}
@@ -72,7 +74,7 @@
 	if o.Clock == nil {
 		o.Clock = port.SystemClock{}
 	}
-	s := &Source{o: o, looked: o.Clock.Now()}
+	s := &Source{o: o, lastChecked: o.Clock.Now()}
 	pem, err := s.read()
 	if err != nil {
 		return nil, err
@@ -85,31 +87,31 @@
 	return s, nil
 }
 
-// Stats returns the counters.
+// Stats returns a copy of the counters.
 func (s *Source) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.stats
 }
 
-// latest returns the settings in force, after a look at the files when the
-// last one is older than the interval.
-func (s *Source) latest() material {
+// latest returns the certificates in use. It first reloads the files if they were
+// last read at least one interval ago.
+func (s *Source) latest() parsedFiles {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.o.Clock.Now()
-	if now.Sub(s.looked) < s.o.Interval {
+	if now.Sub(s.lastChecked) < s.o.Interval {
 		return s.current
 	}
-	s.looked = now
+	s.lastChecked = now
 	s.reload()
 	return s.current
 }
 
-// reload takes up changed files. Certificate and key are replaced one after
-// the other by most tools; a look between the two finds a pair that does not
-// match and must not be taken up, or every handshake until the next look
-// would fail.
+// reload parses the files if they changed and keeps the previous certificates on
+// failure. Most tools replace the certificate and the key one after the other, so
+// a read between the two finds a pair that does not match. If that pair were
+// used, every handshake until the next read would fail.
 func (s *Source) reload() {
 	pem, err := s.read()
 	if err != nil {
@@ -128,8 +130,8 @@
 	s.stats.Reloads++
 }
 
-func (s *Source) read() (contents, error) {
-	var c contents
+func (s *Source) read() (pemFiles, error) {
+	var c pemFiles
 	files := []struct {
 		name string
 		into *[]byte
@@ -137,21 +139,21 @@
 	for _, f := range files {
 		data, err := os.ReadFile(f.name)
 		if err != nil {
-			return contents{}, &Error{Kind: KindUnreadable, File: f.name, Cause: err}
+			return pemFiles{}, &Error{Kind: KindUnreadable, File: f.name, Cause: err}
 		}
 		*f.into = data
 	}
 	return c, nil
 }
 
-func parse(o Options, c contents) (material, error) {
+func parse(o Options, c pemFiles) (parsedFiles, error) {
 	cert, err := tls.X509KeyPair(c.cert, c.key)
 	if err != nil {
-		return material{}, &Error{Kind: KindBadKeyPair, File: o.CertFile, Cause: err}
+		return parsedFiles{}, &Error{Kind: KindBadKeyPair, File: o.CertFile, Cause: err}
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(c.ca) {
-		return material{}, &Error{Kind: KindBadCA, File: o.CAFile}
+		return parsedFiles{}, &Error{Kind: KindBadCA, File: o.CAFile}
 	}
-	return material{cert: cert, roots: roots}, nil
+	return parsedFiles{cert: cert, roots: roots}, nil
 }
--- a/traffic/exchange.go
+++ b/traffic/exchange.go
@@ -11,34 +11,34 @@
 	"github.com/guavarill/guavarill/core/routing"
 )
 
-// exchange sends the request to the chosen target and gives the slot back,
-// exactly once, whatever happens.
-func (j *journey) exchange(ctx context.Context, choice *routing.Choice) (*Response, *ExchangeError) {
+// exchange sends the request to the chosen target. It releases the slot
+// exactly once, on every path.
+func (j *requestRun) exchange(ctx context.Context, choice *routing.Choice) (*Response, *ExchangeError) {
 	start := j.s.e.o.Clock.Now()
 	result := routing.Result{Outcome: routing.Canceled}
 	held := &slot{choice: choice}
-	defer func() { j.s.released(held.giveBack(), result) }()
-	if failure := j.mayNotSend(ctx, start); failure != nil {
+	defer func() { j.s.releaseSlot(held.take(), result) }()
+	if failure := j.checkSendable(ctx, start); failure != nil {
 		return nil, failure
 	}
 	j.attempts++
 	j.s.metrics.attempts.Inc()
 	address := choice.Address()
 	silence := choice.SilenceAfter()
-	overdue := time.AfterFunc(choice.OverdueAfter(), func() { held.overdue(j.s.e.o.Clock.Now()) })
+	overdue := time.AfterFunc(choice.OverdueAfter(), func() { held.reportOverdue(j.s.e.o.Clock.Now()) })
 	defer overdue.Stop()
 	resp, err := j.s.e.o.Target.Do(ctx, address, &Call{
-		Request:      j.req,
-		Fresh:        choice.RequiresNewConnection(),
-		TrustSince:   choice.TrustSince(),
-		SilenceAfter: silence,
-		Silent:       j.onSilence(held, j.attempts),
+		Request:       j.req,
+		NewConnection: choice.RequiresNewConnection(),
+		TrustSince:    choice.TrustSince(),
+		SilenceAfter:  silence,
+		OnSilence:     j.onSilence(held, j.attempts),
 	})
 	result.Latency = j.s.e.o.Clock.Now().Sub(start)
 	if err != nil {
 		failure := asExchangeError(address, err)
 		result.Outcome = outcomeOf(ctx, failure, result.Latency >= silence)
-		j.failed(address, failure)
+		j.recordFailure(address, failure)
 		return nil, failure
 	}
 	result.Outcome = routing.OK
@@ -46,15 +46,16 @@
 		result.Outcome = routing.Failed
 	}
 	if resp.Leaving {
-		j.targetLeaves(address)
+		j.markTargetLeaving(address)
 	}
 	resp.Address = address
 	return resp, nil
 }
 
-// onSilence gives an exchange up only when the request would be sent again:
-// otherwise a slow answer is still worth waiting for.
-func (j *journey) onSilence(held *slot, attempts int) func(bool) bool {
+// onSilence returns the callback for a silent target. It abandons the exchange
+// only if the request would be sent again. Otherwise the exchange continues,
+// because a slow response is better than none.
+func (j *requestRun) onSilence(held *slot, attempts int) func(bool) bool {
 	return func(proven bool) bool {
 		now := j.s.e.o.Clock.Now()
 		again := j.s.wouldRetry(now, retry.Failure{
@@ -64,21 +65,21 @@
 			Deadline:   j.deadline,
 		})
 		if !proven {
-			held.overdue(now)
+			held.reportOverdue(now)
 			j.s.dispatch(now)
 		}
 		return again
 	}
 }
 
-// slot is a choice that must not be touched once it was given back, since the
-// balancer uses it again for another request.
+// slot guards a choice against use after its release, because the balancer
+// reuses it for another request.
 type slot struct {
 	mu     sync.Mutex
 	choice *routing.Choice
 }
 
-func (h *slot) giveBack() *routing.Choice {
+func (h *slot) take() *routing.Choice {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	choice := h.choice
@@ -86,8 +87,9 @@
 	return choice
 }
 
-// overdue tells the balancer that the exchange lasts longer than is usual.
-func (h *slot) overdue(now time.Time) {
+// reportOverdue reports to the balancer that the exchange takes longer than
+// usual. It does nothing after giveBack.
+func (h *slot) reportOverdue(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.choice != nil {
@@ -95,14 +97,16 @@
 	}
 }
 
-// statusServerError is the first status by which a target reports a failure
-// of its own.
+// statusServerError is the lowest HTTP status that counts as a failure of the
+// target.
 const statusServerError = 500
 
-// mayNotSend looks at the clock a last time. A process that was paused since
-// the claim may find that the homes have meanwhile forgotten it and another
-// entry has sent the request; one would notice only by the second run.
-func (j *journey) mayNotSend(ctx context.Context, now time.Time) *ExchangeError {
+// checkSendable checks the deadline and the age of the claim just before
+// sending, and returns an error if the request must not be sent. If the process
+// was paused after the claim, the homes may have expired the claim and another
+// entry may have sent the request. Sending it then would run it twice, and
+// nothing else would detect that.
+func (j *requestRun) checkSendable(ctx context.Context, now time.Time) *ExchangeError {
 	switch {
 	case ctx.Err() != nil:
 		return &ExchangeError{Reason: reasonOf(ctx), Cause: ctx.Err()}
@@ -114,7 +118,7 @@
 	return nil
 }
 
-func (j *journey) failed(address string, failure *ExchangeError) {
+func (j *requestRun) recordFailure(address string, failure *ExchangeError) {
 	j.fate = j.fate.Combine(failure.Fate())
 	if failure.Fate() != fate.NotRun {
 		j.unknown = failure
@@ -123,17 +127,18 @@
 		j.avoid = append(j.avoid, address)
 	}
 	if failure.Leaving {
-		j.targetLeaves(address)
+		j.markTargetLeaving(address)
 	}
 }
 
-func (j *journey) targetLeaves(address string) {
+func (j *requestRun) markTargetLeaving(address string) {
 	j.s.balancer.MarkLeaving(address)
 	j.s.e.o.OnLeaving(j.s.name, address)
 }
 
-// outcomeOf says what a failed exchange tells of the target. Overdue is whether
-// it lasted longer than an answer plausibly takes.
+// outcomeOf returns the outcome that a failed exchange reports to the balancer.
+// Overdue is whether the exchange lasted at least as long as the target's
+// silence limit.
 func outcomeOf(ctx context.Context, x *ExchangeError, overdue bool) routing.Outcome {
 	switch {
 	case x.ConnectionOnly, x.Reason == fate.ReasonNoConnection:
@@ -142,11 +147,11 @@
 		return routing.Refused
 	case x.Reason == fate.ReasonTargetSilent, x.Reason == fate.ReasonConnectFailed:
 		return routing.Silent
-	case ctx.Err() != nil && x.Point == fate.AwaitingHead && overdue:
+	case ctx.Err() != nil && x.Stage == fate.AwaitingHead && overdue:
 		return routing.Silent
 	case ctx.Err() != nil:
-		// A caller that goes away, or allows less time than an answer usually
-		// takes, says nothing of the target.
+		// A caller that leaves, or whose timeout is shorter than a usual
+		// response time, is no evidence about the target.
 		return routing.Canceled
 	}
 	return routing.Failed
@@ -157,10 +162,11 @@
 	if errors.As(err, &x) {
 		return x
 	}
-	// A target that returns another error gives no account of what it sent.
+	// Any other error does not say how much was sent, so the request may have
+	// been run.
 	return &ExchangeError{
 		Address: address,
-		Point:   fate.AwaitingHead,
+		Stage:   fate.AwaitingHead,
 		Sent:    fate.SentAll,
 		Reason:  fate.ReasonInternal,
 		Cause:   err,
--- a/traffic/metrics.go
+++ b/traffic/metrics.go
@@ -10,13 +10,14 @@
 
 const metricsNamespace = "guavarill"
 
-// reasonNone labels requests that were answered.
+// reasonNone is the reason label of answered requests.
 const reasonNone = fate.Reason("none")
 
-// latencyBuckets spans loopback answers to the longest timeout, in seconds.
+// latencyBuckets ranges, in seconds, from responses over loopback to the
+// longest timeout.
 var latencyBuckets = prometheus.ExponentialBuckets(0.0005, 2, 18)
 
-// metrics are the engine's counters, by service.
+// metrics holds the engine's metrics, which are all labeled by service.
 type metrics struct {
 	requests *prometheus.CounterVec
 	latency  *prometheus.HistogramVec
@@ -64,7 +65,8 @@
 	}, []string{"service"})
 }
 
-// serviceMetrics are the metrics of one service, looked up once.
+// serviceMetrics holds the metrics of one service, whose series are looked up
+// once.
 type serviceMetrics struct {
 	all      *metrics
 	service  string
@@ -90,7 +92,7 @@
 	return s
 }
 
-func (s *serviceMetrics) finished(err *fate.Error, seconds float64) {
+func (s *serviceMetrics) observeFinished(err *fate.Error, seconds float64) {
 	if err == nil {
 		s.answered.Inc()
 		s.latency[fate.Answered].Observe(seconds)
@@ -100,17 +102,17 @@
 	s.latency[err.Fate].Observe(seconds)
 }
 
-func (s *serviceMetrics) retried(v retry.Verdict) {
+func (s *serviceMetrics) countRetryDecision(v retry.Verdict) {
 	s.all.retries.WithLabelValues(s.service, v.String()).Inc()
 }
 
-func (s *serviceMetrics) claimed(o dedup.Outcome) {
+func (s *serviceMetrics) countClaim(o dedup.Outcome) {
 	s.all.claims.WithLabelValues(s.service, o.String()).Inc()
 }
 
-// removed drops the series of a service that is no longer declared, so that
-// the metrics stay as many as the services are.
-func (m *metrics) removed(service string) {
+// deleteService deletes the series of a service that is no longer declared, so
+// that the number of series stays proportional to the number of services.
+func (m *metrics) deleteService(service string) {
 	label := prometheus.Labels{"service": service}
 	m.requests.DeletePartialMatch(label)
 	m.latency.DeletePartialMatch(label)
