--- a/adapter/etcdstore/classify.go
+++ b/adapter/etcdstore/classify.go
@@ -11,18 +11,19 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// AnswerError is an answer that the protocol does not allow.
-type AnswerError struct {
+// ResponseError reports a response that violates the protocol, or the reason that
+// the store gave for canceling a watch.
+type ResponseError struct {
 	Reason string
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string { return e.Reason }
+func (e *ResponseError) Error() string { return e.Reason }
 
-// classify turns a failed exchange into a StoreError. sent is whether the
-// call's message was handed to a connection.
+// classify converts the error of a failed exchange into a StoreError. sent
+// reports whether the call's message was passed to a connection.
 func classify(ctx context.Context, c *call, err error, sent bool) *port.StoreError {
-	failure := &port.StoreError{Call: c.name, Kind: port.StoreUnavailable, Outcome: c.lostOutcome(), Cause: err}
+	failure := &port.StoreError{Call: c.name, Kind: port.StoreUnavailable, Outcome: c.outcomeWithoutResponse(), Cause: err}
 	if !sent {
 		failure.Outcome = port.OutcomeNotDone
 	}
@@ -34,7 +35,7 @@
 	if !ok {
 		return failure
 	}
-	kind, notDone := (&etcdwire.Refusal{Code: st.Code(), Text: st.Message()}).Sort()
+	kind, notDone := (&etcdwire.Refusal{Code: st.Code(), Text: st.Message()}).Classify()
 	failure.Kind = kind
 	if notDone {
 		failure.Outcome = port.OutcomeNotDone
@@ -46,9 +47,10 @@
 	return errors.Is(ctx.Err(), context.Canceled)
 }
 
-// answered is whether err is the store's own word on the call, which shows
-// that the connection works.
-func answered(err error) bool {
+// isStoreResponse reports whether err is a status returned by the store itself,
+// which proves that the connection works. Statuses that the gRPC library also
+// creates locally prove nothing.
+func isStoreResponse(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.Canceled, codes.DeadlineExceeded, codes.Unknown, codes.Internal:
 		return false
@@ -57,11 +59,11 @@
 	}
 }
 
-// badAnswer is a call that succeeded with an answer that makes no sense: what
-// it did is not known.
-func badAnswer(c *call, reason string) *port.StoreError {
+// malformedResponse returns the error of a call that succeeded with a malformed
+// response. The outcome of a mutating call is then unknown.
+func malformedResponse(c *call, reason string) *port.StoreError {
 	return &port.StoreError{
-		Call: c.name, Kind: port.StoreMalformedResponse, Outcome: c.lostOutcome(),
-		Cause: &AnswerError{Reason: reason},
+		Call: c.name, Kind: port.StoreMalformedResponse, Outcome: c.outcomeWithoutResponse(),
+		Cause: &ResponseError{Reason: reason},
 	}
 }
--- a/adapter/etcdstore/store_test.go
+++ b/adapter/etcdstore/store_test.go
@@ -15,12 +15,12 @@
 	"github.com/guavarill/guavarill/standin/store"
 )
 
-// shortTimeout is for calls that are to run into it, and long enough for the
-// others of the same test.
+// shortTimeout is the timeout in tests whose calls must time out. It is long
+// enough for the other calls of the same test to succeed.
 const shortTimeout = 2 * time.Second
 
-func TestCallsCarryTheContents(t *testing.T) {
-	_, s := connect(t, patience)
+func TestCallsReadAndWriteTheContents(t *testing.T) {
+	_, s := connect(t, waitTimeout)
 	ctx := context.Background()
 	lease, err := s.GrantLease(ctx, 1500*time.Millisecond)
 	if err != nil {
@@ -49,19 +49,19 @@
 		t.Error(err)
 	}
 	if kv, err := s.Get(ctx, "a/2"); err != nil || kv.ModRevision != 0 || kv.Key != "a/2" {
-		t.Errorf("key of an ended lease: %+v, %v", kv, err)
+		t.Errorf("key of a revoked lease: %+v, %v", kv, err)
 	}
 }
 
-func TestLostAnswersLeaveChangesUnknown(t *testing.T) {
+func TestLostResponsesLeaveOutcomesUnknown(t *testing.T) {
 	faults := []struct {
 		name    string
 		arm     func(*store.Server)
 		kind    port.StoreErrorKind
 		changed bool
 	}{
-		{"answer lost with the connection", func(s *store.Server) { s.LoseAnswer(1, store.LossBreak) }, port.StoreUnavailable, true},
-		{"answer never sent", func(s *store.Server) { s.LoseAnswer(1, store.LossHang) }, port.StoreTimeout, true},
+		{"response lost with the connection", func(s *store.Server) { s.LoseAnswer(1, store.LossBreak) }, port.StoreUnavailable, true},
+		{"response never sent", func(s *store.Server) { s.LoseAnswer(1, store.LossHang) }, port.StoreTimeout, true},
 		{"request lost with the connection", func(s *store.Server) { s.DropBefore(1, store.LossBreak) }, port.StoreUnavailable, false},
 		{"request never handled", func(s *store.Server) { s.DropBefore(1, store.LossHang) }, port.StoreTimeout, false},
 	}
@@ -83,9 +83,9 @@
 	}
 }
 
-// Symptom: a slow store makes a change that was reported as failed.
-// Sequence: the call times out; the store goes on with it and makes the change.
-// Cause: a timeout proves nothing.
+// Guards against a change that a slow store makes after it was reported as not
+// done: the call times out, but the store continues to process it. A timeout
+// therefore leaves the outcome unknown.
 func TestSlowChangeIsMadeAfterItsTimeout(t *testing.T) {
 	t.Parallel()
 	server, s := connect(t, shortTimeout)
@@ -120,11 +120,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			server, s := connect(t, patience)
+			server, s := connect(t, waitTimeout)
 			_, err := s.Txn(c.ctx, nil, c.changes)
 			wantFailure(t, err, c.kind, port.OutcomeNotDone)
 			if server.Revision() != 1 {
-				t.Error("something was changed")
+				t.Error("the store was changed")
 			}
 			if n := server.Calls(store.MethodTxn); n != c.calls {
 				t.Errorf("%d calls reached the store, want %d", n, c.calls)
@@ -140,17 +140,17 @@
 	_, err := s.Txn(context.Background(), nil, put("k", "v"))
 	wantFailure(t, err, port.StoreUnavailable, port.OutcomeNotDone)
 	server.Up()
-	await(t, "the store's return", func() bool {
+	await(t, "the store to be available again", func() bool {
 		_, err := s.Txn(context.Background(), nil, put("k", "v"))
 		return err == nil
 	})
 }
 
-// Symptom: a call's caller is told that nothing was done, and it was.
-// Sequence: the caller gives up while its call is at the store.
-// Cause: giving up was taken for not having sent.
-func TestCallGivenUpWhileAtTheStoreIsUnknown(t *testing.T) {
-	server, s := connect(t, patience)
+// Guards against reporting a change that was made as not done: the caller
+// cancels while the store processes the call, and the adapter takes a canceled
+// call for one that was never sent.
+func TestCallCanceledInFlightIsUnknown(t *testing.T) {
+	server, s := connect(t, waitTimeout)
 	server.LoseAnswer(1, store.LossHang)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -164,21 +164,21 @@
 	wantFailure(t, <-failed, port.StoreCallCanceled, port.OutcomeUnknown)
 }
 
-func TestStoreRefusesForItsLoad(t *testing.T) {
+func TestRateLimitOfTheStoreIsReported(t *testing.T) {
 	server, addr := startServer(t, store.Options{WritesPerSecond: 1, Clock: store.NewManualClock(time.Now())})
-	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: patience})
+	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: waitTimeout})
 	if _, err := s.Txn(context.Background(), nil, put("k", "v")); err != nil {
 		t.Fatal(err)
 	}
 	_, err := s.Txn(context.Background(), nil, put("k", "w"))
 	wantFailure(t, err, etcdwire.KindOverloaded, port.OutcomeNotDone)
 	if server.Revision() != 2 {
-		t.Error("the refused change was made")
+		t.Error("the rejected change was made")
 	}
 }
 
-func TestLeaseThatLapsedIsGone(t *testing.T) {
-	server, s := connect(t, patience)
+func TestExpiredLeaseIsNotFound(t *testing.T) {
+	server, s := connect(t, waitTimeout)
 	ctx := context.Background()
 	id, err := s.GrantLease(ctx, time.Minute)
 	if err != nil {
@@ -228,6 +228,6 @@
 
 func TestOptionsAreChecked(t *testing.T) {
 	if _, err := etcdstore.New(etcdstore.Options{Endpoint: "nowhere"}); err == nil {
-		t.Error("an endpoint without a port was taken")
+		t.Error("an endpoint without a port was accepted")
 	}
 }
--- a/adapter/etcdstore/watch_test.go
+++ b/adapter/etcdstore/watch_test.go
@@ -31,7 +31,7 @@
 	return result.Revision
 }
 
-// wantEnd reads events until the watch's end.
+// wantEnd reads events until the watch ends and checks the kind of its error.
 func wantEnd(t *testing.T, events <-chan port.WatchEvent, kind port.StoreErrorKind) {
 	t.Helper()
 	for {
@@ -42,12 +42,12 @@
 		}
 	}
 	if _, open := <-events; open {
-		t.Error("something followed the end of the watch")
+		t.Error("the watch sent an event after its error")
 	}
 }
 
-func TestWatchTellsChangesAfterItsRevision(t *testing.T) {
-	server, s := connect(t, patience)
+func TestWatchReportsChangesAfterItsRevision(t *testing.T) {
+	server, s := connect(t, waitTimeout)
 	first := mustPut(t, s, "a/1", "one")
 	mustPut(t, s, "a/2", "two")
 	mustPut(t, s, "b/1", "other")
@@ -67,7 +67,7 @@
 }
 
 func TestWatchEndsQuietlyWithItsContext(t *testing.T) {
-	_, s := connect(t, patience)
+	_, s := connect(t, waitTimeout)
 	ctx, cancel := context.WithCancel(context.Background())
 	events, err := s.Watch(ctx, "a/", 0)
 	if err != nil {
@@ -79,13 +79,13 @@
 		if open {
 			t.Errorf("event %+v after the context ended", ev)
 		}
-	case <-time.After(patience):
+	case <-time.After(waitTimeout):
 		t.Fatal("the watch did not end")
 	}
 }
 
 func TestWatchFromCompactedRevision(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	first := mustPut(t, s, "a/1", "one")
 	last := mustPut(t, s, "a/1", "two")
 	server.Compact(last)
@@ -93,21 +93,21 @@
 }
 
 func TestWatchEndsWhenItsConnectionBreaks(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	events := openWatch(t, s, "a/", 0)
 	server.BreakConnections()
 	wantEnd(t, events, port.StoreWatchBroken)
 }
 
-func TestFrozenWatchTellsAllOnceThawed(t *testing.T) {
-	server, s := connect(t, patience)
+func TestFrozenWatchReportsAllEventsOnceThawed(t *testing.T) {
+	server, s := connect(t, waitTimeout)
 	events := openWatch(t, s, "a/", 0)
 	server.FreezeWatches()
 	mustPut(t, s, "a/1", "one")
 	mustPut(t, s, "a/1", "two")
 	select {
 	case ev := <-events:
-		t.Fatalf("frozen watch told %+v", ev)
+		t.Fatalf("frozen watch sent event %+v", ev)
 	default:
 	}
 	server.ThawWatches()
@@ -118,11 +118,10 @@
 	}
 }
 
-// Symptom: all calls of a daemon time out although the store works, and a
-// watch tells nothing any more.
-// Sequence: something between the two ends loses track of the connection;
-// calls on it go nowhere, nobody closes it.
-// Cause: later calls kept to the silent connection.
+// Guards against a daemon whose calls all time out, and whose watch receives
+// nothing, although the store works: a middlebox drops the state of the
+// connection without closing it, and later calls continue to use the silent
+// connection.
 func TestCallsLeaveSilentConnection(t *testing.T) {
 	t.Parallel()
 	server, s := connect(t, shortTimeout)
@@ -130,30 +129,29 @@
 	server.SilenceConnections()
 	_, err := s.Txn(context.Background(), nil, put("a/1", "one"))
 	wantFailure(t, err, port.StoreTimeout, port.OutcomeUnknown)
-	await(t, "an answer on a new connection", func() bool {
+	await(t, "a response on a new connection", func() bool {
 		_, err := s.Get(context.Background(), "a/1")
 		return err == nil
 	})
 	wantEnd(t, events, port.StoreWatchBroken)
 }
 
-// Symptom: a daemon follows its configuration no more and does not know it.
-// Sequence: the connection that carries only a watch goes silent.
-// Cause: nothing was sent on it that could have failed to be answered.
+// Guards against a daemon that misses configuration changes without an error: a
+// connection with only a watch goes silent, and nothing is sent on it whose
+// missing response would reveal that.
 func TestPingsFindSilentWatch(t *testing.T) {
 	t.Parallel()
 	server, addr := startServer(t, store.Options{})
-	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: patience, PingTimeout: time.Second})
+	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: waitTimeout, PingTimeout: time.Second})
 	events := openWatch(t, s, "a/", 0)
 	server.SilenceConnections()
 	wantEnd(t, events, port.StoreWatchBroken)
 }
 
-// Symptom: a poll does not see what a silent watch missed.
-// Sequence: the connection goes silent; a poll is made on it and times out.
-// Cause: the poll was made on the connection that it was to check.
+// Guards against a poll that does not find the changes a silent watch missed: the
+// poll uses the same silent connection as the watch and times out.
 func TestPollOnFreshConnection(t *testing.T) {
-	server, s := connect(t, patience)
+	server, s := connect(t, waitTimeout)
 	server.SilenceConnections()
 	ctx := etcdstore.WithFreshConnection(context.Background())
 	if _, err := s.Get(ctx, "a/1"); err != nil {
@@ -166,7 +164,7 @@
 }
 
 func TestClosedStoreMakesNoCalls(t *testing.T) {
-	_, s := connect(t, patience)
+	_, s := connect(t, waitTimeout)
 	s.Close()
 	_, err := s.Get(context.Background(), "k")
 	wantFailure(t, err, port.StoreUnavailable, port.OutcomeNotDone)
