--- a/cli/ask.go
+++ b/cli/ask.go
@@ -10,6 +10,8 @@
 	"github.com/guavarill/guavarill/adapter/jobapi"
 )
 
+// clients returns a client of each daemon's operators' interface, in the order
+// of --daemon.
 func (a *app) clients() []*adminapi.Client {
 	clients := make([]*adminapi.Client, 0, len(a.globals.Daemons))
 	for _, address := range a.globals.Daemons {
@@ -18,7 +20,8 @@
 	return clients
 }
 
-// jobClients are the clients of the daemons' interface for jobs.
+// jobClients returns a client of each daemon's interface for jobs, in the order
+// of --daemon.
 func (a *app) jobClients() []*jobapi.Client {
 	clients := make([]*jobapi.Client, 0, len(a.globals.Daemons))
 	for _, address := range a.globals.Daemons {
@@ -27,17 +30,19 @@
 	return clients
 }
 
-// daemonClient reaches one daemon.
+// daemonClient is a client of one daemon, for either interface.
 type daemonClient interface{ Address() string }
 
+// noAnswer reports on standard error that a call to a daemon failed.
 func (a *app) noAnswer(client daemonClient, err error) {
 	fmt.Fprintf(a.errOut, "no answer from %s: %v\n", client.Address(), err)
 }
 
-// silent are the daemons that did not answer.
+// silent lists the addresses of the daemons whose calls failed.
 type silent []string
 
-// incomplete returns the end of a command that showed what the others said.
+// incomplete returns an error with ExitIncomplete if any daemon did not respond,
+// and nil otherwise. The command has printed the responses of the others.
 func (s silent) incomplete() error {
 	if len(s) == 0 {
 		return nil
@@ -45,8 +50,9 @@
 	return &Error{Code: ExitIncomplete, Text: "incomplete: no answer from " + strings.Join(s, " ")}
 }
 
-// askAll asks every daemon and returns the answers of those that answered. It
-// fails when none did.
+// askAll calls every daemon in turn and returns the successful responses and the
+// daemons whose calls failed. It returns an error with ExitNotMade if all calls
+// failed.
 func askAll[C daemonClient, T any](a *app, clients []C, ask func(context.Context, C) (T, error)) ([]T, silent, error) {
 	var answers []T
 	var missing silent
@@ -67,7 +73,8 @@
 	return answers, missing, nil
 }
 
-// askAny returns the first answer of any daemon.
+// askAny calls the daemons in turn until one call succeeds and returns its
+// response, or the error of the last call if all failed.
 func askAny[T any](a *app, ask func(context.Context, *adminapi.Client) (T, error)) (T, error) {
 	var answer T
 	var err error
@@ -80,6 +87,7 @@
 	return answer, err
 }
 
+// askOne calls one daemon with the deadline of --timeout.
 func askOne[C daemonClient, T any](a *app, client C, ask func(context.Context, C) (T, error)) (T, error) {
 	ctx, cancel := a.call()
 	defer cancel()
--- a/cli/change.go
+++ b/cli/change.go
@@ -52,6 +52,7 @@
 	return nil
 }
 
+// revision converts the value of --base; nil means that the option is absent.
 func revision(n *uint64) *model.Revision {
 	if n == nil {
 		return nil
@@ -80,9 +81,9 @@
 	return c.app.finish(result, changeReport{ChangeResult: result})
 }
 
-// change sends a change to the first daemon that can be reached. Once it was
-// sent it goes to no other daemon, whatever became of it: the first may have
-// made it, and the second would call it a conflict.
+// change sends a change to the first daemon that can be reached. A change that
+// was sent is not sent to another daemon, even if the call failed: the first
+// daemon may have made the change, and the second would then report a conflict.
 func (a *app) change(send func(context.Context, *adminapi.Client) (adminapi.ChangeResult, error)) (adminapi.ChangeResult, error) {
 	var last error
 	for _, client := range a.clients() {
@@ -99,21 +100,23 @@
 	return adminapi.ChangeResult{}, callFailed(last)
 }
 
-// neverSent reports whether a call did not get as far as a daemon.
+// neverSent reports whether a call failed before its request reached a daemon.
 func neverSent(err error) bool {
 	var failed *adminapi.CallError
 	var answer *adminapi.AnswerError
 	return errors.As(err, &failed) && failed.Outcome == port.OutcomeNotDone && !errors.As(err, &answer)
 }
 
-// changeReport is what apply and cancel print.
+// changeReport is the output of apply and cancel.
 type changeReport struct {
 	adminapi.ChangeResult
-	// Fields lists what a dry run would change in each workload.
+	// Fields maps the name of each workload that a dry run would change to its
+	// changed fields.
 	Fields map[string][]fieldChange `json:"fields,omitempty"`
 }
 
-// finish prints a change and returns the end that its outcome asks for.
+// finish prints the report of a change and returns the error, if any, that its
+// outcome maps to.
 func (a *app) finish(result adminapi.ChangeResult, report changeReport) error {
 	if err := a.print(report, report.write); err != nil {
 		return err
@@ -151,6 +154,8 @@
 	}
 }
 
+// changeError returns the error for the outcome of a change, or nil if the
+// change was accepted or was not needed, or in a dry run would be made.
 func changeError(r adminapi.ChangeResult) error {
 	switch r.Outcome {
 	case adminapi.Accepted, adminapi.NoChange, adminapi.WouldMake:
--- a/cli/cli.go
+++ b/cli/cli.go
@@ -14,7 +14,7 @@
 	"github.com/guavarill/guavarill/adapter/endpoint"
 )
 
-// globals are the options of all commands.
+// globals holds the options that all commands share.
 type globals struct {
 	Daemons []string      `long:"daemon" env:"GUAVARILL_DAEMONS" env-delim:"," default:"127.0.0.1:8081" description:"host:port of a daemon's operators' interface; may be given several times"`
 	Output  string        `long:"output" short:"o" env:"GUAVARILL_OUTPUT" default:"table" choice:"table" choice:"json" description:"form of the output"`
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// app is one run of the command.
+// app holds the state of one invocation of the command-line tool.
 type app struct {
 	globals globals
 	out     io.Writer
@@ -41,7 +41,8 @@
 	ctx     context.Context
 }
 
-// Main runs the command with the given arguments.
+// Main parses args, runs the command that they name and returns its exit code.
+// SIGINT and SIGTERM cancel the command's context.
 func Main(args []string, out, errOut io.Writer) ExitCode {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -55,7 +56,8 @@
 	return a.exit(err)
 }
 
-// execute runs a command whose arguments were all understood.
+// execute checks the global options and runs a parsed command. Positional
+// arguments that the command does not declare are a usage error.
 func (a *app) execute(command flags.Commander, rest []string) error {
 	if len(rest) > 0 {
 		return usage("unexpected argument %q", rest[0])
@@ -66,7 +68,8 @@
 	return command.Execute(nil)
 }
 
-// call returns the context of one call.
+// call returns the context of one call to a daemon, with --timeout as its
+// deadline.
 func (a *app) call() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(a.ctx, a.globals.Timeout)
 }
--- a/cli/commands.go
+++ b/cli/commands.go
@@ -2,26 +2,28 @@
 
 import flags "github.com/jessevdk/go-flags"
 
-// declaration is a command as its help shows it.
+// declaration declares a command: its name, its help texts, the exit codes that
+// its help lists, and the struct that receives its options.
 type declaration struct {
 	name, short, long string
 	codes             []ExitCode
 	data              any
-	// group holds the commands below this one.
+	// group holds the subcommands.
 	group []declaration
 }
 
-// The exit codes of commands that end in the same ways.
+// Exit codes shared by several commands.
 var (
-	// codesOfLook are those of commands that show what daemons say.
+	// codesOfLook are the exit codes of commands that query all daemons.
 	codesOfLook = []ExitCode{ExitOK, ExitUsage, ExitNotMade, ExitIncomplete}
-	// codesOfTrial are those of commands that run stand-ins.
+	// codesOfTrial are the exit codes of commands that run stand-ins.
 	codesOfTrial = []ExitCode{ExitOK, ExitFailed, ExitUsage}
-	// codesOfJobCall are those of commands that call any daemon about jobs.
+	// codesOfJobCall are the exit codes of commands that call the daemons' interface
+	// for jobs until one daemon responds.
 	codesOfJobCall = []ExitCode{ExitOK, ExitUsage, ExitRefused, ExitUnknown, ExitNotMade}
 )
 
-// declarations are the commands, in the order of the help.
+// declarations returns the top-level commands, in the order of the help.
 func (a *app) declarations() []declaration {
 	return []declaration{
 		{
@@ -95,7 +97,7 @@
 	}
 }
 
-// jobDeclarations are the commands below "job".
+// jobDeclarations returns the subcommands of "job", in the order of the help.
 func (a *app) jobDeclarations() []declaration {
 	return []declaration{
 		{
--- a/cli/doc.go
+++ b/cli/doc.go
@@ -1,5 +1,5 @@
-// Package cli is the operators' command: apply, validate, status, jobs,
-// cancel, timeline, drain, standin and demo.
+// Package cli implements the operators' command-line tool with the commands
+// apply, validate, status, jobs, cancel, timeline, drain, standin, demo and job.
 //
 // Exit codes:
 //
@@ -9,10 +9,10 @@
 //	3  conflict: another change came first
 //	4  refused: the manifest or the request is not valid; nothing was changed
 //	5  unknown: the change may have been made; the output says how to find out
-//	6  not made: no daemon, or the daemon not the store, could be reached, or
-//	   the cluster has no workers yet; send it again
+//	6  not made: no daemon could be reached, the daemon could not reach the
+//	   store, or the cluster has no workers yet; send it again
 //	7  incomplete: some daemons or shards did not answer
 //
-// What is asked for goes to standard output, in the form that --output names.
-// What went wrong goes to standard error.
+// Results are written to standard output in the format that --output selects,
+// errors and warnings to standard error.
 package cli
--- a/cli/drain.go
+++ b/cli/drain.go
@@ -9,7 +9,7 @@
 
 type drainCommand struct{ app *app }
 
-// drained is what drain prints.
+// drained is the JSON output of drain.
 type drained struct {
 	Daemon   string `json:"daemon"`
 	Draining bool   `json:"draining"`
--- a/cli/dryrun.go
+++ b/cli/dryrun.go
@@ -12,7 +12,8 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// dryRun shows what a manifest would change at one daemon.
+// dryRun prints what a manifest would change, according to the first daemon that
+// responds, and changes nothing.
 func (a *app) dryRun(document []byte, base *model.Revision) error {
 	report, err := a.dryRunReport(document, base)
 	if err != nil {
@@ -37,16 +38,17 @@
 	})
 }
 
-// fieldChange is one field of a workload that another manifest declares
-// otherwise; values are JSON, or "-" for a field that is absent.
+// fieldChange is one field of a workload whose value differs between two
+// manifests. From and To are JSON, or "-" for an absent field.
 type fieldChange struct {
 	Field string `json:"field"`
 	From  string `json:"from"`
 	To    string `json:"to"`
 }
 
-// changedFields compares the named workloads of the manifest in force with
-// those of a document.
+// changedFields returns, for each named workload, the fields that differ between
+// the manifest in force and document. It returns nil if no manifest is in force
+// or document cannot be parsed.
 func changedFields(current *manifest.Manifest, document []byte, names []string) map[string][]fieldChange {
 	next, err := manifest.Parse(document)
 	if err != nil || current == nil {
@@ -60,11 +62,14 @@
 	return changes
 }
 
+// fieldsOf returns the JSON value of each field of each workload, by the name of
+// the workload.
 func fieldsOf(m *manifest.Manifest) map[string]map[string]json.RawMessage {
 	all := make(map[string]map[string]json.RawMessage, len(m.Workloads))
 	for i := range m.Workloads {
 		var fields map[string]json.RawMessage
-		// A workload that was parsed from text can be written as text again.
+		// A workload that was decoded can be encoded again, so neither call
+		// fails.
 		text, _ := json.Marshal(&m.Workloads[i])
 		_ = json.Unmarshal(text, &fields)
 		all[m.Workloads[i].Name] = fields
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -12,10 +12,10 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// ExitCode is how the command ends.
+// ExitCode is the exit code of the process.
 type ExitCode int
 
-// The exit codes.
+// The exit codes. The package documentation describes each.
 const (
 	ExitOK         ExitCode = 0
 	ExitFailed     ExitCode = 1
@@ -38,7 +38,7 @@
 	ExitIncomplete: "incomplete: some daemons or shards did not answer",
 }
 
-// exitHelp lists what the codes mean, for a command's help.
+// exitHelp returns the section of a command's help that lists its exit codes.
 func exitHelp(codes []ExitCode) string {
 	var b strings.Builder
 	b.WriteString("Exit codes:")
@@ -48,14 +48,14 @@
 	return b.String()
 }
 
-// Error ends the command with a code.
+// Error is an error that ends the command with the given exit code.
 type Error struct {
 	Code  ExitCode
 	Text  string
 	Cause error
 }
 
-// Error implements error.
+// Error returns the text, followed by the cause if there is one.
 func (e *Error) Error() string {
 	if e.Cause == nil {
 		return e.Text
@@ -66,11 +66,14 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
+// usage returns an error with ExitUsage.
 func usage(format string, args ...any) error {
 	return &Error{Code: ExitUsage, Text: fmt.Sprintf(format, args...)}
 }
 
-// callFailed makes the end of a command whose call brought no result.
+// callFailed converts the error of a call to a daemon into the command's error.
+// The exit code is ExitUnknown unless the call is known not to have been carried
+// out.
 func callFailed(err error) error {
 	var failed *adminapi.CallError
 	if !errors.As(err, &failed) || failed.Outcome != port.OutcomeNotDone {
@@ -93,7 +96,7 @@
 	return &Error{Code: ExitFailed, Text: "failed", Cause: err}
 }
 
-// exit reports how the command ended.
+// exit prints the error or the help text, if any, and returns the exit code.
 func (a *app) exit(err error) ExitCode {
 	var wrong *flags.Error
 	var ended *Error
--- a/cli/exit_test.go
+++ b/cli/exit_test.go
@@ -69,11 +69,10 @@
 	}
 }
 
-// Symptom: a change is made twice, or an operator takes one that was made for
-// one that was not.
-// Sequence: the connection to the first daemon breaks after the change was
-// sent; another daemon could be reached.
-// Cause: a broken connection is taken for one that was never made.
+// Guards against a change that is made twice, or is reported as not made although
+// it was made. This happens if a connection that breaks after the change was sent
+// is treated as one that was never established, and the change is sent to the
+// next daemon.
 func TestBrokenConnectionIsUnknownAndNotSentOn(t *testing.T) {
 	d := &fakeDaemon{result: config.ApplyConflict{Current: 2}}
 	addresses := []string{breaking(t), serve(t, d)}
@@ -86,7 +85,7 @@
 		t.Errorf("drain: exit code %d: %s", r.code, r.errOut)
 	}
 	if len(d.requests) != 0 {
-		t.Errorf("%d changes were sent on", len(d.requests))
+		t.Errorf("%d changes were sent to the second daemon", len(d.requests))
 	}
 }
 
@@ -96,7 +95,7 @@
 		t.Errorf("exit code %d: %s", r.code, r.errOut)
 	}
 	if len(d.requests) != 1 {
-		t.Errorf("%d changes", len(d.requests))
+		t.Errorf("the second daemon received %d changes, want 1", len(d.requests))
 	}
 	for _, args := range [][]string{{"apply", file(t, document)}, {"cancel", "web"}, {"drain"}, {"status"}, {"jobs"}, {"timeline"}} {
 		if r := guavarill([]string{nobody(t)}, args...); r.code != ExitNotMade {
@@ -105,10 +104,9 @@
 	}
 }
 
-// Symptom: tasks are missing from a list that looks complete.
-// Sequence: one daemon does not answer; or a shard has no owner; or it changes
-// hands between two questions; or no daemon knows the shards yet.
-// Cause: what is shown is taken for all there is.
+// Guards against a list that looks complete although tasks are missing from it.
+// Tasks are missing if a daemon does not respond, a shard has no owner, a shard
+// changes its owner between two calls, or no daemon knows the shards yet.
 func TestIncompleteListsSaySo(t *testing.T) {
 	one, two := twoDaemons()
 	first, second := serve(t, one), serve(t, two)
@@ -151,14 +149,14 @@
 	for _, answers := range [][]tasksAnswer{{old, fresh}, {fresh, old}} {
 		all := collect(answers)
 		if len(all.tasks) != 1 || all.tasks[0].State != "pending" {
-			t.Errorf("%+v", all.tasks)
+			t.Errorf("collected tasks %+v, want one pending task", all.tasks)
 		}
 	}
 }
 
-// Symptom: a task is in no list, and is neither lost nor cancelled.
-// Sequence: a shard hands it on; the other shard has not taken it up yet.
-// Cause: records of tasks that were handed on are left out of lists.
+// Guards against a task that is in no list although it is neither lost nor
+// cancelled. This happens if records in the state "moved" are always left out:
+// between the move and the other shard's acceptance they are the only records.
 func TestTasksOnTheWayAreListed(t *testing.T) {
 	answer := tasksAnswer{tasks: []daemon.TaskStatus{
 		{Task: "web@1/0", State: "moved", Shard: 0},
@@ -176,14 +174,13 @@
 	}
 	want := map[string]string{"web@1/0": "running", "web@1/1": "running", "web@1/2": "moved"}
 	if !maps.Equal(states, want) {
-		t.Errorf("%v", states)
+		t.Errorf("states %v, want %v", states, want)
 	}
 }
 
-// Symptom: a release goes on while a daemon still serves the old
-// configuration.
-// Sequence: a manifest is accepted; one daemon is suspect, and in truth slow.
-// Cause: only daemons that are believed alive are waited for.
+// Guards against a release that proceeds while a daemon still serves the old
+// configuration. This happens if --wait covers only daemons in the state "alive":
+// a daemon in the state "suspect" may only be slow and still serve callers.
 func TestWaitCoversEveryDaemonThatMayServe(t *testing.T) {
 	status := func(state string, revision model.Revision) daemon.Status {
 		return daemon.Status{Daemon: "entry-1", Revision: 2, Members: []daemon.MemberStatus{
@@ -200,7 +197,7 @@
 		t.Errorf("exit code %d: %s", r.code, r.errOut)
 	}
 	if len(d.statuses) != 1 {
-		t.Errorf("done %d looks early", len(d.statuses)-1)
+		t.Errorf("apply --wait returned %d status calls early", len(d.statuses)-1)
 	}
 	d.statuses = []daemon.Status{status("suspect", 1)}
 	r := guavarill(address, "apply", "--wait", "--wait-for=10ms", file(t, document))
--- a/cli/helper_test.go
+++ b/cli/helper_test.go
@@ -27,7 +27,8 @@
      size: {milliCPU: 1000, memoryMB: 512}, runTime: 5m}
 `
 
-// fakeDaemon stands behind a real operators' interface.
+// fakeDaemon is the back end of a real operators' interface. It returns the
+// configured results and records the requests.
 type fakeDaemon struct {
 	result   config.ApplyResult
 	current  *config.Accepted
@@ -44,7 +45,7 @@
 	return d.result, d.err
 }
 
-// Status returns the statuses in turn, the last one for good.
+// Status returns the statuses in turn, and the last one on every further call.
 func (d *fakeDaemon) Status(context.Context) (daemon.Status, error) {
 	st := d.statuses[0]
 	if len(d.statuses) > 1 {
@@ -56,7 +57,7 @@
 func (d *fakeDaemon) Config(context.Context) (*config.Accepted, error)   { return d.current, d.err }
 func (d *fakeDaemon) Timeline() []timeline.Event                         { return d.events }
 
-// serve returns the address of a daemon's operators' interface.
+// serve starts an operators' interface in front of d and returns its address.
 func serve(t *testing.T, d *fakeDaemon) string {
 	t.Helper()
 	l := listen(t)
@@ -82,7 +83,7 @@
 	return l
 }
 
-// nobody returns an address on which nobody listens.
+// nobody returns the address of a closed listener, which refuses connections.
 func nobody(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
@@ -90,7 +91,8 @@
 	return l.Addr().String()
 }
 
-// breaking returns the address of a daemon that hangs up on every request.
+// breaking returns the address of a server that closes every connection after it
+// has received part of the request.
 func breaking(t *testing.T) string {
 	t.Helper()
 	l := listen(t)
@@ -101,7 +103,7 @@
 			if err != nil {
 				return
 			}
-			// The request is read, so that it was sent for certain.
+			// Reading a byte ensures that the client has sent the request.
 			_, _ = conn.Read(make([]byte, 1))
 			_ = conn.Close()
 		}
@@ -136,8 +138,9 @@
 	out, errOut string
 }
 
-// guavarill runs the command. Addresses, which differ from run to run, are
-// replaced by the names DAEMON-0, DAEMON-1 and so on.
+// guavarill runs the command with the given daemon addresses. In its output the
+// addresses, which differ between runs, are replaced by DAEMON-0, DAEMON-1 and
+// so on.
 func guavarill(addresses []string, args ...string) run {
 	var all []string
 	for _, address := range addresses {
--- a/cli/job_test.go
+++ b/cli/job_test.go
@@ -22,8 +22,9 @@
 	jobName   = "38794a2fe1bc1e9c"
 )
 
-// jobDaemon answers the calls of the interface for jobs that it knows with 200,
-// and others with a problem.
+// jobDaemon starts a fake interface for jobs and returns its address. It responds
+// with 200 to the calls in answers, whose keys are "METHOD PATH", and with status
+// and problem to all other calls.
 func jobDaemon(t *testing.T, answers map[string]any, status int, problem jobapi.Problem) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestJobSubmitTellsWhatIsCertain: the exit code says whether the job may run,
-// over all daemons that were tried.
+// TestJobSubmitTellsWhatIsCertain checks that the exit code tells whether the job
+// may run, taking into account the outcomes of all daemons that were tried.
 func TestJobSubmitTellsWhatIsCertain(t *testing.T) {
 	down := jobDaemon(t, nil, http.StatusServiceUnavailable, jobapi.Problem{Kind: jobapi.ProblemNotDone, Detail: "not done"})
 	unsure := jobDaemon(t, nil, http.StatusGatewayTimeout, jobapi.Problem{Kind: jobapi.ProblemUncertain, Detail: "not known"})
--- a/cli/jobcommands.go
+++ b/cli/jobcommands.go
@@ -17,8 +17,8 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// jobGroup holds the commands about the jobs that callers submit. Its commands
-// reach the daemons' interface for jobs.
+// jobGroup is the parent command of the commands about jobs that callers submit.
+// They call the daemons' interface for jobs.
 type jobGroup struct{}
 
 type jobSubmitCommand struct {
@@ -53,7 +53,7 @@
 	return c.app.printState(state)
 }
 
-// jobID returns the id given, or a new one.
+// jobID returns the id given by --id, or a new random id without it.
 func (c *jobSubmitCommand) jobID() (job.ID, error) {
 	if c.ID == "" {
 		random := uuid.New()
@@ -66,7 +66,8 @@
 	return id, nil
 }
 
-// readJob reads a job's declaration and checks it as daemons do.
+// readJob reads a job's declaration from a JSON file and validates it with the
+// same check as the daemons.
 func readJob(path string) (*job.Spec, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -82,11 +83,12 @@
 	return spec, nil
 }
 
-// jobPoll is the time between two looks at a job that is waited for.
+// jobPoll is the polling interval of awaitJob.
 const jobPoll = 200 * time.Millisecond
 
-// awaitJob asks for a job's state until it is final or the time is over, and
-// returns the last that was told.
+// awaitJob polls a job's state until it is final, limit has elapsed, or the
+// command is interrupted, and returns the last known state. Failed calls are
+// retried at the next poll.
 func (a *app) awaitJob(state jobapi.JobState, limit time.Duration) jobapi.JobState {
 	for end := time.Now().Add(limit); !state.State.Final() && time.Now().Before(end) && a.ctx.Err() == nil; {
 		time.Sleep(jobPoll)
@@ -107,7 +109,7 @@
 	})
 }
 
-// show prints what a job has come to by a call about it.
+// show makes a call about the job and prints the state that it returns.
 func (j jobArgument) show(a *app, call func(*jobapi.Client, context.Context, job.ID) (jobapi.JobState, error)) error {
 	id, err := j.id()
 	if err != nil {
@@ -201,7 +203,8 @@
 	})
 }
 
-// timeOfDay leaves out a time that is not known.
+// timeOfDay formats a time, or returns "" for the zero time, which means that the
+// time is not known.
 func timeOfDay(t time.Time) string {
 	if t.IsZero() {
 		return ""
@@ -209,9 +212,11 @@
 	return joblog.FormatTime(t)
 }
 
-// askAnyJob asks one daemon after the other until one carries the call out, or
-// says that none can. Every call about jobs may be repeated, for it names the
-// job: also one whose outcome is not known.
+// askAnyJob calls the daemons in turn until one carries out the call or returns
+// an error that every daemon would return. Every call about a job names the job
+// and can therefore be repeated safely, even if its outcome is not known. If all
+// calls failed, the error of the last call with an uncertain outcome is
+// returned, or else that of the first call.
 func askAnyJob[T any](a *app, ask func(context.Context, *jobapi.Client) (T, error)) (T, error) {
 	var answer T
 	var worst error
@@ -228,7 +233,8 @@
 	return answer, worst
 }
 
-// isFinal reports whether every daemon would give this answer.
+// isFinal reports whether every daemon would return this error, so that trying
+// another daemon is of no use.
 func isFinal(err error) bool {
 	switch problemKind(err) {
 	case jobapi.ProblemInvalid, jobapi.ProblemTooLarge, jobapi.ProblemUnknownJob, jobapi.ProblemUnknownQueue:
@@ -237,7 +243,8 @@
 	return false
 }
 
-// isUncertain reports whether the call may have been carried out.
+// isUncertain reports whether the call may have been carried out despite the
+// error.
 func isUncertain(err error) bool {
 	var failed *jobapi.CallError
 	return errors.As(err, &failed) && failed.Uncertain()
@@ -251,7 +258,8 @@
 	return failed.Problem.Kind
 }
 
-// jobError returns how a command about a job ends.
+// jobError converts the error of a call about jobs into the command's error; what
+// names the job or queue.
 func jobError(what string, err error) error {
 	code := ExitNotMade
 	switch {
--- a/cli/jobexplain.go
+++ b/cli/jobexplain.go
@@ -13,7 +13,7 @@
 	"github.com/guavarill/guavarill/core/jobsched"
 )
 
-// jobArgument is the id that a command is about.
+// jobArgument is the positional argument that holds a job's id.
 type jobArgument struct {
 	Positional struct {
 		ID string `positional-arg-name:"ID" required:"yes"`
@@ -34,10 +34,12 @@
 	jobArgument
 }
 
-// explained is an explanation with what the leader believes now.
+// explained is the output of explain: the explanation from the log lines, and the
+// leader's current view of the job.
 type explained struct {
 	*joblog.Explanation
-	// Now is nil for a job that is over, and from saved logs.
+	// Now is nil if the job has ended, the leader did not return its view, or
+	// the lines come from saved logs.
 	Now *jobsched.JobView `json:"now,omitempty"`
 }
 
@@ -61,8 +63,9 @@
 	return missing.incomplete()
 }
 
-// believed returns what the leader, if it is among the daemons asked, believes
-// of a job that is not over; nil otherwise.
+// believed returns the leader's current view of a job that has not ended. It
+// returns nil if no daemon returns a view, for example because the job has ended
+// or the leader is not among the daemons of --daemon.
 func (a *app) believed(id job.ID) *jobsched.JobView {
 	for _, client := range a.jobClients() {
 		view, err := askOne(a, client, func(ctx context.Context, c *jobapi.Client) (jobsched.JobView, error) {
@@ -115,7 +118,8 @@
 	}
 }
 
-// about names what a line is about: an attempt, a step, a job, or nothing.
+// about returns what a line refers to: an attempt, a task or step, a job, or ""
+// if it refers to none.
 func about(l joblog.Line) string {
 	switch {
 	case l.Attempt > 0:
@@ -126,7 +130,7 @@
 	return string(l.Job)
 }
 
-// number leaves out a zero, which says that a line has none.
+// number formats n, or returns "" for 0, which means that the value is absent.
 func number(n int64) string {
 	if n == 0 {
 		return ""
@@ -134,6 +138,8 @@
 	return fmt.Sprint(n)
 }
 
+// why joins the status, queue, reason and error of a line, leaving out those that
+// are absent.
 func why(l joblog.Line) string {
 	var parts []string
 	if l.Status != 0 {
--- a/cli/joblogs.go
+++ b/cli/joblogs.go
@@ -11,16 +11,16 @@
 	"github.com/guavarill/guavarill/core/joblog"
 )
 
-// logOptions say where log lines come from.
+// logOptions selects the source of log lines: saved logs or the daemons' memory.
 type logOptions struct {
 	Logs []string `long:"log" description:"a saved log, in place of the daemons' memory; may be given several times. Lines that do not name their daemon are taken for those of the file's name"`
 }
 
-// saved reports whether saved logs are to be read.
+// saved reports whether the lines are read from saved logs.
 func (o logOptions) saved() bool { return len(o.Logs) > 0 }
 
-// lines returns the lines of all saved logs, or of all daemons, in order.
-// missing are the daemons that did not answer.
+// lines returns the merged lines of all saved logs or, without --log, of all
+// daemons, and the daemons that did not respond.
 func (o logOptions) lines(a *app) ([]joblog.Line, silent, error) {
 	if o.saved() {
 		lines, err := o.read(a)
@@ -36,6 +36,8 @@
 	return joblog.Merge(logs...), missing, err
 }
 
+// read returns the merged lines of all saved logs. Lines that do not name a daemon
+// are attributed to the file's name without its extension.
 func (o logOptions) read(a *app) ([]joblog.Line, error) {
 	var logs [][]joblog.Line
 	for _, path := range o.Logs {
@@ -48,7 +50,8 @@
 	return joblog.Merge(logs...), nil
 }
 
-// parse reads a log and tells of lines that cannot be read.
+// parse returns the lines of a log. It reports on standard error how many lines
+// cannot be parsed, and the first error.
 func (a *app) parse(text []byte, daemon string) []joblog.Line {
 	lines, unread := joblog.Parse(text, daemon)
 	if len(unread) > 0 {
--- a/cli/jobs.go
+++ b/cli/jobs.go
@@ -19,7 +19,7 @@
 	Tasks bool `long:"tasks" description:"list every task"`
 }
 
-// workload is a declared workload as its tasks are.
+// workload summarizes the tasks of a declared workload.
 type workload struct {
 	Workload  string         `json:"workload"`
 	Team      string         `json:"team"`
@@ -27,7 +27,7 @@
 	States    map[string]int `json:"states"`
 	Evictions uint32         `json:"evictions"`
 	Failures  uint32         `json:"failures"`
-	// Reasons counts the tasks by why they wait or ended.
+	// Reasons counts the tasks by the reason why they are pending or ended.
 	Reasons map[string]int `json:"reasons,omitempty"`
 }
 
@@ -55,8 +55,8 @@
 	return c.app.print(jobs, func(w *tabwriter.Writer) { jobRows(w, jobs) })
 }
 
-// tasksAnswer is what one daemon says of the tasks of its shards, and which
-// shards it owned before and after it said so.
+// tasksAnswer holds the tasks that one daemon returned for its shards, and the
+// daemon's status before and after that call, which tells the shards it owned.
 type tasksAnswer struct {
 	before, after daemon.Status
 	tasks         []daemon.TaskStatus
@@ -75,9 +75,11 @@
 	return answer, err
 }
 
-// steady returns the shards that the daemon owned all the while. A shard that
-// it gave up, took over or still read the ledger of meanwhile may be absent from
-// its tasks, which would then look complete.
+// steady returns the shards, with their epochs, that the daemon owned with the
+// ledger loaded both before and after it returned its tasks. The tasks of a shard
+// that was released, taken over or still being loaded in between may be missing
+// from the response, so counting that shard would make an incomplete list look
+// complete.
 func (t tasksAnswer) steady() map[model.ShardID]model.Epoch {
 	owned := make(map[model.ShardID]model.Epoch)
 	for _, s := range t.before.Owned {
@@ -94,15 +96,17 @@
 	return steady
 }
 
-// collected is the tasks of all shards that some daemon asked owns.
+// collected holds the tasks of all shards that the queried daemons own, the
+// cluster's number of shards, and the shards without an owner among them.
 type collected struct {
 	tasks   []daemon.TaskStatus
 	shards  uint32
 	missing []model.ShardID
 }
 
-// collect merges what the daemons say. Of two that both claim a shard the one
-// with the higher epoch owns it.
+// collect merges the responses of the daemons. If two daemons report the same
+// shard, the one with the higher epoch owns it, and the other's tasks of that
+// shard are ignored.
 func collect(answers []tasksAnswer) collected {
 	all := collected{}
 	owner := make(map[model.ShardID]int)
@@ -131,10 +135,11 @@
 	return all
 }
 
-// oncePerTask returns one record of each task, by name. The shard that handed a
-// task on keeps a record of that. It is left out when another shard has the
-// task; but until that one has taken the task up it is the only trace, and a
-// task left out then would look lost.
+// oncePerTask returns one record of each task, sorted by name. A shard that moved
+// a task to another shard keeps a record in the state "moved". That record is
+// dropped if another shard has a record of the task. Until the other shard has
+// accepted the task, the moved record is the only one, and without it the task
+// would look lost.
 func oncePerTask(records []daemon.TaskStatus) []daemon.TaskStatus {
 	byTask := make(map[string]daemon.TaskStatus, len(records))
 	for _, t := range records {
@@ -149,6 +154,8 @@
 	return tasks
 }
 
+// incomplete returns an error with ExitIncomplete if the number of shards is not
+// known or some shard has no owner among the queried daemons.
 func (c collected) incomplete() error {
 	switch {
 	case c.shards == 0:
--- a/cli/manifest.go
+++ b/cli/manifest.go
@@ -12,10 +12,12 @@
 	"github.com/guavarill/guavarill/core/manifest"
 )
 
+// manifestFile is the positional argument that names a manifest.
 type manifestFile struct {
 	File flags.Filename `positional-arg-name:"FILE" description:"manifest, YAML or JSON; - reads standard input" required:"yes"`
 }
 
+// read returns the content of the file, or of standard input if the name is "-".
 func (f manifestFile) read() ([]byte, error) {
 	var document []byte
 	var err error
@@ -35,7 +37,7 @@
 	Args manifestFile `positional-args:"yes"`
 }
 
-// validation is what validate prints.
+// validation is the output of validate.
 type validation struct {
 	Valid    bool               `json:"valid"`
 	Problems []manifest.Problem `json:"problems,omitempty"`
--- a/cli/output.go
+++ b/cli/output.go
@@ -10,7 +10,8 @@
 
 const outputJSON = "json"
 
-// print writes value as JSON, or what table writes.
+// print writes value as JSON if --output is json, and otherwise the table that
+// table writes, without trailing spaces.
 func (a *app) print(value any, table func(*tabwriter.Writer)) error {
 	if a.globals.Output == outputJSON {
 		encoder := json.NewEncoder(a.out)
@@ -31,7 +32,7 @@
 	return nil
 }
 
-// row writes one line of a table.
+// row writes one row of a table.
 func row(w *tabwriter.Writer, cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
--- a/cli/trial.go
+++ b/cli/trial.go
@@ -14,6 +14,7 @@
 	"github.com/guavarill/guavarill/standin/site"
 )
 
+// trialOptions selects the sample deployment that demo and standin run.
 type trialOptions struct {
 	Deployment string `long:"deployment" default:"agency" choice:"agency" choice:"pindan" description:"which sample site"`
 }
@@ -60,7 +61,7 @@
 	return c.runJob()
 }
 
-// runJob shows a job that a caller submits.
+// runJob runs the demo of a job that a caller submits, and prints its report.
 func (c *demoCommand) runJob() error {
 	fmt.Fprintln(c.app.out)
 	report, err := demo.RunJob(c.app.ctx, c.app.out)
@@ -117,14 +118,15 @@
 	return nil
 }
 
-// entry is a daemon's VM on the stand-in's list. Daemons that are not listed
-// do not find each other.
+// entry is a daemon's VM on the stand-in's VM list. Daemons find each other
+// through that list, so a daemon that is not listed is not found.
 type entry struct {
 	id      string
 	zone    model.Zone
 	address string
 }
 
+// parseEntries parses the values of --entry, each ID,ZONE,IP:PORT.
 func parseEntries(texts []string) ([]entry, error) {
 	var entries []entry
 	for _, text := range texts {
--- a/cli/wait.go
+++ b/cli/wait.go
@@ -13,10 +13,11 @@
 	"github.com/guavarill/guavarill/daemon"
 )
 
-// waitPoll is the time between two looks at the daemons' revisions.
+// waitPoll is the interval at which waitInForce polls the daemons' revisions.
 const waitPoll = 200 * time.Millisecond
 
-// waitInForce waits until every live daemon has at least the revision.
+// waitInForce polls until every live daemon has at least the revision in force.
+// It returns an error with ExitIncomplete if that takes longer than limit.
 func (a *app) waitInForce(revision model.Revision, limit time.Duration) error {
 	ctx, cancel := context.WithTimeout(a.ctx, limit)
 	defer cancel()
@@ -35,7 +36,8 @@
 	}
 }
 
-// sayInForce keeps JSON output one document.
+// sayInForce prints that the revision is in force. It prints nothing if --output
+// is json, so that the output remains a single JSON document.
 func (a *app) sayInForce(revision model.Revision) error {
 	if a.globals.Output == outputJSON {
 		return nil
@@ -52,12 +54,14 @@
 	return &Error{Code: ExitIncomplete, Text: text, Cause: err}
 }
 
-// servingStates are the states in which a member may still serve callers.
+// servingStates are the membership states in which a daemon may still serve
+// callers. A suspect daemon may only be slow, so it is waited for as well.
 var servingStates = []string{
 	membership.Alive.String(), membership.Suspect.String(), membership.Leaving.String(),
 }
 
-// behind returns the live daemons that have not confirmed the revision.
+// behind returns the ids of the daemons that may serve callers and have not
+// confirmed the revision, according to the first daemon that responds.
 func (a *app) behind(revision model.Revision) ([]string, error) {
 	status, err := askAny(a, func(ctx context.Context, c *adminapi.Client) (daemon.Status, error) {
 		return c.Status(ctx)
