--- a/cli/ask.go
+++ b/cli/ask.go
@@ -33,17 +33,17 @@
 // daemonClient is a client of one daemon, for either interface.
 type daemonClient interface{ Address() string }
 
-// noAnswer reports on standard error that a call to a daemon failed.
-func (a *app) noAnswer(client daemonClient, err error) {
+// reportUnreachable reports on standard error that a call to a daemon failed.
+func (a *app) reportUnreachable(client daemonClient, err error) {
 	fmt.Fprintf(a.errOut, "no answer from %s: %v\n", client.Address(), err)
 }
 
-// silent lists the addresses of the daemons whose calls failed.
-type silent []string
+// unreachableDaemons lists the addresses of the daemons whose calls failed.
+type unreachableDaemons []string
 
 // incomplete returns an error with ExitIncomplete if any daemon did not respond,
 // and nil otherwise. The command has printed the responses of the others.
-func (s silent) incomplete() error {
+func (s unreachableDaemons) incomplete() error {
 	if len(s) == 0 {
 		return nil
 	}
@@ -53,16 +53,16 @@
 // askAll calls every daemon in turn and returns the successful responses and the
 // daemons whose calls failed. It returns an error with ExitNotMade if all calls
 // failed.
-func askAll[C daemonClient, T any](a *app, clients []C, ask func(context.Context, C) (T, error)) ([]T, silent, error) {
+func askAll[C daemonClient, T any](a *app, clients []C, ask func(context.Context, C) (T, error)) ([]T, unreachableDaemons, error) {
 	var answers []T
-	var missing silent
+	var missing unreachableDaemons
 	var last error
 	for _, client := range clients {
 		answer, err := askOne(a, client, ask)
 		if err != nil {
 			last = err
 			missing = append(missing, client.Address())
-			a.noAnswer(client, err)
+			a.reportUnreachable(client, err)
 			continue
 		}
 		answers = append(answers, answer)
@@ -89,7 +89,7 @@
 
 // askOne calls one daemon with the deadline of --timeout.
 func askOne[C daemonClient, T any](a *app, client C, ask func(context.Context, C) (T, error)) (T, error) {
-	ctx, cancel := a.call()
+	ctx, cancel := a.callContext()
 	defer cancel()
 	return ask(ctx, client)
 }
--- a/cli/change.go
+++ b/cli/change.go
@@ -95,7 +95,7 @@
 		if !neverSent(err) {
 			break
 		}
-		a.noAnswer(client, err)
+		a.reportUnreachable(client, err)
 	}
 	return adminapi.ChangeResult{}, callFailed(last)
 }
--- a/cli/commands.go
+++ b/cli/commands.go
@@ -14,13 +14,13 @@
 
 // Exit codes shared by several commands.
 var (
-	// codesOfLook are the exit codes of commands that query all daemons.
-	codesOfLook = []ExitCode{ExitOK, ExitUsage, ExitNotMade, ExitIncomplete}
-	// codesOfTrial are the exit codes of commands that run stand-ins.
-	codesOfTrial = []ExitCode{ExitOK, ExitFailed, ExitUsage}
-	// codesOfJobCall are the exit codes of commands that call the daemons' interface
+	// queryCodes are the exit codes of commands that query all daemons.
+	queryCodes = []ExitCode{ExitOK, ExitUsage, ExitNotMade, ExitIncomplete}
+	// standInCodes are the exit codes of commands that run stand-ins.
+	standInCodes = []ExitCode{ExitOK, ExitFailed, ExitUsage}
+	// jobCallCodes are the exit codes of commands that call the daemons' interface
 	// for jobs until one daemon responds.
-	codesOfJobCall = []ExitCode{ExitOK, ExitUsage, ExitRefused, ExitUnknown, ExitNotMade}
+	jobCallCodes = []ExitCode{ExitOK, ExitUsage, ExitRefused, ExitUnknown, ExitNotMade}
 )
 
 // declarations returns the top-level commands, in the order of the help.
@@ -39,12 +39,12 @@
 		{
 			name: "status", short: "show daemons, shards and workers",
 			long:  "Shows each daemon named by --daemon as it sees itself, and with --workers the workers of its shards.",
-			codes: codesOfLook, data: &statusCommand{app: a},
+			codes: queryCodes, data: &statusCommand{app: a},
 		},
 		{
 			name: "jobs", short: "show workloads with the state and reason of each",
 			long:  "Counts the tasks of each workload by state and by why they wait or ended. Name all daemons with --daemon: each knows the tasks of its own shards.",
-			codes: codesOfLook, data: &jobsCommand{app: a},
+			codes: queryCodes, data: &jobsCommand{app: a},
 		},
 		{
 			name: "cancel", short: "end workloads",
@@ -54,7 +54,7 @@
 		{
 			name: "timeline", short: "show the events of all daemons in order",
 			long:  "Merges the events that the daemons named by --daemon hold in memory.",
-			codes: codesOfLook, data: &timelineCommand{app: a},
+			codes: queryCodes, data: &timelineCommand{app: a},
 		},
 		{
 			name: "drain", short: "stop one daemon in the planned way",
@@ -64,12 +64,12 @@
 		{
 			name: "standin", short: "run a stand-in platform for trials",
 			long:  "Runs a store, a list of VMs and workers on this machine until interrupted, and prints the settings that daemons reach them with. Nothing is kept.",
-			codes: codesOfTrial, data: &standinCommand{app: a},
+			codes: standInCodes, data: &standinCommand{app: a},
 		},
 		{
 			name: "demo", short: "run a whole deployment on stand-ins",
 			long:  "Runs stand-ins, three daemons and callers in this process, kills one daemon, drains another, and reports what was lost, doubled or overcommitted.",
-			codes: codesOfTrial, data: &demoCommand{app: a},
+			codes: standInCodes, data: &demoCommand{app: a},
 		},
 		{
 			name: "job", short: "submit and explain jobs (see job --help)",
@@ -103,42 +103,42 @@
 		{
 			name: "submit", short: "submit a job",
 			long:  "Submits the job that a JSON file declares to the first daemon that accepts it. Repeated with the same id it changes nothing.",
-			codes: codesOfJobCall, data: &jobSubmitCommand{app: a},
+			codes: jobCallCodes, data: &jobSubmitCommand{app: a},
 		},
 		{
 			name: "state", short: "tell a job's state",
 			long:  "Asks the daemons in turn for what a job has come to.",
-			codes: codesOfJobCall, data: &jobStateCommand{app: a},
+			codes: jobCallCodes, data: &jobStateCommand{app: a},
 		},
 		{
 			name: "cancel", short: "cancel a job",
 			long:  "Ends a job that is not over. Its tasks are stopped.",
-			codes: codesOfJobCall, data: &jobCancelCommand{app: a},
+			codes: jobCallCodes, data: &jobCancelCommand{app: a},
 		},
 		{
 			name: "queue", short: "count the jobs of a queue that wait",
 			long:  "Counts the jobs of a queue none of whose tasks has started.",
-			codes: codesOfJobCall, data: &jobQueueCommand{app: a},
+			codes: jobCallCodes, data: &jobQueueCommand{app: a},
 		},
 		{
 			name: "list", short: "list jobs",
 			long:  "Lists the jobs that are not over, as the leader sees them, or with --log every job that saved logs name.",
-			codes: codesOfJobCall, data: &jobListCommand{app: a},
+			codes: jobCallCodes, data: &jobListCommand{app: a},
 		},
 		{
 			name: "explain", short: "say what became of a job, and why",
 			long:  "Says why a job was refused, waits, failed or ended, who decided it and from what, from the lines in the daemons' memory or in saved logs. Name all daemons with --daemon: each knows its own decisions.",
-			codes: codesOfLook, data: &jobExplainCommand{app: a},
+			codes: queryCodes, data: &jobExplainCommand{app: a},
 		},
 		{
 			name: "timeline", short: "show the log lines of all daemons in order",
 			long:  "Shows what daemons came to believe of each other, the store, the workers and the configuration, or with --job the lines about one job.",
-			codes: codesOfLook, data: &jobTimelineCommand{app: a},
+			codes: queryCodes, data: &jobTimelineCommand{app: a},
 		},
 		{
 			name: "status", short: "show the daemons that serve jobs",
 			long:  "Shows each daemon named by --daemon as it sees itself, or with --log as its lines end.",
-			codes: codesOfLook, data: &jobStatusCommand{app: a},
+			codes: queryCodes, data: &jobStatusCommand{app: a},
 		},
 	}
 }
--- a/cli/drain.go
+++ b/cli/drain.go
@@ -9,8 +9,8 @@
 
 type drainCommand struct{ app *app }
 
-// drained is the JSON output of drain.
-type drained struct {
+// drainReport is the JSON output of drain.
+type drainReport struct {
 	Daemon   string `json:"daemon"`
 	Draining bool   `json:"draining"`
 }
@@ -29,7 +29,7 @@
 	}
 	address := clients[0].Address()
 	if c.app.globals.Output == outputJSON {
-		return c.app.print(drained{Daemon: address, Draining: true}, nil)
+		return c.app.print(drainReport{Daemon: address, Draining: true}, nil)
 	}
 	_, err = fmt.Fprintf(c.app.out, "%s is draining\n", address)
 	return err
--- a/cli/exit_test.go
+++ b/cli/exit_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestWrongUsageReachesNobody(t *testing.T) {
+func TestWrongUsageSendsNothing(t *testing.T) {
 	d := &fakeDaemon{result: config.ApplyAccepted{}}
 	address := []string{serve(t, d)}
 	path := file(t, document)
@@ -140,13 +140,13 @@
 }
 
 func TestTwoOwnersCountOnce(t *testing.T) {
-	old := tasksAnswer{tasks: []daemon.TaskStatus{{Task: "web@1/0", State: "running"}}}
+	old := tasksResponse{tasks: []daemon.TaskStatus{{Task: "web@1/0", State: "running"}}}
 	old.before = daemon.Status{Shards: 1, Owned: []daemon.ShardStatus{{Shard: 0, Loaded: true, Epoch: 4}}}
 	old.after = old.before
-	fresh := tasksAnswer{tasks: []daemon.TaskStatus{{Task: "web@1/0", State: "pending"}}}
+	fresh := tasksResponse{tasks: []daemon.TaskStatus{{Task: "web@1/0", State: "pending"}}}
 	fresh.before = daemon.Status{Shards: 1, Owned: []daemon.ShardStatus{{Shard: 0, Loaded: true, Epoch: 9}}}
 	fresh.after = fresh.before
-	for _, answers := range [][]tasksAnswer{{old, fresh}, {fresh, old}} {
+	for _, answers := range [][]tasksResponse{{old, fresh}, {fresh, old}} {
 		all := collect(answers)
 		if len(all.tasks) != 1 || all.tasks[0].State != "pending" {
 			t.Errorf("collected tasks %+v, want one pending task", all.tasks)
@@ -157,8 +157,8 @@
 // Guards against a task that is in no list although it is neither lost nor
 // cancelled. This happens if records in the state "moved" are always left out:
 // between the move and the other shard's acceptance they are the only records.
-func TestTasksOnTheWayAreListed(t *testing.T) {
-	answer := tasksAnswer{tasks: []daemon.TaskStatus{
+func TestMovedTasksAreListed(t *testing.T) {
+	answer := tasksResponse{tasks: []daemon.TaskStatus{
 		{Task: "web@1/0", State: "moved", Shard: 0},
 		{Task: "web@1/0", State: "running", Shard: 1},
 		{Task: "web@1/1", State: "running", Shard: 0},
@@ -169,7 +169,7 @@
 	answer.before = daemon.Status{Shards: 2, Owned: []daemon.ShardStatus{{Shard: 0, Loaded: true, Epoch: 4}, {Shard: 1, Loaded: true, Epoch: 5}}}
 	answer.after = answer.before
 	states := make(map[string]string)
-	for _, task := range collect([]tasksAnswer{answer}).tasks {
+	for _, task := range collect([]tasksResponse{answer}).tasks {
 		states[task.Task] += task.State
 	}
 	want := map[string]string{"web@1/0": "running", "web@1/1": "running", "web@1/2": "moved"}
--- a/cli/job_test.go
+++ b/cli/job_test.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestJobSubmitTellsWhatIsCertain checks that the exit code tells whether the job
+// TestJobSubmitExitCodes checks that the exit code tells whether the job
 // may run, taking into account the outcomes of all daemons that were tried.
-func TestJobSubmitTellsWhatIsCertain(t *testing.T) {
+func TestJobSubmitExitCodes(t *testing.T) {
 	down := jobDaemon(t, nil, http.StatusServiceUnavailable, jobapi.Problem{Kind: jobapi.ProblemNotDone, Detail: "not done"})
 	unsure := jobDaemon(t, nil, http.StatusGatewayTimeout, jobapi.Problem{Kind: jobapi.ProblemUncertain, Detail: "not known"})
 	invalid := jobDaemon(t, nil, http.StatusBadRequest, jobapi.Problem{Kind: jobapi.ProblemInvalid, Detail: "no steps"})
--- a/cli/jobcommands.go
+++ b/cli/jobcommands.go
@@ -109,8 +109,8 @@
 	})
 }
 
-// show makes a call about the job and prints the state that it returns.
-func (j jobArgument) show(a *app, call func(*jobapi.Client, context.Context, job.ID) (jobapi.JobState, error)) error {
+// callAndPrint makes a call about the job and prints the state that it returns.
+func (j jobArgument) callAndPrint(a *app, call func(*jobapi.Client, context.Context, job.ID) (jobapi.JobState, error)) error {
 	id, err := j.id()
 	if err != nil {
 		return err
@@ -131,7 +131,7 @@
 
 // Execute implements flags.Commander.
 func (c *jobStateCommand) Execute([]string) error {
-	return c.show(c.app, (*jobapi.Client).State)
+	return c.callAndPrint(c.app, (*jobapi.Client).State)
 }
 
 type jobCancelCommand struct {
@@ -141,7 +141,7 @@
 
 // Execute implements flags.Commander.
 func (c *jobCancelCommand) Execute([]string) error {
-	return c.show(c.app, (*jobapi.Client).Cancel)
+	return c.callAndPrint(c.app, (*jobapi.Client).Cancel)
 }
 
 type jobQueueCommand struct {
@@ -223,7 +223,7 @@
 	for _, client := range a.jobClients() {
 		var err error
 		answer, err = askOne(a, client, ask)
-		if err == nil || isFinal(err) {
+		if err == nil || isDefinite(err) {
 			return answer, err
 		}
 		if worst == nil || isUncertain(err) {
@@ -233,9 +233,9 @@
 	return answer, worst
 }
 
-// isFinal reports whether every daemon would return this error, so that trying
+// isDefinite reports whether every daemon would return this error, so that trying
 // another daemon is of no use.
-func isFinal(err error) bool {
+func isDefinite(err error) bool {
 	switch problemKind(err) {
 	case jobapi.ProblemInvalid, jobapi.ProblemTooLarge, jobapi.ProblemUnknownJob, jobapi.ProblemUnknownQueue:
 		return true
@@ -263,7 +263,7 @@
 func jobError(what string, err error) error {
 	code := ExitNotMade
 	switch {
-	case isFinal(err):
+	case isDefinite(err):
 		code = ExitRefused
 	case isUncertain(err):
 		code = ExitUnknown
--- a/cli/jobexplain.go
+++ b/cli/jobexplain.go
@@ -55,7 +55,7 @@
 	}
 	e := explained{Explanation: joblog.Explain(lines, id)}
 	if !c.saved() {
-		e.Now = c.app.believed(id)
+		e.Now = c.app.leaderView(id)
 	}
 	if err := c.app.print(e, e.rows); err != nil {
 		return err
@@ -63,10 +63,10 @@
 	return missing.incomplete()
 }
 
-// believed returns the leader's current view of a job that has not ended. It
+// leaderView returns the leader's current view of a job that has not ended. It
 // returns nil if no daemon returns a view, for example because the job has ended
 // or the leader is not among the daemons of --daemon.
-func (a *app) believed(id job.ID) *jobsched.JobView {
+func (a *app) leaderView(id job.ID) *jobsched.JobView {
 	for _, client := range a.jobClients() {
 		view, err := askOne(a, client, func(ctx context.Context, c *jobapi.Client) (jobsched.JobView, error) {
 			return c.Tasks(ctx, id)
@@ -87,7 +87,7 @@
 		fmt.Fprintf(w, "- not known: %s\n", gap)
 	}
 	if e.Now != nil {
-		e.nowRows(w)
+		e.leaderViewRows(w)
 	}
 	if len(e.Lines) > 0 {
 		row(w)
@@ -95,7 +95,7 @@
 	}
 }
 
-func (e explained) nowRows(w *tabwriter.Writer) {
+func (e explained) leaderViewRows(w *tabwriter.Writer) {
 	row(w)
 	row(w, "STEP", "DONE", "RUNNING", "WAITING", "BLOCKED BY", "WORKERS RULED OUT")
 	for _, s := range e.Now.Steps {
@@ -114,7 +114,7 @@
 func lineRows(w *tabwriter.Writer, lines []joblog.Line) {
 	row(w, "TIME", "DAEMON", "WHAT", "ABOUT", "WORKER", "EPOCH", "WHY")
 	for _, l := range lines {
-		row(w, joblog.FormatTime(l.Time), l.Daemon, l.Message, about(l), l.Worker, number(l.Epoch), why(l))
+		row(w, joblog.FormatTime(l.Time), l.Daemon, l.Message, about(l), l.Worker, nonZero(l.Epoch), why(l))
 	}
 }
 
@@ -130,8 +130,8 @@
 	return string(l.Job)
 }
 
-// number formats n, or returns "" for 0, which means that the value is absent.
-func number(n int64) string {
+// nonZero formats n, or returns "" for 0, which means that the value is absent.
+func nonZero(n int64) string {
 	if n == 0 {
 		return ""
 	}
@@ -199,7 +199,7 @@
 	err = c.app.print(statuses, func(w *tabwriter.Writer) {
 		row(w, "DAEMON", "ZONE", "LEADS", "READY", "CONFIGURATION", "STORE SILENT FOR", "PEERS")
 		for _, s := range statuses {
-			row(w, s.Daemon, s.Zone, yes(s.Leads), yes(s.Ready), s.ConfigVersion, s.StoreSilence.Round(time.Millisecond), s.Peers)
+			row(w, s.Daemon, s.Zone, yesNo(s.Leads), yesNo(s.Ready), s.ConfigVersion, s.StoreSilence.Round(time.Millisecond), s.Peers)
 		}
 	})
 	if err != nil {
@@ -217,12 +217,12 @@
 	return c.app.print(daemons, func(w *tabwriter.Writer) {
 		row(w, "DAEMON", "LEADS", "EPOCH", "STORE LOST", "WARNINGS", "LAST LINE")
 		for _, d := range daemons {
-			row(w, d.Daemon, yes(d.IsLeader), number(d.Epoch), yes(d.StoreLost), d.Warnings, d.LastLine.UTC().Format(time.RFC3339Nano))
+			row(w, d.Daemon, yesNo(d.IsLeader), nonZero(d.Epoch), yesNo(d.StoreLost), d.Warnings, d.LastLine.UTC().Format(time.RFC3339Nano))
 		}
 	})
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
--- a/cli/joblogs.go
+++ b/cli/joblogs.go
@@ -21,7 +21,7 @@
 
 // lines returns the merged lines of all saved logs or, without --log, of all
 // daemons, and the daemons that did not respond.
-func (o logOptions) lines(a *app) ([]joblog.Line, silent, error) {
+func (o logOptions) lines(a *app) ([]joblog.Line, unreachableDaemons, error) {
 	if o.saved() {
 		lines, err := o.read(a)
 		return lines, nil, err
--- a/cli/jobs.go
+++ b/cli/jobs.go
@@ -55,15 +55,15 @@
 	return c.app.print(jobs, func(w *tabwriter.Writer) { jobRows(w, jobs) })
 }
 
-// tasksAnswer holds the tasks that one daemon returned for its shards, and the
+// tasksResponse holds the tasks that one daemon returned for its shards, and the
 // daemon's status before and after that call, which tells the shards it owned.
-type tasksAnswer struct {
+type tasksResponse struct {
 	before, after daemon.Status
 	tasks         []daemon.TaskStatus
 }
 
-func askTasks(ctx context.Context, client *adminapi.Client) (tasksAnswer, error) {
-	var answer tasksAnswer
+func askTasks(ctx context.Context, client *adminapi.Client) (tasksResponse, error) {
+	var answer tasksResponse
 	var err error
 	if answer.before, err = client.Status(ctx); err != nil {
 		return answer, err
@@ -80,7 +80,7 @@
 // that was released, taken over or still being loaded in between may be missing
 // from the response, so counting that shard would make an incomplete list look
 // complete.
-func (t tasksAnswer) steady() map[model.ShardID]model.Epoch {
+func (t tasksResponse) steady() map[model.ShardID]model.Epoch {
 	owned := make(map[model.ShardID]model.Epoch)
 	for _, s := range t.before.Owned {
 		if s.Loaded {
@@ -107,7 +107,7 @@
 // collect merges the responses of the daemons. If two daemons report the same
 // shard, the one with the higher epoch owns it, and the other's tasks of that
 // shard are ignored.
-func collect(answers []tasksAnswer) collected {
+func collect(answers []tasksResponse) collected {
 	all := collected{}
 	owner := make(map[model.ShardID]int)
 	epochs := make(map[model.ShardID]model.Epoch)
--- a/cli/trial.go
+++ b/cli/trial.go
@@ -14,12 +14,12 @@
 	"github.com/guavarill/guavarill/standin/site"
 )
 
-// trialOptions selects the sample deployment that demo and standin run.
-type trialOptions struct {
+// deploymentOptions selects the sample deployment that demo and standin run.
+type deploymentOptions struct {
 	Deployment string `long:"deployment" default:"agency" choice:"agency" choice:"pindan" description:"which sample site"`
 }
 
-func (o trialOptions) find() (demo.Deployment, error) {
+func (o deploymentOptions) find() (demo.Deployment, error) {
 	d, known := demo.Find(o.Deployment)
 	if !known {
 		return d, usage("no such deployment: %s", o.Deployment)
@@ -29,7 +29,7 @@
 
 type demoCommand struct {
 	app *app
-	trialOptions
+	deploymentOptions
 	Serve    bool `long:"serve" description:"keep the deployment up, to be tried by hand, until interrupted"`
 	Timeline bool `long:"timeline" description:"print the time line of all daemons after the report"`
 	Verbose  bool `long:"verbose" description:"print the daemons' logs"`
@@ -91,7 +91,7 @@
 
 type standinCommand struct {
 	app *app
-	trialOptions
+	deploymentOptions
 	Entries []string `long:"entry" description:"ID,ZONE,IP:PORT of a daemon's VM to list, with its --id, --zone and --peer-address; may be given several times"`
 }
 
--- a/cli/wait.go
+++ b/cli/wait.go
@@ -24,9 +24,9 @@
 	ticker := time.NewTicker(waitPoll)
 	defer ticker.Stop()
 	for {
-		behind, err := a.behind(revision)
+		behind, err := a.daemonsBehind(revision)
 		if err == nil && len(behind) == 0 {
-			return a.sayInForce(revision)
+			return a.reportInForce(revision)
 		}
 		select {
 		case <-ticker.C:
@@ -36,9 +36,9 @@
 	}
 }
 
-// sayInForce prints that the revision is in force. It prints nothing if --output
+// reportInForce prints that the revision is in force. It prints nothing if --output
 // is json, so that the output remains a single JSON document.
-func (a *app) sayInForce(revision model.Revision) error {
+func (a *app) reportInForce(revision model.Revision) error {
 	if a.globals.Output == outputJSON {
 		return nil
 	}
@@ -60,9 +60,9 @@
 	membership.Alive.String(), membership.Suspect.String(), membership.Leaving.String(),
 }
 
-// behind returns the ids of the daemons that may serve callers and have not
+// daemonsBehind returns the ids of the daemons that may serve callers and have not
 // confirmed the revision, according to the first daemon that responds.
-func (a *app) behind(revision model.Revision) ([]string, error) {
+func (a *app) daemonsBehind(revision model.Revision) ([]string, error) {
 	status, err := askAny(a, func(ctx context.Context, c *adminapi.Client) (daemon.Status, error) {
 		return c.Status(ctx)
 	})
