--- a/cli/cli.go
+++ b/cli/cli.go
@@ -68,7 +68,7 @@
 	return command.Execute(nil)
 }
 
-// callContext returns the context of one callContext to a daemon, with --timeout as its
+// callContext returns the context of one call to a daemon, with --timeout as its
 // deadline.
 func (a *app) callContext() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(a.ctx, a.globals.Timeout)
--- a/cli/exit_test.go
+++ b/cli/exit_test.go
@@ -146,8 +146,8 @@
 	fresh := tasksResponse{tasks: []daemon.TaskStatus{{Task: "web@1/0", State: "pending"}}}
 	fresh.before = daemon.Status{Shards: 1, Owned: []daemon.ShardStatus{{Shard: 0, Loaded: true, Epoch: 9}}}
 	fresh.after = fresh.before
-	for _, answers := range [][]tasksResponse{{old, fresh}, {fresh, old}} {
-		all := collect(answers)
+	for _, responses := range [][]tasksResponse{{old, fresh}, {fresh, old}} {
+		all := collect(responses)
 		if len(all.tasks) != 1 || all.tasks[0].State != "pending" {
 			t.Errorf("collected tasks %+v, want one pending task", all.tasks)
 		}
@@ -158,7 +158,7 @@
 // cancelled. This happens if records in the state "moved" are always left out:
 // between the move and the other shard's acceptance they are the only records.
 func TestMovedTasksAreListed(t *testing.T) {
-	answer := tasksResponse{tasks: []daemon.TaskStatus{
+	response := tasksResponse{tasks: []daemon.TaskStatus{
 		{Task: "web@1/0", State: "moved", Shard: 0},
 		{Task: "web@1/0", State: "running", Shard: 1},
 		{Task: "web@1/1", State: "running", Shard: 0},
@@ -166,10 +166,10 @@
 		{Task: "web@1/2", State: "moved", Shard: 0},
 		{Task: "web@1/2", State: "moved", Shard: 1},
 	}}
-	answer.before = daemon.Status{Shards: 2, Owned: []daemon.ShardStatus{{Shard: 0, Loaded: true, Epoch: 4}, {Shard: 1, Loaded: true, Epoch: 5}}}
-	answer.after = answer.before
+	response.before = daemon.Status{Shards: 2, Owned: []daemon.ShardStatus{{Shard: 0, Loaded: true, Epoch: 4}, {Shard: 1, Loaded: true, Epoch: 5}}}
+	response.after = response.before
 	states := make(map[string]string)
-	for _, task := range collect([]tasksResponse{answer}).tasks {
+	for _, task := range collect([]tasksResponse{response}).tasks {
 		states[task.Task] += task.State
 	}
 	want := map[string]string{"web@1/0": "running", "web@1/1": "running", "web@1/2": "moved"}
--- a/cli/job_test.go
+++ b/cli/job_test.go
@@ -23,22 +23,22 @@
 )
 
 // jobDaemon starts a fake interface for jobs and returns its address. It responds
-// with 200 to the calls in answers, whose keys are "METHOD PATH", and with status
-// and problem to all other calls.
-func jobDaemon(t *testing.T, answers map[string]any, status int, problem jobapi.Problem) string {
+// with 200 to the calls in responses, whose keys are "METHOD PATH", and with
+// status and problem to all other calls.
+func jobDaemon(t *testing.T, responses map[string]any, status int, problem jobapi.Problem) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer, known := answers[r.Method+" "+r.URL.Path]
+		response, known := responses[r.Method+" "+r.URL.Path]
 		if !known {
-			answer = problem
+			response = problem
 			w.Header().Set("Retry-After", "1")
 			w.WriteHeader(status)
 		}
-		if text, plain := answer.(string); plain {
+		if text, plain := response.(string); plain {
 			fmt.Fprint(w, text)
 			return
 		}
-		if err := json.NewEncoder(w).Encode(answer); err != nil {
+		if err := json.NewEncoder(w).Encode(response); err != nil {
 			t.Error(err)
 		}
 	}))
@@ -104,8 +104,8 @@
 	}
 }
 
-// TestJobSubmitExitCodes checks that the exit code tells whether the job
-// may run, taking into account the outcomes of all daemons that were tried.
+// TestJobSubmitExitCodes checks that the exit code tells whether the job may
+// run, taking into account the outcomes of all daemons that were tried.
 func TestJobSubmitExitCodes(t *testing.T) {
 	down := jobDaemon(t, nil, http.StatusServiceUnavailable, jobapi.Problem{Kind: jobapi.ProblemNotDone, Detail: "not done"})
 	unsure := jobDaemon(t, nil, http.StatusGatewayTimeout, jobapi.Problem{Kind: jobapi.ProblemUncertain, Detail: "not known"})
--- a/cli/jobcommands.go
+++ b/cli/jobcommands.go
@@ -92,11 +92,11 @@
 func (a *app) awaitJob(state jobapi.JobState, limit time.Duration) jobapi.JobState {
 	for end := time.Now().Add(limit); !state.State.Final() && time.Now().Before(end) && a.ctx.Err() == nil; {
 		time.Sleep(jobPoll)
-		told, err := askAnyJob(a, func(ctx context.Context, client *jobapi.Client) (jobapi.JobState, error) {
+		latest, err := askAnyJob(a, func(ctx context.Context, client *jobapi.Client) (jobapi.JobState, error) {
 			return client.State(ctx, state.ID)
 		})
 		if err == nil {
-			state = told
+			state = latest
 		}
 	}
 	return state
@@ -218,19 +218,19 @@
 // calls failed, the error of the last call with an uncertain outcome is
 // returned, or else that of the first call.
 func askAnyJob[T any](a *app, ask func(context.Context, *jobapi.Client) (T, error)) (T, error) {
-	var answer T
+	var response T
 	var worst error
 	for _, client := range a.jobClients() {
 		var err error
-		answer, err = askOne(a, client, ask)
+		response, err = askOne(a, client, ask)
 		if err == nil || isDefinite(err) {
-			return answer, err
+			return response, err
 		}
 		if worst == nil || isUncertain(err) {
 			worst = err
 		}
 	}
-	return answer, worst
+	return response, worst
 }
 
 // isDefinite reports whether every daemon would return this error, so that trying
--- a/cli/jobs.go
+++ b/cli/jobs.go
@@ -33,11 +33,11 @@
 
 // Execute implements flags.Commander.
 func (c *jobsCommand) Execute([]string) error {
-	answers, missing, err := askAll(c.app, c.app.clients(), askTasks)
+	responses, missing, err := askAll(c.app, c.app.clients(), askTasks)
 	if err != nil {
 		return err
 	}
-	all := collect(answers)
+	all := collect(responses)
 	if err := c.print(all.tasks); err != nil {
 		return err
 	}
@@ -63,16 +63,16 @@
 }
 
 func askTasks(ctx context.Context, client *adminapi.Client) (tasksResponse, error) {
-	var answer tasksResponse
+	var response tasksResponse
 	var err error
-	if answer.before, err = client.Status(ctx); err != nil {
-		return answer, err
+	if response.before, err = client.Status(ctx); err != nil {
+		return response, err
 	}
-	if answer.tasks, err = client.Tasks(ctx); err != nil {
-		return answer, err
+	if response.tasks, err = client.Tasks(ctx); err != nil {
+		return response, err
 	}
-	answer.after, err = client.Status(ctx)
-	return answer, err
+	response.after, err = client.Status(ctx)
+	return response, err
 }
 
 // steady returns the shards, with their epochs, that the daemon owned with the
@@ -107,20 +107,20 @@
 // collect merges the responses of the daemons. If two daemons report the same
 // shard, the one with the higher epoch owns it, and the other's tasks of that
 // shard are ignored.
-func collect(answers []tasksResponse) collected {
+func collect(responses []tasksResponse) collected {
 	all := collected{}
 	owner := make(map[model.ShardID]int)
 	epochs := make(map[model.ShardID]model.Epoch)
-	for i, answer := range answers {
-		all.shards = max(all.shards, answer.after.Shards)
-		for shard, epoch := range answer.steady() {
+	for i, response := range responses {
+		all.shards = max(all.shards, response.after.Shards)
+		for shard, epoch := range response.steady() {
 			if epoch > epochs[shard] {
 				owner[shard], epochs[shard] = i, epoch
 			}
 		}
 	}
-	for i, answer := range answers {
-		for _, t := range answer.tasks {
+	for i, response := range responses {
+		for _, t := range response.tasks {
 			if o, owned := owner[t.Shard]; owned && o == i {
 				all.tasks = append(all.tasks, t)
 			}
--- a/cli/query.go
+++ b/cli/query.go
@@ -54,37 +54,37 @@
 // daemons whose calls failed. It returns an error with ExitNotMade if all calls
 // failed.
 func askAll[C daemonClient, T any](a *app, clients []C, ask func(context.Context, C) (T, error)) ([]T, unreachableDaemons, error) {
-	var answers []T
+	var responses []T
 	var missing unreachableDaemons
 	var last error
 	for _, client := range clients {
-		answer, err := askOne(a, client, ask)
+		response, err := askOne(a, client, ask)
 		if err != nil {
 			last = err
 			missing = append(missing, client.Address())
 			a.reportUnreachable(client, err)
 			continue
 		}
-		answers = append(answers, answer)
+		responses = append(responses, response)
 	}
-	if len(answers) == 0 {
+	if len(responses) == 0 {
 		return nil, nil, &Error{Code: ExitNotMade, Text: "no daemon answered", Cause: last}
 	}
-	return answers, missing, nil
+	return responses, missing, nil
 }
 
 // askAny calls the daemons in turn until one call succeeds and returns its
 // response, or the error of the last call if all failed.
 func askAny[T any](a *app, ask func(context.Context, *adminapi.Client) (T, error)) (T, error) {
-	var answer T
+	var response T
 	var err error
 	for _, client := range a.clients() {
-		answer, err = askOne(a, client, ask)
+		response, err = askOne(a, client, ask)
 		if err == nil {
 			break
 		}
 	}
-	return answer, err
+	return response, err
 }
 
 // askOne calls one daemon with the deadline of --timeout.
--- a/cli/wait.go
+++ b/cli/wait.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// reportInForce prints that the revision is in force. It prints nothing if --output
-// is json, so that the output remains a single JSON document.
+// reportInForce prints that the revision is in force. It prints nothing if
+// --output is json, so that the output remains a single JSON document.
 func (a *app) reportInForce(revision model.Revision) error {
 	if a.globals.Output == outputJSON {
 		return nil
@@ -60,8 +60,8 @@
 	membership.Alive.String(), membership.Suspect.String(), membership.Leaving.String(),
 }
 
-// daemonsBehind returns the ids of the daemons that may serve callers and have not
-// confirmed the revision, according to the first daemon that responds.
+// daemonsBehind returns the ids of the daemons that may serve callers and have
+// not confirmed the revision, according to the first daemon that responds.
 func (a *app) daemonsBehind(revision model.Revision) ([]string, error) {
 	status, err := askAny(a, func(ctx context.Context, c *adminapi.Client) (daemon.Status, error) {
 		return c.Status(ctx)
