--- a/cli/exit_test.go
+++ b/cli/exit_test.go
@@ -174,7 +174,7 @@
 	}
 	want := map[string]string{"web@1/0": "running", "web@1/1": "running", "web@1/2": "moved"}
 	if !maps.Equal(states, want) {
-		t.Errorf("states %v, want %v", states, want)
+		t.Errorf("unexpected task states %v", states)
 	}
 }
 
