--- a/cli/trial.go
+++ b/cli/demo.go
@@ -14,11 +14,12 @@
 	"github.com/guavarill/guavarill/standin/site"
 )
 
-type trialOptions struct {
+// deploymentOptions selects the sample deployment that demo and standin run.
+type deploymentOptions struct {
 	Deployment string `long:"deployment" default:"agency" choice:"agency" choice:"pindan" description:"which sample site"`
 }
 
-func (o trialOptions) find() (demo.Deployment, error) {
+func (o deploymentOptions) find() (demo.Deployment, error) {
 	d, known := demo.Find(o.Deployment)
 	if !known {
 		return d, usage("no such deployment: %s", o.Deployment)
@@ -28,7 +29,7 @@
 
 type demoCommand struct {
 	app *app
-	trialOptions
+	deploymentOptions
 	Serve    bool `long:"serve" description:"keep the deployment up, to be tried by hand, until interrupted"`
 	Timeline bool `long:"timeline" description:"print the time line of all daemons after the report"`
 	Verbose  bool `long:"verbose" description:"print the daemons' logs"`
@@ -60,7 +61,7 @@
 	return c.runJob()
 }
 
-// runJob shows a job that a caller submits.
+// runJob runs the demo of a job that a caller submits, and prints its report.
 func (c *demoCommand) runJob() error {
 	fmt.Fprintln(c.app.out)
 	report, err := demo.RunJob(c.app.ctx, c.app.out)
@@ -90,7 +91,7 @@
 
 type standinCommand struct {
 	app *app
-	trialOptions
+	deploymentOptions
 	Entries []string `long:"entry" description:"ID,ZONE,IP:PORT of a daemon's VM to list, with its --id, --zone and --peer-address; may be given several times"`
 }
 
@@ -117,14 +118,15 @@
 	return nil
 }
 
-// entry is a daemon's VM on the stand-in's list. Daemons that are not listed
-// do not find each other.
+// entry is a daemon's VM on the stand-in's VM list. Daemons find each other
+// through that list, so a daemon that is not listed is not found.
 type entry struct {
 	id      string
 	zone    model.Zone
 	address string
 }
 
+// parseEntries parses the values of --entry, each ID,ZONE,IP:PORT.
 func parseEntries(texts []string) ([]entry, error) {
 	var entries []entry
 	for _, text := range texts {
