--- a/adapter/adminapi/client.go
+++ b/adapter/adminapi/client.go
@@ -58,14 +58,14 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// AnswerError is an answer that is an error.
-type AnswerError struct {
+// ResponseError is an answer that is an error.
+type ResponseError struct {
 	Status  int
 	Problem Problem
 }
 
 // Error implements error.
-func (e *AnswerError) Error() string {
+func (e *ResponseError) Error() string {
 	return fmt.Sprintf("status %d: %s: %s", e.Status, e.Problem.Kind, e.Problem.Detail)
 }
 
@@ -142,7 +142,7 @@
 // noManifest returns nil when the daemon says that it knows none.
 func (c *Client) noManifest(status int, answer []byte) error {
 	failed := c.answerError(status, answer)
-	var said *AnswerError
+	var said *ResponseError
 	if errors.As(failed, &said) && said.Problem.Kind == NoManifest {
 		return nil
 	}
@@ -177,7 +177,7 @@
 // what the daemon itself calls a bad request certainly changed nothing: a
 // status without its JSON may come from something between.
 func (c *Client) answerError(status int, answer []byte) *CallError {
-	cause := &AnswerError{Status: status}
+	cause := &ResponseError{Status: status}
 	if json.Unmarshal(answer, &cause.Problem) != nil {
 		cause.Problem.Detail = string(answer)
 	}
--- a/cli/change.go
+++ b/cli/change.go
@@ -102,7 +102,7 @@
 // neverSent reports whether a call did not get as far as a daemon.
 func neverSent(err error) bool {
 	var failed *adminapi.CallError
-	var answer *adminapi.AnswerError
+	var answer *adminapi.ResponseError
 	return errors.As(err, &failed) && failed.Outcome == port.OutcomeNotDone && !errors.As(err, &answer)
 }
 
--- a/cli/exit.go
+++ b/cli/exit.go
@@ -80,7 +80,7 @@
 			Cause: err,
 		}
 	}
-	var answer *adminapi.AnswerError
+	var answer *adminapi.ResponseError
 	if !errors.As(err, &answer) {
 		return &Error{Code: ExitNotMade, Text: "not made: no daemon could be reached", Cause: err}
 	}
