--- a/adapter/adminapi/adminapi_test.go
+++ b/adapter/adminapi/adminapi_test.go
@@ -220,7 +220,7 @@
 // Sequence: the connection breaks after the request was sent; or a proxy
 // answers for the daemon.
 // Cause: every call without an answer is taken for one that was not sent.
-func TestOnlyWhatWasNotSentIsNotDone(t *testing.T) {
+func TestOutcomeOfFailedCalls(t *testing.T) {
 	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
--- a/adapter/adminapi/client.go
+++ b/adapter/adminapi/client.go
@@ -102,7 +102,7 @@
 		return result, err
 	}
 	if err := json.Unmarshal(answer, &result); err != nil || result.Outcome == "" {
-		return ChangeResult{}, c.answerError(status, answer)
+		return ChangeResult{}, c.responseError(status, answer)
 	}
 	return result, nil
 }
@@ -130,7 +130,7 @@
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, c.noManifest(status, answer)
+		return nil, c.checkNoManifest(status, answer)
 	}
 	m, err := manifest.Parse(answer)
 	if err != nil {
@@ -139,9 +139,9 @@
 	return m, nil
 }
 
-// noManifest returns nil when the daemon says that it knows none.
-func (c *Client) noManifest(status int, answer []byte) error {
-	failed := c.answerError(status, answer)
+// checkNoManifest returns nil when the daemon says that it knows none.
+func (c *Client) checkNoManifest(status int, answer []byte) error {
+	failed := c.responseError(status, answer)
 	var said *ResponseError
 	if errors.As(failed, &said) && said.Problem.Kind == NoManifest {
 		return nil
@@ -153,7 +153,7 @@
 func (c *Client) Drain(ctx context.Context) error {
 	status, answer, err := c.do(ctx, http.MethodPost, "/v1/drain", nil)
 	if err == nil && status != http.StatusAccepted {
-		err = c.answerError(status, answer)
+		err = c.responseError(status, answer)
 	}
 	return err
 }
@@ -165,7 +165,7 @@
 		return value, err
 	}
 	if status != http.StatusOK {
-		return value, c.answerError(status, answer)
+		return value, c.responseError(status, answer)
 	}
 	if err := json.Unmarshal(answer, &value); err != nil {
 		return value, &CallError{Daemon: c.base, Outcome: port.OutcomeNotDone, Cause: err}
@@ -173,10 +173,10 @@
 	return value, nil
 }
 
-// answerError makes the error of an answer that is not the expected one. Only
+// responseError makes the error of an answer that is not the expected one. Only
 // what the daemon itself calls a bad request certainly changed nothing: a
 // status without its JSON may come from something between.
-func (c *Client) answerError(status int, answer []byte) *CallError {
+func (c *Client) responseError(status int, answer []byte) *CallError {
 	cause := &ResponseError{Status: status}
 	if json.Unmarshal(answer, &cause.Problem) != nil {
 		cause.Problem.Detail = string(answer)
@@ -188,8 +188,8 @@
 	return failed
 }
 
-// maxAnswerBytes bounds what is read of an answer; a fleet's tasks fit.
-const maxAnswerBytes = 256 << 20
+// maxResponseBytes bounds what is read of an answer; a fleet's tasks fit.
+const maxResponseBytes = 256 << 20
 
 func (c *Client) do(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
 	var connected atomic.Bool
@@ -217,6 +217,6 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, answer, err
 }
--- a/adapter/adminapi/messages.go
+++ b/adapter/adminapi/messages.go
@@ -76,19 +76,19 @@
 			return http.StatusServiceUnavailable, ChangeResult{Outcome: NotMade, Detail: r.Cause.Error()}
 		}
 		return http.StatusUnprocessableEntity, ChangeResult{
-			Outcome: Refused, Problems: r.Problems, Detail: detail(r.Cause),
+			Outcome: Refused, Problems: r.Problems, Detail: errorText(r.Cause),
 		}
 	case config.ApplyNotMade:
-		return http.StatusServiceUnavailable, ChangeResult{Outcome: NotMade, Detail: detail(r.Cause)}
+		return http.StatusServiceUnavailable, ChangeResult{Outcome: NotMade, Detail: errorText(r.Cause)}
 	case config.ApplyUnknown:
 		return http.StatusBadGateway, ChangeResult{
-			Outcome: Unknown, Revision: r.Revision, Writer: r.Writer, Detail: detail(r.Cause),
+			Outcome: Unknown, Revision: r.Revision, Writer: r.Writer, Detail: errorText(r.Cause),
 		}
 	}
 	return http.StatusInternalServerError, ChangeResult{Outcome: Unknown}
 }
 
-func detail(err error) string {
+func errorText(err error) string {
 	if err == nil {
 		return ""
 	}
--- a/adapter/adminapi/server.go
+++ b/adapter/adminapi/server.go
@@ -64,7 +64,7 @@
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
-	e.HTTPErrorHandler = answerError
+	e.HTTPErrorHandler = handleError
 	e.POST("/v1/manifest", s.apply)
 	e.GET("/v1/manifest", s.manifest)
 	e.POST("/v1/cancel", s.cancel)
@@ -96,12 +96,12 @@
 // Close waits for answers in progress until ctx ends.
 func (s *Server) Close(ctx context.Context) error { return s.server.Shutdown(ctx) }
 
-func problem(c echo.Context, status int, kind ProblemKind, err error) error {
-	return c.JSON(status, Problem{Kind: kind, Detail: detail(err)})
+func respondProblem(c echo.Context, status int, kind ProblemKind, err error) error {
+	return c.JSON(status, Problem{Kind: kind, Detail: errorText(err)})
 }
 
-// answerError answers what no handler took, such as an unknown path.
-func answerError(err error, c echo.Context) {
+// handleError answers what no handler took, such as an unknown path.
+func handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -116,15 +116,15 @@
 func (s *Server) apply(c echo.Context) error {
 	query, err := parseApplyQuery(c.QueryParams())
 	if err != nil {
-		return problem(c, http.StatusBadRequest, BadQuery, err)
+		return respondProblem(c, http.StatusBadRequest, BadQuery, err)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxManifestBytes))
 	if err != nil {
-		return unreadable(c, err)
+		return respondBodyError(c, err)
 	}
 	m, err := manifest.Parse(body)
 	if err != nil {
-		return c.JSON(http.StatusUnprocessableEntity, refusal(err))
+		return c.JSON(http.StatusUnprocessableEntity, refusedResult(err))
 	}
 	if query.dryRun {
 		return s.dryRun(c, m, query.base)
@@ -132,19 +132,19 @@
 	return s.change(c, config.ApplyRequest{Manifest: m, Base: query.base})
 }
 
-// unreadable answers a manifest whose body was not read to its end.
-func unreadable(c echo.Context, err error) error {
+// respondBodyError answers a manifest whose body was not read to its end.
+func respondBodyError(c echo.Context, err error) error {
 	var tooLarge *http.MaxBytesError
 	if !errors.As(err, &tooLarge) {
-		return problem(c, http.StatusBadRequest, BadBody, err)
+		return respondProblem(c, http.StatusBadRequest, BadBody, err)
 	}
-	return c.JSON(http.StatusUnprocessableEntity, refusal(&manifest.InvalidError{Problems: []manifest.Problem{{
+	return c.JSON(http.StatusUnprocessableEntity, refusedResult(&manifest.InvalidError{Problems: []manifest.Problem{{
 		Reason: manifest.ReasonTooLarge,
 		Detail: fmt.Sprintf("at most %d bytes", tooLarge.Limit),
 	}}}))
 }
 
-func refusal(err error) ChangeResult {
+func refusedResult(err error) ChangeResult {
 	result := ChangeResult{Outcome: Refused, Detail: err.Error()}
 	var invalid *manifest.InvalidError
 	if errors.As(err, &invalid) {
@@ -157,7 +157,7 @@
 func (s *Server) dryRun(c echo.Context, m *manifest.Manifest, replaces *model.Revision) error {
 	current, err := s.o.Daemon.Config(c.Request().Context())
 	if err != nil {
-		return problem(c, http.StatusServiceUnavailable, Unavailable, err)
+		return respondProblem(c, http.StatusServiceUnavailable, Unavailable, err)
 	}
 	if replaces != nil {
 		if err := config.CheckBase(current, *replaces); err != nil {
@@ -166,7 +166,7 @@
 	}
 	next, diff, err := config.Accept(current, m, 1, "dry-run")
 	if err != nil {
-		return c.JSON(http.StatusUnprocessableEntity, refusal(err))
+		return c.JSON(http.StatusUnprocessableEntity, refusedResult(err))
 	}
 	if diff.Empty() {
 		return c.JSON(http.StatusOK, ChangeResult{Outcome: NoChange, Revision: next.Revision})
@@ -185,7 +185,7 @@
 func (s *Server) cancel(c echo.Context) error {
 	request, err := readCancel(http.MaxBytesReader(c.Response(), c.Request().Body, maxManifestBytes))
 	if err != nil {
-		return problem(c, http.StatusBadRequest, BadBody, err)
+		return respondProblem(c, http.StatusBadRequest, BadBody, err)
 	}
 	return s.change(c, config.ApplyRequest{Cancel: request.Workloads, Base: request.Base})
 }
@@ -205,10 +205,10 @@
 func (s *Server) manifest(c echo.Context) error {
 	current, err := s.o.Daemon.Config(c.Request().Context())
 	if err != nil {
-		return problem(c, http.StatusServiceUnavailable, Unavailable, err)
+		return respondProblem(c, http.StatusServiceUnavailable, Unavailable, err)
 	}
 	if current == nil {
-		return problem(c, http.StatusNotFound, NoManifest, nil)
+		return respondProblem(c, http.StatusNotFound, NoManifest, nil)
 	}
 	c.Response().Header().Set("Guavarill-Revision", strconv.FormatUint(uint64(current.Revision), 10))
 	return c.JSONBlob(http.StatusOK, current.Manifest.Canonical())
@@ -217,7 +217,7 @@
 func (s *Server) status(c echo.Context) error {
 	st, err := s.o.Daemon.Status(c.Request().Context())
 	if err != nil {
-		return problem(c, http.StatusServiceUnavailable, Unavailable, err)
+		return respondProblem(c, http.StatusServiceUnavailable, Unavailable, err)
 	}
 	return c.JSON(http.StatusOK, st)
 }
@@ -225,17 +225,17 @@
 func (s *Server) tasks(c echo.Context) error {
 	list, err := s.o.Daemon.Tasks(c.Request().Context())
 	if err != nil {
-		return problem(c, http.StatusServiceUnavailable, Unavailable, err)
+		return respondProblem(c, http.StatusServiceUnavailable, Unavailable, err)
 	}
-	return c.JSON(http.StatusOK, notNull(list))
+	return c.JSON(http.StatusOK, emptyIfNil(list))
 }
 
 func (s *Server) timeline(c echo.Context) error {
-	return c.JSON(http.StatusOK, notNull(s.o.Daemon.Timeline()))
+	return c.JSON(http.StatusOK, emptyIfNil(s.o.Daemon.Timeline()))
 }
 
-// notNull has an empty list answered as one, and not as null.
-func notNull[T any](list []T) []T {
+// emptyIfNil has an empty list answered as one, and not as null.
+func emptyIfNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
