--- a/adapter/adminapi/adminapi_test.go
+++ b/adapter/adminapi/adminapi_test.go
@@ -24,7 +24,7 @@
 const document = `{"cluster":"c","teams":[{"name":"t"}],"workloads":[{"name":"w","team":"t","kind":"batch",` +
 	`"class":"x","priority":"low","tasks":1,"size":{"milliCPU":100,"memoryMB":100}}]}`
 
-// fakeDaemon answers what a test sets and counts the changes asked of it.
+// fakeDaemon returns the results that a test sets and counts calls of Apply.
 type fakeDaemon struct {
 	result  config.ApplyResult
 	current *config.Accepted
@@ -109,16 +109,15 @@
 			}
 			result, err := f.client.Cancel(context.Background(), CancelRequest{Workloads: []string{"w"}})
 			if err != nil || result.Outcome != c.outcome {
-				t.Errorf("client has %q, %v", result.Outcome, err)
+				t.Errorf("client returned outcome %q, error %v", result.Outcome, err)
 			}
 		})
 	}
 }
 
-// Symptom: part of a bad request is carried out, or a trial changes something.
-// Sequence: a request with a misspelt parameter, an unknown field, or a bad
-// manifest arrives.
-// Cause: what is not understood is passed over.
+// Guards against a partially applied invalid request, and against a dry run that
+// changes something. Both happen if unknown parameters, unknown fields or invalid
+// parts of a manifest are ignored.
 func TestBadRequestsReachNoDaemon(t *testing.T) {
 	duplicate := strings.Replace(document, `{"name":"w"`, `{"name":"w","team":"t","kind":"batch","class":"x",`+
 		`"priority":"low","tasks":1,"size":{"milliCPU":1,"memoryMB":1}},{"name":"w"`, 1)
@@ -216,10 +215,10 @@
 	}
 }
 
-// Symptom: an operator is told that a change was not made, and it was.
-// Sequence: the connection breaks after the request was sent; or a proxy
-// answers for the daemon.
-// Cause: every call without an answer is taken for one that was not sent.
+// Guards against reporting that a change was not made although it was. This happens
+// if every call without a response from the daemon counts as not sent: the
+// connection breaks after the request was sent, or a proxy responds in place of the
+// daemon.
 func TestOutcomeOfFailedCalls(t *testing.T) {
 	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
@@ -238,7 +237,7 @@
 		outcome port.Outcome
 	}{
 		"broken":              {broken.URL, port.OutcomeUnknown},
-		"answered by another": {between.URL, port.OutcomeUnknown},
+		"response by a proxy": {between.URL, port.OutcomeUnknown},
 		"not listening":       {closed.Addr().String(), port.OutcomeNotDone},
 		"refused":             {refused, port.OutcomeNotDone},
 	} {
--- a/adapter/adminapi/client.go
+++ b/adapter/adminapi/client.go
@@ -21,19 +21,19 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Client reaches one daemon's operators' interface.
+// Client is a client of one daemon's HTTP API for operators.
 type Client struct {
 	base string
 	http *http.Client
 }
 
-// NewClient returns a client of the daemon at address, host:port or a URL.
+// NewClient returns a client of the daemon at address, which is host:port or a URL.
 func NewClient(address string, transport http.RoundTripper) *Client {
 	return &Client{
 		base: endpoint.URL(address),
 		http: &http.Client{
 			Transport: transport,
-			// A daemon redirects nobody, and a change must go where it was sent.
+			// Daemons send no redirects, and a change must not reach any other server.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
@@ -42,7 +42,7 @@
 // Address returns the daemon's URL.
 func (c *Client) Address() string { return c.base }
 
-// CallError is a call that brought no answer that could be understood.
+// CallError reports a call without a usable response.
 type CallError struct {
 	Daemon string
 	// Outcome is OutcomeNotDone when the call certainly changed nothing: it was
@@ -58,7 +58,7 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Cause }
 
-// ResponseError is an answer that is an error.
+// ResponseError reports an error response.
 type ResponseError struct {
 	Status  int
 	Problem Problem
@@ -69,7 +69,9 @@
 	return fmt.Sprintf("status %d: %s: %s", e.Status, e.Problem.Kind, e.Problem.Detail)
 }
 
-// Apply sends a manifest. An error is a *CallError.
+// Apply sends a manifest to be accepted. If base is not nil, the change conflicts
+// unless base is the current revision. With dryRun, nothing is changed. An error is
+// a *CallError.
 func (c *Client) Apply(ctx context.Context, document []byte, base *model.Revision, dryRun bool) (ChangeResult, error) {
 	query := url.Values{}
 	if base != nil {
@@ -107,23 +109,24 @@
 	return result, nil
 }
 
-// Status returns the daemon's status. An error is a *CallError.
+// Status returns the status of the daemon. An error is a *CallError.
 func (c *Client) Status(ctx context.Context) (daemon.Status, error) {
 	return get[daemon.Status](ctx, c, "/v1/status")
 }
 
-// Tasks returns the tasks of the daemon's shards. An error is a *CallError.
+// Tasks returns the tasks of the shards that the daemon owns. An error is a *CallError.
 func (c *Client) Tasks(ctx context.Context) ([]daemon.TaskStatus, error) {
 	return get[[]daemon.TaskStatus](ctx, c, "/v1/tasks")
 }
 
-// Timeline returns the events that the daemon holds. An error is a *CallError.
+// Timeline returns the timeline events that the daemon retains. An error is a
+// *CallError.
 func (c *Client) Timeline(ctx context.Context) ([]timeline.Event, error) {
 	return get[[]timeline.Event](ctx, c, "/v1/timeline")
 }
 
-// Manifest returns the manifest in force at the daemon, nil when it knows none.
-// An error is a *CallError.
+// Manifest returns the manifest in force at the daemon, or nil if there is none. An
+// error is a *CallError.
 func (c *Client) Manifest(ctx context.Context) (*manifest.Manifest, error) {
 	status, answer, err := c.do(ctx, http.MethodGet, "/v1/manifest", nil)
 	if err != nil {
@@ -139,7 +142,8 @@
 	return m, nil
 }
 
-// checkNoManifest returns nil when the daemon says that it knows none.
+// checkNoManifest returns nil if the response reports that the daemon has no
+// manifest, and the error of the response otherwise.
 func (c *Client) checkNoManifest(status int, answer []byte) error {
 	failed := c.responseError(status, answer)
 	var said *ResponseError
@@ -149,7 +153,7 @@
 	return failed
 }
 
-// Drain begins a planned stop. An error is a *CallError.
+// Drain starts a planned stop of the daemon. An error is a *CallError.
 func (c *Client) Drain(ctx context.Context) error {
 	status, answer, err := c.do(ctx, http.MethodPost, "/v1/drain", nil)
 	if err == nil && status != http.StatusAccepted {
@@ -173,9 +177,10 @@
 	return value, nil
 }
 
-// responseError makes the error of an answer that is not the expected one. Only
-// what the daemon itself calls a bad request certainly changed nothing: a
-// status without its JSON may come from something between.
+// responseError returns the error for an unexpected response. The outcome is
+// OutcomeNotDone only for a status below 500 with a Problem in the body: a status
+// without one may come from a proxy and does not show whether the daemon made the
+// change.
 func (c *Client) responseError(status int, answer []byte) *CallError {
 	cause := &ResponseError{Status: status}
 	if json.Unmarshal(answer, &cause.Problem) != nil {
@@ -188,9 +193,13 @@
 	return failed
 }
 
-// maxResponseBytes bounds what is read of an answer; a fleet's tasks fit.
+// maxResponseBytes limits how much of a response body is read. The tasks of a whole
+// fleet fit.
 const maxResponseBytes = 256 << 20
 
+// do sends a request and returns the status and the body of the response. Without a
+// connection the request was not sent, so the outcome of the error is
+// OutcomeNotDone; otherwise it is OutcomeUnknown.
 func (c *Client) do(ctx context.Context, method, path string, body []byte) (int, []byte, error) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
--- a/adapter/adminapi/messages.go
+++ b/adapter/adminapi/messages.go
@@ -9,10 +9,11 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// Outcome is what became of an operator's change.
+// Outcome is the result of a change that an operator requested.
 type Outcome string
 
-// The outcomes of a change.
+// The outcomes of a change. WouldMake is the outcome of a dry run of a manifest
+// that would be accepted.
 const (
 	Accepted  Outcome = "accepted"
 	NoChange  Outcome = "no change"
@@ -23,34 +24,36 @@
 	WouldMake Outcome = "would be accepted"
 )
 
-// ChangeResult answers an apply or a cancel.
+// ChangeResult is the body of the response to an apply or a cancel request.
 type ChangeResult struct {
 	Outcome  Outcome        `json:"outcome"`
 	Revision model.Revision `json:"revision,omitempty"`
 	Diff     config.Diff    `json:"diff"`
-	// Problems are listed when a manifest is refused.
+	// Problems lists why a manifest was refused.
 	Problems []manifest.Problem `json:"problems,omitempty"`
 	Detail   string             `json:"detail,omitempty"`
-	// Writer identifies an unknown change, whose revision would be Revision.
+	// Writer identifies a change whose outcome is unknown. Its revision, if it was
+	// made, is Revision. For a conflict, Writer is the writer of Revision.
 	Writer string `json:"writer,omitempty"`
 }
 
-// CancelRequest names workloads to cancel.
+// CancelRequest is the body of a request to cancel workloads. If Base is set, the
+// request conflicts unless Base is the current revision.
 type CancelRequest struct {
 	Workloads []string        `json:"workloads"`
 	Base      *model.Revision `json:"base,omitempty"`
 }
 
-// Problem is the body of an answer that is an error.
+// Problem is the body of an error response.
 type Problem struct {
 	Kind   ProblemKind `json:"kind"`
 	Detail string      `json:"detail"`
 }
 
-// ProblemKind sorts what can be wrong with an operator's request.
+// ProblemKind classifies the errors of operators' requests.
 type ProblemKind string
 
-// The kinds of problem.
+// The kinds of Problem.
 const (
 	BadQuery    ProblemKind = "bad query"
 	BadBody     ProblemKind = "bad body"
@@ -59,7 +62,8 @@
 	NoSuchCall  ProblemKind = "no such call"
 )
 
-// changeResult translates the end of a change into its answer and status.
+// changeResult converts the result of a change to the status and the body of the
+// response.
 func changeResult(result config.ApplyResult) (int, ChangeResult) {
 	switch r := result.(type) {
 	case config.ApplyAccepted:
@@ -69,8 +73,8 @@
 	case config.ApplyConflict:
 		return http.StatusConflict, ChangeResult{Outcome: Conflict, Revision: r.Current, Writer: r.Writer}
 	case config.ApplyRefused:
-		// A cluster that has seen no worker yet refuses every manifest; that is
-		// no fault of this one, and it may be sent again.
+		// A cluster without any worker so far refuses every manifest. The manifest
+		// itself may be valid and can be sent again, hence 503 instead of 422.
 		var noShards *config.NoShardsError
 		if errors.As(r.Cause, &noShards) {
 			return http.StatusServiceUnavailable, ChangeResult{Outcome: NotMade, Detail: r.Cause.Error()}
--- a/adapter/adminapi/request.go
+++ b/adapter/adminapi/request.go
@@ -10,7 +10,7 @@
 	"github.com/guavarill/guavarill/core/model"
 )
 
-// RequestReason says why a request is not understood.
+// RequestReason describes why a request is invalid.
 type RequestReason string
 
 // The reasons of a RequestError.
@@ -21,10 +21,11 @@
 	ReasonNoWorkloads      RequestReason = "names no workload"
 )
 
-// RequestError is a request that is not understood; nothing was done.
+// RequestError reports an invalid request, which changed nothing.
 type RequestError struct {
 	Reason RequestReason
-	// Subject is the parameter and its value.
+	// Subject is the parameter, with its value if the value is invalid, or the
+	// position in the body. It may be empty.
 	Subject string
 	Cause   error
 }
@@ -44,16 +45,17 @@
 // Unwrap returns the cause.
 func (e *RequestError) Unwrap() error { return e.Cause }
 
-// applyQuery is the query of an apply.
+// applyQuery holds the query parameters of an apply request.
 type applyQuery struct {
-	// base is the revision that the operator means to replace; nil is any.
+	// base is the revision that the operator intends to replace; nil means any.
 	base   *model.Revision
 	dryRun bool
 }
 
-// parseApplyQuery refuses what it does not know. Passed over, a misspelt
-// dryRun would make the change that was only to be tried, and a misspelt base
-// would replace whatever is in force.
+// parseApplyQuery parses the query of an apply request and rejects unknown
+// parameters. If they were ignored, a misspelt dryRun would make a change that the
+// operator only wanted to check, and a misspelt base would replace any revision.
+// If a parameter is repeated, its last value counts.
 func parseApplyQuery(values url.Values) (applyQuery, error) {
 	var q applyQuery
 	for name, given := range values {
@@ -81,7 +83,8 @@
 	return err
 }
 
-// readCancel reads the body of a cancel, which is one JSON object.
+// readCancel decodes the body of a cancel request, which is a single JSON object.
+// It rejects unknown fields and an empty list of workloads.
 func readCancel(body io.Reader) (CancelRequest, error) {
 	var request CancelRequest
 	decoder := json.NewDecoder(body)
--- a/adapter/adminapi/server.go
+++ b/adapter/adminapi/server.go
@@ -24,7 +24,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Daemon is what the interface asks of a daemon.
+// Daemon is the part of a daemon that a Server uses.
 type Daemon interface {
 	Apply(ctx context.Context, request config.ApplyRequest) (config.ApplyResult, error)
 	Status(ctx context.Context) (daemon.Status, error)
@@ -37,28 +37,28 @@
 type Options struct {
 	Daemon   Daemon
 	Gatherer prometheus.Gatherer
-	// Ready returns why requests are not taken, nil when they are.
+	// Ready returns nil if the daemon accepts requests, and the reason if not.
 	Ready func() error
-	// Drain begins a planned stop and returns at once.
+	// Drain starts a planned stop and returns without waiting for it.
 	Drain func()
 }
 
-// The bounds on an operator's request.
+// The limits of an operator's request.
 const (
-	// maxManifestBytes is larger than what can be accepted, so that a manifest
-	// that is a little too large is refused with a list of its problems.
+	// maxManifestBytes is larger than any acceptable manifest, so that one that is
+	// slightly too large is parsed and refused with a list of its problems.
 	maxManifestBytes  = 4 * port.MaxValueBytes
 	readHeaderTimeout = 5 * time.Second
 	requestTimeout    = 30 * time.Second
 )
 
-// Server is the operators' interface.
+// Server serves the HTTP API for operators.
 type Server struct {
 	o      Options
 	server *http.Server
 }
 
-// New returns a server that does not listen yet.
+// New returns a Server. It handles requests once Serve is called.
 func New(o Options) *Server {
 	s := &Server{o: o}
 	e := echo.New()
@@ -85,7 +85,7 @@
 	return s
 }
 
-// Serve answers until Close.
+// Serve handles requests on l until Close is called, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -93,14 +93,15 @@
 	return nil
 }
 
-// Close waits for answers in progress until ctx ends.
+// Close stops the server and waits for requests in progress until ctx ends.
 func (s *Server) Close(ctx context.Context) error { return s.server.Shutdown(ctx) }
 
 func respondProblem(c echo.Context, status int, kind ProblemKind, err error) error {
 	return c.JSON(status, Problem{Kind: kind, Detail: errorText(err)})
 }
 
-// handleError answers what no handler took, such as an unknown path.
+// handleError responds to requests without a handler, such as those for an unknown
+// path.
 func handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
@@ -132,7 +133,8 @@
 	return s.change(c, config.ApplyRequest{Manifest: m, Base: query.base})
 }
 
-// respondBodyError answers a manifest whose body was not read to its end.
+// respondBodyError responds to a manifest whose body could not be read completely.
+// A body that is too large is refused like a manifest that is too large.
 func respondBodyError(c echo.Context, err error) error {
 	var tooLarge *http.MaxBytesError
 	if !errors.As(err, &tooLarge) {
@@ -153,7 +155,8 @@
 	return result
 }
 
-// dryRun says what an apply would do to the configuration in force here.
+// dryRun responds with the changes that an apply would make to the configuration in
+// force at this daemon.
 func (s *Server) dryRun(c echo.Context, m *manifest.Manifest, replaces *model.Revision) error {
 	current, err := s.o.Daemon.Config(c.Request().Context())
 	if err != nil {
@@ -234,7 +237,8 @@
 	return c.JSON(http.StatusOK, emptyIfNil(s.o.Daemon.Timeline()))
 }
 
-// emptyIfNil has an empty list answered as one, and not as null.
+// emptyIfNil returns an empty list for nil, so that the response is [] instead of
+// null.
 func emptyIfNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
