--- a/adapter/adminapi/adminapi_test.go
+++ b/adapter/adminapi/adminapi_test.go
@@ -77,11 +77,11 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	response, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return resp.StatusCode, string(answer)
+	return resp.StatusCode, string(response)
 }
 
 func TestStatusOfEachOutcome(t *testing.T) {
@@ -104,8 +104,8 @@
 		t.Run(fmt.Sprintf("%T %s", c.result, c.outcome), func(t *testing.T) {
 			f := newFixture(t)
 			f.daemon.result, f.daemon.err = c.result, c.err
-			if status, answer := f.send(t, http.MethodPost, "/v1/manifest", document); status != c.status {
-				t.Errorf("status %d, want %d: %s", status, c.status, answer)
+			if status, response := f.send(t, http.MethodPost, "/v1/manifest", document); status != c.status {
+				t.Errorf("status %d, want %d: %s", status, c.status, response)
 			}
 			result, err := f.client.Cancel(context.Background(), CancelRequest{Workloads: []string{"w"}})
 			if err != nil || result.Outcome != c.outcome {
@@ -147,9 +147,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			status, answer := f.send(t, http.MethodPost, c.path, c.body)
-			if status != c.status || !strings.Contains(answer, c.says) {
-				t.Errorf("status %d: %.300s", status, answer)
+			status, response := f.send(t, http.MethodPost, c.path, c.body)
+			if status != c.status || !strings.Contains(response, c.says) {
+				t.Errorf("status %d: %.300s", status, response)
 			}
 			if f.daemon.changes != 0 {
 				t.Errorf("%d changes reached the daemon", f.daemon.changes)
--- a/adapter/adminapi/client.go
+++ b/adapter/adminapi/client.go
@@ -99,12 +99,12 @@
 
 func (c *Client) change(ctx context.Context, path string, body []byte) (ChangeResult, error) {
 	var result ChangeResult
-	status, answer, err := c.do(ctx, http.MethodPost, path, body)
+	status, response, err := c.do(ctx, http.MethodPost, path, body)
 	if err != nil {
 		return result, err
 	}
-	if err := json.Unmarshal(answer, &result); err != nil || result.Outcome == "" {
-		return ChangeResult{}, c.responseError(status, answer)
+	if err := json.Unmarshal(response, &result); err != nil || result.Outcome == "" {
+		return ChangeResult{}, c.responseError(status, response)
 	}
 	return result, nil
 }
@@ -128,14 +128,14 @@
 // Manifest returns the manifest in force at the daemon, or nil if there is none. An
 // error is a *CallError.
 func (c *Client) Manifest(ctx context.Context) (*manifest.Manifest, error) {
-	status, answer, err := c.do(ctx, http.MethodGet, "/v1/manifest", nil)
+	status, response, err := c.do(ctx, http.MethodGet, "/v1/manifest", nil)
 	if err != nil {
 		return nil, err
 	}
 	if status != http.StatusOK {
-		return nil, c.checkNoManifest(status, answer)
+		return nil, c.checkNoManifest(status, response)
 	}
-	m, err := manifest.Parse(answer)
+	m, err := manifest.Parse(response)
 	if err != nil {
 		return nil, &CallError{Daemon: c.base, Outcome: port.OutcomeNotDone, Cause: err}
 	}
@@ -144,8 +144,8 @@
 
 // checkNoManifest returns nil if the response reports that the daemon has no
 // manifest, and the error of the response otherwise.
-func (c *Client) checkNoManifest(status int, answer []byte) error {
-	failed := c.responseError(status, answer)
+func (c *Client) checkNoManifest(status int, response []byte) error {
+	failed := c.responseError(status, response)
 	var said *ResponseError
 	if errors.As(failed, &said) && said.Problem.Kind == NoManifest {
 		return nil
@@ -155,23 +155,23 @@
 
 // Drain starts a planned stop of the daemon. An error is a *CallError.
 func (c *Client) Drain(ctx context.Context) error {
-	status, answer, err := c.do(ctx, http.MethodPost, "/v1/drain", nil)
+	status, response, err := c.do(ctx, http.MethodPost, "/v1/drain", nil)
 	if err == nil && status != http.StatusAccepted {
-		err = c.responseError(status, answer)
+		err = c.responseError(status, response)
 	}
 	return err
 }
 
 func get[T any](ctx context.Context, c *Client, path string) (T, error) {
 	var value T
-	status, answer, err := c.do(ctx, http.MethodGet, path, nil)
+	status, response, err := c.do(ctx, http.MethodGet, path, nil)
 	if err != nil {
 		return value, err
 	}
 	if status != http.StatusOK {
-		return value, c.responseError(status, answer)
+		return value, c.responseError(status, response)
 	}
-	if err := json.Unmarshal(answer, &value); err != nil {
+	if err := json.Unmarshal(response, &value); err != nil {
 		return value, &CallError{Daemon: c.base, Outcome: port.OutcomeNotDone, Cause: err}
 	}
 	return value, nil
@@ -181,10 +181,10 @@
 // OutcomeNotDone only for a status below 500 with a Problem in the body: a status
 // without one may come from a proxy and does not show whether the daemon made the
 // change.
-func (c *Client) responseError(status int, answer []byte) *CallError {
+func (c *Client) responseError(status int, response []byte) *CallError {
 	cause := &ResponseError{Status: status}
-	if json.Unmarshal(answer, &cause.Problem) != nil {
-		cause.Problem.Detail = string(answer)
+	if json.Unmarshal(response, &cause.Problem) != nil {
+		cause.Problem.Detail = string(response)
 	}
 	failed := &CallError{Daemon: c.base, Outcome: port.OutcomeUnknown, Cause: cause}
 	if status < http.StatusInternalServerError && cause.Problem.Kind != "" {
@@ -205,9 +205,9 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	status, answer, err := c.exchange(ctx, method, path, body)
+	status, response, err := c.exchange(ctx, method, path, body)
 	if err == nil {
-		return status, answer, nil
+		return status, response, nil
 	}
 	failed := &CallError{Daemon: c.base, Outcome: port.OutcomeUnknown, Cause: err}
 	if !connected.Load() {
@@ -226,6 +226,6 @@
 		return 0, nil, err
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
-	return resp.StatusCode, answer, err
+	response, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	return resp.StatusCode, response, err
 }
--- a/adapter/adminapi/server.go
+++ b/adapter/adminapi/server.go
@@ -201,8 +201,8 @@
 			Outcome: Unknown, Writer: request.Writer, Detail: err.Error(),
 		})
 	}
-	status, answer := changeResult(result)
-	return c.JSON(status, answer)
+	status, response := changeResult(result)
+	return c.JSON(status, response)
 }
 
 func (s *Server) manifest(c echo.Context) error {
