--- a/adapter/adminapi/client.go
+++ b/adapter/adminapi/client.go
@@ -45,10 +45,12 @@
 // CallError reports a call without a usable response.
 type CallError struct {
 	Daemon string
-	// Outcome is OutcomeNotDone when the call certainly changed nothing: it was
-	// not sent, or the daemon said that it does not understand it.
+	// Outcome is OutcomeNotDone if the call definitely changed nothing: it was not
+	// sent, the daemon rejected it as invalid, it was a dry run, or the response to
+	// a read could not be decoded.
 	Outcome port.Outcome
-	// Cause is an *AnswerError when the daemon answered.
+	// Cause is a *ResponseError for an error response, and for a response to a
+	// change that could not be decoded.
 	Cause error
 }
 
