--- a/adapter/httpvms/client_test.go
+++ b/adapter/httpvms/client_test.go
@@ -184,7 +184,7 @@
 		_ = z.Close()
 		return out.String()
 	}
-	answers := []struct {
+	responses := []struct {
 		name, ifNoneMatch string
 		status            int
 		etag, body        string
@@ -205,7 +205,7 @@
 	next := 0
 	var asked string
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		a := answers[next]
+		a := responses[next]
 		asked = r.Header.Get("If-None-Match")
 		if a.etag != "" {
 			w.Header().Set("ETag", a.etag)
@@ -218,7 +218,7 @@
 	}))
 	defer server.Close()
 	client := httpvms.New(httpvms.Options{URL: server.URL, MaxBytes: 100_000})
-	for i, a := range answers {
+	for i, a := range responses {
 		next = i
 		got, err := client.List(context.Background())
 		if asked != a.ifNoneMatch {
