--- a/adapter/tlsfiles/tls_test.go
+++ b/adapter/tlsfiles/tls_test.go
@@ -198,17 +198,17 @@
 		t.Error("server accepted a client with a certificate signed by another CA")
 	}
 	server := newSource(t, dir, c)
-	conn, answer := net.Pipe()
+	conn, serverConn := net.Pipe()
 	go func() {
 		bare := tls.Client(conn, &tls.Config{MinVersion: tls.VersionTLS13, ServerName: "127.0.0.1", RootCAs: server.latest().roots, NextProtos: []string{"h2"}})
 		_ = bare.Handshake()
 		_, _ = bare.Read(make([]byte, 1))
 		_ = conn.Close()
 	}()
-	if _, _, err := server.GRPCServer().ServerHandshake(answer); err == nil {
+	if _, _, err := server.GRPCServer().ServerHandshake(serverConn); err == nil {
 		t.Error("server accepted a client without a certificate")
 	}
-	_ = answer.Close()
+	_ = serverConn.Close()
 }
 
 func TestBadFiles(t *testing.T) {
