--- a/adapter/adminapi/adminapi_test.go
+++ b/adapter/adminapi/adminapi_test.go
@@ -237,7 +237,7 @@
 		outcome port.Outcome
 	}{
 		"broken":              {broken.URL, port.OutcomeUnknown},
-		"response by a proxy": {between.URL, port.OutcomeUnknown},
+		"answered by another": {between.URL, port.OutcomeUnknown},
 		"not listening":       {closed.Addr().String(), port.OutcomeNotDone},
 		"refused":             {refused, port.OutcomeNotDone},
 	} {
--- a/adapter/adminapi/messages.go
+++ b/adapter/adminapi/messages.go
@@ -33,7 +33,8 @@
 	Problems []manifest.Problem `json:"problems,omitempty"`
 	Detail   string             `json:"detail,omitempty"`
 	// Writer identifies a change whose outcome is unknown. Its revision, if it was
-	// made, is Revision. For a conflict, Writer is the writer of Revision.
+	// made, is Revision. For a conflict,
+	// Writer is the writer of Revision, if it is known.
 	Writer string `json:"writer,omitempty"`
 }
 
