--- a/adapter/adminapi/messages.go
+++ b/adapter/adminapi/messages.go
@@ -32,9 +32,8 @@
 	// Problems lists why a manifest was refused.
 	Problems []manifest.Problem `json:"problems,omitempty"`
 	Detail   string             `json:"detail,omitempty"`
-	// Writer identifies a change whose outcome is unknown. Its revision, if it was
-	// made, is Revision. For a conflict,
-	// Writer is the writer of Revision, if it is known.
+	// Writer identifies a change whose outcome is unknown; its revision, if it was
+	// made, is Revision. For a conflict, Writer is the writer of Revision, if known.
 	Writer string `json:"writer,omitempty"`
 }
 
