--- a/adapter/httpvms/client.go
+++ b/adapter/httpvms/client.go
@@ -123,8 +123,8 @@
 	return next, nil
 }
 
-// conditionalList returns the cached list whose ETag makes the next request conditional,
-// or nil if the next request must be unconditional.
+// conditionalList returns the cached list whose ETag makes the next request
+// conditional, or nil if the next request must be unconditional.
 //
 // ETags are not fully reliable: one derived from a time in seconds stays the
 // same when the list changes twice within a second, and a cache may send one
@@ -145,8 +145,8 @@
 	c.cached = l
 }
 
-// sendRequest sends one request. It is conditional on the ETag of known unless known is
-// nil.
+// sendRequest sends one request. It is conditional on the ETag of known unless
+// known is nil.
 func (c *Client) sendRequest(ctx context.Context, known *list) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.o.URL, nil)
 	if err != nil {
@@ -163,9 +163,9 @@
 	return resp, nil
 }
 
-// checkNotModified handles a 304 response and returns asked. If the response has the
-// ETag of another list, checkNotModified clears the cache, so that the next request is
-// unconditional, and returns a *TagError.
+// checkNotModified handles a 304 response and returns asked. If the response has
+// the ETag of another list, checkNotModified clears the cache, so that the next
+// request is unconditional, and returns a *TagError.
 func (c *Client) checkNotModified(asked *list, resp *http.Response) (*list, error) {
 	got := resp.Header.Get("ETag")
 	if got == "" || opaqueTag(got) == opaqueTag(asked.etag) {
@@ -179,7 +179,7 @@
 // comparison, which ignores the prefix.
 func opaqueTag(etag string) string { return strings.TrimPrefix(etag, "W/") }
 
-// readBody returns the whole response readBody. It fails if the readBody is truncated or
+// readBody returns the whole response body. It fails if the body is truncated or
 // larger than MaxBytes: live VMs would appear to be gone in a truncated list.
 func (c *Client) readBody(resp *http.Response) ([]byte, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.o.MaxBytes+1))
@@ -216,8 +216,8 @@
 	return vms, nil
 }
 
-// invalidReason returns why vm is invalid, or "" if it is valid. seen holds the IDs of
-// the preceding VMs.
+// invalidReason returns why vm is invalid, or "" if it is valid. seen holds the
+// IDs of the preceding VMs.
 func invalidReason(vm model.VM, seen map[model.WorkerID]bool) InvalidReason {
 	size := vm.Capacity
 	switch {
