--- a/adapter/adminapi/doc.go
+++ b/adapter/adminapi/doc.go
@@ -7,7 +7,7 @@
 //	GET  /v1/status      daemon.Status
 //	GET  /v1/tasks       tasks of the shards that this daemon owns
 //	GET  /v1/timeline    the timeline events that this daemon retains
-//	POST /v1/drain       begin a planned stop
+//	POST /v1/drain       start a planned stop
 //	GET  /metrics        Prometheus metrics
 //	GET  /livez          200 while the process is running
 //	GET  /readyz         200 while requests are accepted, otherwise 503 and the reason
