--- a/adapter/adminapi/adminapi_test.go
+++ b/adapter/adminapi/adminapi_test.go
@@ -24,7 +24,7 @@
 const document = `{"cluster":"c","teams":[{"name":"t"}],"workloads":[{"name":"w","team":"t","kind":"batch",` +
 	`"class":"x","priority":"low","tasks":1,"size":{"milliCPU":100,"memoryMB":100}}]}`
 
-// fakeDaemon answers what a test sets and counts the changes asked of it.
+// fakeDaemon returns the results that a test sets and counts calls of Apply.
 type fakeDaemon struct {
 	result  config.ApplyResult
 	current *config.Accepted
@@ -77,11 +77,11 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
+	response, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return resp.StatusCode, string(answer)
+	return resp.StatusCode, string(response)
 }
 
 func TestStatusOfEachOutcome(t *testing.T) {
@@ -104,21 +104,20 @@
 		t.Run(fmt.Sprintf("%T %s", c.result, c.outcome), func(t *testing.T) {
 			f := newFixture(t)
 			f.daemon.result, f.daemon.err = c.result, c.err
-			if status, answer := f.send(t, http.MethodPost, "/v1/manifest", document); status != c.status {
-				t.Errorf("status %d, want %d: %s", status, c.status, answer)
+			if status, response := f.send(t, http.MethodPost, "/v1/manifest", document); status != c.status {
+				t.Errorf("status %d, want %d: %s", status, c.status, response)
 			}
 			result, err := f.client.Cancel(context.Background(), CancelRequest{Workloads: []string{"w"}})
 			if err != nil || result.Outcome != c.outcome {
-				t.Errorf("client has %q, %v", result.Outcome, err)
+				t.Errorf("client returned outcome %q, error %v", result.Outcome, err)
 			}
 		})
 	}
 }
 
-// Symptom: part of a bad request is carried out, or a trial changes something.
-// Sequence: a request with a misspelt parameter, an unknown field, or a bad
-// manifest arrives.
-// Cause: what is not understood is passed over.
+// Guards against a partially applied invalid request, and against a dry run that
+// changes something. Both happen if unknown parameters, unknown fields or invalid
+// parts of a manifest are ignored.
 func TestBadRequestsReachNoDaemon(t *testing.T) {
 	duplicate := strings.Replace(document, `{"name":"w"`, `{"name":"w","team":"t","kind":"batch","class":"x",`+
 		`"priority":"low","tasks":1,"size":{"milliCPU":1,"memoryMB":1}},{"name":"w"`, 1)
@@ -148,9 +147,9 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			f := newFixture(t)
-			status, answer := f.send(t, http.MethodPost, c.path, c.body)
-			if status != c.status || !strings.Contains(answer, c.says) {
-				t.Errorf("status %d: %.300s", status, answer)
+			status, response := f.send(t, http.MethodPost, c.path, c.body)
+			if status != c.status || !strings.Contains(response, c.says) {
+				t.Errorf("status %d: %.300s", status, response)
 			}
 			if f.daemon.changes != 0 {
 				t.Errorf("%d changes reached the daemon", f.daemon.changes)
@@ -216,11 +215,11 @@
 	}
 }
 
-// Symptom: an operator is told that a change was not made, and it was.
-// Sequence: the connection breaks after the request was sent; or a proxy
-// answers for the daemon.
-// Cause: every call without an answer is taken for one that was not sent.
-func TestOnlyWhatWasNotSentIsNotDone(t *testing.T) {
+// Guards against reporting that a change was not made although it was. This happens
+// if every call without a response from the daemon counts as not sent: the
+// connection breaks after the request was sent, or a proxy responds in place of the
+// daemon.
+func TestOutcomeOfFailedCalls(t *testing.T) {
 	broken := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
--- a/cli/change.go
+++ b/cli/change.go
@@ -103,7 +103,7 @@
 // neverSent reports whether a call failed before its request reached a daemon.
 func neverSent(err error) bool {
 	var failed *adminapi.CallError
-	var answer *adminapi.AnswerError
+	var answer *adminapi.ResponseError
 	return errors.As(err, &failed) && failed.Outcome == port.OutcomeNotDone && !errors.As(err, &answer)
 }
 
