--- a/adapter/logsink/sink.go
+++ b/adapter/logsink/sink.go
@@ -114,7 +114,7 @@
 }
 
 // nextWriteLen returns the length of the next write of a batch: as many whole lines as
-// fit into pieceBytes, or a single line that is longer.
+// fit into maxWriteBytes, or a single line that is longer.
 func nextWriteLen(batch []byte) int {
 	if len(batch) <= maxWriteBytes {
 		return len(batch)
--- a/core/dedup/property_test.go
+++ b/core/dedup/property_test.go
@@ -153,8 +153,8 @@
 	return u
 }
 
-// anyUse returns a new request or the repeat of an old one that the guarantee
-// covers.
+// newOrRepeatedUse returns a new request or the repeat of an old one that the
+// guarantee covers.
 func (w *cluster) newOrRepeatedUse() *use {
 	if len(w.uses) == 0 || w.rnd.IntN(4) == 0 {
 		return w.newUse()
--- a/core/ownership/doc.go
+++ b/core/ownership/doc.go
@@ -40,7 +40,7 @@
 // A new owner therefore considers inherited attempts on an unreachable worker
 // over only when a majority reports that the store has answered it without
 // interruption, which proves that no other daemon can have had a majority for
-// the store's silence (membership.Machine.StoreKeptBy).
+// the store's silence (membership.Machine.OutageRenewalsEnded).
 //
 // The timeouts of the store calls must be shorter than two thirds of LeaseTTL
 // minus Margin: a renewal that is still in flight when the lease expires is
--- a/traffic/exchange.go
+++ b/traffic/exchange.go
@@ -88,7 +88,7 @@
 }
 
 // reportOverdue reports to the balancer that the exchange takes longer than
-// usual. It does nothing after giveBack.
+// usual. It does nothing after take.
 func (h *slot) reportOverdue(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
