--- a/standin/vmlist/doc.go
+++ b/standin/vmlist/doc.go
@@ -1,4 +1,5 @@
-// Package vmlist stands in for the platform's list of VMs: an HTTP server of
-// a JSON array of model.VM that can lag, be empty, old, down or slow. It answers
-// conditional reads by ETag, and gzip to those who take it.
+// Package vmlist is a stand-in for the platform's list of VMs: an HTTP server
+// that returns a JSON array of model.VM. The list can be delayed, empty, stale,
+// unavailable or slow. The server supports conditional reads by ETag, and gzip
+// for clients that accept it.
 package vmlist
--- a/standin/vmlist/server.go
+++ b/standin/vmlist/server.go
@@ -18,28 +18,30 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// readHeaderTimeout bounds how long a client may take to ask.
+// readHeaderTimeout limits how long a client may take to send the request header.
 const readHeaderTimeout = 5 * time.Second
 
-// Faults are what is wrong with the list at present.
+// Faults are the faults that the server injects. The zero value injects none.
 type Faults struct {
-	// Down answers 503.
+	// Down makes the server respond with status 503.
 	Down bool
-	// Silent accepts connections and never answers.
+	// Silent makes the server accept connections and never respond.
 	Silent bool
-	// Empty answers an empty list.
+	// Empty makes the server return an empty list.
 	Empty bool
-	// Frozen answers what the list was when Frozen was set.
+	// Frozen makes the server return the list that was visible when Frozen was
+	// set.
 	Frozen bool
-	// Slow is the time before each answer.
+	// Slow is the delay before each response.
 	Slow time.Duration
-	// NoTag answers without an ETag, and whole each time.
+	// NoTag omits the ETag, so that every read returns the whole list.
 	NoTag bool
-	// SameTag answers the same ETag whatever the list is.
+	// SameTag sends the same ETag for every list.
 	SameTag bool
 }
 
-// List is the stand-in's state. It is safe for concurrent use.
+// List is the list of VMs with its history and faults. It is an http.Handler and
+// is safe for concurrent use.
 type List struct {
 	clock port.Clock
 
@@ -49,22 +51,22 @@
 	faults  Faults
 	frozen  []model.VM
 	reads   int
-	// unchanged is how many reads were answered 304.
+	// unchanged is the number of reads that got status 304.
 	unchanged int
 }
 
-// version is the list from a moment on.
+// version is the list as it was set at the time since.
 type version struct {
 	since time.Time
 	vms   []model.VM
 }
 
-// New returns a list without VMs that lags behind Set by lag.
+// New returns an empty list. Readers see a change made by Set after the time lag.
 func New(clock port.Clock, lag time.Duration) *List {
 	return &List{clock: clock, lag: lag}
 }
 
-// Set replaces the list as it is in truth; readers see it after the lag.
+// Set replaces the latest list. Readers see the new list after the lag.
 func (l *List) Set(vms []model.VM) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +75,7 @@
 	l.history = append(l.history, version{since: now, vms: append([]model.VM{}, vms...)})
 }
 
-// Update changes one VM in the latest list, or adds it.
+// Update replaces the VM with the same ID in the latest list, or adds the VM.
 func (l *List) Update(vm model.VM) {
 	vms := l.latest()
 	for i := range vms {
@@ -86,7 +88,7 @@
 	l.Set(append(vms, vm))
 }
 
-// Remove takes a VM off the latest list.
+// Remove removes a VM from the latest list, if it is there.
 func (l *List) Remove(id model.WorkerID) {
 	vms := l.latest()
 	for i := range vms {
@@ -97,7 +99,7 @@
 	}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the injected faults.
 func (l *List) SetFaults(f Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -107,22 +109,24 @@
 	l.faults = f
 }
 
-// Reads returns how many reads were answered or refused.
+// Reads returns the number of reads, including failed ones and ones that got no
+// response.
 func (l *List) Reads() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reads
 }
 
-// Unchanged returns how many reads were told that the list did not change.
+// Unchanged returns the number of reads that got status 304 (not modified).
 func (l *List) Unchanged() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.unchanged
 }
 
-// ServeHTTP answers the list as readers see it now: with an ETag, compressed for
-// readers that take it, and 304 without a body for those that hold it already.
+// ServeHTTP returns the visible list with an ETag, compressed with gzip if the
+// client accepts it. It responds with status 304 and no body if the request's
+// If-None-Match header has the list's ETag.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	vms, faults := l.answer()
 	if faults.Silent {
@@ -152,7 +156,8 @@
 	write(w, r, body)
 }
 
-// tag names what the body says, however it is compressed: hence a weak one.
+// tag returns the ETag of the body, or "" for none. The tag is weak, as it is the
+// same for the plain and the compressed body.
 func tag(body []byte, faults Faults) string {
 	switch {
 	case faults.NoTag:
@@ -163,7 +168,7 @@
 	return fmt.Sprintf(`W/"%016x"`, xxhash.Sum64(body))
 }
 
-// holds reports whether the reader has the list of that tag.
+// holds reports whether the request's If-None-Match header matches the ETag.
 func holds(r *http.Request, etag string) bool {
 	for _, held := range strings.Split(r.Header.Get("If-None-Match"), ",") {
 		held = strings.TrimSpace(held)
@@ -180,8 +185,8 @@
 	l.unchanged++
 }
 
-// write answers the body, compressed when the reader takes that. A reader that
-// went away needs no answer, so errors of writing are left.
+// write sends the body, compressed if the client accepts gzip. Write errors are
+// ignored, because they only mean that the client has disconnected.
 func write(w http.ResponseWriter, r *http.Request, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Vary", "Accept-Encoding")
@@ -195,12 +200,12 @@
 func compress(body []byte) []byte {
 	var out bytes.Buffer
 	z := gzip.NewWriter(&out)
-	_, _ = z.Write(body) // a buffer takes every write
+	_, _ = z.Write(body) // writes to a bytes.Buffer do not fail
 	_ = z.Close()
 	return out.Bytes()
 }
 
-// answer returns what one read sees.
+// answer counts one read and returns the list and the faults that apply to it.
 func (l *List) answer() ([]model.VM, Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -214,7 +219,7 @@
 	return l.visible(), l.faults
 }
 
-// wait lets d pass and reports whether the reader is still there.
+// wait waits for d and reports whether the client is still connected.
 func wait(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
@@ -229,7 +234,8 @@
 	}
 }
 
-// latest returns a copy of the list as it is in truth.
+// latest returns a copy of the list that was set last, whether it is visible to
+// readers or not.
 func (l *List) latest() []model.VM {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -239,7 +245,8 @@
 	return append([]model.VM(nil), l.history[len(l.history)-1].vms...)
 }
 
-// visible returns the list as it was one lag ago.
+// visible returns the list that was current one lag ago, which is the list that
+// readers see. The caller holds l.mu.
 func (l *List) visible() []model.VM {
 	seen := l.clock.Now().Add(-l.lag)
 	vms := []model.VM{}
@@ -251,7 +258,8 @@
 	return vms
 }
 
-// prune drops versions that no reader can see any more.
+// prune drops the versions that readers can no longer see at the time now. The
+// caller holds l.mu.
 func (l *List) prune(now time.Time) {
 	seen := now.Add(-l.lag)
 	for len(l.history) > 1 && !l.history[1].since.After(seen) {
@@ -259,7 +267,7 @@
 	}
 }
 
-// Server serves a List on a socket.
+// Server serves a List over HTTP on a TCP socket.
 type Server struct {
 	*List
 	address string
@@ -267,7 +275,8 @@
 	done    chan struct{}
 }
 
-// Serve begins to serve list at address, with port 0 on a free one.
+// Serve starts a server of list at address (host:port). Port 0 selects a free
+// port.
 func Serve(list *List, address string) (*Server, error) {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
@@ -281,15 +290,16 @@
 	}
 	go func() {
 		defer close(s.done)
-		_ = s.http.Serve(lis) // ends with ErrServerClosed
+		_ = s.http.Serve(lis) // returns ErrServerClosed after Close
 	}()
 	return s, nil
 }
 
-// URL returns where the list is read.
+// URL returns the URL of the list.
 func (s *Server) URL() string { return "http://" + s.address + "/" }
 
-// Close ends the server and its connections.
+// Close closes the server and its connections, and waits until the server has
+// stopped.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	<-s.done
--- a/standin/vmlist/server_test.go
+++ b/standin/vmlist/server_test.go
@@ -44,7 +44,7 @@
 		{"frozen", func() { l.SetFaults(vmlist.Faults{Frozen: true}); c.now = c.now.Add(time.Minute) }, 200, 1},
 		{"empty", func() { l.SetFaults(vmlist.Faults{Empty: true}) }, 200, 0},
 		{"down", func() { l.SetFaults(vmlist.Faults{Down: true}) }, 503, 0},
-		{"well again", func() { l.SetFaults(vmlist.Faults{}) }, 200, 2},
+		{"recovered", func() { l.SetFaults(vmlist.Faults{}) }, 200, 2},
 		{"removed", func() { l.Remove("a"); c.now = c.now.Add(time.Minute) }, 200, 1},
 	}
 	for _, s := range steps {
@@ -73,7 +73,7 @@
 		}
 	}
 	if w := ask("If-None-Match", `"x"`); w.Code != http.StatusOK {
-		t.Errorf("another list held: status %d", w.Code)
+		t.Errorf("ETag of another list: status %d", w.Code)
 	}
 	w := ask("Accept-Encoding", "gzip")
 	z, err := gzip.NewReader(w.Body)
