--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -14,22 +14,22 @@
 	"github.com/guavarill/guavarill/standin/worker"
 )
 
-// Spec describes a deployment's workers.
+// Spec describes the workers of a deployment, and the delays of the stand-ins.
 type Spec struct {
 	Zones       []model.Zone
 	Workers     int
 	RackSize    int
 	Capacity    model.Resources
 	ServiceTime time.Duration
-	// ListLag is how old the list of VMs is when it is read.
+	// ListLag is the delay until readers of the list of VMs see a change.
 	ListLag time.Duration
-	// UsageLag is how old the agents' measurements are.
+	// UsageLag is the age of the resource usage that the agents report.
 	UsageLag time.Duration
-	// Speedup divides the run times of batch tasks; 0 is 1.
+	// Speedup is the factor by which the run times of tasks are divided; 0 means 1.
 	Speedup int
 }
 
-// The two deployments that the examples declare manifests for.
+// Agency and Pindan are the two deployments for which the examples have manifests.
 var (
 	Agency = Spec{
 		Zones:    []model.Zone{"mvd-a", "mvd-b", "mvd-c"},
@@ -45,7 +45,7 @@
 	}
 )
 
-// The stand-ins' usual pace.
+// Default values of a Spec.
 const (
 	defaultServiceTime = 5 * time.Millisecond
 	defaultListLag     = time.Second
@@ -65,14 +65,14 @@
 	return s
 }
 
-// Site is a running platform.
+// Site is a running stand-in platform.
 type Site struct {
 	spec  Spec
 	clock port.Clock
 
 	Store *store.Server
 	VMs   *vmlist.List
-	// Agents are the workers' agents, by worker.
+	// Agents holds the agents by worker ID.
 	Agents map[model.WorkerID]*worker.Agent
 
 	storeAddress string
@@ -83,7 +83,7 @@
 	targets []*target.Target
 }
 
-// StartError says which stand-in did not start.
+// StartError reports that a stand-in did not start.
 type StartError struct {
 	Part  string
 	Cause error
@@ -95,7 +95,8 @@
 // Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// Start starts all stand-ins on free ports. An error is a *StartError.
+// Start starts all stand-ins on free ports of loopback. If one fails to start, Start
+// closes the others and returns a *StartError.
 func Start(spec Spec) (*Site, error) {
 	s := &Site{
 		spec:   spec.withDefaults(),
@@ -169,8 +170,9 @@
 	return b
 }
 
-// startTarget starts the instance of a service. An instance that cannot
-// listen has no address and so gets no requests.
+// startTarget starts an instance of a service and returns its address and a
+// function that closes it. The address of an instance that cannot listen is empty,
+// so that it receives no requests.
 func (s *Site) startTarget(start *workerv1.Start) (string, func()) {
 	t, err := target.Start(target.Options{Name: start.GetTask(), Work: s.spec.ServiceTime})
 	if err != nil {
@@ -182,27 +184,27 @@
 	return t.Address(), t.Close
 }
 
-// StoreAddress returns host:port of the key-value service.
+// StoreAddress returns the host:port of the key-value store.
 func (s *Site) StoreAddress() string { return s.storeAddress }
 
-// VMListURL returns where the list of VMs is read.
+// VMListURL returns the URL of the list of VMs.
 func (s *Site) VMListURL() string { return s.list.URL() }
 
-// AddEntry puts a daemon's VM on the list.
+// AddEntry adds a daemon's VM to the list of VMs with the role of an entry.
 func (s *Site) AddEntry(id string, zone model.Zone, peerAddress string) {
 	s.VMs.Update(model.VM{
 		ID: model.WorkerID(id), Role: model.RoleEntry, State: model.VMLive, Zone: zone, Address: peerAddress,
 	})
 }
 
-// Targets returns all targets that were ever started, ended ones included.
+// Targets returns all targets that were started, including closed ones.
 func (s *Site) Targets() []*target.Target {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]*target.Target(nil), s.targets...)
 }
 
-// Audit returns the promises that the agents saw broken.
+// Audit returns the violations of guarantees that the agents recorded.
 func (s *Site) Audit() []worker.Violation {
 	agents := make([]*worker.Agent, 0, len(s.Agents))
 	for _, a := range s.Agents {
@@ -211,7 +213,7 @@
 	return worker.Audit(agents...)
 }
 
-// Close ends all stand-ins.
+// Close closes all stand-ins that were started.
 func (s *Site) Close() {
 	for _, server := range s.servers {
 		server.Close()
