--- a/standin/target/fault.go
+++ b/standin/target/fault.go
@@ -2,51 +2,53 @@
 
 import "time"
 
-// Kind is a way to break.
+// Kind is a kind of fault.
 type Kind uint8
 
-// The kinds of fault. Unless told otherwise the request was run.
+// The kinds of fault. The request is run unless the kind says otherwise.
 const (
-	// None: a whole answer.
+	// None sends a complete response with status 200.
 	None Kind = iota
-	// DropUnread: the connection is closed before the request is read, and it
-	// is not run.
+	// DropUnread closes the connection before the request body is read. The
+	// request is not run.
 	DropUnread
-	// Refuse: the answer says that the request was not started, and it is not
-	// run.
+	// Refuse sends a response that says that the request was not started. The
+	// request is not run.
 	Refuse
-	// FailAnswer: a whole answer with status 500.
+	// FailAnswer sends a complete response with status 500.
 	FailAnswer
-	// ResetBeforeHead: a reset before any byte of the answer.
+	// ResetBeforeHead resets the connection before any byte of the response.
 	ResetBeforeHead
-	// ResetMidHead: a reset after a part of the answer's head.
+	// ResetMidHead resets the connection after a part of the response header.
 	ResetMidHead
-	// ResetMidBody: a reset after a part of the answer's body.
+	// ResetMidBody resets the connection after a part of the response body.
 	ResetMidBody
-	// ShortBody: an orderly end of the connection before the declared length.
+	// ShortBody closes the connection normally before the declared length.
 	ShortBody
-	// ShortChunks: an orderly end of the connection before the last chunk.
+	// ShortChunks closes the connection normally before the last chunk.
 	ShortChunks
-	// Unbounded: an answer that declares no length and ends with the
-	// connection.
+	// Unbounded sends a response without a declared length, which ends when the
+	// connection is closed.
 	Unbounded
-	// Conflicting: two different declared lengths.
+	// Conflicting sends two different Content-Length headers.
 	Conflicting
-	// BadHead: bytes that are no HTTP.
+	// BadHead sends bytes that are not HTTP.
 	BadHead
-	// HugeHead and HugeBody: an answer far over any bound.
+	// HugeHead sends a response header of 1 MiB, far above the limit of any client.
 	HugeHead
+	// HugeBody declares a body of hugeBytes, far above the limit of any client.
 	HugeBody
-	// Extra: a whole answer, followed at once by another that nobody asked for.
+	// Extra sends a complete response, followed at once by an unsolicited one.
 	Extra
-	// Hang: no answer until the client gives up.
+	// Hang sends no response; it waits until the client disconnects.
 	Hang
-	// HangUnread: no answer, and the request is not run.
+	// HangUnread sends no response, like Hang, and the request is not run.
 	HangUnread
-	// ResetRefusal: a refusal whose head is whole and whose body is cut.
+	// ResetRefusal sends a refusal with a complete header and a truncated body, then
+	// resets the connection. The request is not run.
 	ResetRefusal
 
-	// NumKinds is how many kinds there are.
+	// NumKinds is the number of kinds.
 	NumKinds = int(ResetRefusal) + 1
 )
 
@@ -56,7 +58,7 @@
 	"hang", "hang unread", "reset refusal",
 }
 
-// String returns the kind's name.
+// String returns the kind's name, or "invalid".
 func (k Kind) String() string {
 	if int(k) >= NumKinds {
 		return "invalid"
@@ -64,9 +66,10 @@
 	return kindNames[k]
 }
 
-// Fault is what happens to a request.
+// Fault is the fault that is injected into a request.
 type Fault struct {
 	Kind Kind
-	// Delay is how long the run takes, whatever the kind.
+	// Delay is added to the duration of the run, for every kind that runs the
+	// request.
 	Delay time.Duration
 }
--- a/standin/target/gate.go
+++ b/standin/target/gate.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// gateListener tracks the connections it accepted, so that they can be made
-// silent.
+// gateListener tracks the connections that it accepted, so that they can be
+// counted, silenced, written to and closed.
 type gateListener struct {
 	net.Listener
 
@@ -16,6 +16,8 @@
 	accepted int
 }
 
+// counts are the numbers of connections that are open now, that were open at
+// most at once, and that were accepted in all.
 type counts struct{ open, most, accepted int }
 
 func newGateListener(l net.Listener) *gateListener {
@@ -61,13 +63,13 @@
 
 func (l *gateListener) sendAll(raw []byte) {
 	for _, c := range l.all() {
-		c.Write(raw) //nolint:errcheck // the client's loss
+		c.Write(raw) //nolint:errcheck // the client may have disconnected
 	}
 }
 
 func (l *gateListener) closeAll() {
 	for _, c := range l.all() {
-		c.Close() //nolint:errcheck // nothing is left to lose
+		c.Close() //nolint:errcheck // the connection is discarded
 	}
 }
 
@@ -77,8 +79,8 @@
 	delete(l.conns, c)
 }
 
-// gateConn is a connection that can go silent: what the client sent is lost
-// from then on, and so is what the instance sends.
+// gateConn is a connection that can be silenced. A silent connection stays open and
+// discards all data in both directions.
 type gateConn struct {
 	net.Conn
 	l *gateListener
--- a/standin/target/serve.go
+++ b/standin/target/serve.go
@@ -11,16 +11,17 @@
 	"time"
 )
 
-// hugeBytes is beyond any bound that a client may have.
+// hugeBytes is a body size (64 MiB) above the limit of any client.
 const hugeBytes = 64 << 20
 
-// Answer returns what the instance answers to a request: its id and body, so
-// that nobody takes it for the answer to another.
+// Answer returns the response body for a request. It contains the request's id and
+// body, so that a response to another request is detected.
 func Answer(id string, body []byte) []byte {
 	return fmt.Appendf(nil, "%s:%d:%s", id, len(body), body)
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It runs the request with the fault that the plan
+// selects for it; a leaving target refuses every request.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(HeaderRequestID)
 	fault, leaving := t.faultOf(id, r)
@@ -44,7 +45,7 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		// To return would answer with an empty success.
+		// A plain return would send an empty response with status 200.
 		panic(http.ErrAbortHandler)
 	}
 	t.run(w, r, id, body, fault)
@@ -53,8 +54,8 @@
 func (t *Target) run(w http.ResponseWriter, r *http.Request, id string, body []byte, fault Fault) {
 	t.begin(id)
 	t.work(fault.Delay + t.o.Work)
-	// The slot is free before the answer goes out: a client that has the
-	// answer may send the next request at once.
+	// The run ends before the response is sent, because a client that has the
+	// response may send the next request at once.
 	t.end()
 	t.answer(w, r, Answer(id, body), fault.Kind)
 }
@@ -71,7 +72,8 @@
 	}
 }
 
-// hang gives no answer, not even an empty one when the instance ends.
+// hang waits until the client disconnects or the target is closed, and sends no
+// response. It aborts the handler, as a return would send an empty response.
 func (t *Target) hang(r *http.Request) {
 	select {
 	case <-r.Context().Done():
@@ -93,7 +95,7 @@
 	switch kind {
 	case FailAnswer:
 		w.WriteHeader(http.StatusInternalServerError)
-		w.Write(answer) //nolint:errcheck // the client's loss
+		w.Write(answer) //nolint:errcheck // the client may have disconnected
 	case ResetBeforeHead:
 		hijack(w).reset()
 	case ResetMidHead:
@@ -120,11 +122,11 @@
 		t.hang(r)
 	default:
 		w.Header().Set("Content-Length", n)
-		w.Write(answer) //nolint:errcheck // the client's loss
+		w.Write(answer) //nolint:errcheck // the client may have disconnected
 	}
 }
 
-// raw is a connection taken over from the HTTP server.
+// raw is a connection that was hijacked from the HTTP server.
 type raw struct {
 	conn net.Conn
 	buf  *bufio.ReadWriter
@@ -133,29 +135,30 @@
 func hijack(w http.ResponseWriter) raw {
 	conn, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
-		// Only a server other than net/http's could refuse.
+		// net/http allows one hijack of an HTTP/1.1 connection.
 		panic(err)
 	}
 	return raw{conn: conn, buf: buf}
 }
 
 func (r raw) send(s string) raw {
-	io.WriteString(r.conn, s) //nolint:errcheck // the client's loss
+	io.WriteString(r.conn, s) //nolint:errcheck // the client may have disconnected
 	return r
 }
 
-func (r raw) close() { r.conn.Close() } //nolint:errcheck // nothing is left to lose
+func (r raw) close() { r.conn.Close() } //nolint:errcheck // the connection is discarded
 
-// reset closes the connection so that the client's system reports a reset.
+// reset closes the connection with a TCP RST, so that the client sees a connection
+// reset.
 func (r raw) reset() {
 	if c, ok := r.conn.(*gateConn); ok {
-		c.Conn.(*net.TCPConn).SetLinger(0) //nolint:errcheck // then it is a plain close
+		c.Conn.(*net.TCPConn).SetLinger(0) //nolint:errcheck // on an error the connection is closed normally
 	}
 	r.close()
 }
 
 // linger keeps the connection open until the client closes it.
 func (r raw) linger() {
-	io.Copy(io.Discard, r.buf) //nolint:errcheck // ends when the client closes
+	io.Copy(io.Discard, r.buf) //nolint:errcheck // returns when the client closes the connection
 	r.close()
 }
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Headers that the stand-in reads and writes; they are part of its published
-// protocol with entries.
+// Headers of the protocol between entries and targets that the stand-in reads and
+// writes.
 const (
 	HeaderRequestID  = "Guavarill-Request-Id"
 	HeaderNotStarted = "Guavarill-Not-Started"
@@ -21,16 +21,16 @@
 
 // Options configures a Target.
 type Options struct {
-	// Name is repeated in each answer.
+	// Name is the name of the instance. Responses do not contain it.
 	Name string
-	// Plan chooses the fault of a request; nil plans none. It is called from
-	// many goroutines.
+	// Plan selects the fault for the request with an id; nil injects no faults. It
+	// is called from several goroutines at once.
 	Plan func(id string, r *http.Request) Fault
-	// Work is how long a run takes without a fault.
+	// Work is the duration of a run without Fault.Delay.
 	Work time.Duration
 }
 
-// Target is one instance.
+// Target is a running instance. It is safe for concurrent use.
 type Target struct {
 	o        Options
 	listener *gateListener
@@ -47,7 +47,7 @@
 	leaving  bool
 }
 
-// Start listens on 127.0.0.1 and serves.
+// Start starts a target on a free port of 127.0.0.1. An error is a *StartError.
 func Start(o Options) (*Target, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -64,12 +64,12 @@
 	t.server = &http.Server{Handler: t, ErrorLog: log.New(io.Discard, "", 0)}
 	go func() {
 		defer close(t.served)
-		_ = t.server.Serve(t.listener) // always ends with the error of Close
+		_ = t.server.Serve(t.listener) // returns http.ErrServerClosed after Close
 	}()
 	return t, nil
 }
 
-// StartError is a stand-in that could not listen.
+// StartError reports that a target could not listen.
 type StartError struct{ Cause error }
 
 // Error implements error.
@@ -78,77 +78,77 @@
 // Unwrap returns the cause.
 func (e *StartError) Unwrap() error { return e.Cause }
 
-// Address returns host:port.
+// Address returns the host:port at which the target listens.
 func (t *Target) Address() string { return t.listener.Addr().String() }
 
-// Close ends the instance at once, as a VM that dies.
+// Close stops the target at once and closes its connections, as when its VM fails.
 func (t *Target) Close() {
 	t.once.Do(func() { close(t.stop) })
-	t.server.Close() //nolint:errcheck // nothing is left to lose
+	t.server.Close() //nolint:errcheck // the server is discarded
 	<-t.served
 }
 
-// SetPlan replaces the plan of faults.
+// SetPlan replaces the function that selects the fault for each request; see
+// Options.Plan.
 func (t *Target) SetPlan(plan func(id string, r *http.Request) Fault) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.plan = plan
 }
 
-// SetFault gives every request the same fault.
+// SetFault injects the same fault into every request.
 func (t *Target) SetFault(f Fault) {
 	t.SetPlan(func(string, *http.Request) Fault { return f })
 }
 
-// Leave has the instance refuse every request and say that it is leaving.
+// Leave makes the target refuse every request with the header HeaderLeaving.
 func (t *Target) Leave() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.leaving = true
 }
 
-// Silence has the connections that are open now say and take nothing more,
-// while they stay open; new ones work.
+// Silence makes the connections that are open now discard all data in both
+// directions while they stay open. New connections work.
 func (t *Target) Silence() { t.listener.silence() }
 
-// SendAll writes raw bytes to every open connection, unasked.
+// SendAll writes unsolicited raw bytes to every open connection.
 func (t *Target) SendAll(raw []byte) { t.listener.sendAll(raw) }
 
-// CloseIdle ends every open connection in an orderly way.
+// CloseIdle closes every open connection normally, without a reset.
 func (t *Target) CloseIdle() { t.listener.closeAll() }
 
-// Connections returns how many connections are open, MostConnections the most
-// that ever were, and Accepted how many were accepted in all.
+// Connections returns the number of open connections.
 func (t *Target) Connections() int { return t.listener.counts().open }
 
-// MostConnections returns the most connections that were open at once.
+// MostConnections returns the highest number of connections that were open at once.
 func (t *Target) MostConnections() int { return t.listener.counts().most }
 
-// Accepted returns how many connections were accepted in all.
+// Accepted returns the total number of accepted connections.
 func (t *Target) Accepted() int { return t.listener.counts().accepted }
 
-// Runs returns how often the request was run.
+// Runs returns how many times the request with the id was run.
 func (t *Target) Runs(id string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runs[id]
 }
 
-// AllRuns returns how often each request was run.
+// AllRuns returns the number of runs of each request by its id.
 func (t *Target) AllRuns() map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return maps.Clone(t.runs)
 }
 
-// MostRuns returns the most requests that ran at once.
+// MostRuns returns the highest number of requests that ran at once.
 func (t *Target) MostRuns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.mostRuns
 }
 
-// begin counts a run.
+// begin counts a run of the request and marks it as active.
 func (t *Target) begin(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
