--- a/adapter/httpvms/client_test.go
+++ b/adapter/httpvms/client_test.go
@@ -131,7 +131,7 @@
 		{"back", func() { list.SetFaults(vmlist.Faults{}) }, []model.VM{vm, other}, false},
 		{"down again", func() { list.SetFaults(vmlist.Faults{Down: true}) }, nil, false},
 		{"back as it was", func() { list.SetFaults(vmlist.Faults{}) }, []model.VM{vm, other}, true},
-		{"no tags", func() { list.SetFaults(vmlist.Faults{NoTag: true}); list.Remove("w1"); pass(time.Minute) }, []model.VM{other}, false},
+		{"no tags", func() { list.SetFaults(vmlist.Faults{NoETag: true}); list.Remove("w1"); pass(time.Minute) }, []model.VM{other}, false},
 		{"no tags, again", func() {}, []model.VM{other}, false},
 		{"tags again", func() { list.SetFaults(vmlist.Faults{}) }, []model.VM{other}, false},
 		{"an hour later", func() { pass(time.Hour) }, []model.VM{other}, false},
@@ -156,7 +156,7 @@
 func TestStaleETagIsDetected(t *testing.T) {
 	clock := &clock{now: time.Unix(1000, 0)}
 	list := vmlist.New(clock, 0)
-	list.SetFaults(vmlist.Faults{SameTag: true})
+	list.SetFaults(vmlist.Faults{ConstantETag: true})
 	list.Set([]model.VM{vm})
 	server := httptest.NewServer(list)
 	defer server.Close()
--- a/standin/vmlist/server.go
+++ b/standin/vmlist/server.go
@@ -34,10 +34,10 @@
 	Frozen bool
 	// Slow is the delay before each response.
 	Slow time.Duration
-	// NoTag omits the ETag, so that every read returns the whole list.
-	NoTag bool
-	// SameTag sends the same ETag for every list.
-	SameTag bool
+	// NoETag omits the ETag, so that every read returns the whole list.
+	NoETag bool
+	// ConstantETag sends the same ETag for every list.
+	ConstantETag bool
 }
 
 // List is the list of VMs with its history and faults. It is an http.Handler and
@@ -128,12 +128,12 @@
 // client accepts it. It responds with status 304 and no body if the request's
 // If-None-Match header has the list's ETag.
 func (l *List) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	vms, faults := l.answer()
+	vms, faults := l.read()
 	if faults.Silent {
 		<-r.Context().Done()
 		return
 	}
-	if !wait(r, faults.Slow) {
+	if !sleep(r, faults.Slow) {
 		return
 	}
 	if faults.Down {
@@ -145,31 +145,31 @@
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	if etag := tag(body, faults); etag != "" {
+	if etag := etagFor(body, faults); etag != "" {
 		w.Header().Set("ETag", etag)
-		if holds(r, etag) {
+		if matchesETag(r, etag) {
 			l.countUnchanged()
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
 	}
-	write(w, r, body)
+	writeBody(w, r, body)
 }
 
-// tag returns the ETag of the body, or "" for none. The tag is weak, as it is the
+// etagFor returns the ETag of the body, or "" for none. The etagFor is weak, as it is the
 // same for the plain and the compressed body.
-func tag(body []byte, faults Faults) string {
+func etagFor(body []byte, faults Faults) string {
 	switch {
-	case faults.NoTag:
+	case faults.NoETag:
 		return ""
-	case faults.SameTag:
+	case faults.ConstantETag:
 		return `W/"same"`
 	}
 	return fmt.Sprintf(`W/"%016x"`, xxhash.Sum64(body))
 }
 
-// holds reports whether the request's If-None-Match header matches the ETag.
-func holds(r *http.Request, etag string) bool {
+// matchesETag reports whether the request's If-None-Match header matches the ETag.
+func matchesETag(r *http.Request, etag string) bool {
 	for _, held := range strings.Split(r.Header.Get("If-None-Match"), ",") {
 		held = strings.TrimSpace(held)
 		if held == "*" || strings.TrimPrefix(held, "W/") == strings.TrimPrefix(etag, "W/") {
@@ -185,9 +185,9 @@
 	l.unchanged++
 }
 
-// write sends the body, compressed if the client accepts gzip. Write errors are
+// writeBody sends the body, compressed if the client accepts gzip. Write errors are
 // ignored, because they only mean that the client has disconnected.
-func write(w http.ResponseWriter, r *http.Request, body []byte) {
+func writeBody(w http.ResponseWriter, r *http.Request, body []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Vary", "Accept-Encoding")
 	if strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
@@ -205,8 +205,8 @@
 	return out.Bytes()
 }
 
-// answer counts one read and returns the list and the faults that apply to it.
-func (l *List) answer() ([]model.VM, Faults) {
+// read counts one read and returns the list and the faults that apply to it.
+func (l *List) read() ([]model.VM, Faults) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reads++
@@ -219,8 +219,8 @@
 	return l.visible(), l.faults
 }
 
-// wait waits for d and reports whether the client is still connected.
-func wait(r *http.Request, d time.Duration) bool {
+// sleep waits for d and reports whether the client is still connected.
+func sleep(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return true
 	}
