--- a/standin/site/site.go
+++ b/standin/site/site.go
@@ -150,7 +150,7 @@
 		Clock:        s.clock,
 		UsageLag:     s.spec.UsageLag,
 		StartService: s.startTarget,
-		Behave:       s.behave,
+		Behave:       s.taskBehaviour,
 	})
 	server, err := worker.Serve(agent, "127.0.0.1:0")
 	if err != nil {
@@ -162,7 +162,7 @@
 	return vm, nil
 }
 
-func (s *Site) behave(start *workerv1.Start) worker.Behaviour {
+func (s *Site) taskBehaviour(start *workerv1.Start) worker.Behaviour {
 	b := worker.DefaultBehaviour(start)
 	if s.spec.Speedup > 1 {
 		b.Run /= time.Duration(s.spec.Speedup)
