--- a/standin/vmlist/server.go
+++ b/standin/vmlist/server.go
@@ -156,7 +156,7 @@
 	writeBody(w, r, body)
 }
 
-// etagFor returns the ETag of the body, or "" for none. The etagFor is weak, as it is the
+// etagFor returns the ETag of the body, or "" for none. The tag is weak, as it is the
 // same for the plain and the compressed body.
 func etagFor(body []byte, faults Faults) string {
 	switch {
