--- a/adapter/callerapi/callerapi_test.go
+++ b/adapter/callerapi/callerapi_test.go
@@ -238,13 +238,13 @@
 	e := newEntry(t, callerapi.Options{})
 	body := strings.Repeat("x", 300_000)
 	resp, got := e.post(t, "r", body)
-	if resp.StatusCode != 200 || !bytes.Equal(got, target.Answer("r", []byte(body))) {
+	if resp.StatusCode != 200 || !bytes.Equal(got, target.Response("r", []byte(body))) {
 		t.Errorf("got %d and %d bytes", resp.StatusCode, len(got))
 	}
 	if h := resp.Header; h.Get("Guavarill-Fate") != "answered" || h.Get("Guavarill-Request-Id") != "r" {
 		t.Errorf("got headers %v", h)
 	}
-	e.instance.SetFault(target.Fault{Kind: target.FailAnswer})
+	e.instance.SetFault(target.Fault{Kind: target.ErrorResponse})
 	resp, got = e.post(t, "f", "x")
 	if resp.StatusCode != 500 || resp.Header.Get("Guavarill-Fate") != "answered" || len(got) == 0 {
 		t.Errorf("the target's own error: got %d, %v", resp.StatusCode, resp.Header)
@@ -283,7 +283,7 @@
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		resp, got := e.post(t, "before", "x")
-		if resp.StatusCode != 200 || !bytes.Equal(got, target.Answer("before", []byte("x"))) {
+		if resp.StatusCode != 200 || !bytes.Equal(got, target.Response("before", []byte("x"))) {
 			t.Errorf("in flight at the stop: got %d, %q", resp.StatusCode, got)
 		}
 	})
--- a/adapter/httptarget/connection_test.go
+++ b/adapter/httptarget/connection_test.go
@@ -37,7 +37,7 @@
 func TestExtraAnswerReachesNobody(t *testing.T) {
 	instance := newInstance(t, target.Options{Plan: func(id string, _ *http.Request) target.Fault {
 		if id[0] == 'e' {
-			return target.Fault{Kind: target.Extra}
+			return target.Fault{Kind: target.ExtraResponse}
 		}
 		return target.Fault{}
 	}})
@@ -125,7 +125,7 @@
 		})
 	}
 	wg.Wait()
-	if got := instance.MostConnections(); got > share {
+	if got := instance.MaxConnections(); got > share {
 		t.Errorf("%d connections at once, want at most %d", got, share)
 	}
 	client.Limit(instance.Address(), 0)
--- a/adapter/httptarget/fate_test.go
+++ b/adapter/httptarget/fate_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatalf("request %s: %v", call.ID, err)
 	}
-	if want := target.Answer(call.ID, call.Body); !bytes.Equal(resp.Body, want) {
+	if want := target.Response(call.ID, call.Body); !bytes.Equal(resp.Body, want) {
 		t.Fatalf("request %s: got response %q, want %q", call.ID, resp.Body, want)
 	}
 }
@@ -91,8 +91,8 @@
 		{target.ShortBody, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerCutShort, 1},
 		{target.ShortChunks, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerCutShort, 1},
 		{target.Unbounded, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerMalformed, 1},
-		{target.Conflicting, fate.ReadingHead, fate.Unknown, fate.ReasonAnswerMalformed, 1},
-		{target.BadHead, fate.ReadingHead, fate.Unknown, fate.ReasonAnswerMalformed, 1},
+		{target.ConflictingLengths, fate.ReadingHead, fate.Unknown, fate.ReasonAnswerMalformed, 1},
+		{target.MalformedHead, fate.ReadingHead, fate.Unknown, fate.ReasonAnswerMalformed, 1},
 		{target.HugeHead, fate.ReadingHead, fate.Unknown, fate.ReasonAnswerTooLarge, 1},
 		{target.HugeBody, fate.ReadingBody, fate.Unknown, fate.ReasonAnswerTooLarge, 1},
 	}
--- a/demo/report.go
+++ b/demo/report.go
@@ -69,7 +69,7 @@
 func (r *run) countRequests(rep *Report) {
 	runs := make(map[string]int)
 	for _, t := range r.site.Targets() {
-		rep.MostSlots = max(rep.MostSlots, t.MostRuns())
+		rep.MostSlots = max(rep.MostSlots, t.MaxConcurrentRuns())
 		for id, n := range t.AllRuns() {
 			runs[id] += n
 		}
--- a/standin/target/fault.go
+++ b/standin/target/fault.go
@@ -15,8 +15,8 @@
 	// Refuse sends a response that says that the request was not started. The
 	// request is not run.
 	Refuse
-	// FailAnswer sends a complete response with status 500.
-	FailAnswer
+	// ErrorResponse sends a complete response with status 500.
+	ErrorResponse
 	// ResetBeforeHead resets the connection before any byte of the response.
 	ResetBeforeHead
 	// ResetMidHead resets the connection after a part of the response header.
@@ -30,16 +30,16 @@
 	// Unbounded sends a response without a declared length, which ends when the
 	// connection is closed.
 	Unbounded
-	// Conflicting sends two different Content-Length headers.
-	Conflicting
-	// BadHead sends bytes that are not HTTP.
-	BadHead
+	// ConflictingLengths sends two different Content-Length headers.
+	ConflictingLengths
+	// MalformedHead sends bytes that are not HTTP.
+	MalformedHead
 	// HugeHead sends a response header of 1 MiB, far above the limit of any client.
 	HugeHead
 	// HugeBody declares a body of hugeBytes, far above the limit of any client.
 	HugeBody
-	// Extra sends a complete response, followed at once by an unsolicited one.
-	Extra
+	// ExtraResponse sends a complete response, followed at once by an unsolicited one.
+	ExtraResponse
 	// Hang sends no response; it waits until the client disconnects.
 	Hang
 	// HangUnread sends no response, like Hang, and the request is not run.
--- a/standin/target/gate.go
+++ b/standin/target/gate.go
@@ -5,85 +5,85 @@
 	"sync"
 )
 
-// gateListener tracks the connections that it accepted, so that they can be
+// trackedListener tracks the connections that it accepted, so that they can be
 // counted, silenced, written to and closed.
-type gateListener struct {
+type trackedListener struct {
 	net.Listener
 
 	mu       sync.Mutex
-	conns    map[*gateConn]struct{}
-	most     int
+	conns    map[*trackedConn]struct{}
+	maxOpen     int
 	accepted int
 }
 
 // counts are the numbers of connections that are open now, that were open at
 // most at once, and that were accepted in all.
-type counts struct{ open, most, accepted int }
+type counts struct{ open, maxOpen, accepted int }
 
-func newGateListener(l net.Listener) *gateListener {
-	return &gateListener{Listener: l, conns: make(map[*gateConn]struct{})}
+func newGateListener(l net.Listener) *trackedListener {
+	return &trackedListener{Listener: l, conns: make(map[*trackedConn]struct{})}
 }
 
 // Accept implements net.Listener.
-func (l *gateListener) Accept() (net.Conn, error) {
+func (l *trackedListener) Accept() (net.Conn, error) {
 	nc, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	c := &gateConn{Conn: nc, l: l, silent: make(chan struct{}), closed: make(chan struct{})}
+	c := &trackedConn{Conn: nc, l: l, silent: make(chan struct{}), closed: make(chan struct{})}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.conns[c] = struct{}{}
 	l.accepted++
-	l.most = max(l.most, len(l.conns))
+	l.maxOpen = max(l.maxOpen, len(l.conns))
 	return c, nil
 }
 
-func (l *gateListener) counts() counts {
+func (l *trackedListener) counts() counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return counts{open: len(l.conns), most: l.most, accepted: l.accepted}
+	return counts{open: len(l.conns), maxOpen: l.maxOpen, accepted: l.accepted}
 }
 
-func (l *gateListener) all() []*gateConn {
+func (l *trackedListener) all() []*trackedConn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	all := make([]*gateConn, 0, len(l.conns))
+	all := make([]*trackedConn, 0, len(l.conns))
 	for c := range l.conns {
 		all = append(all, c)
 	}
 	return all
 }
 
-func (l *gateListener) silence() {
+func (l *trackedListener) silence() {
 	for _, c := range l.all() {
 		c.silence()
 	}
 }
 
-func (l *gateListener) sendAll(raw []byte) {
+func (l *trackedListener) sendAll(raw []byte) {
 	for _, c := range l.all() {
 		c.Write(raw) //nolint:errcheck // the client may have disconnected
 	}
 }
 
-func (l *gateListener) closeAll() {
+func (l *trackedListener) closeAll() {
 	for _, c := range l.all() {
 		c.Close() //nolint:errcheck // the connection is discarded
 	}
 }
 
-func (l *gateListener) remove(c *gateConn) {
+func (l *trackedListener) remove(c *trackedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.conns, c)
 }
 
-// gateConn is a connection that can be silenced. A silent connection stays open and
+// trackedConn is a connection that can be silenced. A silent connection stays open and
 // discards all data in both directions.
-type gateConn struct {
+type trackedConn struct {
 	net.Conn
-	l *gateListener
+	l *trackedListener
 
 	silenceOnce sync.Once
 	silent      chan struct{}
@@ -91,9 +91,9 @@
 	closed      chan struct{}
 }
 
-func (c *gateConn) silence() { c.silenceOnce.Do(func() { close(c.silent) }) }
+func (c *trackedConn) silence() { c.silenceOnce.Do(func() { close(c.silent) }) }
 
-func (c *gateConn) isSilent() bool {
+func (c *trackedConn) isSilent() bool {
 	select {
 	case <-c.silent:
 		return true
@@ -103,7 +103,7 @@
 }
 
 // Read implements net.Conn.
-func (c *gateConn) Read(p []byte) (int, error) {
+func (c *trackedConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if c.isSilent() {
 		<-c.closed
@@ -113,7 +113,7 @@
 }
 
 // Write implements net.Conn.
-func (c *gateConn) Write(p []byte) (int, error) {
+func (c *trackedConn) Write(p []byte) (int, error) {
 	if c.isSilent() {
 		return len(p), nil
 	}
@@ -121,7 +121,7 @@
 }
 
 // Close implements net.Conn.
-func (c *gateConn) Close() error {
+func (c *trackedConn) Close() error {
 	c.closeOnce.Do(func() {
 		close(c.closed)
 		c.l.remove(c)
--- a/standin/target/serve.go
+++ b/standin/target/serve.go
@@ -14,9 +14,9 @@
 // hugeBytes is a body size (64 MiB) above the limit of any client.
 const hugeBytes = 64 << 20
 
-// Answer returns the response body for a request. It contains the request's id and
+// Response returns the response body for a request. It contains the request's id and
 // body, so that a response to another request is detected.
-func Answer(id string, body []byte) []byte {
+func Response(id string, body []byte) []byte {
 	return fmt.Appendf(nil, "%s:%d:%s", id, len(body), body)
 }
 
@@ -57,7 +57,7 @@
 	// The run ends before the response is sent, because a client that has the
 	// response may send the next request at once.
 	t.end()
-	t.answer(w, r, Answer(id, body), fault.Kind)
+	t.respond(w, r, Response(id, body), fault.Kind)
 }
 
 func (t *Target) work(d time.Duration) {
@@ -88,14 +88,14 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, answer []byte, kind Kind) {
-	n := strconv.Itoa(len(answer))
+func (t *Target) respond(w http.ResponseWriter, r *http.Request, body []byte, kind Kind) {
+	n := strconv.Itoa(len(body))
 	head := "HTTP/1.1 200 OK\r\nContent-Length: " + n + "\r\n\r\n"
-	half := string(answer[:len(answer)/2])
+	half := string(body[:len(body)/2])
 	switch kind {
-	case FailAnswer:
+	case ErrorResponse:
 		w.WriteHeader(http.StatusInternalServerError)
-		w.Write(answer) //nolint:errcheck // the client may have disconnected
+		w.Write(body) //nolint:errcheck // the client may have disconnected
 	case ResetBeforeHead:
 		hijack(w).reset()
 	case ResetMidHead:
@@ -107,58 +107,58 @@
 	case ShortChunks:
 		hijack(w).send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n").close()
 	case Unbounded:
-		hijack(w).send("HTTP/1.1 200 OK\r\n\r\n" + string(answer)).close()
-	case Conflicting:
+		hijack(w).send("HTTP/1.1 200 OK\r\n\r\n" + string(body)).close()
+	case ConflictingLengths:
 		hijack(w).send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde").close()
-	case BadHead:
+	case MalformedHead:
 		hijack(w).send("this is not HTTP\r\n\r\n").close()
 	case HugeHead:
 		hijack(w).send("HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", 1<<20) + "\r\n\r\n").close()
 	case HugeBody:
 		w.Header().Set("Content-Length", strconv.Itoa(hugeBytes))
-	case Extra:
-		hijack(w).send(head + string(answer) + "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nanother").linger()
+	case ExtraResponse:
+		hijack(w).send(head + string(body) + "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nanother").linger()
 	case Hang:
 		t.hang(r)
 	default:
 		w.Header().Set("Content-Length", n)
-		w.Write(answer) //nolint:errcheck // the client may have disconnected
+		w.Write(body) //nolint:errcheck // the client may have disconnected
 	}
 }
 
-// raw is a connection that was hijacked from the HTTP server.
-type raw struct {
+// rawConn is a connection that was hijacked from the HTTP server.
+type rawConn struct {
 	conn net.Conn
 	buf  *bufio.ReadWriter
 }
 
-func hijack(w http.ResponseWriter) raw {
+func hijack(w http.ResponseWriter) rawConn {
 	conn, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
 		// net/http allows one hijack of an HTTP/1.1 connection.
 		panic(err)
 	}
-	return raw{conn: conn, buf: buf}
+	return rawConn{conn: conn, buf: buf}
 }
 
-func (r raw) send(s string) raw {
+func (r rawConn) send(s string) rawConn {
 	io.WriteString(r.conn, s) //nolint:errcheck // the client may have disconnected
 	return r
 }
 
-func (r raw) close() { r.conn.Close() } //nolint:errcheck // the connection is discarded
+func (r rawConn) close() { r.conn.Close() } //nolint:errcheck // the connection is discarded
 
 // reset closes the connection with a TCP RST, so that the client sees a connection
 // reset.
-func (r raw) reset() {
-	if c, ok := r.conn.(*gateConn); ok {
+func (r rawConn) reset() {
+	if c, ok := r.conn.(*trackedConn); ok {
 		c.Conn.(*net.TCPConn).SetLinger(0) //nolint:errcheck // on an error the connection is closed normally
 	}
 	r.close()
 }
 
 // linger keeps the connection open until the client closes it.
-func (r raw) linger() {
+func (r rawConn) linger() {
 	io.Copy(io.Discard, r.buf) //nolint:errcheck // returns when the client closes the connection
 	r.close()
 }
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -33,7 +33,7 @@
 // Target is a running instance. It is safe for concurrent use.
 type Target struct {
 	o        Options
-	listener *gateListener
+	listener *trackedListener
 	server   *http.Server
 	served   chan struct{}
 	stop     chan struct{}
@@ -43,7 +43,7 @@
 	plan     func(id string, r *http.Request) Fault
 	runs     map[string]int
 	active   int
-	mostRuns int
+	maxConcurrentRuns int
 	leaving  bool
 }
 
@@ -121,8 +121,8 @@
 // Connections returns the number of open connections.
 func (t *Target) Connections() int { return t.listener.counts().open }
 
-// MostConnections returns the highest number of connections that were open at once.
-func (t *Target) MostConnections() int { return t.listener.counts().most }
+// MaxConnections returns the highest number of connections that were open at once.
+func (t *Target) MaxConnections() int { return t.listener.counts().maxOpen }
 
 // Accepted returns the total number of accepted connections.
 func (t *Target) Accepted() int { return t.listener.counts().accepted }
@@ -141,11 +141,11 @@
 	return maps.Clone(t.runs)
 }
 
-// MostRuns returns the highest number of requests that ran at once.
-func (t *Target) MostRuns() int {
+// MaxConcurrentRuns returns the highest number of requests that ran at once.
+func (t *Target) MaxConcurrentRuns() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.mostRuns
+	return t.maxConcurrentRuns
 }
 
 // begin counts a run of the request and marks it as active.
@@ -154,7 +154,7 @@
 	defer t.mu.Unlock()
 	t.runs[id]++
 	t.active++
-	t.mostRuns = max(t.mostRuns, t.active)
+	t.maxConcurrentRuns = max(t.maxConcurrentRuns, t.active)
 }
 
 func (t *Target) end() {
--- a/traffic/chaos_test.go
+++ b/traffic/chaos_test.go
@@ -210,7 +210,7 @@
 func (h *history) record(resp *traffic.Response, err error, req *traffic.Request) error {
 	if err == nil {
 		h.answered++
-		if !bytes.Equal(resp.Body, target.Answer(req.ID, req.Body)) {
+		if !bytes.Equal(resp.Body, target.Response(req.ID, req.Body)) {
 			return &wrongAnswerError{id: req.ID, body: resp.Body}
 		}
 		return nil
