--- a/standin/target/fault.go
+++ b/standin/target/fault.go
@@ -34,9 +34,10 @@
 	ConflictingLengths
 	// MalformedHead sends bytes that are not HTTP.
 	MalformedHead
-	// HugeHead sends a response header of 1 MiB, far above the limit of any client.
+	// HugeHead sends a response header of more than 1 MiB, far above the limit of
+	// the entries' client.
 	HugeHead
-	// HugeBody declares a body of hugeBytes, far above the limit of any client.
+	// HugeBody declares a body of hugeBytes, far above the limit of the entries' client.
 	HugeBody
 	// ExtraResponse sends a complete response, followed at once by an unsolicited one.
 	ExtraResponse
--- a/standin/target/serve.go
+++ b/standin/target/serve.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// hugeBytes is a body size (64 MiB) above the limit of any client.
+// hugeBytes is a body size (64 MiB) above the limit of the entries' client.
 const hugeBytes = 64 << 20
 
 // Response returns the response body for a request. It contains the request's id and
@@ -88,6 +88,7 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
+// respond sends the response, with the fault of that kind.
 func (t *Target) respond(w http.ResponseWriter, r *http.Request, body []byte, kind Kind) {
 	n := strconv.Itoa(len(body))
 	head := "HTTP/1.1 200 OK\r\nContent-Length: " + n + "\r\n\r\n"
@@ -135,7 +136,7 @@
 func hijack(w http.ResponseWriter) rawConn {
 	conn, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
-		// net/http allows one hijack of an HTTP/1.1 connection.
+		// The net/http server does not refuse the first hijack of an HTTP/1 connection.
 		panic(err)
 	}
 	return rawConn{conn: conn, buf: buf}
