--- a/standin/target/listener.go
+++ b/standin/target/listener.go
@@ -12,7 +12,7 @@
 
 	mu       sync.Mutex
 	conns    map[*trackedConn]struct{}
-	maxOpen     int
+	maxOpen  int
 	accepted int
 }
 
--- a/standin/target/target.go
+++ b/standin/target/target.go
@@ -39,12 +39,12 @@
 	stop     chan struct{}
 	once     sync.Once
 
-	mu       sync.Mutex
-	plan     func(id string, r *http.Request) Fault
-	runs     map[string]int
-	active   int
+	mu                sync.Mutex
+	plan              func(id string, r *http.Request) Fault
+	runs              map[string]int
+	active            int
 	maxConcurrentRuns int
-	leaving  bool
+	leaving           bool
 }
 
 // Start starts a target on a free port of 127.0.0.1. An error is a *StartError.
