--- a/adapter/adminapi/server.go
+++ b/adapter/adminapi/server.go
@@ -24,7 +24,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// Daemon is what the interface asks of a daemon.
+// Daemon is the part of a daemon that a Server uses.
 type Daemon interface {
 	Apply(ctx context.Context, request config.ApplyRequest) (config.ApplyResult, error)
 	Status(ctx context.Context) (daemon.Status, error)
@@ -37,34 +37,34 @@
 type Options struct {
 	Daemon   Daemon
 	Gatherer prometheus.Gatherer
-	// Ready returns why requests are not taken, nil when they are.
+	// Ready returns nil if the daemon accepts requests, and the reason if not.
 	Ready func() error
-	// Drain begins a planned stop and returns at once.
+	// Drain starts a planned stop and returns without waiting for it.
 	Drain func()
 }
 
-// The bounds on an operator's request.
+// The limits of an operator's request.
 const (
-	// maxManifestBytes is larger than what can be accepted, so that a manifest
-	// that is a little too large is refused with a list of its problems.
+	// maxManifestBytes is larger than any acceptable manifest, so that one that is
+	// slightly too large is parsed and refused with a list of its problems.
 	maxManifestBytes  = 4 * port.MaxValueBytes
 	readHeaderTimeout = 5 * time.Second
 	requestTimeout    = 30 * time.Second
 )
 
-// Server is the operators' interface.
+// Server serves the HTTP API for operators.
 type Server struct {
 	o      Options
 	server *http.Server
 }
 
-// New returns a server that does not listen yet.
+// New returns a Server. It handles requests once Serve is called.
 func New(o Options) *Server {
 	s := &Server{o: o}
 	e := echo.New()
 	e.HideBanner = true
 	e.HidePort = true
-	e.HTTPErrorHandler = answerError
+	e.HTTPErrorHandler = handleError
 	e.POST("/v1/manifest", s.apply)
 	e.GET("/v1/manifest", s.manifest)
 	e.POST("/v1/cancel", s.cancel)
@@ -85,7 +85,7 @@
 	return s
 }
 
-// Serve answers until Close.
+// Serve handles requests on l until Close is called, and then returns nil.
 func (s *Server) Serve(l net.Listener) error {
 	if err := s.server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
@@ -93,15 +93,16 @@
 	return nil
 }
 
-// Close waits for answers in progress until ctx ends.
+// Close stops the server and waits for requests in progress until ctx ends.
 func (s *Server) Close(ctx context.Context) error { return s.server.Shutdown(ctx) }
 
-func problem(c echo.Context, status int, kind ProblemKind, err error) error {
-	return c.JSON(status, Problem{Kind: kind, Detail: detail(err)})
+func respondProblem(c echo.Context, status int, kind ProblemKind, err error) error {
+	return c.JSON(status, Problem{Kind: kind, Detail: errorText(err)})
 }
 
-// answerError answers what no handler took, such as an unknown path.
-func answerError(err error, c echo.Context) {
+// handleError responds to requests without a handler, such as those for an unknown
+// path.
+func handleError(err error, c echo.Context) {
 	if c.Response().Committed {
 		return
 	}
@@ -116,15 +117,15 @@
 func (s *Server) apply(c echo.Context) error {
 	query, err := parseApplyQuery(c.QueryParams())
 	if err != nil {
-		return problem(c, http.StatusBadRequest, BadQuery, err)
+		return respondProblem(c, http.StatusBadRequest, BadQuery, err)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, maxManifestBytes))
 	if err != nil {
-		return unreadable(c, err)
+		return respondBodyError(c, err)
 	}
 	m, err := manifest.Parse(body)
 	if err != nil {
-		return c.JSON(http.StatusUnprocessableEntity, refusal(err))
+		return c.JSON(http.StatusUnprocessableEntity, refusedResult(err))
 	}
 	if query.dryRun {
 		return s.dryRun(c, m, query.base)
@@ -132,19 +133,20 @@
 	return s.change(c, config.ApplyRequest{Manifest: m, Base: query.base})
 }
 
-// unreadable answers a manifest whose body was not read to its end.
-func unreadable(c echo.Context, err error) error {
+// respondBodyError responds to a manifest whose body could not be read completely.
+// A body that is too large is refused like a manifest that is too large.
+func respondBodyError(c echo.Context, err error) error {
 	var tooLarge *http.MaxBytesError
 	if !errors.As(err, &tooLarge) {
-		return problem(c, http.StatusBadRequest, BadBody, err)
+		return respondProblem(c, http.StatusBadRequest, BadBody, err)
 	}
-	return c.JSON(http.StatusUnprocessableEntity, refusal(&manifest.InvalidError{Problems: []manifest.Problem{{
+	return c.JSON(http.StatusUnprocessableEntity, refusedResult(&manifest.InvalidError{Problems: []manifest.Problem{{
 		Reason: manifest.ReasonTooLarge,
 		Detail: fmt.Sprintf("at most %d bytes", tooLarge.Limit),
 	}}}))
 }
 
-func refusal(err error) ChangeResult {
+func refusedResult(err error) ChangeResult {
 	result := ChangeResult{Outcome: Refused, Detail: err.Error()}
 	var invalid *manifest.InvalidError
 	if errors.As(err, &invalid) {
@@ -153,11 +155,12 @@
 	return result
 }
 
-// dryRun says what an apply would do to the configuration in force here.
+// dryRun responds with the changes that an apply would make to the configuration in
+// force at this daemon.
 func (s *Server) dryRun(c echo.Context, m *manifest.Manifest, replaces *model.Revision) error {
 	current, err := s.o.Daemon.Config(c.Request().Context())
 	if err != nil {
-		return problem(c, http.StatusServiceUnavailable, Unavailable, err)
+		return respondProblem(c, http.StatusServiceUnavailable, Unavailable, err)
 	}
 	if replaces != nil {
 		if err := config.CheckBase(current, *replaces); err != nil {
@@ -166,7 +169,7 @@
 	}
 	next, diff, err := config.Accept(current, m, 1, "dry-run")
 	if err != nil {
-		return c.JSON(http.StatusUnprocessableEntity, refusal(err))
+		return c.JSON(http.StatusUnprocessableEntity, refusedResult(err))
 	}
 	if diff.Empty() {
 		return c.JSON(http.StatusOK, ChangeResult{Outcome: NoChange, Revision: next.Revision})
@@ -185,7 +188,7 @@
 func (s *Server) cancel(c echo.Context) error {
 	request, err := readCancel(http.MaxBytesReader(c.Response(), c.Request().Body, maxManifestBytes))
 	if err != nil {
-		return problem(c, http.StatusBadRequest, BadBody, err)
+		return respondProblem(c, http.StatusBadRequest, BadBody, err)
 	}
 	return s.change(c, config.ApplyRequest{Cancel: request.Workloads, Base: request.Base})
 }
@@ -198,17 +201,17 @@
 			Outcome: Unknown, Writer: request.Writer, Detail: err.Error(),
 		})
 	}
-	status, answer := changeResult(result)
-	return c.JSON(status, answer)
+	status, response := changeResult(result)
+	return c.JSON(status, response)
 }
 
 func (s *Server) manifest(c echo.Context) error {
 	current, err := s.o.Daemon.Config(c.Request().Context())
 	if err != nil {
-		return problem(c, http.StatusServiceUnavailable, Unavailable, err)
+		return respondProblem(c, http.StatusServiceUnavailable, Unavailable, err)
 	}
 	if current == nil {
-		return problem(c, http.StatusNotFound, NoManifest, nil)
+		return respondProblem(c, http.StatusNotFound, NoManifest, nil)
 	}
 	c.Response().Header().Set("Guavarill-Revision", strconv.FormatUint(uint64(current.Revision), 10))
 	return c.JSONBlob(http.StatusOK, current.Manifest.Canonical())
@@ -217,7 +220,7 @@
 func (s *Server) status(c echo.Context) error {
 	st, err := s.o.Daemon.Status(c.Request().Context())
 	if err != nil {
-		return problem(c, http.StatusServiceUnavailable, Unavailable, err)
+		return respondProblem(c, http.StatusServiceUnavailable, Unavailable, err)
 	}
 	return c.JSON(http.StatusOK, st)
 }
@@ -225,17 +228,18 @@
 func (s *Server) tasks(c echo.Context) error {
 	list, err := s.o.Daemon.Tasks(c.Request().Context())
 	if err != nil {
-		return problem(c, http.StatusServiceUnavailable, Unavailable, err)
+		return respondProblem(c, http.StatusServiceUnavailable, Unavailable, err)
 	}
-	return c.JSON(http.StatusOK, notNull(list))
+	return c.JSON(http.StatusOK, emptyIfNil(list))
 }
 
 func (s *Server) timeline(c echo.Context) error {
-	return c.JSON(http.StatusOK, notNull(s.o.Daemon.Timeline()))
+	return c.JSON(http.StatusOK, emptyIfNil(s.o.Daemon.Timeline()))
 }
 
-// notNull has an empty list answered as one, and not as null.
-func notNull[T any](list []T) []T {
+// emptyIfNil returns an empty list for nil, so that the response is [] instead of
+// null.
+func emptyIfNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
--- a/adapter/etcdstore/budgeted_test.go
+++ b/adapter/etcdstore/budgeted_test.go
@@ -25,12 +25,12 @@
 	wantFailure(t, err, port.StoreThrottled, port.OutcomeNotDone)
 	var throttled *storebudget.ThrottledError
 	if !errors.As(err, &throttled) {
-		t.Fatalf("cause of %v does not say when to come again", err)
+		t.Fatalf("cause of %v is not a ThrottledError", err)
 	}
 	return throttled.RetryAt
 }
 
-func TestBudgetHoldsCallsBack(t *testing.T) {
+func TestBudgetThrottlesCalls(t *testing.T) {
 	server, clock, s := newBudgeted(storebudget.Options{Daemons: 300})
 	ctx := context.Background()
 	var err error
@@ -40,18 +40,18 @@
 	}
 	at := retryAt(t, err)
 	if n := server.Calls(store.MethodTxn); n != sent-1 {
-		t.Errorf("%d calls reached the store, %d were let through", n, sent-1)
+		t.Errorf("%d calls reached the store, %d were admitted", n, sent-1)
 	}
 	if _, err := s.GrantLease(ctx, time.Minute); err != nil {
 		t.Errorf("lease after commits: %v", err)
 	}
 	clock.Advance(at.Sub(clock.Now()) + 2*time.Second)
 	if _, err := s.Txn(ctx, nil, put("k", "v")); err != nil {
-		t.Errorf("commit at its time: %v", err)
+		t.Errorf("commit after its retry time: %v", err)
 	}
 }
 
-func TestPollsGiveWayToReads(t *testing.T) {
+func TestPollsAreThrottledBeforeReads(t *testing.T) {
 	_, _, s := newBudgeted(storebudget.Options{Daemons: 1000, StoreReads: 1})
 	poll := etcdstore.WithClass(context.Background(), storebudget.ClassPoll)
 	var err error
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestFailuresCloseTheLane(t *testing.T) {
+func TestFailureThrottlesCallsUntilAProbeSucceeds(t *testing.T) {
 	server, clock, s := newBudgeted(storebudget.Options{Daemons: 7})
 	ctx := context.Background()
 	server.Down()
@@ -93,7 +93,7 @@
 func TestStoreKeepsToTheBudgetOfItsOptions(t *testing.T) {
 	server, addr := startServer(t, store.Options{})
 	budget := storebudget.New(time.Now(), storebudget.Options{Daemons: 1000, StoreReads: 1, MinReads: 0.001})
-	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: patience, Budget: budget})
+	s := newStore(t, etcdstore.Options{Endpoint: addr, CallTimeout: waitTimeout, Budget: budget})
 	poll := etcdstore.WithClass(context.Background(), storebudget.ClassPoll)
 	var err error
 	sent := 0
@@ -104,6 +104,6 @@
 	_, err = s.Watch(poll, "k", 0)
 	retryAt(t, err)
 	if n := server.Calls(store.MethodRange); n != sent-1 {
-		t.Errorf("%d calls reached the store, %d were let through", n, sent-1)
+		t.Errorf("%d calls reached the store, %d were admitted", n, sent-1)
 	}
 }
--- a/adapter/etcdstore/helper_test.go
+++ b/adapter/etcdstore/helper_test.go
@@ -11,8 +11,8 @@
 	"github.com/guavarill/guavarill/standin/store"
 )
 
-// patience is how long a test waits for something that must happen.
-const patience = 30 * time.Second
+// waitTimeout is the timeout for an event that must happen.
+const waitTimeout = 30 * time.Second
 
 func startServer(t testing.TB, o store.Options) (*store.Server, string) {
 	t.Helper()
@@ -35,15 +35,15 @@
 	return s
 }
 
-// connect starts a stand-in and a store whose connection is already open and
-// does not ping.
+// connect starts a stand-in server and returns it with a store whose connection
+// is open and sends no pings.
 func connect(t testing.TB, timeout time.Duration) (*store.Server, *etcdstore.Store) {
 	t.Helper()
 	server, addr := startServer(t, store.Options{})
 	s := newStore(t, etcdstore.Options{
 		Endpoint: addr, CallTimeout: timeout, ReconnectAfter: time.Nanosecond, PingTime: time.Hour,
 	})
-	await(t, "the first answer", func() bool {
+	await(t, "the first response", func() bool {
 		_, err := s.Get(context.Background(), "warm")
 		return err == nil
 	})
@@ -52,14 +52,14 @@
 
 func await(t testing.TB, what string, holds func() bool) {
 	t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	poll := time.NewTicker(5 * time.Millisecond)
 	defer poll.Stop()
 	for !holds() {
 		select {
 		case <-poll.C:
 		case <-deadline:
-			t.Fatalf("%s did not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -72,8 +72,8 @@
 			t.Fatal("the watch ended without an event")
 		}
 		return ev
-	case <-time.After(patience):
-		t.Fatal("no event came")
+	case <-time.After(waitTimeout):
+		t.Fatal("timed out waiting for an event")
 	}
 	return port.WatchEvent{}
 }
@@ -86,7 +86,7 @@
 	t.Helper()
 	var failure *port.StoreError
 	if !errors.As(err, &failure) {
-		t.Fatalf("error %v is no StoreError", err)
+		t.Fatalf("error %v is not a StoreError", err)
 	}
 	if failure.Kind != kind || failure.Outcome != outcome {
 		t.Errorf("got %q (%v), want %q (%v)", failure.Kind, failure, kind, outcome)
--- a/adapter/etcdstore/answer_test.go
+++ b/adapter/etcdstore/response_test.go
@@ -14,7 +14,7 @@
 	"github.com/guavarill/guavarill/port"
 )
 
-// emptyKV answers with empty messages and knows no leases.
+// emptyKV is a server that returns empty messages and has no lease service.
 type emptyKV struct {
 	etcdv3.UnimplementedKVServer
 }
@@ -27,12 +27,10 @@
 	return &etcdv3.TxnResponse{Succeeded: true}, nil
 }
 
-// Symptom: after an answer from something that is not the store, a daemon
-// believes that its commit was made at revision 0.
-// Sequence: a proxy or another service answers a transaction with an empty
-// message.
-// Cause: a call without a status of failure was taken for done.
-func TestAnswersThatMakeNoSense(t *testing.T) {
+// Guards against a commit reported as done at revision 0: a proxy or another
+// service returned an empty message for a transaction, and the adapter took
+// every call without an error status for done.
+func TestMalformedResponses(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -41,7 +39,7 @@
 	etcdv3.RegisterKVServer(server, emptyKV{})
 	go func() { _ = server.Serve(inner) }()
 	t.Cleanup(server.Stop)
-	s := newStore(t, etcdstore.Options{Endpoint: inner.Addr().String(), CallTimeout: patience})
+	s := newStore(t, etcdstore.Options{Endpoint: inner.Addr().String(), CallTimeout: waitTimeout})
 	ctx := context.Background()
 	_, err = s.Txn(ctx, nil, put("k", "v"))
 	wantFailure(t, err, port.StoreMalformedResponse, port.OutcomeUnknown)
--- a/adapter/etcdstore/watch.go
+++ b/adapter/etcdstore/watch.go
@@ -13,7 +13,7 @@
 
 type watchStream = grpc.BidiStreamingClient[etcdv3.WatchRequest, etcdv3.WatchResponse]
 
-// watch is one open watch: one stream with one watch on it.
+// watch is one open watch. Each watch has its own gRPC stream.
 type watch struct {
 	store  *Store
 	conn   *connection
@@ -22,8 +22,8 @@
 	events chan port.WatchEvent
 }
 
-// Watch implements port.Store. The channel is closed after the watch's last
-// event: at once when ctx ends, after an event with Err when the watch breaks.
+// Watch implements port.Store. The channel is closed when the watch ends: without
+// a further event if ctx ended, and after an event with Err if the watch failed.
 func (s *Store) Watch(ctx context.Context, prefix string, after int64) (<-chan port.WatchEvent, error) {
 	if err := s.gate.admit(ctx, callWatch); err != nil {
 		s.metrics.count(callWatch.name, err)
@@ -41,7 +41,7 @@
 }
 
 func (s *Store) openWatch(ctx context.Context, prefix string, after int64) (*watch, error) {
-	conn, err := s.conns.acquire(wantsFresh(ctx))
+	conn, err := s.conns.acquire(wantsFreshConnection(ctx))
 	if err != nil {
 		return nil, classify(ctx, callWatch, err, false)
 	}
@@ -51,19 +51,19 @@
 	timer := time.AfterFunc(s.timeout, cancel)
 	err = w.create(streamCtx, prefix, after)
 	if timer.Stop() && err == nil {
-		s.conns.heard(conn)
+		s.conns.recordResponse(conn)
 		return w, nil
 	}
 	timedOut := streamCtx.Err() != nil && ctx.Err() == nil
 	failure := openFailure(ctx, err, timedOut)
 	if timedOut {
-		s.conns.timedOut(conn, started)
+		s.conns.recordTimeout(conn, started)
 	}
-	w.end()
+	w.close()
 	return nil, failure
 }
 
-// create asks for the watch and waits until the store has it.
+// create requests the watch and waits until the store confirms it.
 func (w *watch) create(ctx context.Context, prefix string, after int64) error {
 	stream, err := etcdv3.NewWatchClient(w.conn.cc).Watch(ctx)
 	if err != nil {
@@ -79,10 +79,10 @@
 		return err
 	}
 	if !resp.GetCreated() {
-		return &AnswerError{Reason: "the first answer does not create the watch"}
+		return &ResponseError{Reason: "the first answer does not create the watch"}
 	}
 	if resp.GetCanceled() {
-		return canceledWatch(resp)
+		return watchCancelError(resp)
 	}
 	return nil
 }
@@ -94,30 +94,32 @@
 	switch failure := err.(type) {
 	case *port.StoreError:
 		return failure
-	case *AnswerError:
-		return badAnswer(callWatch, failure.Reason)
+	case *ResponseError:
+		return malformedResponse(callWatch, failure.Reason)
 	default:
 		return classify(ctx, callWatch, err, true)
 	}
 }
 
-// canceledWatch is the store's own end of a watch.
-func canceledWatch(resp *etcdv3.WatchResponse) *port.StoreError {
+// watchCancelError returns the error of a watch that the store canceled: its kind
+// is StoreCompacted if the watch's revision was compacted, otherwise
+// StoreWatchBroken.
+func watchCancelError(resp *etcdv3.WatchResponse) *port.StoreError {
 	failure := &port.StoreError{Call: callWatch.name, Kind: port.StoreWatchBroken, Outcome: port.OutcomeNotDone}
 	if resp.GetCompactRevision() > 0 {
 		failure.Kind = port.StoreCompacted
 	}
 	if resp.GetCancelReason() != "" {
-		failure.Cause = &AnswerError{Reason: resp.GetCancelReason()}
+		failure.Cause = &ResponseError{Reason: resp.GetCancelReason()}
 	}
 	return failure
 }
 
-// run passes events on until the watch ends.
+// run delivers events until the watch ends.
 func (w *watch) run(ctx context.Context) {
 	defer close(w.events)
 	defer w.store.metrics.watches.Dec()
-	defer w.end()
+	defer w.close()
 	failure := w.receive(ctx)
 	if ctx.Err() != nil {
 		return
@@ -134,9 +136,9 @@
 				Call: callWatch.name, Kind: port.StoreWatchBroken, Outcome: port.OutcomeNotDone, Cause: err,
 			}
 		}
-		w.store.conns.heard(w.conn)
+		w.store.conns.recordResponse(w.conn)
 		if resp.GetCanceled() {
-			return canceledWatch(resp)
+			return watchCancelError(resp)
 		}
 		for _, ev := range resp.GetEvents() {
 			if !w.deliver(ctx, etcdwire.WatchEvent(ev)) {
@@ -146,7 +148,7 @@
 	}
 }
 
-// deliver hands over one event; false means that nobody wants it any more.
+// deliver sends one event to the channel. It returns false if ctx ended first.
 func (w *watch) deliver(ctx context.Context, ev port.WatchEvent) bool {
 	select {
 	case w.events <- ev:
@@ -156,7 +158,7 @@
 	}
 }
 
-func (w *watch) end() {
+func (w *watch) close() {
 	w.cancel()
 	w.store.conns.release(w.conn)
 }
--- a/adapter/httptarget/silence.go
+++ b/adapter/httptarget/silence.go
@@ -46,7 +46,7 @@
 		x.t.metrics.silences.Inc()
 		w.connectionAtFault.Store(true)
 	}
-	if x.call.Silent != nil && x.call.Silent(proven) {
+	if x.call.OnSilence != nil && x.call.OnSilence(proven) {
 		giveUp(faultSilent)
 	}
 }
