--- a/standin/target/serve.go
+++ b/standin/target/serve.go
@@ -11,16 +11,17 @@
 	"time"
 )
 
-// hugeBytes is beyond any bound that a client may have.
+// hugeBytes is a body size (64 MiB) above the limit of the entries' client.
 const hugeBytes = 64 << 20
 
-// Answer returns what the instance answers to a request: its id and body, so
-// that nobody takes it for the answer to another.
-func Answer(id string, body []byte) []byte {
+// Response returns the response body for a request. It contains the request's id and
+// body, so that a response to another request is detected.
+func Response(id string, body []byte) []byte {
 	return fmt.Appendf(nil, "%s:%d:%s", id, len(body), body)
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It runs the request with the fault that the plan
+// selects for it; a leaving target refuses every request.
 func (t *Target) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(HeaderRequestID)
 	fault, leaving := t.faultOf(id, r)
@@ -44,7 +45,7 @@
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
-		// To return would answer with an empty success.
+		// A plain return would send an empty response with status 200.
 		panic(http.ErrAbortHandler)
 	}
 	t.run(w, r, id, body, fault)
@@ -53,10 +54,10 @@
 func (t *Target) run(w http.ResponseWriter, r *http.Request, id string, body []byte, fault Fault) {
 	t.begin(id)
 	t.work(fault.Delay + t.o.Work)
-	// The slot is free before the answer goes out: a client that has the
-	// answer may send the next request at once.
+	// The run ends before the response is sent, because a client that has the
+	// response may send the next request at once.
 	t.end()
-	t.answer(w, r, Answer(id, body), fault.Kind)
+	t.respond(w, r, Response(id, body), fault.Kind)
 }
 
 func (t *Target) work(d time.Duration) {
@@ -71,7 +72,8 @@
 	}
 }
 
-// hang gives no answer, not even an empty one when the instance ends.
+// hang waits until the client disconnects or the target is closed, and sends no
+// response. It aborts the handler, as a return would send an empty response.
 func (t *Target) hang(r *http.Request) {
 	select {
 	case <-r.Context().Done():
@@ -86,14 +88,15 @@
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func (t *Target) answer(w http.ResponseWriter, r *http.Request, answer []byte, kind Kind) {
-	n := strconv.Itoa(len(answer))
+// respond sends the response, with the fault of that kind.
+func (t *Target) respond(w http.ResponseWriter, r *http.Request, body []byte, kind Kind) {
+	n := strconv.Itoa(len(body))
 	head := "HTTP/1.1 200 OK\r\nContent-Length: " + n + "\r\n\r\n"
-	half := string(answer[:len(answer)/2])
+	half := string(body[:len(body)/2])
 	switch kind {
-	case FailAnswer:
+	case ErrorResponse:
 		w.WriteHeader(http.StatusInternalServerError)
-		w.Write(answer) //nolint:errcheck // the client's loss
+		w.Write(body) //nolint:errcheck // the client's loss
 	case ResetBeforeHead:
 		hijack(w).reset()
 	case ResetMidHead:
@@ -105,57 +108,58 @@
 	case ShortChunks:
 		hijack(w).send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n").close()
 	case Unbounded:
-		hijack(w).send("HTTP/1.1 200 OK\r\n\r\n" + string(answer)).close()
-	case Conflicting:
+		hijack(w).send("HTTP/1.1 200 OK\r\n\r\n" + string(body)).close()
+	case ConflictingLengths:
 		hijack(w).send("HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 5\r\n\r\nabcde").close()
-	case BadHead:
+	case MalformedHead:
 		hijack(w).send("this is not HTTP\r\n\r\n").close()
 	case HugeHead:
 		hijack(w).send("HTTP/1.1 200 OK\r\nX-Long: " + strings.Repeat("x", 1<<20) + "\r\n\r\n").close()
 	case HugeBody:
 		w.Header().Set("Content-Length", strconv.Itoa(hugeBytes))
-	case Extra:
-		hijack(w).send(head + string(answer) + "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nanother").linger()
+	case ExtraResponse:
+		hijack(w).send(head + string(body) + "HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\nanother").linger()
 	case Hang:
 		t.hang(r)
 	default:
 		w.Header().Set("Content-Length", n)
-		w.Write(answer) //nolint:errcheck // the client's loss
+		w.Write(body) //nolint:errcheck // the client's loss
 	}
 }
 
-// raw is a connection taken over from the HTTP server.
-type raw struct {
+// rawConn is a connection that was hijacked from the HTTP server.
+type rawConn struct {
 	conn net.Conn
 	buf  *bufio.ReadWriter
 }
 
-func hijack(w http.ResponseWriter) raw {
+func hijack(w http.ResponseWriter) rawConn {
 	conn, buf, err := w.(http.Hijacker).Hijack()
 	if err != nil {
-		// Only a server other than net/http's could refuse.
+		// The net/http server does not refuse the first hijack of an HTTP/1 connection.
 		panic(err)
 	}
-	return raw{conn: conn, buf: buf}
+	return rawConn{conn: conn, buf: buf}
 }
 
-func (r raw) send(s string) raw {
+func (r rawConn) send(s string) rawConn {
 	io.WriteString(r.conn, s) //nolint:errcheck // the client's loss
 	return r
 }
 
-func (r raw) close() { r.conn.Close() } //nolint:errcheck // nothing is left to lose
+func (r rawConn) close() { r.conn.Close() } //nolint:errcheck // nothing is left to lose
 
-// reset closes the connection so that the client's system reports a reset.
-func (r raw) reset() {
-	if c, ok := r.conn.(*gateConn); ok {
+// reset closes the connection with a TCP RST, so that the client sees a connection
+// reset.
+func (r rawConn) reset() {
+	if c, ok := r.conn.(*trackedConn); ok {
 		c.Conn.(*net.TCPConn).SetLinger(0) //nolint:errcheck // then it is a plain close
 	}
 	r.close()
 }
 
 // linger keeps the connection open until the client closes it.
-func (r raw) linger() {
+func (r rawConn) linger() {
 	io.Copy(io.Discard, r.buf) //nolint:errcheck // ends when the client closes
 	r.close()
 }
--- a/traffic/chaos_test.go
+++ b/traffic/chaos_test.go
@@ -214,7 +214,7 @@
 func (h *history) record(resp *traffic.Response, err error, req *traffic.Request) error {
 	if err == nil {
 		h.answered++
-		if !bytes.Equal(resp.Body, target.Answer(req.ID, req.Body)) {
+		if !bytes.Equal(resp.Body, target.Response(req.ID, req.Body)) {
 			return &wrongResponseError{id: req.ID, body: resp.Body}
 		}
 		return nil
